--- a/Source/Forward/FlowBook.cpp
+++ b/Source/Forward/OpenFlowTable.cpp
@@ -1,4 +1,4 @@
-#include "Forward/FlowBook.h"
+#include "Forward/OpenFlowTable.h"
 
 #include <algorithm>
 
@@ -20,13 +20,13 @@
 
 }
 
-FlowMemory* FlowBook::find(const FlowEnds& ends)
+FlowRecord* OpenFlowTable::find(const FlowEnds& ends)
 {
     const auto found = flows_.find(ends);
     return found == flows_.end() ? nullptr : &found->second;
 }
 
-void FlowBook::noteTry(const FlowEnds& ends, KnownServer& server, std::uint32_t copies, TimePoint now)
+void OpenFlowTable::noteTry(const FlowEnds& ends, KnownServer& server, std::uint32_t copies, TimePoint now)
 {
     if (server.seen.waitingSince == TimePoint::max())
         server.seen.waitingSince = now;
@@ -35,11 +35,11 @@
     if (flows_.size() >= limit)
         return;
     const auto [entry, isNew] = flows_.try_emplace(ends);
-    FlowMemory& flow = entry->second;
+    FlowRecord& flow = entry->second;
     if (isNew)
         flow.openedAt = now;
     else if (flow.token != server.token)
-        flow.formerTries = { flow.token, flow.formerTries[0] };
+        flow.previousTokens = { flow.token, flow.previousTokens[0] };
     if (flow.token != server.token) {
         count(flow.token, -1, flow.isBusy ? -1 : 0);
         count(server.token, 1, 0);
@@ -52,10 +52,10 @@
     flow.lastSeen = now;
 }
 
-FlowProgress FlowBook::noteTraffic(const TokenPacket& packet, KnownServer& server, TimePoint now)
+FlowProgress OpenFlowTable::noteTraffic(const TokenPacket& packet, KnownServer& server, TimePoint now)
 {
     FlowProgress progress;
-    FlowMemory* flow = rememberOpen(packet, server);
+    FlowRecord* flow = rememberOpen(packet, server);
     if (!flow)
         return progress;
     flow->lastSeen = now;
@@ -76,9 +76,9 @@
 }
 
 // The packet's server is the one that holds the flow, whatever was tried last: null when the flow is not remembered.
-FlowMemory* FlowBook::rememberOpen(const TokenPacket& packet, const KnownServer& server)
+FlowRecord* OpenFlowTable::rememberOpen(const TokenPacket& packet, const KnownServer& server)
 {
-    FlowMemory* flow = find(packet.ends);
+    FlowRecord* flow = find(packet.ends);
     if (!flow) {
         if (flows_.size() >= limit || packet.finishes || packet.resets)
             return nullptr;
@@ -97,7 +97,7 @@
     return flow;
 }
 
-void FlowBook::learnAnswer(FlowMemory& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
+void OpenFlowTable::learnAnswer(FlowRecord& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
 {
     if (!flow.isOpen) {
         flow.isOpen = true;
@@ -120,7 +120,7 @@
     }
 }
 
-void FlowBook::learnSent(FlowMemory& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
+void OpenFlowTable::learnSent(FlowRecord& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
 {
     const std::uint32_t end = packet.sequence + packet.payloadBytes;
     if (isAfter(end, flow.sequenceEnd)) {
@@ -130,24 +130,24 @@
         if (packet.payloadBytes > 0)
             setBusy(flow, true, now);
     } else if (packet.payloadBytes > 0) {
-        const bool isOutOfOrder = now - flow.lastNewBytes < reorderedFor;
+        const bool isOutOfOrder = now - flow.lastNewBytes < reorderingWindow;
         progress.mayBeHead = isOutOfOrder;
         progress.repeats = !isOutOfOrder;
     }
 }
 
-void FlowBook::forgetFlowsOf(std::uint32_t token)
+void OpenFlowTable::forgetFlowsOf(std::uint32_t token)
 {
     absl::erase_if(flows_, [&](const auto& row) { return row.second.token == token; });
 }
 
-std::vector<FailingChange> FlowBook::tick(TimePoint now)
+std::vector<FailingChange> OpenFlowTable::tick(TimePoint now)
 {
     absl::erase_if(flows_, [&](auto& row) {
-        FlowMemory& flow = row.second;
-        if (flow.isBusy && now - flow.busySince > overdueAfter)
+        FlowRecord& flow = row.second;
+        if (flow.isBusy && now - flow.busySince > answerTimeout)
             noteOutcome(flow, false, now);
-        const auto lifetime = flow.isOpen ? activeFor : openingFor;
+        const auto lifetime = flow.isOpen ? activeTimeout : openingLifetime;
         if (now - flow.lastSeen < lifetime)
             return false;
         forget(flow);
@@ -156,12 +156,12 @@
     return reviewOutcomes(now);
 }
 
-std::vector<FailingChange> FlowBook::reviewOutcomes(TimePoint now)
+std::vector<FailingChange> OpenFlowTable::reviewOutcomes(TimePoint now)
 {
     std::vector<FailingChange> changes;
     directory_.forEach([&](KnownServer& server) {
         const float share = server.seen.outcomes.failingShare(now);
-        const bool isFailing = share >= (server.seen.isFailing ? failingUntil : failingFrom);
+        const bool isFailing = share >= (server.seen.isFailing ? recoveryThreshold : failingThreshold);
         if (isFailing == server.seen.isFailing)
             return;
         server.seen.isFailing = isFailing;
@@ -170,7 +170,7 @@
     return changes;
 }
 
-void FlowBook::count(std::uint32_t token, int flows, int busy)
+void OpenFlowTable::count(std::uint32_t token, int flows, int busy)
 {
     KnownServer* server = token == 0 ? nullptr : directory_.findByToken(token);
     if (!server)
@@ -179,7 +179,7 @@
     server->seen.busy = static_cast<std::uint32_t>(std::max(0, static_cast<int>(server->seen.busy) + busy));
 }
 
-void FlowBook::setBusy(FlowMemory& flow, bool isBusy, TimePoint now)
+void OpenFlowTable::setBusy(FlowRecord& flow, bool isBusy, TimePoint now)
 {
     if (isBusy && !flow.isBusy) {
         flow.busySince = now;
@@ -191,7 +191,7 @@
 }
 
 // A late answer does not take back that it was late.
-void FlowBook::noteOutcome(FlowMemory& flow, bool isAnswered, TimePoint now)
+void OpenFlowTable::noteOutcome(FlowRecord& flow, bool isAnswered, TimePoint now)
 {
     KnownServer* server = directory_.findByToken(flow.token);
     if (!server || flow.isOverdue)
@@ -200,6 +200,6 @@
     server->seen.outcomes.note(isAnswered, now);
 }
 
-void FlowBook::forget(FlowMemory& flow) { count(flow.token, -1, flow.isBusy ? -1 : 0); }
+void OpenFlowTable::forget(FlowRecord& flow) { count(flow.token, -1, flow.isBusy ? -1 : 0); }
 
 }
--- a/Source/Forward/FlowBook.h
+++ b/Source/Forward/OpenFlowTable.h
@@ -17,7 +17,7 @@
 
 // What this balancer remembers of one flow whose packets it saw lately. It only improves choices: a packet of an open
 // flow is routed by its token, also by a balancer that has never seen the flow.
-struct FlowMemory {
+struct FlowRecord {
     // The server's token; of an opening flow, that of the server tried last.
     std::uint32_t token = 0;
     // One behind the last byte that the caller sent, and the last one that it acknowledged.
@@ -36,7 +36,7 @@
     // When bytes came that the caller had not sent before.
     TimePoint lastNewBytes;
     // Servers that were tried and did not answer, latest first; 0 for none.
-    std::array<std::uint32_t, 2> formerTries {};
+    std::array<std::uint32_t, 2> previousTokens {};
     // What the opening packet was logged as, so that the end of the flow can be found by it.
     std::uint32_t copies = 0;
 };
@@ -68,28 +68,28 @@
 
 // The flows that this balancer saw lately, and how many of them each server has. All counters of ServerObservation that
 // stem from flows are kept here.
-class FlowBook {
+class OpenFlowTable {
 public:
     // Memories over this number are not made; the flows are served without. About 130 bytes each.
     static constexpr std::size_t limit = 200000;
     // A flow that sent nothing for so long no longer counts as load: callers pause for about a second.
-    static constexpr std::chrono::milliseconds activeFor { 3000 };
+    static constexpr std::chrono::milliseconds activeTimeout { 3000 };
     // An opening that led nowhere is over after the caller's last copy and a little more.
-    static constexpr std::chrono::milliseconds openingFor { 2000 };
+    static constexpr std::chrono::milliseconds openingLifetime { 2000 };
     // A request that has no answer by then counts against its server: the users' callers have given up most of them.
-    static constexpr std::chrono::milliseconds overdueAfter { 600 };
+    static constexpr std::chrono::milliseconds answerTimeout { 600 };
     // A server that leaves this share of its requests unanswered is told as failing, until it is below the second.
-    static constexpr float failingFrom = 0.3F;
-    static constexpr float failingUntil = 0.1F;
+    static constexpr float failingThreshold = 0.3F;
+    static constexpr float recoveryThreshold = 0.1F;
     // Packets of one request that come out of order are closer together; callers repeat bytes after 200 ms.
-    static constexpr std::chrono::milliseconds reorderedFor { 100 };
+    static constexpr std::chrono::milliseconds reorderingWindow { 100 };
 
-    explicit FlowBook(ServerDirectory& directory)
+    explicit OpenFlowTable(ServerDirectory& directory)
         : directory_(directory)
     {
     }
 
-    FlowMemory* find(const FlowEnds&);
+    FlowRecord* find(const FlowEnds&);
     // Remembers that the opening packet went to this server.
     void noteTry(const FlowEnds&, KnownServer&, std::uint32_t copies, TimePoint now);
     // Learns from a packet of an open flow that is on its way to this server.
@@ -102,18 +102,18 @@
     std::size_t size() const { return flows_.size(); }
 
 private:
-    FlowMemory* rememberOpen(const TokenPacket&, const KnownServer&);
+    FlowRecord* rememberOpen(const TokenPacket&, const KnownServer&);
     // What the caller's acknowledgement says of the server, and what its bytes say of the caller.
-    void learnAnswer(FlowMemory&, const TokenPacket&, FlowProgress&, TimePoint now);
-    void learnSent(FlowMemory&, const TokenPacket&, FlowProgress&, TimePoint now);
+    void learnAnswer(FlowRecord&, const TokenPacket&, FlowProgress&, TimePoint now);
+    void learnSent(FlowRecord&, const TokenPacket&, FlowProgress&, TimePoint now);
     void count(std::uint32_t token, int flows, int busy);
-    void setBusy(FlowMemory&, bool, TimePoint now);
-    void noteOutcome(FlowMemory&, bool isAnswered, TimePoint now);
-    void forget(FlowMemory&);
+    void setBusy(FlowRecord&, bool, TimePoint now);
+    void noteOutcome(FlowRecord&, bool isAnswered, TimePoint now);
+    void forget(FlowRecord&);
     std::vector<FailingChange> reviewOutcomes(TimePoint now);
 
     ServerDirectory& directory_;
-    absl::flat_hash_map<FlowEnds, FlowMemory> flows_;
+    absl::flat_hash_map<FlowEnds, FlowRecord> flows_;
 };
 
 }
--- a/Source/Forward/OpeningPolicy.cpp
+++ b/Source/Forward/OpeningPolicy.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-    bool wasTried(const FlowMemory* former, std::uint32_t token)
+    bool wasTried(const FlowRecord* former, std::uint32_t token)
     {
         if (!former)
             return false;
-        return former->token == token || std::ranges::count(former->formerTries, token) > 0;
+        return former->token == token || std::ranges::count(former->previousTokens, token) > 0;
     }
 
     struct Candidate {
@@ -40,7 +40,7 @@
     return found == coldStarts_.end() ? nullptr : &found->second;
 }
 
-OpeningPolicy::Standing OpeningPolicy::standingOf(const KnownServer& server, const FlowMemory* former, TimePoint now)
+OpeningPolicy::Standing OpeningPolicy::standingOf(const KnownServer& server, const FlowRecord* former, TimePoint now)
 {
     const ZoneReach::Reach reach = reach_.reachOf(server.entry.availabilityZone, now);
     if (reach == ZoneReach::Reach::Away || SilentServers::isSilent(server, now)
@@ -52,7 +52,7 @@
 }
 
 OpeningChoice OpeningPolicy::choose(const std::vector<KnownServer*>& servers, const EmptiedZones& emptied,
-    const FlowEnds& ends, const FlowMemory* former, TimePoint now)
+    const FlowEnds& ends, const FlowRecord* former, TimePoint now)
 {
     OpeningChoice choice;
     std::array<Candidate, standings> best;
--- a/Source/Forward/OpeningPolicy.h
+++ b/Source/Forward/OpeningPolicy.h
@@ -3,8 +3,8 @@
 #include "Core/Clock.h"
 #include "Forward/ColdStart.h"
 #include "Forward/EmptiedZones.h"
-#include "Forward/FlowBook.h"
 #include "Forward/GroupSilence.h"
+#include "Forward/OpenFlowTable.h"
 #include "Forward/OpeningSettings.h"
 #include "Forward/ServerCost.h"
 #include "Forward/ServerDirectory.h"
@@ -60,7 +60,7 @@
     // former is what is remembered of the flow, or null. The servers that it tried are avoided. Those of emptied zones
     // are never chosen, nor cold ones beyond their rate, whatever becomes of the others.
     OpeningChoice choose(const std::vector<KnownServer*>& servers, const EmptiedZones&, const FlowEnds&,
-        const FlowMemory* former, TimePoint now);
+        const FlowRecord* former, TimePoint now);
 
     // What the operators' configuration says of cold servers.
     void setColdStarts(ColdStarts coldStarts) { coldStarts_ = std::move(coldStarts); }
@@ -98,7 +98,7 @@
     enum class Standing { Good, Tried, Unproven, Silent };
     static constexpr std::size_t standings = 4;
 
-    Standing standingOf(const KnownServer&, const FlowMemory* former, TimePoint now);
+    Standing standingOf(const KnownServer&, const FlowRecord* former, TimePoint now);
     // Null for a service whose cold servers have no rate.
     const ColdStart* coldStartOf(const std::string& service) const;
 
--- a/Source/Forward/ServerDirectory.h
+++ b/Source/Forward/ServerDirectory.h
@@ -46,7 +46,7 @@
     TimePoint leftOutUntil = TimePoint::min();
     // Whether it answers the requests of its open flows.
     RequestOutcomes outcomes;
-    // It left so many unanswered that this was told; see FlowBook::tick().
+    // It left so many unanswered that this was told; see OpenFlowTable::tick().
     bool isFailing = false;
 };
 
@@ -157,7 +157,7 @@
 
     std::size_t size() const { return records_.size(); }
     std::size_t countOf(ServerState) const;
-    // How many are told as failing now; see FlowBook::tick().
+    // How many are told as failing now; see OpenFlowTable::tick().
     std::size_t countFailing() const;
     template <typename Visit> void forEach(const Visit& visit)
     {
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -123,7 +123,7 @@
     if (!service)
         return refuse(packet, PacketReason::NoServer);
 
-    const FlowMemory* former = flows_.find(packet.ends);
+    const FlowRecord* former = flows_.find(packet.ends);
     PacketDecision decision;
     decision.verdict = PacketVerdict::Forward;
     decision.service = service;
@@ -165,7 +165,7 @@
 // Two servers that both answer one opening leave the caller with the token of one and the sequence of the other, and
 // the flow never works. So a copy goes to the same server for as long as that one gives signs of life, or the flow is
 // open there already and the copy was only late.
-KnownServer* TokenRouter::formerServerFor(const FlowMemory* former, const std::string& service, TimePoint)
+KnownServer* TokenRouter::formerServerFor(const FlowRecord* former, const std::string& service, TimePoint)
 {
     KnownServer* server = former ? directory_.findByToken(former->token) : nullptr;
     if (!server)
@@ -225,7 +225,7 @@
 // What certainly can't be served is refused with the first packet. A copy may belong to a flow that another balancer
 // opened before, so it is refused as late as any other that finds no server.
 PacketDecision TokenRouter::refuseChoice(
-    const TokenPacket& packet, const OpeningChoice& choice, const FlowMemory* former) const
+    const TokenPacket& packet, const OpeningChoice& choice, const FlowRecord* former) const
 {
     const bool isCertain = choice.coldAndFull > 0 || choice.emptied > 0;
     const PacketReason reason = choice.coldAndFull > 0 ? PacketReason::ColdServersFull
--- a/Source/Forward/TokenRouter.h
+++ b/Source/Forward/TokenRouter.h
@@ -2,8 +2,8 @@
 
 #include "Core/Clock.h"
 #include "Forward/EmptiedZones.h"
-#include "Forward/FlowBook.h"
 #include "Forward/ForwardingConfiguration.h"
+#include "Forward/OpenFlowTable.h"
 #include "Forward/OpeningAdmission.h"
 #include "Forward/OpeningPolicy.h"
 #include "Forward/ServerDirectory.h"
@@ -118,7 +118,7 @@
     std::uint64_t configurationVersion() const { return version_; }
     ServerDirectory& directory() { return directory_; }
     const ServerDirectory& directory() const { return directory_; }
-    const FlowBook& flows() const { return flows_; }
+    const OpenFlowTable& flows() const { return flows_; }
     const EmptiedZones& emptiedZones() const { return emptiedZones_; }
     std::size_t routes() const { return routes_.size(); }
 
@@ -126,10 +126,10 @@
     PacketDecision routeOpening(const TokenPacket&, TimePoint now);
     PacketDecision routeEstablished(const TokenPacket&, TimePoint now);
     PacketDecision refuse(const TokenPacket&, PacketReason) const;
-    PacketDecision refuseChoice(const TokenPacket&, const OpeningChoice&, const FlowMemory* former) const;
+    PacketDecision refuseChoice(const TokenPacket&, const OpeningChoice&, const FlowRecord* former) const;
     bool isOfFormerProcess(const TokenPacket&, const KnownServer&) const;
     // The server that a copy of an opening packet shall go to again, or null for another choice.
-    KnownServer* formerServerFor(const FlowMemory*, const std::string& service, TimePoint now);
+    KnownServer* formerServerFor(const FlowRecord*, const std::string& service, TimePoint now);
 
     RouterSettings settings_;
     OpeningTimes openingTimes_;
@@ -137,7 +137,7 @@
     OpeningPolicy policy_;
     ServerDirectory directory_;
     EmptiedZones emptiedZones_;
-    FlowBook flows_;
+    OpenFlowTable flows_;
     std::vector<FailingChange> failingChanges_;
     RouteTable routes_;
     std::uint64_t version_ = 0;
--- a/Tests/Forward/RequestOutcomesTest.cpp
+++ b/Tests/Forward/RequestOutcomesTest.cpp
@@ -118,7 +118,7 @@
     {
         const std::uint32_t token = openFlow(1);
         route(data(1, token));
-        clock.advance(FlowBook::overdueAfter + 10ms);
+        clock.advance(OpenFlowTable::answerTimeout + 10ms);
         router.tick(clock.now());
         router.tick(clock.now());
         EXPECT_FLOAT_EQ(serverOf(token)->seen.outcomes.unanswered(clock.now()), 1.0F);
