--- a/Source/Forward/GroupSilence.h
+++ b/Source/Forward/GroupLiveness.h
@@ -13,12 +13,12 @@
 namespace wisteriadock {
 
 // The servers of a service in one availability zone fell silent together, or give signs of life again.
-struct GroupChange {
+struct GroupLivenessChange {
     std::string service;
     std::string availabilityZone;
-    bool isBack = false;
+    bool hasRecovered = false;
     // How many of them were silent of how many, and how often they were left out in a row.
-    std::uint32_t silent = 0;
+    std::uint32_t unresponsive = 0;
     std::uint32_t servers = 0;
     std::uint32_t failures = 0;
 };
@@ -27,10 +27,10 @@
 // once, each balancer would otherwise lose an opening of its own for every one of them, and callers that try again meet
 // another balancer which has lost none yet. Several that fall silent while none gave a sign of life since are proof
 // enough against the others; all then get one flow at a time until one of them answers.
-class GroupSilence {
+class GroupLiveness {
 public:
     // The times outlive this.
-    GroupSilence(OpeningSettings settings, const OpeningTimes& times)
+    GroupLiveness(OpeningSettings settings, const OpeningTimes& times)
         : settings_(settings)
         , times_(times)
     {
@@ -46,7 +46,7 @@
     // One of them gave a sign of life.
     void noteProgress(ServerGroup&, TimePoint now);
 
-    std::vector<GroupChange> takeChanges() { return std::exchange(changes_, {}); }
+    std::vector<GroupLivenessChange> takeChanges() { return std::exchange(changes_, {}); }
 
 private:
     Duration patience() const;
@@ -54,7 +54,7 @@
 
     OpeningSettings settings_;
     const OpeningTimes& times_;
-    std::vector<GroupChange> changes_;
+    std::vector<GroupLivenessChange> changes_;
 };
 
 }
--- a/Source/Forward/OpenFlowTable.cpp
+++ b/Source/Forward/OpenFlowTable.cpp
@@ -13,7 +13,7 @@
     {
         seen.lastProgress = now;
         seen.waitingSince = TimePoint::max();
-        seen.silentSince = TimePoint::max();
+        seen.unansweredSince = TimePoint::max();
         seen.failures = 0;
         seen.leftOutUntil = TimePoint::min();
     }
@@ -30,8 +30,8 @@
 {
     if (server.seen.waitingSince == TimePoint::max())
         server.seen.waitingSince = now;
-    if (server.seen.silentSince == TimePoint::max())
-        server.seen.silentSince = now;
+    if (server.seen.unansweredSince == TimePoint::max())
+        server.seen.unansweredSince = now;
     if (flows_.size() >= limit)
         return;
     const auto [entry, isNew] = flows_.try_emplace(ends);
@@ -61,7 +61,7 @@
     flow->lastSeen = now;
     learnAnswer(*flow, packet, progress, now);
     if (progress.hasAnswered) {
-        progress.isBack = server.seen.failures > 0;
+        progress.hasRecovered = server.seen.failures > 0;
         noteLife(server.seen, now);
     }
     learnSent(*flow, packet, progress, now);
--- a/Source/Forward/OpenFlowTable.h
+++ b/Source/Forward/OpenFlowTable.h
@@ -46,7 +46,7 @@
     // The caller acknowledged something new, so the server answers.
     bool hasAnswered = false;
     // It had been left out as silent.
-    bool isBack = false;
+    bool hasRecovered = false;
     // How long the flow took to open, or a request to be answered, when the packet shows that.
     std::optional<Duration> openingTime;
     std::optional<Duration> answerTime;
--- a/Source/Forward/OpeningPolicy.cpp
+++ b/Source/Forward/OpeningPolicy.cpp
@@ -42,11 +42,11 @@
 
 OpeningPolicy::Standing OpeningPolicy::standingOf(const KnownServer& server, const FlowRecord* former, TimePoint now)
 {
-    const ZoneReach::Reach reach = reach_.reachOf(server.entry.availabilityZone, now);
-    if (reach == ZoneReach::Reach::Away || SilentServers::isSilent(server, now)
-        || GroupSilence::isLeftOut(*server.group, now))
+    const ZoneReachability::State reach = reach_.stateOf(server.entry.availabilityZone, now);
+    if (reach == ZoneReachability::State::Unreachable || ServerLiveness::isUnresponsive(server, now)
+        || GroupLiveness::isLeftOut(*server.group, now))
         return Standing::Silent;
-    if (reach == ZoneReach::Reach::Unproven)
+    if (reach == ZoneReachability::State::Unproven)
         return Standing::Unproven;
     return wasTried(former, server.token) ? Standing::Tried : Standing::Good;
 }
@@ -77,7 +77,7 @@
         if (review(*server, now))
             choice.leftOut.push_back(server);
         const Standing standing = standingOf(*server, former, now);
-        choice.silent += standing == Standing::Unproven || standing == Standing::Silent;
+        choice.unresponsive += standing == Standing::Unproven || standing == Standing::Silent;
         const Candidate candidate { server, cost_.costOf(*server, usualFailingShare, now),
             hashPair(flowHash, server->entry.number) };
         Candidate& rival = best[static_cast<std::size_t>(standing)];
--- a/Source/Forward/OpeningPolicy.h
+++ b/Source/Forward/OpeningPolicy.h
@@ -3,13 +3,13 @@
 #include "Core/Clock.h"
 #include "Forward/ColdStart.h"
 #include "Forward/EmptiedZones.h"
-#include "Forward/GroupSilence.h"
+#include "Forward/GroupLiveness.h"
 #include "Forward/OpenFlowTable.h"
 #include "Forward/OpeningSettings.h"
 #include "Forward/ServerCost.h"
 #include "Forward/ServerDirectory.h"
-#include "Forward/SilentServers.h"
-#include "Forward/ZoneReach.h"
+#include "Forward/ServerLiveness.h"
+#include "Forward/ZoneReachability.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -25,7 +25,7 @@
     KnownServer* server = nullptr;
     // How many servers may take flows, and how many of those were passed over as silent or not proven to be in reach.
     std::uint32_t eligible = 0;
-    std::uint32_t silent = 0;
+    std::uint32_t unresponsive = 0;
     // How many could, if operators had not ordered their zones to be emptied.
     std::uint32_t emptied = 0;
     // How many could, if they were not cold and this balancer's share of them used up.
@@ -78,7 +78,7 @@
             coldStart && coldUntil(server, *coldStart, emptied) > now)
             coldShares_.noteTry(server.entry, now);
         reach_.noteTry(server, now);
-        GroupSilence::noteTry(*server.group, now);
+        GroupLiveness::noteTry(*server.group, now);
     }
     // The server gave a sign of life.
     void noteProgress(const KnownServer& server, TimePoint now)
@@ -89,9 +89,9 @@
     // Leaves the server out when an opening has waited too long for it. True when that is new.
     bool review(KnownServer& server, TimePoint now) const { return silence_.review(server, now); }
     // What became of other zones since the last call.
-    std::vector<ZoneChange> takeZoneChanges() { return reach_.takeChanges(); }
+    std::vector<ZoneReachabilityChange> takeZoneChanges() { return reach_.takeChanges(); }
     // What became of servers that fell silent together since the last call.
-    std::vector<GroupChange> takeGroupChanges() { return groups_.takeChanges(); }
+    std::vector<GroupLivenessChange> takeGroupChanges() { return groups_.takeChanges(); }
 
 private:
     // The better ones first.
@@ -105,9 +105,9 @@
     ServerCost cost_;
     ColdStartShares coldShares_;
     ColdStarts coldStarts_;
-    SilentServers silence_;
-    GroupSilence groups_;
-    ZoneReach reach_;
+    ServerLiveness silence_;
+    GroupLiveness groups_;
+    ZoneReachability reach_;
 };
 
 }
--- a/Source/Forward/ServerDirectory.h
+++ b/Source/Forward/ServerDirectory.h
@@ -39,7 +39,7 @@
     TimePoint waitingSince = TimePoint::max();
     // When the first opening packet was sent there that was not answered since its last sign of life; TimePoint::max()
     // when there is none.
-    TimePoint silentSince = TimePoint::max();
+    TimePoint unansweredSince = TimePoint::max();
     // Tries that the server left unanswered since its last sign of life.
     std::uint32_t failures = 0;
     // Until when it gets no new flows.
@@ -50,7 +50,7 @@
     bool isFailing = false;
 };
 
-// The servers of a service in one availability zone, and what this balancer saw of them together; see GroupSilence.
+// The servers of a service in one availability zone, and what this balancer saw of them together; see GroupLiveness.
 struct ServerGroup {
     std::string service;
     std::string availabilityZone;
@@ -60,13 +60,13 @@
     // when none does.
     std::uint32_t failures = 0;
     TimePoint leftOutUntil = TimePoint::min();
-    TimePoint triedSince = TimePoint::max();
+    TimePoint trialSince = TimePoint::max();
     // When all of them were left out last, and when they were back after it.
     TimePoint failedAt = TimePoint::min();
     TimePoint returnedAt = TimePoint::min();
     // Counted by the review in progress.
     std::uint32_t servers = 0;
-    std::uint32_t silent = 0;
+    std::uint32_t unresponsive = 0;
 };
 
 struct KnownServer {
--- a/Source/Forward/SilentServers.cpp
+++ b/Source/Forward/ServerLiveness.cpp
@@ -1,4 +1,4 @@
-#include "Forward/SilentServers.h"
+#include "Forward/ServerLiveness.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 // A server that died without a word answers nobody, and its entry stays for several heartbeats. One unanswered opening
 // is enough to leave it out; since the network loses packets too, the first time is short and any sign of life ends it.
-bool SilentServers::review(KnownServer& server, TimePoint now) const
+bool ServerLiveness::review(KnownServer& server, TimePoint now) const
 {
     ServerObservation& seen = server.seen;
     const bool waitsTooLong
@@ -27,7 +27,7 @@
     return true;
 }
 
-bool SilentServers::isSilent(const KnownServer& server, TimePoint now)
+bool ServerLiveness::isUnresponsive(const KnownServer& server, TimePoint now)
 {
     const bool awaitsTrial = server.seen.failures > 0 && server.seen.waitingSince != TimePoint::max();
     return server.seen.leftOutUntil > now || awaitsTrial;
--- a/Source/Forward/SilentServers.h
+++ b/Source/Forward/ServerLiveness.h
@@ -13,9 +13,9 @@
 std::chrono::milliseconds leaveOutAfter(std::uint32_t failures, const OpeningSettings&);
 
 // Who is dead, judged by each server's own silence.
-class SilentServers {
+class ServerLiveness {
 public:
-    explicit SilentServers(OpeningSettings settings)
+    explicit ServerLiveness(OpeningSettings settings)
         : settings_(settings)
     {
     }
@@ -23,7 +23,7 @@
     // Leaves the server out when an opening has waited too long for it. True when that is new.
     bool review(KnownServer&, TimePoint now) const;
     // It is left out, or a trial of it is under way.
-    static bool isSilent(const KnownServer&, TimePoint now);
+    static bool isUnresponsive(const KnownServer&, TimePoint now);
 
 private:
     OpeningSettings settings_;
--- a/Source/Forward/TokenRouter.h
+++ b/Source/Forward/TokenRouter.h
@@ -109,9 +109,9 @@
     PacketDecision route(const TokenPacket&, TimePoint now);
 
     // Other zones that went silent, or are back, since the last call; for the log.
-    std::vector<ZoneChange> takeZoneChanges() { return policy_.takeZoneChanges(); }
+    std::vector<ZoneReachabilityChange> takeZoneChanges() { return policy_.takeZoneChanges(); }
     // Servers that fell silent together, or are back, since the last call.
-    std::vector<GroupChange> takeGroupChanges() { return policy_.takeGroupChanges(); }
+    std::vector<GroupLivenessChange> takeGroupChanges() { return policy_.takeGroupChanges(); }
     // Servers that began to leave requests unanswered, or stopped, since the last call.
     std::vector<FailingChange> takeFailingChanges() { return std::exchange(failingChanges_, {}); }
     // 0 before the first configuration.
--- a/Source/Forward/ZoneReach.cpp
+++ b/Source/Forward/ZoneReachability.cpp
@@ -1,18 +1,18 @@
-#include "Forward/ZoneReach.h"
+#include "Forward/ZoneReachability.h"
 
-#include "Forward/SilentServers.h"
+#include "Forward/ServerLiveness.h"
 
 namespace wisteriadock {
 
-bool ZoneReach::isUnproven(const Zone& zone, TimePoint now) const
+bool ZoneReachability::isUnproven(const Zone& zone, TimePoint now) const
 {
     return zone.lastProgress == TimePoint::min() || now - zone.lastProgress > settings_.zoneProof;
 }
 
-ZoneReach::Reach ZoneReach::reachOf(const std::string& availabilityZone, TimePoint now)
+ZoneReachability::State ZoneReachability::stateOf(const std::string& availabilityZone, TimePoint now)
 {
     if (availabilityZone == ownZone_)
-        return Reach::Near;
+        return State::Reachable;
     Zone& zone = otherZones_[availabilityZone];
     if (zone.waitingSince != TimePoint::max() && now - zone.waitingSince > settings_.openingPatience) {
         zone.waitingSince = TimePoint::max();
@@ -22,11 +22,11 @@
     }
     const bool isBeingTried = zone.waitingSince != TimePoint::max();
     if (zone.leftOutUntil > now)
-        return Reach::Away;
-    return isBeingTried && isUnproven(zone, now) ? Reach::Unproven : Reach::Near;
+        return State::Unreachable;
+    return isBeingTried && isUnproven(zone, now) ? State::Unproven : State::Reachable;
 }
 
-void ZoneReach::noteTry(const KnownServer& server, TimePoint now)
+void ZoneReachability::noteTry(const KnownServer& server, TimePoint now)
 {
     if (server.entry.availabilityZone == ownZone_)
         return;
@@ -35,7 +35,7 @@
         zone.waitingSince = now;
 }
 
-void ZoneReach::noteProgress(const KnownServer& server, TimePoint now)
+void ZoneReachability::noteProgress(const KnownServer& server, TimePoint now)
 {
     if (server.entry.availabilityZone == ownZone_)
         return;
--- a/Source/Forward/ZoneReach.h
+++ b/Source/Forward/ZoneReachability.h
@@ -14,36 +14,36 @@
 namespace wisteriadock {
 
 // Another zone stopped giving signs of life, or gives them again.
-struct ZoneChange {
+struct ZoneReachabilityChange {
     std::string availabilityZone;
-    bool isBack = false;
+    bool hasRecovered = false;
     std::uint32_t failures = 0;
 };
 
 // Which other availability zones can be reached, judged by what all of their servers show together. In a cut every
 // server of another zone is silent at once, and the busier the own servers are, the more the others tempt: each being
 // tried for itself, two of three new flows went to the far side.
-class ZoneReach {
+class ZoneReachability {
 public:
-    ZoneReach(std::string ownZone, OpeningSettings settings)
+    ZoneReachability(std::string ownZone, OpeningSettings settings)
         : ownZone_(std::move(ownZone))
         , settings_(settings)
     {
     }
 
-    enum class Reach {
-        Near, // Nothing speaks against it.
+    enum class State {
+        Reachable, // Nothing speaks against it.
         Unproven, // Not heard of lately, and a flow is trying it.
-        Away, // That flow failed.
+        Unreachable, // That flow failed.
     };
     // A zone that has not been heard of lately gets one flow at a time, and none for a while after that one failed.
-    Reach reachOf(const std::string& availabilityZone, TimePoint now);
+    State stateOf(const std::string& availabilityZone, TimePoint now);
     // An opening packet goes to the server.
     void noteTry(const KnownServer&, TimePoint now);
     // The server gave a sign of life.
     void noteProgress(const KnownServer&, TimePoint now);
     // What became of other zones since the last call.
-    std::vector<ZoneChange> takeChanges() { return std::exchange(changes_, {}); }
+    std::vector<ZoneReachabilityChange> takeChanges() { return std::exchange(changes_, {}); }
 
 private:
     struct Zone {
@@ -58,7 +58,7 @@
     std::string ownZone_;
     OpeningSettings settings_;
     absl::flat_hash_map<std::string, Zone> otherZones_;
-    std::vector<ZoneChange> changes_;
+    std::vector<ZoneReachabilityChange> changes_;
 };
 
 }
--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -219,9 +219,9 @@
         lines_.transitions(router_.tick(now), peers_->exchange().book().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
             lines_.failing(change, now);
-        for (const ZoneChange& change : router_.takeZoneChanges())
+        for (const ZoneReachabilityChange& change : router_.takeZoneChanges())
             lines_.zone(change, now);
-        for (const GroupChange& change : router_.takeGroupChanges())
+        for (const GroupLivenessChange& change : router_.takeGroupChanges())
             lines_.group(change, now);
         reload_.tick(now);
         if (traffic_.isDue(now))
--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -60,7 +60,7 @@
     if (decision.choice.server) {
         event.add("load", static_cast<double>(decision.choice.load)).add("eligible", decision.choice.eligible);
         event.add("failing", static_cast<double>(decision.choice.failing));
-        event.add("silent", decision.choice.silent).add("trial", decision.choice.isTrial);
+        event.add("silent", decision.choice.unresponsive).add("trial", decision.choice.isTrial);
         event.add("desperate", decision.choice.isDesperate);
     }
     log_.writeAdmitted(level, "flow", reason, event, now);
@@ -209,19 +209,21 @@
         now);
 }
 
-void ForwarderLog::zone(const ZoneChange& change, TimePoint now)
+void ForwarderLog::zone(const ZoneReachabilityChange& change, TimePoint now)
 {
-    log_.write(change.isBack ? LogLevel::Info : LogLevel::Warning, "zone", change.isBack ? "regained" : "left_out",
+    log_.write(change.hasRecovered ? LogLevel::Info : LogLevel::Warning, "zone",
+        change.hasRecovered ? "regained" : "left_out",
         Event().add("zone", change.availabilityZone).add("failures", change.failures), now);
 }
 
-void ForwarderLog::group(const GroupChange& change, TimePoint now)
+void ForwarderLog::group(const GroupLivenessChange& change, TimePoint now)
 {
-    log_.write(change.isBack ? LogLevel::Info : LogLevel::Warning, "servers", change.isBack ? "back" : "left_out",
+    log_.write(change.hasRecovered ? LogLevel::Info : LogLevel::Warning, "servers",
+        change.hasRecovered ? "back" : "left_out",
         Event()
             .add("service", change.service)
             .add("zone", change.availabilityZone)
-            .add("silent", change.silent)
+            .add("silent", change.unresponsive)
             .add("of", change.servers)
             .add("failures", change.failures),
         now);
--- a/Source/Forwarder/ForwarderLog.h
+++ b/Source/Forwarder/ForwarderLog.h
@@ -55,8 +55,8 @@
     void leftOut(const KnownServer&, TimePoint now);
     void back(const KnownServer&, TimePoint now);
     void failing(const FailingChange&, TimePoint now);
-    void zone(const ZoneChange&, TimePoint now);
-    void group(const GroupChange&, TimePoint now);
+    void zone(const ZoneReachabilityChange&, TimePoint now);
+    void group(const GroupLivenessChange&, TimePoint now);
     // age: how long ago a balancer had the order, or its end, from the store.
     void zoneOrder(const ZoneOrderChange&, std::chrono::milliseconds age, const std::string& source, TimePoint now);
 
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -94,7 +94,7 @@
         log_.packet(*packet, decision, requestId, router_.configurationVersion(), news_.book().completeTo(), now);
         for (const KnownServer* server : decision.choice.leftOut)
             log_.leftOut(*server, now);
-        if (decision.progress.isBack)
+        if (decision.progress.hasRecovered)
             log_.back(*decision.server, now);
         if (decision.reason == PacketReason::Established)
             log_.progress(*packet, decision, requestId, now);
--- a/Tests/Forward/GroupSilenceTest.cpp
+++ b/Tests/Forward/GroupLivenessTest.cpp
@@ -13,8 +13,8 @@
     using namespace std::chrono_literals;
 
     // Ten servers in the own zone "walu", ten in "nabua"; flows open within 5 ms.
-    struct GroupSilenceTest : testing::Test, ForwardFixture {
-        GroupSilenceTest()
+    struct GroupLivenessTest : testing::Test, ForwardFixture {
+        GroupLivenessTest()
         {
             router.applyConfiguration(configuration(3));
             for (std::uint64_t number = 1; number <= 10; ++number) {
@@ -53,7 +53,7 @@
     };
 
     // Guards against an opening being lost at each of a zone's servers when all of them end together.
-    TEST_F(GroupSilenceTest, aZoneWhoseServersAllEndCostsFewOpenings)
+    TEST_F(GroupLivenessTest, aZoneWhoseServersAllEndCostsFewOpenings)
     {
         int lost = 0;
         for (int i = 0; i < 200; ++i)
@@ -62,11 +62,11 @@
         const auto changes = router.takeGroupChanges();
         ASSERT_FALSE(changes.empty());
         EXPECT_EQ(changes.front().availabilityZone, "walu");
-        EXPECT_FALSE(changes.front().isBack);
+        EXPECT_FALSE(changes.front().hasRecovered);
     }
 
     // Guards against a zone that stays left out after its servers are back.
-    TEST_F(GroupSilenceTest, oneAnswerBringsTheWholeGroupBack)
+    TEST_F(GroupLivenessTest, oneAnswerBringsTheWholeGroupBack)
     {
         for (int i = 0; i < 100; ++i)
             open("walu");
@@ -75,11 +75,11 @@
         for (int i = 0; i < 40; ++i)
             ++flows[open("")];
         EXPECT_GE(flows["walu"], 30);
-        EXPECT_TRUE(router.takeGroupChanges().back().isBack);
+        EXPECT_TRUE(router.takeGroupChanges().back().hasRecovered);
     }
 
     // Guards against some dead servers speaking against the others of their zone, which answer.
-    TEST_F(GroupSilenceTest, serversThatAnswerKeepTheirGroupIn)
+    TEST_F(GroupLivenessTest, serversThatAnswerKeepTheirGroupIn)
     {
         const auto isDead = [](const KnownServer& server) { return server.entry.number <= 4; };
         for (int i = 0; i < 200; ++i) {
@@ -95,7 +95,7 @@
     }
 
     // Guards against one service's silence being held against another one.
-    TEST_F(GroupSilenceTest, anotherServiceOfTheZoneIsJudgedByItself)
+    TEST_F(GroupLivenessTest, anotherServiceOfTheZoneIsJudgedByItself)
     {
         put(server(50, "scanintake"));
         put(server(51, "scanintake", "nabua"));
@@ -106,7 +106,7 @@
     }
 
     // Guards against nothing being tried any more when the servers of all zones are silent.
-    TEST_F(GroupSilenceTest, withAllGroupsSilentFlowsStillTrySomeServer)
+    TEST_F(GroupLivenessTest, withAllGroupsSilentFlowsStillTrySomeServer)
     {
         for (int i = 0; i < 400; ++i) {
             const PacketDecision decision = route(opening(++nextCaller));
@@ -116,7 +116,7 @@
     }
 
     // Guards against a patience of fixed length: callers on slow networks take longer to answer than it.
-    TEST_F(GroupSilenceTest, whereFlowsOpenSlowlyTheGroupIsWaitedForLonger)
+    TEST_F(GroupLivenessTest, whereFlowsOpenSlowlyTheGroupIsWaitedForLonger)
     {
         struct Waiting {
             std::uint32_t caller;
--- a/Tests/Forward/OpeningPolicyTest.cpp
+++ b/Tests/Forward/OpeningPolicyTest.cpp
@@ -95,7 +95,7 @@
         const auto changes = router.takeZoneChanges();
         ASSERT_GE(changes.size(), 3U);
         EXPECT_EQ(changes.back().availabilityZone, "nabua");
-        EXPECT_FALSE(changes.back().isBack);
+        EXPECT_FALSE(changes.back().hasRecovered);
     }
 
     TEST_F(OpeningPolicyTest, balancersThatKnowNothingChooseAlike)
--- a/Tests/Forward/TokenRouterTest.cpp
+++ b/Tests/Forward/TokenRouterTest.cpp
@@ -195,7 +195,7 @@
             SCOPED_TRACE("a sign of life brings it back");
             const std::uint32_t token = router.directory().find(dead)->token;
             route(data(900, token, 1001, 5001, 0));
-            EXPECT_TRUE(route(data(900, token, 1001, 5100, 0)).progress.isBack);
+            EXPECT_TRUE(route(data(900, token, 1001, 5100, 0)).progress.hasRecovered);
             EXPECT_GT(countTo(300, 60), 10);
         }
     }
