--- a/Source/Forward/GroupLiveness.cpp
+++ b/Source/Forward/GroupLiveness.cpp
@@ -16,7 +16,7 @@
 
 void GroupLiveness::review(const std::vector<KnownServer*>& servers, TimePoint now)
 {
-    if (settings_.silentServersOfAGroup < 2)
+    if (settings_.groupEjectionThreshold < 2)
         return;
     for (const KnownServer* server : servers)
         server->group->servers = server->group->unresponsive = 0;
@@ -32,27 +32,27 @@
     for (const KnownServer* server : servers) {
         ServerGroup& group = *server->group;
         const bool isTrialOver = group.trialSince != TimePoint::max() && now - group.trialSince > patience;
-        const std::uint32_t enough = std::min(settings_.silentServersOfAGroup, group.servers);
+        const std::uint32_t enough = std::min(settings_.groupEjectionThreshold, group.servers);
         const bool hasFallenSilent = group.failures == 0 && group.servers > 1 && group.unresponsive >= enough;
         if (isTrialOver || hasFallenSilent)
-            leaveOut(group, now);
+            eject(group, now);
     }
 }
 
-void GroupLiveness::leaveOut(ServerGroup& group, TimePoint now)
+void GroupLiveness::eject(ServerGroup& group, TimePoint now)
 {
     if (group.failures == 0)
         group.failedAt = now;
     group.trialSince = TimePoint::max();
-    group.leftOutUntil = now + leaveOutAfter(group.failures, settings_);
+    group.ejectedUntil = now + ejectionTime(group.failures, settings_);
     ++group.failures;
     changes_.push_back(
         { group.service, group.availabilityZone, false, group.unresponsive, group.servers, group.failures });
 }
 
-bool GroupLiveness::isLeftOut(const ServerGroup& group, TimePoint now)
+bool GroupLiveness::isEjected(const ServerGroup& group, TimePoint now)
 {
-    return group.failures > 0 && (group.leftOutUntil > now || group.trialSince != TimePoint::max());
+    return group.failures > 0 && (group.ejectedUntil > now || group.trialSince != TimePoint::max());
 }
 
 void GroupLiveness::noteTry(ServerGroup& group, TimePoint now)
@@ -70,7 +70,7 @@
     }
     group.failures = 0;
     group.trialSince = TimePoint::max();
-    group.leftOutUntil = TimePoint::min();
+    group.ejectedUntil = TimePoint::min();
     group.lastProgress = now;
 }
 
--- a/Source/Forward/GroupLiveness.h
+++ b/Source/Forward/GroupLiveness.h
@@ -39,7 +39,7 @@
     // Looks at a service's servers before a choice among them.
     void review(const std::vector<KnownServer*>& servers, TimePoint now);
     // Whether the group is left out, or a trial of it is under way.
-    static bool isLeftOut(const ServerGroup&, TimePoint now);
+    static bool isEjected(const ServerGroup&, TimePoint now);
 
     // An opening packet goes to a server of the group.
     static void noteTry(ServerGroup&, TimePoint now);
@@ -50,7 +50,7 @@
 
 private:
     Duration patience() const;
-    void leaveOut(ServerGroup&, TimePoint now);
+    void eject(ServerGroup&, TimePoint now);
 
     OpeningSettings settings_;
     const OpeningTimes& times_;
--- a/Source/Forward/OpenFlowTable.cpp
+++ b/Source/Forward/OpenFlowTable.cpp
@@ -15,7 +15,7 @@
         seen.waitingSince = TimePoint::max();
         seen.unansweredSince = TimePoint::max();
         seen.failures = 0;
-        seen.leftOutUntil = TimePoint::min();
+        seen.ejectedUntil = TimePoint::min();
     }
 
 }
--- a/Source/Forward/OpeningPolicy.cpp
+++ b/Source/Forward/OpeningPolicy.cpp
@@ -44,7 +44,7 @@
 {
     const ZoneReachability::State reach = reach_.stateOf(server.entry.availabilityZone, now);
     if (reach == ZoneReachability::State::Unreachable || ServerLiveness::isUnresponsive(server, now)
-        || GroupLiveness::isLeftOut(*server.group, now))
+        || GroupLiveness::isEjected(*server.group, now))
         return Standing::Silent;
     if (reach == ZoneReachability::State::Unproven)
         return Standing::Unproven;
@@ -70,12 +70,12 @@
         }
         if (coldStart && coldUntil(*server, *coldStart, emptied) > now
             && !coldShares_.mayTake(server->entry, *coldStart, now)) {
-            ++choice.coldAndFull;
+            ++choice.coldLimited;
             continue;
         }
         ++choice.eligible;
         if (review(*server, now))
-            choice.leftOut.push_back(server);
+            choice.ejected.push_back(server);
         const Standing standing = standingOf(*server, former, now);
         choice.unresponsive += standing == Standing::Unproven || standing == Standing::Silent;
         const Candidate candidate { server, cost_.costOf(*server, usualFailingShare, now),
@@ -88,9 +88,9 @@
     if (chosen == best.end())
         return choice;
     choice.server = chosen->server;
-    choice.isDesperate = chosen - best.begin() >= static_cast<std::ptrdiff_t>(Standing::Unproven);
+    choice.isLastResort = chosen - best.begin() >= static_cast<std::ptrdiff_t>(Standing::Unproven);
     choice.load = cost_.loadOf(*choice.server);
-    choice.failing = choice.server->seen.outcomes.failingShare(now);
+    choice.failingShare = choice.server->seen.outcomes.failingShare(now);
     choice.isTrial = choice.server->seen.failures > 0 || choice.server->group->failures > 0;
     return choice;
 }
--- a/Source/Forward/OpeningPolicy.h
+++ b/Source/Forward/OpeningPolicy.h
@@ -29,17 +29,17 @@
     // How many could, if operators had not ordered their zones to be emptied.
     std::uint32_t emptied = 0;
     // How many could, if they were not cold and this balancer's share of them used up.
-    std::uint32_t coldAndFull = 0;
+    std::uint32_t coldLimited = 0;
     // The chosen server's load in requests for each slot, as far as this balancer knows.
     float load = 0;
     // The share of its requests that it left unanswered lately.
-    float failing = 0;
+    float failingShare = 0;
     // All were silent, so that silence was not held against them.
-    bool isDesperate = false;
+    bool isLastResort = false;
     // A server that was left out gets this flow as a trial.
     bool isTrial = false;
     // Servers that were left out by this look at them.
-    std::vector<const KnownServer*> leftOut {};
+    std::vector<const KnownServer*> ejected {};
 };
 
 // Chooses the backend server of a new flow: the one with the least cost, and none that seems dead while others do not.
--- a/Source/Forward/OpeningSettings.h
+++ b/Source/Forward/OpeningSettings.h
@@ -25,13 +25,13 @@
     std::chrono::milliseconds openingPatience { 150 };
     // So many servers of a service in one zone that fell silent together speak against all of them there; 0 or 1: each
     // is judged by itself.
-    std::uint32_t silentServersOfAGroup = 3;
+    std::uint32_t groupEjectionThreshold = 3;
     // Where flows open faster than it, a wait of this length is still nothing unusual: a VM's turn on a shared core may
     // come that late.
     std::chrono::milliseconds shortestPatience { 20 };
     // How long a silent server is left out at first and at most; one flow at a time then tries it again.
-    std::chrono::milliseconds firstLeaveOut { 500 };
-    std::chrono::milliseconds longestLeaveOut { 4000 };
+    std::chrono::milliseconds baseEjectionTime { 500 };
+    std::chrono::milliseconds maxEjectionTime { 4000 };
     // Another zone that gave no sign of life for so long may be cut off: it gets one new flow at a time.
     std::chrono::milliseconds zoneProof { 1000 };
 
--- a/Source/Forward/ServerDirectory.h
+++ b/Source/Forward/ServerDirectory.h
@@ -43,7 +43,7 @@
     // Tries that the server left unanswered since its last sign of life.
     std::uint32_t failures = 0;
     // Until when it gets no new flows.
-    TimePoint leftOutUntil = TimePoint::min();
+    TimePoint ejectedUntil = TimePoint::min();
     // Whether it answers the requests of its open flows.
     RequestOutcomes outcomes;
     // It left so many unanswered that this was told; see OpenFlowTable::tick().
@@ -59,7 +59,7 @@
     // How often all of them were left out in a row, until when, and since when a trial of them waits; TimePoint::max()
     // when none does.
     std::uint32_t failures = 0;
-    TimePoint leftOutUntil = TimePoint::min();
+    TimePoint ejectedUntil = TimePoint::min();
     TimePoint trialSince = TimePoint::max();
     // When all of them were left out last, and when they were back after it.
     TimePoint failedAt = TimePoint::min();
--- a/Source/Forward/ServerLiveness.cpp
+++ b/Source/Forward/ServerLiveness.cpp
@@ -4,10 +4,10 @@
 
 namespace wisteriadock {
 
-std::chrono::milliseconds leaveOutAfter(std::uint32_t failures, const OpeningSettings& settings)
+std::chrono::milliseconds ejectionTime(std::uint32_t failures, const OpeningSettings& settings)
 {
     constexpr std::uint32_t mostDoublings = 8;
-    return std::min(settings.firstLeaveOut * (1 << std::min(failures, mostDoublings)), settings.longestLeaveOut);
+    return std::min(settings.baseEjectionTime * (1 << std::min(failures, mostDoublings)), settings.maxEjectionTime);
 }
 
 // A server that died without a word answers nobody, and its entry stays for several heartbeats. One unanswered opening
@@ -20,17 +20,17 @@
     if (!waitsTooLong)
         return false;
     // The wait is over; once the time is up, the next flow to this server is a trial and waits anew.
-    const auto pause = leaveOutAfter(seen.failures, settings_);
+    const auto pause = ejectionTime(seen.failures, settings_);
     ++seen.failures;
     seen.waitingSince = TimePoint::max();
-    seen.leftOutUntil = now + pause;
+    seen.ejectedUntil = now + pause;
     return true;
 }
 
 bool ServerLiveness::isUnresponsive(const KnownServer& server, TimePoint now)
 {
     const bool awaitsTrial = server.seen.failures > 0 && server.seen.waitingSince != TimePoint::max();
-    return server.seen.leftOutUntil > now || awaitsTrial;
+    return server.seen.ejectedUntil > now || awaitsTrial;
 }
 
 }
--- a/Source/Forward/ServerLiveness.h
+++ b/Source/Forward/ServerLiveness.h
@@ -10,7 +10,7 @@
 namespace wisteriadock {
 
 // How long a server or zone that left so many openings unanswered before is left out.
-std::chrono::milliseconds leaveOutAfter(std::uint32_t failures, const OpeningSettings&);
+std::chrono::milliseconds ejectionTime(std::uint32_t failures, const OpeningSettings&);
 
 // Who is dead, judged by each server's own silence.
 class ServerLiveness {
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -144,15 +144,15 @@
             flows_.noteTry(packet.ends, *again, packet.acknowledgement, now);
         return decision;
     }
-    const KnownServer* leftOut = nullptr;
+    const KnownServer* ejected = nullptr;
     if (former && !former->isOpen) {
         KnownServer* silent = directory_.findByToken(former->token);
         if (silent && silent->seen.lastProgress < former->triedAt && policy_.review(*silent, now))
-            leftOut = silent;
+            ejected = silent;
     }
     decision.choice = policy_.choose(directory_.serversOf(*service), emptiedZones_, packet.ends, former, now);
-    if (leftOut)
-        decision.choice.leftOut.push_back(leftOut);
+    if (ejected)
+        decision.choice.ejected.push_back(ejected);
     if (!decision.choice.server)
         return refuseChoice(packet, decision.choice, former);
     decision.reason = former ? PacketReason::OpenedElsewhere : PacketReason::Opened;
@@ -227,8 +227,8 @@
 PacketDecision TokenRouter::refuseChoice(
     const TokenPacket& packet, const OpeningChoice& choice, const FlowRecord* former) const
 {
-    const bool isCertain = choice.coldAndFull > 0 || choice.emptied > 0;
-    const PacketReason reason = choice.coldAndFull > 0 ? PacketReason::ColdServersFull
+    const bool isCertain = choice.coldLimited > 0 || choice.emptied > 0;
+    const PacketReason reason = choice.coldLimited > 0 ? PacketReason::ColdServersFull
         : choice.emptied > 0                           ? PacketReason::ZonesEmptied
                                                        : PacketReason::NoServer;
     PacketDecision decision = refuse(packet, reason);
--- a/Source/Forward/ZoneReachability.cpp
+++ b/Source/Forward/ZoneReachability.cpp
@@ -16,12 +16,12 @@
     Zone& zone = otherZones_[availabilityZone];
     if (zone.waitingSince != TimePoint::max() && now - zone.waitingSince > settings_.openingPatience) {
         zone.waitingSince = TimePoint::max();
-        zone.leftOutUntil = now + leaveOutAfter(zone.failures, settings_);
+        zone.ejectedUntil = now + ejectionTime(zone.failures, settings_);
         ++zone.failures;
         changes_.push_back({ availabilityZone, false, zone.failures });
     }
     const bool isBeingTried = zone.waitingSince != TimePoint::max();
-    if (zone.leftOutUntil > now)
+    if (zone.ejectedUntil > now)
         return State::Unreachable;
     return isBeingTried && isUnproven(zone, now) ? State::Unproven : State::Reachable;
 }
--- a/Source/Forward/ZoneReachability.h
+++ b/Source/Forward/ZoneReachability.h
@@ -50,7 +50,7 @@
         TimePoint lastProgress = TimePoint::min();
         TimePoint waitingSince = TimePoint::max();
         std::uint32_t failures = 0;
-        TimePoint leftOutUntil = TimePoint::min();
+        TimePoint ejectedUntil = TimePoint::min();
     };
 
     bool isUnproven(const Zone&, TimePoint now) const;
--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -59,9 +59,9 @@
         event.add("emptied", decision.choice.emptied);
     if (decision.choice.server) {
         event.add("load", static_cast<double>(decision.choice.load)).add("eligible", decision.choice.eligible);
-        event.add("failing", static_cast<double>(decision.choice.failing));
+        event.add("failing", static_cast<double>(decision.choice.failingShare));
         event.add("silent", decision.choice.unresponsive).add("trial", decision.choice.isTrial);
-        event.add("desperate", decision.choice.isDesperate);
+        event.add("desperate", decision.choice.isLastResort);
     }
     log_.writeAdmitted(level, "flow", reason, event, now);
 }
@@ -188,7 +188,7 @@
             .add("service", server.entry.service)
             .add("failures", server.seen.failures)
             .add("silent_ms", ageOf(server.seen.lastProgress, now))
-            .add("for_ms", server.seen.leftOutUntil - now),
+            .add("for_ms", server.seen.ejectedUntil - now),
         now);
 }
 
--- a/Source/Forwarder/ForwarderSettings.cpp
+++ b/Source/Forwarder/ForwarderSettings.cpp
@@ -51,7 +51,7 @@
         factor("idle_flow_weight", opening.idleFlowWeight, 0);
         factor("cold_factor", opening.coldFactor, 1);
         factor("failing_penalty", opening.failingPenalty, 0);
-        section.integer<std::uint32_t>("silent_servers_of_a_group", opening.silentServersOfAGroup, 0, largestGroup);
+        section.integer<std::uint32_t>("silent_servers_of_a_group", opening.groupEjectionThreshold, 0, largestGroup);
         section.milliseconds("patience_milliseconds", opening.openingPatience, shortestPatience, longestPatience);
         section.milliseconds("zone_proof_milliseconds", opening.zoneProof, shortestPatience, longestPatience);
     }
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -92,7 +92,7 @@
             onContradiction_(now);
         const std::string_view requestId = showsRequest(*packet, decision) ? Adapter::requestIdOf(datagram) : "";
         log_.packet(*packet, decision, requestId, router_.configurationVersion(), news_.book().completeTo(), now);
-        for (const KnownServer* server : decision.choice.leftOut)
+        for (const KnownServer* server : decision.choice.ejected)
             log_.leftOut(*server, now);
         if (decision.progress.hasRecovered)
             log_.back(*decision.server, now);
--- a/Tests/Forward/ServerDirectoryTest.cpp
+++ b/Tests/Forward/ServerDirectoryTest.cpp
@@ -235,7 +235,7 @@
             known.seen.failures = 3;
             known.seen.flows = 7;
             known.seen.busy = 2;
-            known.seen.leftOutUntil = clock.now() + 4s;
+            known.seen.ejectedUntil = clock.now() + 4s;
             known.seen.outcomes.note(false, clock.now());
             known.seen.isFailing = true;
         };
@@ -244,7 +244,7 @@
             EXPECT_TRUE(transitions.front().isRestart);
             EXPECT_EQ(known.seen.failures, 0U);
             EXPECT_EQ(known.seen.flows, 0U);
-            EXPECT_EQ(known.seen.leftOutUntil, TimePoint::min());
+            EXPECT_EQ(known.seen.ejectedUntil, TimePoint::min());
             EXPECT_EQ(known.seen.outcomes.failingShare(clock.now()), 0);
             EXPECT_FALSE(known.seen.isFailing);
             EXPECT_TRUE(known.mayTakeFlows());
--- a/Tests/Forward/TokenRouterTest.cpp
+++ b/Tests/Forward/TokenRouterTest.cpp
@@ -166,8 +166,8 @@
             SCOPED_TRACE("the copy goes elsewhere");
             const PacketDecision copy = route(opening(1, 1));
             EXPECT_NE(copy.server->entry.id, dead);
-            ASSERT_EQ(copy.choice.leftOut.size(), 1U);
-            EXPECT_EQ(copy.choice.leftOut.front()->entry.id, dead);
+            ASSERT_EQ(copy.choice.ejected.size(), 1U);
+            EXPECT_EQ(copy.choice.ejected.front()->entry.id, dead);
         }
         const auto countTo = [&](std::uint32_t from, std::uint32_t flows) {
             int count = 0;
