--- a/Source/Forward/GroupLiveness.cpp
+++ b/Source/Forward/GroupLiveness.cpp
@@ -7,11 +7,11 @@
 namespace wisteriadock {
 
 // As long as an opening may usually take here. Until that is known, as long as a single server is waited for.
-Duration GroupLiveness::patience() const
+Duration GroupLiveness::timeout() const
 {
-    const Duration longest = settings_.openingPatience;
+    const Duration longest = settings_.openingTimeout;
     return std::clamp<Duration>(
-        times_.usualLimit().value_or(longest), std::min<Duration>(settings_.shortestPatience, longest), longest);
+        times_.usualLimit().value_or(longest), std::min<Duration>(settings_.minOpeningTimeout, longest), longest);
 }
 
 void GroupLiveness::review(const std::vector<KnownServer*>& servers, TimePoint now)
@@ -20,18 +20,18 @@
         return;
     for (const KnownServer* server : servers)
         server->group->servers = server->group->unresponsive = 0;
-    const Duration patience = this->patience();
+    const Duration timeout = this->timeout();
     for (const KnownServer* server : servers) {
         if (!server->mayTakeFlows())
             continue;
         ServerGroup& group = *server->group;
         const TimePoint since = server->seen.unansweredSince;
         ++group.servers;
-        group.unresponsive += since != TimePoint::max() && since > group.lastProgress && now - since > patience;
+        group.unresponsive += since != TimePoint::max() && since > group.lastProgress && now - since > timeout;
     }
     for (const KnownServer* server : servers) {
         ServerGroup& group = *server->group;
-        const bool isTrialOver = group.trialSince != TimePoint::max() && now - group.trialSince > patience;
+        const bool isTrialOver = group.trialSince != TimePoint::max() && now - group.trialSince > timeout;
         const std::uint32_t enough = std::min(settings_.groupEjectionThreshold, group.servers);
         const bool hasFallenSilent = group.failures == 0 && group.servers > 1 && group.unresponsive >= enough;
         if (isTrialOver || hasFallenSilent)
--- a/Source/Forward/GroupLiveness.h
+++ b/Source/Forward/GroupLiveness.h
@@ -49,7 +49,7 @@
     std::vector<GroupLivenessChange> takeChanges() { return std::exchange(changes_, {}); }
 
 private:
-    Duration patience() const;
+    Duration timeout() const;
     void eject(ServerGroup&, TimePoint now);
 
     OpeningSettings settings_;
--- a/Source/Forward/ServerLiveness.cpp
+++ b/Source/Forward/ServerLiveness.cpp
@@ -16,7 +16,7 @@
 {
     ServerObservation& seen = server.seen;
     const bool waitsTooLong
-        = seen.waitingSince != TimePoint::max() && now - seen.waitingSince > settings_.openingPatience;
+        = seen.waitingSince != TimePoint::max() && now - seen.waitingSince > settings_.openingTimeout;
     if (!waitsTooLong)
         return false;
     // The wait is over; once the time is up, the next flow to this server is a trial and waits anew.
--- a/Source/Forward/ZoneReachability.cpp
+++ b/Source/Forward/ZoneReachability.cpp
@@ -6,7 +6,7 @@
 
 bool ZoneReachability::isUnproven(const Zone& zone, TimePoint now) const
 {
-    return zone.lastProgress == TimePoint::min() || now - zone.lastProgress > settings_.zoneProof;
+    return zone.lastProgress == TimePoint::min() || now - zone.lastProgress > settings_.zoneLivenessTimeout;
 }
 
 ZoneReachability::State ZoneReachability::stateOf(const std::string& availabilityZone, TimePoint now)
@@ -14,7 +14,7 @@
     if (availabilityZone == ownZone_)
         return State::Reachable;
     Zone& zone = otherZones_[availabilityZone];
-    if (zone.waitingSince != TimePoint::max() && now - zone.waitingSince > settings_.openingPatience) {
+    if (zone.waitingSince != TimePoint::max() && now - zone.waitingSince > settings_.openingTimeout) {
         zone.waitingSince = TimePoint::max();
         zone.ejectedUntil = now + ejectionTime(zone.failures, settings_);
         ++zone.failures;
--- a/Source/Forwarder/ForwarderSettings.cpp
+++ b/Source/Forwarder/ForwarderSettings.cpp
@@ -52,8 +52,8 @@
         factor("cold_factor", opening.coldFactor, 1);
         factor("failing_penalty", opening.failingPenalty, 0);
         section.integer<std::uint32_t>("silent_servers_of_a_group", opening.groupEjectionThreshold, 0, largestGroup);
-        section.milliseconds("patience_milliseconds", opening.openingPatience, shortestPatience, longestPatience);
-        section.milliseconds("zone_proof_milliseconds", opening.zoneProof, shortestPatience, longestPatience);
+        section.milliseconds("patience_milliseconds", opening.openingTimeout, shortestPatience, longestPatience);
+        section.milliseconds("zone_proof_milliseconds", opening.zoneLivenessTimeout, shortestPatience, longestPatience);
     }
 
     void readLog(SettingsReader& reader, ForwarderSettings& settings)
--- a/Source/Model/ModelPolicy.cpp
+++ b/Source/Model/ModelPolicy.cpp
@@ -37,15 +37,15 @@
                 [](OpeningSettings& opening) {
                     opening.loadWeight = 0;
                     opening.failingPenalty = 0;
-                    opening.openingPatience = never;
-                    opening.zoneProof = never;
+                    opening.openingTimeout = never;
+                    opening.zoneLivenessTimeout = never;
                 },
                 neverRefusing()),
             changed("no_load", "without known work", [](OpeningSettings& opening) { opening.loadWeight = 0; }),
             changed("no_leave_out", "silent servers are not left out",
-                [](OpeningSettings& opening) { opening.openingPatience = never; }),
+                [](OpeningSettings& opening) { opening.openingTimeout = never; }),
             changed("no_zone_proof", "other zones need no sign of life",
-                [](OpeningSettings& opening) { opening.zoneProof = never; }),
+                [](OpeningSettings& opening) { opening.zoneLivenessTimeout = never; }),
             changed("no_cold_factor", "cold servers count as warm",
                 [](OpeningSettings& opening) { opening.coldFactor = 1; }),
             changed("no_unanswered", "unanswered requests don't count",
