--- a/Source/Forward/ColdStart.cpp
+++ b/Source/Forward/ColdStart.cpp
@@ -71,7 +71,10 @@
     return static_cast<double>(found->second.size()) + 1 <= share;
 }
 
-void ColdStartShares::noteTry(const RegisteredServer& server, TimePoint now) { tries_[server.number].push_back(now); }
+void ColdStartShares::noteAttempt(const RegisteredServer& server, TimePoint now)
+{
+    tries_[server.number].push_back(now);
+}
 
 void ColdStartShares::tick(TimePoint now)
 {
--- a/Source/Forward/ColdStart.h
+++ b/Source/Forward/ColdStart.h
@@ -71,7 +71,7 @@
     // Whether this balancer may send another new flow to a server that is cold.
     bool mayTake(const RegisteredServer&, const ColdStart&, TimePoint now);
     // It does so.
-    void noteTry(const RegisteredServer&, TimePoint now);
+    void noteAttempt(const RegisteredServer&, TimePoint now);
     // Forgets what is over.
     void tick(TimePoint now);
 
--- a/Source/Forward/GroupLiveness.cpp
+++ b/Source/Forward/GroupLiveness.cpp
@@ -55,7 +55,7 @@
     return group.failures > 0 && (group.ejectedUntil > now || group.trialSince != TimePoint::max());
 }
 
-void GroupLiveness::noteTry(ServerGroup& group, TimePoint now)
+void GroupLiveness::noteAttempt(ServerGroup& group, TimePoint now)
 {
     if (group.failures > 0 && group.trialSince == TimePoint::max())
         group.trialSince = now;
--- a/Source/Forward/GroupLiveness.h
+++ b/Source/Forward/GroupLiveness.h
@@ -42,7 +42,7 @@
     static bool isEjected(const ServerGroup&, TimePoint now);
 
     // An opening packet goes to a server of the group.
-    static void noteTry(ServerGroup&, TimePoint now);
+    static void noteAttempt(ServerGroup&, TimePoint now);
     // One of them gave a sign of life.
     void noteProgress(ServerGroup&, TimePoint now);
 
--- a/Source/Forward/OpenFlowTable.cpp
+++ b/Source/Forward/OpenFlowTable.cpp
@@ -26,7 +26,7 @@
     return found == flows_.end() ? nullptr : &found->second;
 }
 
-void OpenFlowTable::noteTry(const FlowEnds& ends, KnownServer& server, std::uint32_t copies, TimePoint now)
+void OpenFlowTable::noteAttempt(const FlowEnds& ends, KnownServer& server, std::uint32_t copies, TimePoint now)
 {
     if (server.seen.waitingSince == TimePoint::max())
         server.seen.waitingSince = now;
@@ -48,7 +48,7 @@
     flow.token = server.token;
     flow.isOpen = false;
     flow.copies = copies;
-    flow.triedAt = now;
+    flow.lastAttemptAt = now;
     flow.lastSeen = now;
 }
 
--- a/Source/Forward/OpenFlowTable.h
+++ b/Source/Forward/OpenFlowTable.h
@@ -31,7 +31,7 @@
     TimePoint lastSeen;
     // When the opening packet was forwarded first and last, or the request in progress was sent.
     TimePoint openedAt;
-    TimePoint triedAt;
+    TimePoint lastAttemptAt;
     TimePoint busySince;
     // When bytes came that the caller had not sent before.
     TimePoint lastNewBytes;
@@ -91,7 +91,7 @@
 
     FlowRecord* find(const FlowEnds&);
     // Remembers that the opening packet went to this server.
-    void noteTry(const FlowEnds&, KnownServer&, std::uint32_t copies, TimePoint now);
+    void noteAttempt(const FlowEnds&, KnownServer&, std::uint32_t copies, TimePoint now);
     // Learns from a packet of an open flow that is on its way to this server.
     FlowProgress noteTraffic(const TokenPacket&, KnownServer&, TimePoint now);
     // The server's process ended, and with it its flows. What another process does under its token is a new matter.
--- a/Source/Forward/OpeningPolicy.h
+++ b/Source/Forward/OpeningPolicy.h
@@ -72,13 +72,13 @@
     void tick(TimePoint now) { coldShares_.tick(now); }
 
     // An opening packet goes to the server.
-    void noteTry(const KnownServer& server, const EmptiedZones& emptied, TimePoint now)
+    void noteAttempt(const KnownServer& server, const EmptiedZones& emptied, TimePoint now)
     {
         if (const ColdStart* coldStart = coldStartOf(server.entry.service);
             coldStart && coldUntil(server, *coldStart, emptied) > now)
-            coldShares_.noteTry(server.entry, now);
-        reach_.noteTry(server, now);
-        GroupLiveness::noteTry(*server.group, now);
+            coldShares_.noteAttempt(server.entry, now);
+        reach_.noteAttempt(server, now);
+        GroupLiveness::noteAttempt(*server.group, now);
     }
     // The server gave a sign of life.
     void noteProgress(const KnownServer& server, TimePoint now)
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -141,13 +141,13 @@
         decision.reason = PacketReason::OpenedAgain;
         decision.server = again;
         if (!former->isOpen)
-            flows_.noteTry(packet.ends, *again, packet.acknowledgement, now);
+            flows_.noteAttempt(packet.ends, *again, packet.acknowledgement, now);
         return decision;
     }
     const KnownServer* ejected = nullptr;
     if (former && !former->isOpen) {
         KnownServer* silent = directory_.findByToken(former->token);
-        if (silent && silent->seen.lastProgress < former->triedAt && policy_.review(*silent, now))
+        if (silent && silent->seen.lastProgress < former->lastAttemptAt && policy_.review(*silent, now))
             ejected = silent;
     }
     decision.choice = policy_.choose(directory_.serversOf(*service), emptiedZones_, packet.ends, former, now);
@@ -157,8 +157,8 @@
         return refuseChoice(packet, decision.choice, former);
     decision.reason = former ? PacketReason::OpenedElsewhere : PacketReason::Opened;
     decision.server = decision.choice.server;
-    policy_.noteTry(*decision.choice.server, emptiedZones_, now);
-    flows_.noteTry(packet.ends, *decision.choice.server, packet.acknowledgement, now);
+    policy_.noteAttempt(*decision.choice.server, emptiedZones_, now);
+    flows_.noteAttempt(packet.ends, *decision.choice.server, packet.acknowledgement, now);
     return decision;
 }
 
@@ -174,7 +174,7 @@
         return server;
     const bool isStillRight = server->mayTakeFlows() && server->entry.service == service
         && !emptiedZones_.contains(server->entry.availabilityZone);
-    const bool hasLivedSince = server->seen.lastProgress >= former->triedAt;
+    const bool hasLivedSince = server->seen.lastProgress >= former->lastAttemptAt;
     return isStillRight && hasLivedSince ? server : nullptr;
 }
 
--- a/Source/Forward/ZoneReachability.cpp
+++ b/Source/Forward/ZoneReachability.cpp
@@ -26,7 +26,7 @@
     return isBeingTried && isUnproven(zone, now) ? State::Unproven : State::Reachable;
 }
 
-void ZoneReachability::noteTry(const KnownServer& server, TimePoint now)
+void ZoneReachability::noteAttempt(const KnownServer& server, TimePoint now)
 {
     if (server.entry.availabilityZone == ownZone_)
         return;
--- a/Source/Forward/ZoneReachability.h
+++ b/Source/Forward/ZoneReachability.h
@@ -39,7 +39,7 @@
     // A zone that has not been heard of lately gets one flow at a time, and none for a while after that one failed.
     State stateOf(const std::string& availabilityZone, TimePoint now);
     // An opening packet goes to the server.
-    void noteTry(const KnownServer&, TimePoint now);
+    void noteAttempt(const KnownServer&, TimePoint now);
     // The server gave a sign of life.
     void noteProgress(const KnownServer&, TimePoint now);
     // What became of other zones since the last call.
--- a/Tests/Forward/ColdStartTest.cpp
+++ b/Tests/Forward/ColdStartTest.cpp
@@ -135,7 +135,7 @@
                 for (const RegisteredServer& server : servers_) {
                     if (!balancer.shares->mayTake(server, coldStart, clock_.now()))
                         continue;
-                    balancer.shares->noteTry(server, clock_.now());
+                    balancer.shares->noteAttempt(server, clock_.now());
                     tries_[server.number].push_back(clock_.now());
                 }
             }
