--- a/Source/Forward/ColdStart.cpp
+++ b/Source/Forward/ColdStartLimit.cpp
@@ -1,4 +1,4 @@
-#include "Forward/ColdStart.h"
+#include "Forward/ColdStartLimit.h"
 
 #include "Core/Hash.h"
 
@@ -7,19 +7,19 @@
 
 namespace wisteriadock {
 
-TimePoint coldUntil(const KnownServer& server, const ColdStart& coldStart, const EmptiedZones& zones)
+TimePoint coldUntil(const KnownServer& server, const ColdStartLimit& coldStart, const EmptiedZones& zones)
 {
     TimePoint until = server.warmUntil;
     const ServerGroup& group = *server.group;
     if (group.returnedAt != TimePoint::min() && server.writtenAt < group.failedAt)
-        until = std::max(until, group.returnedAt + coldStart.length);
+        until = std::max(until, group.returnedAt + coldStart.duration);
     const TimePoint takenBackAt = zones.takenBackAt(server.entry.availabilityZone);
     if (takenBackAt != TimePoint::min() && server.writtenAt < takenBackAt)
-        until = std::max(until, takenBackAt + coldStart.length);
+        until = std::max(until, takenBackAt + coldStart.duration);
     return until;
 }
 
-void ColdStartShares::setBalancers(std::uint32_t self, std::vector<std::uint32_t> ids, bool isSettled, TimePoint now)
+void ColdStartLimiter::setBalancers(std::uint32_t self, std::vector<std::uint32_t> ids, bool isSettled, TimePoint now)
 {
     std::ranges::sort(ids);
     if (self != self_)
@@ -28,7 +28,7 @@
     isSettled_ = isSettled;
     for (const std::uint32_t id : ids)
         lastThere_[id] = now;
-    absl::erase_if(lastThere_, [&](const auto& row) { return now - row.second >= settings_.missedFor; });
+    absl::erase_if(lastThere_, [&](const auto& row) { return now - row.second >= settings_.absenceTimeout; });
     if (rosters_.empty() || rosters_.back().ids != ids)
         rosters_.push_back({ now, std::move(ids) });
     // A roster counts until the next one has stood for the time of a handover.
@@ -36,7 +36,7 @@
         rosters_.erase(rosters_.begin());
 }
 
-bool ColdStartShares::isOwnerIn(const Roster& roster, std::uint64_t server) const
+bool ColdStartLimiter::isOwnerIn(const Roster& roster, std::uint64_t server) const
 {
     std::size_t before = 0;
     const std::uint64_t own = hashPair(server, self_);
@@ -48,7 +48,7 @@
     return isListed && before < settings_.owners;
 }
 
-bool ColdStartShares::isOwner(std::uint64_t server, TimePoint now) const
+bool ColdStartLimiter::isOwner(std::uint64_t server, TimePoint now) const
 {
     if (!isSettled_ || rosters_.empty() || !isMajority())
         return false;
@@ -58,11 +58,11 @@
         && std::ranges::all_of(rosters_, [&](const Roster& roster) { return isOwnerIn(roster, server); });
 }
 
-bool ColdStartShares::mayTake(const RegisteredServer& server, const ColdStart& coldStart, TimePoint now)
+bool ColdStartLimiter::mayOpenFlow(const RegisteredServer& server, const ColdStartLimit& coldStart, TimePoint now)
 {
     if (server.availabilityZone != availabilityZone_ || !isOwner(server.number, now))
         return false;
-    const double bound = coldStart.perSecond * settings_.overage + settings_.slack;
+    const double bound = coldStart.flowsPerSecond * settings_.overage + settings_.slack;
     const double share = std::floor(bound / static_cast<double>(settings_.owners));
     const auto found = tries_.find(server.number);
     if (found == tries_.end())
@@ -71,12 +71,12 @@
     return static_cast<double>(found->second.size()) + 1 <= share;
 }
 
-void ColdStartShares::noteAttempt(const RegisteredServer& server, TimePoint now)
+void ColdStartLimiter::noteAttempt(const RegisteredServer& server, TimePoint now)
 {
     tries_[server.number].push_back(now);
 }
 
-void ColdStartShares::tick(TimePoint now)
+void ColdStartLimiter::tick(TimePoint now)
 {
     absl::erase_if(tries_, [&](const auto& row) { return now - row.second.back() >= settings_.window; });
 }
--- a/Source/Forward/ColdStart.h
+++ b/Source/Forward/ColdStartLimit.h
@@ -15,17 +15,17 @@
 namespace wisteriadock {
 
 // What a service's servers bear just after their start, by the operators' configuration.
-struct ColdStart {
+struct ColdStartLimit {
     // How long they are cold.
-    std::chrono::milliseconds length { 0 };
+    std::chrono::milliseconds duration { 0 };
     // New flows a second that a cold one bears; 0 where operators name no rate, and nothing is limited then.
-    double perSecond = 0;
+    double flowsPerSecond = 0;
 
-    bool operator==(const ColdStart&) const = default;
+    bool operator==(const ColdStartLimit&) const = default;
 };
 
 // By service.
-using ColdStarts = absl::flat_hash_map<std::string, ColdStart>;
+using ColdStartLimits = absl::flat_hash_map<std::string, ColdStartLimit>;
 
 struct ColdStartSettings {
     // A cold server may get its rate times the overage, and the slack besides, in any second (bounds of the platform).
@@ -36,9 +36,9 @@
     // What "any second" means here: openings that were sent further apart than a second may arrive within one.
     std::chrono::milliseconds window { 1100 };
     // Who is no longer an owner hears of it within this time, and what it sent until then counts for a window more.
-    std::chrono::milliseconds newsTakes { 2000 };
+    std::chrono::milliseconds propagationTime { 2000 };
     // Balancers that are gone for so long are not missed any more: by then others have taken their place.
-    std::chrono::milliseconds missedFor { 60000 };
+    std::chrono::milliseconds absenceTimeout { 60000 };
 
     bool operator==(const ColdStartSettings&) const = default;
 };
@@ -46,7 +46,7 @@
 // Until when a server counts as cold: as its entry says, and where its entry may be older than its last return, as long
 // as servers of its service are. Servers that fell silent together may have started again, and those of a zone that was
 // emptied may have become cold before the order was taken back.
-TimePoint coldUntil(const KnownServer&, const ColdStart&, const EmptiedZones&);
+TimePoint coldUntil(const KnownServer&, const ColdStartLimit&, const EmptiedZones&);
 
 // Who is cold: gives out what a server bears just after its start, so that all balancers together stay within it
 // without asking each other. Each cold server has a few owners among the balancers of its own zone, by a hash that all
@@ -56,9 +56,9 @@
 // A balancer that knows the others badly could take itself for the owner of everything, so it owns nothing while its
 // view has not settled or lacks half of those that it knew lately, as in a cut; and where the members changed just now
 // it counts as owner only if it was one before the change, too.
-class ColdStartShares {
+class ColdStartLimiter {
 public:
-    ColdStartShares(std::string availabilityZone, ColdStartSettings settings)
+    ColdStartLimiter(std::string availabilityZone, ColdStartSettings settings)
         : availabilityZone_(std::move(availabilityZone))
         , settings_(settings)
     {
@@ -69,7 +69,7 @@
     void setBalancers(std::uint32_t self, std::vector<std::uint32_t> ids, bool isSettled, TimePoint now);
 
     // Whether this balancer may send another new flow to a server that is cold.
-    bool mayTake(const RegisteredServer&, const ColdStart&, TimePoint now);
+    bool mayOpenFlow(const RegisteredServer&, const ColdStartLimit&, TimePoint now);
     // It does so.
     void noteAttempt(const RegisteredServer&, TimePoint now);
     // Forgets what is over.
@@ -84,7 +84,7 @@
 
     bool isOwner(std::uint64_t server, TimePoint now) const;
     bool isOwnerIn(const Roster&, std::uint64_t server) const;
-    Duration handover() const { return settings_.newsTakes + settings_.window; }
+    Duration handover() const { return settings_.propagationTime + settings_.window; }
     bool isMajority() const { return 2 * rosters_.back().ids.size() > lastThere_.size(); }
 
     std::string availabilityZone_;
--- a/Source/Forward/ForwardingConfiguration.h
+++ b/Source/Forward/ForwardingConfiguration.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Endpoint.h"
-#include "Forward/ColdStart.h"
+#include "Forward/ColdStartLimit.h"
 #include "Forward/TokenPacket.h"
 
 #include <absl/container/flat_hash_map.h>
@@ -40,7 +40,7 @@
     // A flow that carried nothing for so long may be forgotten.
     std::chrono::milliseconds idleTimeout { 0 };
     // Services that are not named have no rate for their cold servers.
-    ColdStarts coldStarts {};
+    ColdStartLimits coldStartLimits {};
 };
 
 // What a version of the configuration changes.
@@ -48,7 +48,7 @@
     std::uint64_t version = 0;
     std::chrono::milliseconds idleTimeout { 0 };
     // All there are.
-    ColdStarts coldStarts {};
+    ColdStartLimits coldStartLimits {};
     // The routes are all there are. Otherwise they are those that are new or changed, and the others stay.
     bool isWhole = false;
     std::vector<FlowRoute> routes;
--- a/Source/Forward/OpeningPolicy.cpp
+++ b/Source/Forward/OpeningPolicy.cpp
@@ -32,12 +32,12 @@
 
 }
 
-const ColdStart* OpeningPolicy::coldStartOf(const std::string& service) const
+const ColdStartLimit* OpeningPolicy::coldStartLimitOf(const std::string& service) const
 {
-    if (coldStarts_.empty())
+    if (coldStartLimits_.empty())
         return nullptr;
-    const auto found = coldStarts_.find(service);
-    return found == coldStarts_.end() ? nullptr : &found->second;
+    const auto found = coldStartLimits_.find(service);
+    return found == coldStartLimits_.end() ? nullptr : &found->second;
 }
 
 OpeningPolicy::Standing OpeningPolicy::standingOf(const KnownServer& server, const FlowRecord* former, TimePoint now)
@@ -59,7 +59,7 @@
     const std::uint64_t flowHash
         = hashPair((std::uint64_t(ends.caller.address) << 16) | ends.caller.port, ends.route.address);
     const float usualFailingShare = ServerCost::failingShareOf(servers, now);
-    const ColdStart* coldStart = servers.empty() ? nullptr : coldStartOf(servers.front()->entry.service);
+    const ColdStartLimit* coldStart = servers.empty() ? nullptr : coldStartLimitOf(servers.front()->entry.service);
     groups_.review(servers, now);
     for (KnownServer* server : servers) {
         if (!server->mayTakeFlows())
@@ -69,7 +69,7 @@
             continue;
         }
         if (coldStart && coldUntil(*server, *coldStart, emptied) > now
-            && !coldShares_.mayTake(server->entry, *coldStart, now)) {
+            && !coldStartLimiter_.mayOpenFlow(server->entry, *coldStart, now)) {
             ++choice.coldLimited;
             continue;
         }
--- a/Source/Forward/OpeningPolicy.h
+++ b/Source/Forward/OpeningPolicy.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "Forward/ColdStart.h"
+#include "Forward/ColdStartLimit.h"
 #include "Forward/EmptiedZones.h"
 #include "Forward/GroupLiveness.h"
 #include "Forward/OpenFlowTable.h"
@@ -50,7 +50,7 @@
     OpeningPolicy(const std::string& availabilityZone, const OpeningTimes& times, OpeningSettings settings = {},
         ColdStartSettings cold = {})
         : cost_(availabilityZone, settings)
-        , coldShares_(availabilityZone, cold)
+        , coldStartLimiter_(availabilityZone, cold)
         , silence_(settings)
         , groups_(settings, times)
         , reach_(availabilityZone, settings)
@@ -63,20 +63,20 @@
         const FlowRecord* former, TimePoint now);
 
     // What the operators' configuration says of cold servers.
-    void setColdStarts(ColdStarts coldStarts) { coldStarts_ = std::move(coldStarts); }
-    // See ColdStartShares.
+    void setColdStartLimits(ColdStartLimits coldStartLimits) { coldStartLimits_ = std::move(coldStartLimits); }
+    // See ColdStartLimiter.
     void setBalancers(std::uint32_t self, std::vector<std::uint32_t> ids, bool isSettled, TimePoint now)
     {
-        coldShares_.setBalancers(self, std::move(ids), isSettled, now);
+        coldStartLimiter_.setBalancers(self, std::move(ids), isSettled, now);
     }
-    void tick(TimePoint now) { coldShares_.tick(now); }
+    void tick(TimePoint now) { coldStartLimiter_.tick(now); }
 
     // An opening packet goes to the server.
     void noteAttempt(const KnownServer& server, const EmptiedZones& emptied, TimePoint now)
     {
-        if (const ColdStart* coldStart = coldStartOf(server.entry.service);
+        if (const ColdStartLimit* coldStart = coldStartLimitOf(server.entry.service);
             coldStart && coldUntil(server, *coldStart, emptied) > now)
-            coldShares_.noteAttempt(server.entry, now);
+            coldStartLimiter_.noteAttempt(server.entry, now);
         reach_.noteAttempt(server, now);
         GroupLiveness::noteAttempt(*server.group, now);
     }
@@ -100,11 +100,11 @@
 
     Standing standingOf(const KnownServer&, const FlowRecord* former, TimePoint now);
     // Null for a service whose cold servers have no rate.
-    const ColdStart* coldStartOf(const std::string& service) const;
+    const ColdStartLimit* coldStartLimitOf(const std::string& service) const;
 
     ServerCost cost_;
-    ColdStartShares coldShares_;
-    ColdStarts coldStarts_;
+    ColdStartLimiter coldStartLimiter_;
+    ColdStartLimits coldStartLimits_;
     ServerLiveness silence_;
     GroupLiveness groups_;
     ZoneReachability reach_;
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -61,7 +61,7 @@
     if (configuration.version <= version_)
         return false;
     routes_.replace(configuration);
-    policy_.setColdStarts(configuration.coldStarts);
+    policy_.setColdStartLimits(configuration.coldStartLimits);
     version_ = configuration.version;
     return true;
 }
@@ -71,7 +71,7 @@
     if (change.version <= version_)
         return false;
     version_ = change.version;
-    policy_.setColdStarts(std::move(change.coldStarts));
+    policy_.setColdStartLimits(std::move(change.coldStartLimits));
     routes_.apply(std::move(change));
     return true;
 }
--- a/Source/Forward/TokenRouter.h
+++ b/Source/Forward/TokenRouter.h
@@ -98,7 +98,7 @@
     }
     // The store told what is certain, at this time.
     void noteStoreHeard(TimePoint at) { directory_.noteStoreHeard(at); }
-    // The balancers of the own zone that are alive; see ColdStartShares.
+    // The balancers of the own zone that are alive; see ColdStartLimiter.
     void setBalancers(std::uint32_t self, std::vector<std::uint32_t> ids, bool isSettled, TimePoint now)
     {
         policy_.setBalancers(self, std::move(ids), isSettled, now);
--- a/Source/Forwarder/ForwarderSettings.h
+++ b/Source/Forwarder/ForwarderSettings.h
@@ -3,7 +3,7 @@
 #include "Core/Endpoint.h"
 #include "Core/Error.h"
 #include "Core/Log.h"
-#include "Forward/ColdStart.h"
+#include "Forward/ColdStartLimit.h"
 #include "Forward/OpeningSettings.h"
 
 #include <chrono>
--- a/Tests/Forward/ColdStartTest.cpp
+++ b/Tests/Forward/ColdStartLimitTest.cpp
@@ -1,4 +1,4 @@
-#include "Forward/ColdStart.h"
+#include "Forward/ColdStartLimit.h"
 #include "Forward/ForwardFixture.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr ColdStart coldStart { 2000ms, 10 };
+    constexpr ColdStartLimit coldStart { 2000ms, 10 };
     constexpr ColdStartSettings shareSettings { 1.5, 5 };
     // 10 a second, times 1.5, and 5 besides.
     constexpr std::size_t bound = 20;
@@ -38,7 +38,7 @@
         // A balancer that has just started knows only itself for a while.
         void start()
         {
-            Balancer balancer { ++lastId_, std::make_unique<ColdStartShares>("walu", shares_), clock_.now(), {} };
+            Balancer balancer { ++lastId_, std::make_unique<ColdStartLimiter>("walu", shares_), clock_.now(), {} };
             balancers_.push_back(std::move(balancer));
         }
         void end() { balancers_.erase(balancers_.begin() + static_cast<std::ptrdiff_t>(draw(balancers_.size()))); }
@@ -92,7 +92,7 @@
     private:
         struct Balancer {
             std::uint32_t id = 0;
-            std::unique_ptr<ColdStartShares> shares;
+            std::unique_ptr<ColdStartLimiter> shares;
             TimePoint startedAt;
             // When it learned that others are there.
             std::map<std::uint32_t, TimePoint> known;
@@ -133,7 +133,7 @@
             std::ranges::shuffle(balancers_, random_);
             for (Balancer& balancer : balancers_) {
                 for (const RegisteredServer& server : servers_) {
-                    if (!balancer.shares->mayTake(server, coldStart, clock_.now()))
+                    if (!balancer.shares->mayOpenFlow(server, coldStart, clock_.now()))
                         continue;
                     balancer.shares->noteAttempt(server, clock_.now());
                     tries_[server.number].push_back(clock_.now());
@@ -153,7 +153,7 @@
     };
 
     // Guards against a sum above the bound while the balancers know each other, and against a bound that nobody uses.
-    TEST(ColdStartTest, aZoneOfAnySizeUsesTheBoundAndKeepsIt)
+    TEST(ColdStartLimitTest, aZoneOfAnySizeUsesTheBoundAndKeepsIt)
     {
         for (const std::size_t balancers : { 2U, 28U, 100U }) {
             SCOPED_TRACE(balancers);
@@ -166,7 +166,7 @@
     }
 
     // Guards against balancers that all take themselves for the owner of everything, since they know nobody yet.
-    TEST(ColdStartTest, aStartOfAllKeepsTheBound)
+    TEST(ColdStartLimitTest, aStartOfAllKeepsTheBound)
     {
         for (std::uint32_t seed = 1; seed <= 5; ++seed) {
             ColdZone zone(seed, 28, 5);
@@ -178,7 +178,7 @@
     }
 
     // Guards against owners of before and after a change, who both send.
-    TEST(ColdStartTest, comingAndGoingKeepsTheBound)
+    TEST(ColdStartLimitTest, comingAndGoingKeepsTheBound)
     {
         for (std::uint32_t seed = 1; seed <= 5; ++seed) {
             ColdZone zone(seed, 28, 5);
@@ -194,7 +194,7 @@
     }
 
     // Guards against balancers that are cut off from the others, think them dead and take over what is theirs.
-    TEST(ColdStartTest, balancersThatAreCutOffKeepTheBound)
+    TEST(ColdStartLimitTest, balancersThatAreCutOffKeepTheBound)
     {
         for (std::uint32_t seed = 1; seed <= 5; ++seed) {
             ColdZone zone(seed, 28, 5);
@@ -209,7 +209,7 @@
         ColdServersTest()
             : limited(limitedSettings())
         {
-            limited.applyConfiguration(limitedConfiguration(3, coldStart.perSecond));
+            limited.applyConfiguration(limitedConfiguration(3, coldStart.flowsPerSecond));
             settle(limited);
         }
 
@@ -222,7 +222,7 @@
         static ForwardingConfiguration limitedConfiguration(std::uint64_t version, double rate)
         {
             ForwardingConfiguration configuration = ForwardFixture::configuration(version);
-            configuration.coldStarts["tryon"] = { 2000ms, rate };
+            configuration.coldStartLimits["tryon"] = { 2000ms, rate };
             return configuration;
         }
         void settle(TokenRouter& balancer)
--- a/Tests/PlatformAdapter/ConfigurationTextTest.cpp
+++ b/Tests/PlatformAdapter/ConfigurationTextTest.cpp
@@ -232,15 +232,17 @@
     TEST(ConfigurationTextTest, ratesOfColdServersAreThoseOfTheNewestVersion)
     {
         ForwardingConfiguration configuration = configurationOf(1, routesTo(3));
-        configuration.coldStarts["streams"] = { std::chrono::milliseconds(2500), 12.5 };
+        configuration.coldStartLimits["streams"] = { std::chrono::milliseconds(2500), 12.5 };
         ConfigurationReader reader;
-        EXPECT_EQ(reader.read(encodeConfiguration(configuration)).value().coldStarts, configuration.coldStarts);
+        EXPECT_EQ(
+            reader.read(encodeConfiguration(configuration)).value().coldStartLimits, configuration.coldStartLimits);
         configuration.version = 2;
-        configuration.coldStarts["streams"].perSecond = 3;
-        EXPECT_EQ(reader.read(encodeConfiguration(configuration)).value().coldStarts, configuration.coldStarts);
+        configuration.coldStartLimits["streams"].flowsPerSecond = 3;
+        EXPECT_EQ(
+            reader.read(encodeConfiguration(configuration)).value().coldStartLimits, configuration.coldStartLimits);
         configuration.version = 3;
-        configuration.coldStarts["streams"].perSecond = 0;
-        EXPECT_TRUE(reader.read(encodeConfiguration(configuration)).value().coldStarts.empty());
+        configuration.coldStartLimits["streams"].flowsPerSecond = 0;
+        EXPECT_TRUE(reader.read(encodeConfiguration(configuration)).value().coldStartLimits.empty());
     }
 
     // Guards against routes being refused with a service that can't be read.
@@ -251,7 +253,7 @@
             const std::string text = std::string(R"({"version":3,"routes":[],"services":)") + services + "}";
             const auto read = decodeConfiguration(text);
             ASSERT_TRUE(read) << services;
-            EXPECT_TRUE(read.value().coldStarts.empty()) << services;
+            EXPECT_TRUE(read.value().coldStartLimits.empty()) << services;
         }
     }
 
