--- a/Source/Forward/ColdStartLimit.cpp
+++ b/Source/Forward/ColdStartLimit.cpp
@@ -7,15 +7,15 @@
 
 namespace wisteriadock {
 
-TimePoint coldUntil(const KnownServer& server, const ColdStartLimit& coldStart, const EmptiedZones& zones)
+TimePoint coldUntil(const KnownServer& server, const ColdStartLimit& coldStart, const EvacuatedZones& zones)
 {
     TimePoint until = server.warmUntil;
     const ServerGroup& group = *server.group;
     if (group.returnedAt != TimePoint::min() && server.writtenAt < group.failedAt)
         until = std::max(until, group.returnedAt + coldStart.duration);
-    const TimePoint takenBackAt = zones.takenBackAt(server.entry.availabilityZone);
-    if (takenBackAt != TimePoint::min() && server.writtenAt < takenBackAt)
-        until = std::max(until, takenBackAt + coldStart.duration);
+    const TimePoint revokedAt = zones.revokedAt(server.entry.availabilityZone);
+    if (revokedAt != TimePoint::min() && server.writtenAt < revokedAt)
+        until = std::max(until, revokedAt + coldStart.duration);
     return until;
 }
 
--- a/Source/Forward/ColdStartLimit.h
+++ b/Source/Forward/ColdStartLimit.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "Forward/EmptiedZones.h"
+#include "Forward/EvacuatedZones.h"
 #include "Forward/ServerDirectory.h"
 
 #include <absl/container/flat_hash_map.h>
@@ -46,7 +46,7 @@
 // Until when a server counts as cold: as its entry says, and where its entry may be older than its last return, as long
 // as servers of its service are. Servers that fell silent together may have started again, and those of a zone that was
 // emptied may have become cold before the order was taken back.
-TimePoint coldUntil(const KnownServer&, const ColdStartLimit&, const EmptiedZones&);
+TimePoint coldUntil(const KnownServer&, const ColdStartLimit&, const EvacuatedZones&);
 
 // Who is cold: gives out what a server bears just after its start, so that all balancers together stay within it
 // without asking each other. Each cold server has a few owners among the balancers of its own zone, by a hash that all
--- a/Source/Forward/EmptiedZones.h
+++ b/Source/Forward/EvacuatedZones.h
@@ -12,9 +12,9 @@
 namespace wisteriadock {
 
 // An operator's order that a zone's backend servers get no new flows came into force, or was taken back.
-struct ZoneOrderChange {
+struct ZoneEvacuationChange {
     std::string availabilityZone;
-    bool isEmptied = false;
+    bool isEvacuated = false;
     // The store's revision of the change.
     std::uint64_t revision = 0;
     // For how long an order that was taken back had been in force here.
@@ -23,23 +23,23 @@
 
 // The availability zones that operators have ordered to be emptied. New flows go to no server there until the order is
 // taken back; open flows stay where they are.
-class EmptiedZones {
+class EvacuatedZones {
 public:
     // Nothing when the zone is in that state already.
-    std::optional<ZoneOrderChange> set(
-        const std::string& availabilityZone, bool isEmptied, std::uint64_t revision, TimePoint now)
+    std::optional<ZoneEvacuationChange> set(
+        const std::string& availabilityZone, bool isEvacuated, std::uint64_t revision, TimePoint now)
     {
-        if (isEmptied) {
+        if (isEvacuated) {
             if (!since_.try_emplace(availabilityZone, now).second)
                 return std::nullopt;
-            return ZoneOrderChange { availabilityZone, true, revision, {} };
+            return ZoneEvacuationChange { availabilityZone, true, revision, {} };
         }
         const auto order = since_.find(availabilityZone);
         if (order == since_.end())
             return std::nullopt;
-        const ZoneOrderChange change { availabilityZone, false, revision, now - order->second };
+        const ZoneEvacuationChange change { availabilityZone, false, revision, now - order->second };
         since_.erase(order);
-        takenBackAt_[availabilityZone] = now;
+        revokedAt_[availabilityZone] = now;
         return change;
     }
 
@@ -48,17 +48,17 @@
         return !since_.empty() && since_.contains(availabilityZone);
     }
     // When the last order for the zone was taken back; TimePoint::min() when none was.
-    TimePoint takenBackAt(const std::string& availabilityZone) const
+    TimePoint revokedAt(const std::string& availabilityZone) const
     {
-        const auto found = takenBackAt_.find(availabilityZone);
-        return found == takenBackAt_.end() ? TimePoint::min() : found->second;
+        const auto found = revokedAt_.find(availabilityZone);
+        return found == revokedAt_.end() ? TimePoint::min() : found->second;
     }
     // By zone, since when.
     const absl::flat_hash_map<std::string, TimePoint>& all() const { return since_; }
 
 private:
     absl::flat_hash_map<std::string, TimePoint> since_;
-    absl::flat_hash_map<std::string, TimePoint> takenBackAt_;
+    absl::flat_hash_map<std::string, TimePoint> revokedAt_;
 };
 
 }
--- a/Source/Forward/OpeningPolicy.cpp
+++ b/Source/Forward/OpeningPolicy.cpp
@@ -51,7 +51,7 @@
     return wasTried(former, server.token) ? Standing::Tried : Standing::Good;
 }
 
-OpeningChoice OpeningPolicy::choose(const std::vector<KnownServer*>& servers, const EmptiedZones& emptied,
+OpeningChoice OpeningPolicy::choose(const std::vector<KnownServer*>& servers, const EvacuatedZones& evacuated,
     const FlowEnds& ends, const FlowRecord* former, TimePoint now)
 {
     OpeningChoice choice;
@@ -64,11 +64,11 @@
     for (KnownServer* server : servers) {
         if (!server->mayTakeFlows())
             continue;
-        if (emptied.contains(server->entry.availabilityZone)) {
-            ++choice.emptied;
+        if (evacuated.contains(server->entry.availabilityZone)) {
+            ++choice.evacuated;
             continue;
         }
-        if (coldStart && coldUntil(*server, *coldStart, emptied) > now
+        if (coldStart && coldUntil(*server, *coldStart, evacuated) > now
             && !coldStartLimiter_.mayOpenFlow(server->entry, *coldStart, now)) {
             ++choice.coldLimited;
             continue;
--- a/Source/Forward/OpeningPolicy.h
+++ b/Source/Forward/OpeningPolicy.h
@@ -2,7 +2,7 @@
 
 #include "Core/Clock.h"
 #include "Forward/ColdStartLimit.h"
-#include "Forward/EmptiedZones.h"
+#include "Forward/EvacuatedZones.h"
 #include "Forward/GroupLiveness.h"
 #include "Forward/OpenFlowTable.h"
 #include "Forward/OpeningSettings.h"
@@ -27,7 +27,7 @@
     std::uint32_t eligible = 0;
     std::uint32_t unresponsive = 0;
     // How many could, if operators had not ordered their zones to be emptied.
-    std::uint32_t emptied = 0;
+    std::uint32_t evacuated = 0;
     // How many could, if they were not cold and this balancer's share of them used up.
     std::uint32_t coldLimited = 0;
     // The chosen server's load in requests for each slot, as far as this balancer knows.
@@ -59,7 +59,7 @@
 
     // former is what is remembered of the flow, or null. The servers that it tried are avoided. Those of emptied zones
     // are never chosen, nor cold ones beyond their rate, whatever becomes of the others.
-    OpeningChoice choose(const std::vector<KnownServer*>& servers, const EmptiedZones&, const FlowEnds&,
+    OpeningChoice choose(const std::vector<KnownServer*>& servers, const EvacuatedZones&, const FlowEnds&,
         const FlowRecord* former, TimePoint now);
 
     // What the operators' configuration says of cold servers.
@@ -72,10 +72,10 @@
     void tick(TimePoint now) { coldStartLimiter_.tick(now); }
 
     // An opening packet goes to the server.
-    void noteAttempt(const KnownServer& server, const EmptiedZones& emptied, TimePoint now)
+    void noteAttempt(const KnownServer& server, const EvacuatedZones& evacuated, TimePoint now)
     {
         if (const ColdStartLimit* coldStart = coldStartLimitOf(server.entry.service);
-            coldStart && coldUntil(server, *coldStart, emptied) > now)
+            coldStart && coldUntil(server, *coldStart, evacuated) > now)
             coldStartLimiter_.noteAttempt(server.entry, now);
         reach_.noteAttempt(server, now);
         GroupLiveness::noteAttempt(*server.group, now);
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -23,7 +23,7 @@
         { PacketReason::Overloaded, "overloaded" },
         { PacketReason::NoServer, "no_server" },
         { PacketReason::ColdServersFull, "cold_servers_full" },
-        { PacketReason::ZonesEmptied, "zones_emptied" },
+        { PacketReason::ZonesEvacuated, "zones_emptied" },
         { PacketReason::NoRoute, "no_route" },
         { PacketReason::NoConfiguration, "no_configuration" },
         { PacketReason::TokenMissing, "token_missing" },
@@ -150,14 +150,14 @@
         if (silent && silent->seen.lastProgress < former->lastAttemptAt && policy_.review(*silent, now))
             ejected = silent;
     }
-    decision.choice = policy_.choose(directory_.serversOf(*service), emptiedZones_, packet.ends, former, now);
+    decision.choice = policy_.choose(directory_.serversOf(*service), evacuatedZones_, packet.ends, former, now);
     if (ejected)
         decision.choice.ejected.push_back(ejected);
     if (!decision.choice.server)
         return refuseChoice(packet, decision.choice, former);
     decision.reason = former ? PacketReason::OpenedElsewhere : PacketReason::Opened;
     decision.server = decision.choice.server;
-    policy_.noteAttempt(*decision.choice.server, emptiedZones_, now);
+    policy_.noteAttempt(*decision.choice.server, evacuatedZones_, now);
     flows_.noteAttempt(packet.ends, *decision.choice.server, packet.acknowledgement, now);
     return decision;
 }
@@ -173,7 +173,7 @@
     if (former->isOpen)
         return server;
     const bool isStillRight = server->mayTakeFlows() && server->entry.service == service
-        && !emptiedZones_.contains(server->entry.availabilityZone);
+        && !evacuatedZones_.contains(server->entry.availabilityZone);
     const bool hasLivedSince = server->seen.lastProgress >= former->lastAttemptAt;
     return isStillRight && hasLivedSince ? server : nullptr;
 }
@@ -227,9 +227,9 @@
 PacketDecision TokenRouter::refuseChoice(
     const TokenPacket& packet, const OpeningChoice& choice, const FlowRecord* former) const
 {
-    const bool isCertain = choice.coldLimited > 0 || choice.emptied > 0;
+    const bool isCertain = choice.coldLimited > 0 || choice.evacuated > 0;
     const PacketReason reason = choice.coldLimited > 0 ? PacketReason::ColdServersFull
-        : choice.emptied > 0                           ? PacketReason::ZonesEmptied
+        : choice.evacuated > 0                         ? PacketReason::ZonesEvacuated
                                                        : PacketReason::NoServer;
     PacketDecision decision = refuse(packet, reason);
     decision.choice = choice;
--- a/Source/Forward/TokenRouter.h
+++ b/Source/Forward/TokenRouter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "Forward/EmptiedZones.h"
+#include "Forward/EvacuatedZones.h"
 #include "Forward/ForwardingConfiguration.h"
 #include "Forward/OpenFlowTable.h"
 #include "Forward/OpeningAdmission.h"
@@ -36,7 +36,7 @@
     Overloaded, // All servers of the service have long queues, so the flow would be served late.
     NoServer, // The route's service has no server that takes flows.
     ColdServersFull, // All servers that could take the flow are cold, and this balancer's share of them is used up.
-    ZonesEmptied, // All servers that could take the flow are in zones that operators ordered to be emptied.
+    ZonesEvacuated, // All servers that could take the flow are in zones that operators ordered to be evacuated.
     NoRoute, // No route has the address.
     NoConfiguration, // This balancer does not know the routes yet.
     TokenMissing, // Not an opening packet, and without a token.
@@ -91,10 +91,10 @@
     ServerDirectory::Transitions disuseServer(const std::string& id, std::uint64_t revision, TimePoint now);
     ServerDirectory::Transitions removeServer(const std::string& id, bool inDoubt, TimePoint now);
     // Operators ordered that new flows go to no server of the zone, or took the order back. Nothing when that is known.
-    std::optional<ZoneOrderChange> orderZone(
-        const std::string& availabilityZone, bool isEmptied, std::uint64_t revision, TimePoint now)
+    std::optional<ZoneEvacuationChange> setZoneEvacuation(
+        const std::string& availabilityZone, bool isEvacuated, std::uint64_t revision, TimePoint now)
     {
-        return emptiedZones_.set(availabilityZone, isEmptied, revision, now);
+        return evacuatedZones_.set(availabilityZone, isEvacuated, revision, now);
     }
     // The store told what is certain, at this time.
     void noteStoreHeard(TimePoint at) { directory_.noteStoreHeard(at); }
@@ -119,7 +119,7 @@
     ServerDirectory& directory() { return directory_; }
     const ServerDirectory& directory() const { return directory_; }
     const OpenFlowTable& flows() const { return flows_; }
-    const EmptiedZones& emptiedZones() const { return emptiedZones_; }
+    const EvacuatedZones& evacuatedZones() const { return evacuatedZones_; }
     std::size_t routes() const { return routes_.size(); }
 
 private:
@@ -136,7 +136,7 @@
     OpeningAdmission admission_;
     OpeningPolicy policy_;
     ServerDirectory directory_;
-    EmptiedZones emptiedZones_;
+    EvacuatedZones evacuatedZones_;
     OpenFlowTable flows_;
     std::vector<FailingChange> failingChanges_;
     RouteTable routes_;
--- a/Source/Forwarder/ForwarderAnswers.h
+++ b/Source/Forwarder/ForwarderAnswers.h
@@ -78,7 +78,7 @@
         readings.peerBytes = peers_.bytesTransferred();
         readings.storeBytes = store_.bytesTransferred();
         readings.directory = &router_.directory();
-        readings.emptiedZones = &router_.emptiedZones();
+        readings.emptiedZones = &router_.evacuatedZones();
         return readings;
     }
 
--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -55,8 +55,8 @@
     }
     if (decision.admission.isRefused)
         event.add("answer_ms", decision.admission.answerTime);
-    if (decision.choice.emptied > 0)
-        event.add("emptied", decision.choice.emptied);
+    if (decision.choice.evacuated > 0)
+        event.add("emptied", decision.choice.evacuated);
     if (decision.choice.server) {
         event.add("load", static_cast<double>(decision.choice.load)).add("eligible", decision.choice.eligible);
         event.add("failing", static_cast<double>(decision.choice.failingShare));
@@ -230,16 +230,16 @@
 }
 
 void ForwarderLog::zoneOrder(
-    const ZoneOrderChange& change, std::chrono::milliseconds age, const std::string& source, TimePoint now)
+    const ZoneEvacuationChange& change, std::chrono::milliseconds age, const std::string& source, TimePoint now)
 {
     Event event;
     event.add("zone", change.availabilityZone)
         .add("revision", change.revision)
         .add("source", source)
         .add("age_ms", Duration(age));
-    if (!change.isEmptied)
+    if (!change.isEvacuated)
         event.add("in_force_ms", change.inForceFor);
-    log_.write(LogLevel::Info, "zone", change.isEmptied ? "emptied" : "taken_back", event, now);
+    log_.write(LogLevel::Info, "zone", change.isEvacuated ? "emptied" : "taken_back", event, now);
 }
 
 }
--- a/Source/Forwarder/ForwarderLog.h
+++ b/Source/Forwarder/ForwarderLog.h
@@ -58,7 +58,8 @@
     void zone(const ZoneReachabilityChange&, TimePoint now);
     void group(const GroupLivenessChange&, TimePoint now);
     // age: how long ago a balancer had the order, or its end, from the store.
-    void zoneOrder(const ZoneOrderChange&, std::chrono::milliseconds age, const std::string& source, TimePoint now);
+    void zoneOrder(
+        const ZoneEvacuationChange&, std::chrono::milliseconds age, const std::string& source, TimePoint now);
 
     EventLog& events() { return log_; }
 
--- a/Source/Forwarder/ForwarderMetrics.h
+++ b/Source/Forwarder/ForwarderMetrics.h
@@ -88,7 +88,7 @@
         std::uint64_t peerBytes = 0;
         std::uint64_t storeBytes = 0;
         const ServerDirectory* directory = nullptr;
-        const EmptiedZones* emptiedZones = nullptr;
+        const EvacuatedZones* emptiedZones = nullptr;
     };
     // Fails with Unavailable when the module that writes the text can't be loaded.
     Result<std::string> text(const Readings&);
--- a/Source/Forwarder/NewsApplier.h
+++ b/Source/Forwarder/NewsApplier.h
@@ -71,7 +71,7 @@
     // The order is the key, and its value says nothing: an order with a value that can't be read is one too.
     void applyZoneOrder(const std::string& zone, const NewsItem& item, const NewsChanged& news, TimePoint now)
     {
-        const auto change = router_.orderZone(zone, !item.isRemoved, item.revision, now);
+        const auto change = router_.setZoneEvacuation(zone, !item.isRemoved, item.revision, now);
         if (change)
             log_.zoneOrder(*change, std::chrono::milliseconds(item.ageMilliseconds), news.source, now);
     }
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -88,7 +88,7 @@
         metrics_.countPacket(decision.reason, decision.verdict);
         metrics_.observe(decision.progress);
         if (decision.reason == PacketReason::TokenUnknown || decision.reason == PacketReason::NoServer
-            || decision.reason == PacketReason::ZonesEmptied)
+            || decision.reason == PacketReason::ZonesEvacuated)
             onContradiction_(now);
         const std::string_view requestId = showsRequest(*packet, decision) ? Adapter::requestIdOf(datagram) : "";
         log_.packet(*packet, decision, requestId, router_.configurationVersion(), news_.book().completeTo(), now);
--- a/Tests/Forward/ColdStartLimitTest.cpp
+++ b/Tests/Forward/ColdStartLimitTest.cpp
@@ -280,9 +280,9 @@
     {
         limited.putServer(server(1), ++revision, clock.now());
         EXPECT_EQ(taken(50), 50);
-        limited.orderZone("walu", true, ++revision, clock.now());
+        limited.setZoneEvacuation("walu", true, ++revision, clock.now());
         clock.advance(3s);
-        limited.orderZone("walu", false, ++revision, clock.now());
+        limited.setZoneEvacuation("walu", false, ++revision, clock.now());
         EXPECT_EQ(taken(50), 10);
         limited.putServer(server(1), ++revision, clock.now());
         EXPECT_EQ(taken(50), 50);
--- a/Tests/Forward/EmptiedZonesTest.cpp
+++ b/Tests/Forward/EvacuatedZonesTest.cpp
@@ -12,8 +12,8 @@
     using namespace std::chrono_literals;
 
     // Two servers in each of three zones; this balancer is in "walu".
-    struct EmptiedZonesTest : testing::Test, ForwardFixture {
-        EmptiedZonesTest()
+    struct EvacuatedZonesTest : testing::Test, ForwardFixture {
+        EvacuatedZonesTest()
         {
             router.applyConfiguration(configuration(3));
             for (const std::uint64_t number : { 1, 2 })
@@ -24,8 +24,8 @@
                 put(server(number, "tryon", "nabua"));
         }
 
-        void order(const std::string& zone) { router.orderZone(zone, true, ++revision, clock.now()); }
-        void takeBack(const std::string& zone) { router.orderZone(zone, false, ++revision, clock.now()); }
+        void order(const std::string& zone) { router.setZoneEvacuation(zone, true, ++revision, clock.now()); }
+        void takeBack(const std::string& zone) { router.setZoneEvacuation(zone, false, ++revision, clock.now()); }
 
         // Opens flows that their servers answer. Returns how many each zone got; those that got none as "".
         std::map<std::string, int> openFlows(std::uint32_t first, std::uint32_t count)
@@ -50,7 +50,7 @@
     };
 
     // Guards against flows that are broken or new ones that go on when a zone is emptied.
-    TEST_F(EmptiedZonesTest, newFlowsLeaveAnEmptiedZoneAndOpenOnesStay)
+    TEST_F(EvacuatedZonesTest, newFlowsLeaveAnEmptiedZoneAndOpenOnesStay)
     {
         const std::uint32_t token = openFlow(1);
         ASSERT_EQ(router.directory().findByToken(token)->entry.availabilityZone, "walu");
@@ -66,7 +66,7 @@
     }
 
     // Guards against one of the other zones getting everything, or callers waiting while the others prove themselves.
-    TEST_F(EmptiedZonesTest, callersOfTheOwnEmptiedZoneAreSpreadOverTheOthersAtOnce)
+    TEST_F(EvacuatedZonesTest, callersOfTheOwnEmptiedZoneAreSpreadOverTheOthersAtOnce)
     {
         order("walu");
         auto flows = openFlows(0, 60);
@@ -76,18 +76,18 @@
     }
 
     // Guards against callers who wait for a server that no balancer may give them.
-    TEST_F(EmptiedZonesTest, withAllZonesEmptiedAFirstOpeningIsRefusedAtOnce)
+    TEST_F(EvacuatedZonesTest, withAllZonesEmptiedAFirstOpeningIsRefusedAtOnce)
     {
         orderAll();
         const PacketDecision first = route(opening(1));
         EXPECT_EQ(first.verdict, PacketVerdict::Reset);
-        EXPECT_EQ(first.reason, PacketReason::ZonesEmptied);
+        EXPECT_EQ(first.reason, PacketReason::ZonesEvacuated);
         EXPECT_EQ(route(opening(2, 1)).verdict, PacketVerdict::Drop);
         EXPECT_EQ(route(opening(2, 2)).verdict, PacketVerdict::Reset);
     }
 
     // Guards against the reset of a flow that opened at a server before the order, of which a late copy comes.
-    TEST_F(EmptiedZonesTest, aFlowThatOpenedBeforeTheOrderIsNotReset)
+    TEST_F(EvacuatedZonesTest, aFlowThatOpenedBeforeTheOrderIsNotReset)
     {
         const std::uint32_t token = openFlow(1);
         orderAll();
@@ -98,7 +98,7 @@
     }
 
     // Guards against copies that still enter a zone after the order.
-    TEST_F(EmptiedZonesTest, aCopyOfAnUnansweredOpeningLeavesTheEmptiedZone)
+    TEST_F(EvacuatedZonesTest, aCopyOfAnUnansweredOpeningLeavesTheEmptiedZone)
     {
         ASSERT_EQ(route(opening(1)).server->entry.availabilityZone, "walu");
         order("walu");
@@ -109,7 +109,7 @@
     }
 
     // Guards against the choice of last resort, a silent server, passing over the order.
-    TEST_F(EmptiedZonesTest, whenAllOthersAreSilentTheOrderStillHolds)
+    TEST_F(EvacuatedZonesTest, whenAllOthersAreSilentTheOrderStillHolds)
     {
         order("walu");
         for (std::uint32_t caller = 0; caller < 60; ++caller) {
@@ -121,28 +121,28 @@
     }
 
     // Guards against an order that is lost or counted twice when it comes again.
-    TEST_F(EmptiedZonesTest, orderAndRemovalMayAlternateWithinASecond)
+    TEST_F(EvacuatedZonesTest, orderAndRemovalMayAlternateWithinASecond)
     {
-        EXPECT_TRUE(router.orderZone("walu", true, 50, clock.now()));
-        EXPECT_FALSE(router.orderZone("walu", true, 51, clock.now()));
+        EXPECT_TRUE(router.setZoneEvacuation("walu", true, 50, clock.now()));
+        EXPECT_FALSE(router.setZoneEvacuation("walu", true, 51, clock.now()));
         clock.advance(300ms);
-        const auto back = router.orderZone("walu", false, 52, clock.now());
+        const auto back = router.setZoneEvacuation("walu", false, 52, clock.now());
         ASSERT_TRUE(back);
         EXPECT_EQ(back->inForceFor, Duration(300ms));
-        EXPECT_FALSE(router.orderZone("walu", false, 53, clock.now()));
+        EXPECT_FALSE(router.setZoneEvacuation("walu", false, 53, clock.now()));
         order("walu");
         EXPECT_EQ(openFlows(0, 20)["walu"], 0);
     }
 
     // Guards against an order for a zone without servers disturbing the others.
-    TEST_F(EmptiedZonesTest, anOrderForAZoneThatNobodyKnowsChangesNothing)
+    TEST_F(EvacuatedZonesTest, anOrderForAZoneThatNobodyKnowsChangesNothing)
     {
         order("raiwai");
         EXPECT_EQ(openFlows(0, 20)["walu"], 20);
     }
 
     // Guards against servers that register, or return cold, in a zone that is still emptied.
-    TEST_F(EmptiedZonesTest, serversThatRegisterDuringTheOrderGetNothing)
+    TEST_F(EvacuatedZonesTest, serversThatRegisterDuringTheOrderGetNothing)
     {
         order("walu");
         RegisteredServer cold = server(3);
--- a/Tests/Forwarder/ForwarderMetricsTest.cpp
+++ b/Tests/Forwarder/ForwarderMetricsTest.cpp
@@ -20,7 +20,7 @@
         {
             ForwarderMetrics::Readings readings;
             readings.directory = &router.directory();
-            readings.emptiedZones = &router.emptiedZones();
+            readings.emptiedZones = &router.evacuatedZones();
             return readings;
         }
 
--- a/Tests/Forwarder/PeerNewsTest.cpp
+++ b/Tests/Forwarder/PeerNewsTest.cpp
@@ -34,7 +34,7 @@
         EventLog log { { "vm", "walu", 1 }, descriptor };
         ForwarderMetrics metrics;
         ServerDirectory directory;
-        EmptiedZones emptiedZones;
+        EvacuatedZones emptiedZones;
         std::unique_ptr<PeerNews> news;
         std::vector<NewsItem> received;
 
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/DecisionFleet.cpp
@@ -248,7 +248,7 @@
             regressions_ += balancer.router->configurationVersion() < balancer.newestVersion;
             balancer.newestVersion = balancer.router->configurationVersion();
         } else if (item.key.starts_with("empty ")) {
-            balancer.router->orderZone(item.key.substr(6), !item.isRemoved, item.revision, now());
+            balancer.router->setZoneEvacuation(item.key.substr(6), !item.isRemoved, item.revision, now());
         } else if (item.isRemoved) {
             balancer.router->removeServer(item.key.substr(7), news.isInDoubt, now());
         } else {
--- a/Tests/News/ZoneOrdersTest.cpp
+++ b/Tests/News/ZoneOrdersTest.cpp
@@ -31,7 +31,7 @@
             for (auto& balancer : fleet.balancers()) {
                 if (balancer.isFrozen)
                     continue;
-                EXPECT_EQ(balancer.router->emptiedZones().contains("nabua"), isEmptied) << balancer.name;
+                EXPECT_EQ(balancer.router->evacuatedZones().contains("nabua"), isEmptied) << balancer.name;
                 for (int i = 0; i < 10; ++i) {
                     const auto packet = ForwardFixture::opening(++caller, 0, DecisionFleet::routeOf(0));
                     const PacketDecision decision = balancer.router->route(packet, fleet.now());
