--- a/Source/Forward/ServerDirectory.cpp
+++ b/Source/Forward/ServerDirectory.cpp
@@ -16,7 +16,7 @@
         { ServerState::Ended, "ended" },
     });
 
-    bool isOver(ServerState state) { return state == ServerState::Gone || state == ServerState::Ended; }
+    bool isTerminated(ServerState state) { return state == ServerState::Gone || state == ServerState::Ended; }
 
     ServerState stateOf(const RegisteredServer& entry)
     {
@@ -32,12 +32,12 @@
     Transitions transitions;
     auto& slot = records_[entry.id];
     const bool isNew = !slot;
-    if (!isNew && (isOfEarlierStart(*slot, entry, now) || isBelated(*slot, entry)))
+    if (!isNew && (isOfEarlierStart(*slot, entry, now) || isLateWrite(*slot, entry)))
         return transitions;
     if (isNew) {
         slot = std::make_unique<KnownServer>();
         slot->token = tokenOf(entry.number);
-        slot->since = now;
+        slot->stateSince = now;
         slot->state = stateOf(entry);
     }
     KnownServer& record = *slot;
@@ -51,7 +51,7 @@
     }
     if (isNew || record.entry.address != entry.address) {
         record.knownSince = now;
-        record.knownBy = revision;
+        record.knownSinceRevision = revision;
     }
     record.entry = entry;
     record.group = groupOf(entry);
@@ -63,7 +63,7 @@
         transitions.push_back({ entry.id, entry.service, entry.availabilityZone, record.state, record.state, true });
     }
     enter(record, stateOf(entry), now, transitions);
-    endFormerAt(entry.address, now, transitions);
+    endFormerServersAt(entry.address, now, transitions);
     isIndexed_ = false;
     return transitions;
 }
@@ -80,7 +80,7 @@
 // then the write of its former process takes effect, with a higher revision.
 bool ServerDirectory::isOfEarlierStart(const KnownServer& record, const RegisteredServer& entry, TimePoint now) const
 {
-    return entry.startedAt < record.entry.startedAt && now - record.writtenAt < settings_.earlierStartAfter;
+    return entry.startedAt < record.entry.startedAt && now - record.writtenAt < settings_.earlierStartTimeout;
 }
 
 // Whatever was seen of the former process says nothing about this one, which has no flows and fails none.
@@ -90,14 +90,14 @@
     const ServerState before = record.state;
     record.seen = {};
     record.state = stateOf(entry);
-    record.since = now;
+    record.stateSince = now;
     record.knownSince = now;
-    record.knownBy = revision;
+    record.knownSinceRevision = revision;
     record.hasChangedService = record.hasChangedService || record.entry.service != entry.service;
     transitions.push_back({ entry.id, entry.service, entry.availabilityZone, before, record.state, false, true });
 }
 
-ServerDirectory::Transitions ServerDirectory::disuse(const std::string& id, std::uint64_t revision, TimePoint now)
+ServerDirectory::Transitions ServerDirectory::invalidate(const std::string& id, std::uint64_t revision, TimePoint now)
 {
     Transitions transitions = remove(id, false, now);
     if (KnownServer* record = find(id))
@@ -105,13 +105,13 @@
     return transitions;
 }
 
-ServerDirectory::Transitions ServerDirectory::remove(const std::string& id, bool inDoubt, TimePoint now)
+ServerDirectory::Transitions ServerDirectory::remove(const std::string& id, bool isUncertain, TimePoint now)
 {
     Transitions transitions;
     KnownServer* record = find(id);
-    if (!record || isOver(record->state))
+    if (!record || isTerminated(record->state))
         return transitions;
-    const bool mayReturn = inDoubt && record->state != ServerState::Draining;
+    const bool mayReturn = isUncertain && record->state != ServerState::Draining;
     enter(*record, mayReturn ? ServerState::Doubtful : ServerState::Gone, now, transitions);
     isIndexed_ = false;
     return transitions;
@@ -121,13 +121,13 @@
 {
     Transitions transitions;
     for (auto& [id, record] : records_) {
-        if (record->state == ServerState::Doubtful && isDoubtOver(*record, now))
+        if (record->state == ServerState::Doubtful && isDoubtExpired(*record, now))
             enter(*record, ServerState::Gone, now, transitions);
     }
     const std::size_t before = records_.size();
     absl::erase_if(records_, [&](const auto& row) {
         const KnownServer& record = *row.second;
-        const bool isForgotten = isOver(record.state) && now - record.since >= settings_.retention;
+        const bool isForgotten = isTerminated(record.state) && now - record.stateSince >= settings_.retention;
         if (!isForgotten)
             return false;
         forget(record);
@@ -141,11 +141,11 @@
 // A zone cut off right after an outage of the store heard that all entries had lapsed, and never that they were back.
 // It took its own servers, which answered all the while, for gone after two seconds, and sent everything to the few
 // others, which it could not reach.
-bool ServerDirectory::isDoubtOver(const KnownServer& record, TimePoint now) const
+bool ServerDirectory::isDoubtExpired(const KnownServer& record, TimePoint now) const
 {
-    const Duration age = now - record.since;
-    const bool isConfirmed = storeHeardAt_ >= record.since + settings_.confirmedAfter;
-    return age >= settings_.longestDoubt || (age >= settings_.doubt && isConfirmed);
+    const Duration age = now - record.stateSince;
+    const bool isConfirmed = lastStoreContact_ >= record.stateSince + settings_.storeConfirmationTime;
+    return age >= settings_.maxDoubtfulTime || (age >= settings_.minDoubtfulTime && isConfirmed);
 }
 
 void ServerDirectory::forget(const KnownServer& record)
@@ -199,18 +199,18 @@
     const RegisteredServer& entry = record.entry;
     transitions.push_back({ entry.id, entry.service, entry.availabilityZone, record.state, state });
     record.state = state;
-    record.since = now;
+    record.stateSince = now;
 }
 
 // An address is given to another server only after its former one has ended, so the process at an address that was
 // known first is over, even while its entry has not lapsed yet. Without this, callers would get new flows to a server
 // that is dead, and callers of its open flows would wait for nobody.
-void ServerDirectory::endFormerAt(Endpoint address, TimePoint now, Transitions& transitions)
+void ServerDirectory::endFormerServersAt(Endpoint address, TimePoint now, Transitions& transitions)
 {
     const std::vector<KnownServer*>& there = byAddress_[address];
     for (KnownServer* record : there) {
         const bool isOverNow = std::ranges::any_of(
-            there, [&](const KnownServer* other) { return other != record && isFollowedBy(*record, *other, now); });
+            there, [&](const KnownServer* other) { return other != record && isReplacedBy(*record, *other, now); });
         if (isOverNow)
             enter(*record, ServerState::Ended, now, transitions);
     }
@@ -220,17 +220,17 @@
 // seconds later, after the next process at the address has registered. Taking that for a later process reset open flows
 // of a living one. Nor does the order in which news arrives, which comes by many ways. Where the two differ, or both
 // became known at once as by a listing, nobody is taken for ended.
-bool ServerDirectory::isFollowedBy(const KnownServer& former, const KnownServer& other, TimePoint now) const
+bool ServerDirectory::isReplacedBy(const KnownServer& former, const KnownServer& other, TimePoint now) const
 {
     const bool areStartsTold = former.entry.startedAt != 0 && other.entry.startedAt != 0;
     if (areStartsTold)
         return former.entry.startedAt < other.entry.startedAt;
     const TimePoint life = former.seen.lastProgress;
-    const bool livedLately = life != TimePoint::min() && now - life < settings_.reuse;
-    return former.knownSince < other.knownSince && former.knownBy < other.knownBy && !livedLately;
+    const bool livedLately = life != TimePoint::min() && now - life < settings_.addressReuseTime;
+    return former.knownSince < other.knownSince && former.knownSinceRevision < other.knownSinceRevision && !livedLately;
 }
 
-bool ServerDirectory::isBelated(const KnownServer& record, const RegisteredServer& entry) const
+bool ServerDirectory::isLateWrite(const KnownServer& record, const RegisteredServer& entry) const
 {
     return record.state == ServerState::Ended && record.entry.startedAt == entry.startedAt
         && record.entry.address == entry.address;
@@ -244,9 +244,9 @@
     if (isFree)
         return;
     KnownServer& other = *claimed->second;
-    const bool otherHoldsFlows = isOver(other.state) || other.entry.id < record.entry.id;
+    const bool otherHoldsFlows = isTerminated(other.state) || other.entry.id < record.entry.id;
     KnownServer& loser = otherHoldsFlows ? record : other;
-    loser.isAmbiguous = true;
+    loser.hasTokenConflict = true;
     claimed->second = otherHoldsFlows ? &other : &record;
 }
 
@@ -256,7 +256,7 @@
     for (auto& [service, servers] : byService_)
         servers.clear();
     for (auto& [id, record] : records_) {
-        if (!isOver(record->state))
+        if (!isTerminated(record->state))
             byService_[record->entry.service].push_back(record.get());
     }
     // The order must not depend on the hash table's, so that equal views choose alike.
--- a/Source/Forward/ServerDirectory.h
+++ b/Source/Forward/ServerDirectory.h
@@ -76,44 +76,44 @@
     std::uint64_t revision = 0;
     ServerState state = ServerState::Ready;
     // When the state was entered.
-    TimePoint since;
+    TimePoint stateSince;
     // Since when this balancer knows of this process at this address, and the revision by which it learned of it.
     TimePoint knownSince;
-    std::uint64_t knownBy = 0;
+    std::uint64_t knownSinceRevision = 0;
     // When the entry was written last, as far as this balancer knows.
     TimePoint writtenAt;
     // An earlier process under the id belonged to another service, so its flows must not reach this one.
     bool hasChangedService = false;
     TimePoint warmUntil;
     // Another living server has the same token, so packets could not be told apart: it gets no flows.
-    bool isAmbiguous = false;
+    bool hasTokenConflict = false;
     ServerObservation seen;
     // Never null for a server of a directory, which owns it.
     ServerGroup* group = nullptr;
 
     bool mayTakeFlows() const
     {
-        return (state == ServerState::Ready || state == ServerState::Doubtful) && !isAmbiguous;
+        return (state == ServerState::Ready || state == ServerState::Doubtful) && !hasTokenConflict;
     }
 };
 
 struct DirectorySettings {
     // How long a vanished entry may be back after an outage of the store (the store's operators promise two seconds).
-    std::chrono::milliseconds doubt { 2000 };
+    std::chrono::milliseconds minDoubtfulTime { 2000 };
     // The store must have been heard so long after the entry vanished, or its absence says nothing: a zone that is cut
     // off from the store never hears that its servers are back.
-    std::chrono::milliseconds confirmedAfter { 1000 };
+    std::chrono::milliseconds storeConfirmationTime { 1000 };
     // Without hearing of the store a server stays in doubt for so long.
-    std::chrono::milliseconds longestDoubt { 10000 };
+    std::chrono::milliseconds maxDoubtfulTime { 10000 };
     // How long servers that are gone stay known by their tokens: flows last up to a minute (the platform's bound).
     std::chrono::milliseconds retention { 75000 };
     // A write that was under way when its process ended may reach the store after those of the next one (the store's
     // operators speak of seconds). An entry of an earlier start counts only if the later one has been silent for so
     // long: then the server's clock was set back between two starts.
-    std::chrono::milliseconds earlierStartAfter { 10000 };
+    std::chrono::milliseconds earlierStartTimeout { 10000 };
     // An address is given away so long after its server has ended (the platform's bound), so a server that gave a sign
     // of life since then still has its address, whoever else names it.
-    std::chrono::milliseconds reuse { 2000 };
+    std::chrono::milliseconds addressReuseTime { 2000 };
 };
 
 // A change of what the balancer believes of one server, for the log.
@@ -141,11 +141,11 @@
     // A server's entry was written, at a revision of the store.
     Transitions put(const RegisteredServer&, std::uint64_t revision, TimePoint now);
     // Its entry can't be used any more: no new flows go there, and those that are open stay.
-    Transitions disuse(const std::string& id, std::uint64_t revision, TimePoint now);
+    Transitions invalidate(const std::string& id, std::uint64_t revision, TimePoint now);
     // Its entry vanished. In doubt a ready server keeps getting flows for a while, because it may be back.
-    Transitions remove(const std::string& id, bool inDoubt, TimePoint now);
+    Transitions remove(const std::string& id, bool isUncertain, TimePoint now);
     // The store told what is certain, at this time.
-    void noteStoreHeard(TimePoint at) { storeHeardAt_ = std::max(storeHeardAt_, at); }
+    void noteStoreContact(TimePoint at) { lastStoreContact_ = std::max(lastStoreContact_, at); }
     // Ends doubts and forgets servers whose flows are over.
     Transitions tick(TimePoint now);
 
@@ -169,11 +169,11 @@
     bool isOfEarlierStart(const KnownServer&, const RegisteredServer&, TimePoint now) const;
     void restart(KnownServer&, const RegisteredServer&, std::uint64_t revision, TimePoint now, Transitions&);
     void enter(KnownServer&, ServerState, TimePoint now, Transitions&);
-    bool isDoubtOver(const KnownServer&, TimePoint now) const;
-    void endFormerAt(Endpoint, TimePoint now, Transitions&);
-    bool isFollowedBy(const KnownServer& former, const KnownServer& other, TimePoint now) const;
+    bool isDoubtExpired(const KnownServer&, TimePoint now) const;
+    void endFormerServersAt(Endpoint, TimePoint now, Transitions&);
+    bool isReplacedBy(const KnownServer& former, const KnownServer& other, TimePoint now) const;
     // A write of a process that is certainly over, which took effect late.
-    bool isBelated(const KnownServer&, const RegisteredServer&) const;
+    bool isLateWrite(const KnownServer&, const RegisteredServer&) const;
     void claimToken(KnownServer&);
     ServerGroup* groupOf(const RegisteredServer&);
     void forget(const KnownServer&);
@@ -189,7 +189,7 @@
     // Made anew when it is asked for after a change, since a listing changes thousands of servers at once.
     absl::flat_hash_map<std::string, std::vector<KnownServer*>> byService_;
     bool isIndexed_ = true;
-    TimePoint storeHeardAt_ = TimePoint::min();
+    TimePoint lastStoreContact_ = TimePoint::min();
 };
 
 }
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -87,14 +87,14 @@
     return transitions;
 }
 
-ServerDirectory::Transitions TokenRouter::disuseServer(const std::string& id, std::uint64_t revision, TimePoint now)
+ServerDirectory::Transitions TokenRouter::invalidateServer(const std::string& id, std::uint64_t revision, TimePoint now)
 {
-    return directory_.disuse(id, revision, now);
+    return directory_.invalidate(id, revision, now);
 }
 
-ServerDirectory::Transitions TokenRouter::removeServer(const std::string& id, bool inDoubt, TimePoint now)
+ServerDirectory::Transitions TokenRouter::removeServer(const std::string& id, bool isUncertain, TimePoint now)
 {
-    return directory_.remove(id, inDoubt, now);
+    return directory_.remove(id, isUncertain, now);
 }
 
 ServerDirectory::Transitions TokenRouter::tick(TimePoint now)
--- a/Source/Forward/TokenRouter.h
+++ b/Source/Forward/TokenRouter.h
@@ -88,8 +88,8 @@
     // A change against the version that is held, or a whole configuration.
     bool applyConfiguration(ConfigurationChange&&);
     ServerDirectory::Transitions putServer(const RegisteredServer&, std::uint64_t revision, TimePoint now);
-    ServerDirectory::Transitions disuseServer(const std::string& id, std::uint64_t revision, TimePoint now);
-    ServerDirectory::Transitions removeServer(const std::string& id, bool inDoubt, TimePoint now);
+    ServerDirectory::Transitions invalidateServer(const std::string& id, std::uint64_t revision, TimePoint now);
+    ServerDirectory::Transitions removeServer(const std::string& id, bool isUncertain, TimePoint now);
     // Operators ordered that new flows go to no server of the zone, or took the order back. Nothing when that is known.
     std::optional<ZoneEvacuationChange> setZoneEvacuation(
         const std::string& availabilityZone, bool isEvacuated, std::uint64_t revision, TimePoint now)
@@ -97,7 +97,7 @@
         return evacuatedZones_.set(availabilityZone, isEvacuated, revision, now);
     }
     // The store told what is certain, at this time.
-    void noteStoreHeard(TimePoint at) { directory_.noteStoreHeard(at); }
+    void noteStoreContact(TimePoint at) { directory_.noteStoreContact(at); }
     // The balancers of the own zone that are alive; see ColdStartLimiter.
     void setBalancers(std::uint32_t self, std::vector<std::uint32_t> ids, bool isSettled, TimePoint now)
     {
--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -214,7 +214,7 @@
         store_.update(peers_->exchange().book().completeTo(), peers_->shallWatch(now) && !life_.isStopping(),
             peers_->exchange().behindSince(), now);
         store_.tick(peers_->exchange().knowsMuchWider(), now);
-        router_.noteStoreHeard(peers_->exchange().storeHeardAt());
+        router_.noteStoreContact(peers_->exchange().storeHeardAt());
         router_.setBalancers(balancerIdOf(settings_.vm).value, peers_->balancersOfZone(), peers_->isSettled(now), now);
         lines_.transitions(router_.tick(now), peers_->exchange().book().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
--- a/Source/Forwarder/NewsApplier.h
+++ b/Source/Forwarder/NewsApplier.h
@@ -84,7 +84,7 @@
         const auto server = readServer(id, item);
         if (!server) {
             refuse(item, server.error(), now);
-            return router_.disuseServer(id, item.revision, now);
+            return router_.invalidateServer(id, item.revision, now);
         }
         return router_.putServer(server.value(), item.revision, now);
     }
--- a/Tests/Forward/ServerDirectoryTest.cpp
+++ b/Tests/Forward/ServerDirectoryTest.cpp
@@ -68,7 +68,7 @@
 
         clock.advance(1500ms);
         directory.put(back, 20, clock.now());
-        directory.noteStoreHeard(clock.now());
+        directory.noteStoreContact(clock.now());
         clock.advance(600ms);
         directory.tick(clock.now());
         EXPECT_EQ(stateOf(back), ServerState::Ready);
@@ -83,16 +83,16 @@
     {
         const RegisteredServer entry = server(1);
         directory.put(entry, 5, clock.now());
-        directory.noteStoreHeard(clock.now());
+        directory.noteStoreContact(clock.now());
         directory.remove(entry.id, true, clock.now());
         clock.advance(500ms);
-        directory.noteStoreHeard(clock.now());
+        directory.noteStoreContact(clock.now());
         clock.advance(5s);
         directory.tick(clock.now());
         EXPECT_EQ(stateOf(entry), ServerState::Doubtful);
         {
             SCOPED_TRACE("the store is heard again and does not name it");
-            directory.noteStoreHeard(clock.now());
+            directory.noteStoreContact(clock.now());
             directory.tick(clock.now());
             EXPECT_EQ(stateOf(entry), ServerState::Gone);
         }
@@ -330,11 +330,11 @@
         const RegisteredServer entry = server(1);
         directory.put(entry, 5, clock.now());
         directory.put(server(2), 6, clock.now());
-        EXPECT_EQ(directory.disuse(entry.id, 7, clock.now()).size(), 1U);
+        EXPECT_EQ(directory.invalidate(entry.id, 7, clock.now()).size(), 1U);
         EXPECT_FALSE(directory.find(entry.id)->mayTakeFlows());
         EXPECT_EQ(directory.serversOf("tryon").size(), 1U);
         EXPECT_EQ(directory.findByToken(tokenOf(entry.number))->state, ServerState::Gone);
-        EXPECT_TRUE(directory.disuse("i-unknown", 8, clock.now()).empty());
+        EXPECT_TRUE(directory.invalidate("i-unknown", 8, clock.now()).empty());
         {
             SCOPED_TRACE("until its own next entry");
             directory.put(entry, 9, clock.now());
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/DecisionFleet.cpp
@@ -135,7 +135,7 @@
             balancer.feed->update(
                 balancer.exchange->book().completeTo(), shallWatch, balancer.exchange->behindSince(), now()));
         perform(index, balancer.feed->tick(now()));
-        balancer.router->noteStoreHeard(balancer.exchange->storeHeardAt());
+        balancer.router->noteStoreContact(balancer.exchange->storeHeardAt());
         balancer.router->tick(now());
     }
 }
