--- a/Source/Forward/GroupLiveness.cpp
+++ b/Source/Forward/GroupLiveness.cpp
@@ -10,8 +10,8 @@
 Duration GroupLiveness::timeout() const
 {
     const Duration longest = settings_.openingTimeout;
-    return std::clamp<Duration>(
-        times_.usualLimit().value_or(longest), std::min<Duration>(settings_.minOpeningTimeout, longest), longest);
+    return std::clamp<Duration>(openingLatency_.outlierThreshold().value_or(longest),
+        std::min<Duration>(settings_.minOpeningTimeout, longest), longest);
 }
 
 void GroupLiveness::review(const std::vector<KnownServer*>& servers, TimePoint now)
--- a/Source/Forward/GroupLiveness.h
+++ b/Source/Forward/GroupLiveness.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "Core/Clock.h"
+#include "Forward/OpeningLatency.h"
 #include "Forward/OpeningSettings.h"
-#include "Forward/OpeningTimes.h"
 #include "Forward/ServerDirectory.h"
 
 #include <cstdint>
@@ -30,9 +30,9 @@
 class GroupLiveness {
 public:
     // The times outlive this.
-    GroupLiveness(OpeningSettings settings, const OpeningTimes& times)
+    GroupLiveness(OpeningSettings settings, const OpeningLatency& openingLatency)
         : settings_(settings)
-        , times_(times)
+        , openingLatency_(openingLatency)
     {
     }
 
@@ -53,7 +53,7 @@
     void eject(ServerGroup&, TimePoint now);
 
     OpeningSettings settings_;
-    const OpeningTimes& times_;
+    const OpeningLatency& openingLatency_;
     std::vector<GroupLivenessChange> changes_;
 };
 
--- a/Source/Forward/OpeningTimes.h
+++ b/Source/Forward/OpeningLatency.h
@@ -10,7 +10,7 @@
 
 // How long flows take to open, from the opening packet to the caller's next one, as this balancer sees it lately: mean
 // and mean deviation, smoothed as TCP smooths its round-trip times (RFC 6298).
-class OpeningTimes {
+class OpeningLatency {
 public:
     void note(Duration took)
     {
@@ -28,7 +28,7 @@
     }
 
     // An opening that waits for longer is unusual; none before the first was seen.
-    std::optional<Duration> usualLimit() const
+    std::optional<Duration> outlierThreshold() const
     {
         if (!mean_)
             return std::nullopt;
--- a/Source/Forward/OpeningPolicy.h
+++ b/Source/Forward/OpeningPolicy.h
@@ -47,12 +47,12 @@
 class OpeningPolicy {
 public:
     // The times outlive this.
-    OpeningPolicy(const std::string& availabilityZone, const OpeningTimes& times, OpeningSettings settings = {},
-        ColdStartSettings cold = {})
+    OpeningPolicy(const std::string& availabilityZone, const OpeningLatency& openingLatency,
+        OpeningSettings settings = {}, ColdStartSettings cold = {})
         : cost_(availabilityZone, settings)
         , coldStartLimiter_(availabilityZone, cold)
         , silence_(settings)
-        , groups_(settings, times)
+        , groups_(settings, openingLatency)
         , reach_(availabilityZone, settings)
     {
     }
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -50,7 +50,7 @@
 TokenRouter::TokenRouter(RouterSettings settings)
     : settings_(std::move(settings))
     , admission_(settings_.admission)
-    , policy_(settings_.availabilityZone, openingTimes_, settings_.opening, settings_.coldStart)
+    , policy_(settings_.availabilityZone, openingLatency_, settings_.opening, settings_.coldStart)
     , directory_(settings_.directory)
     , flows_(directory_)
 {
@@ -196,7 +196,7 @@
     decision.reason = PacketReason::Established;
     decision.progress = flows_.noteTraffic(packet, *server, now);
     if (decision.progress.openingTime)
-        openingTimes_.note(*decision.progress.openingTime);
+        openingLatency_.note(*decision.progress.openingTime);
     if (decision.progress.answerTime)
         admission_.noteAnswer(server->entry.service, *decision.progress.answerTime, now);
     if (decision.progress.hasAnswered)
--- a/Source/Forward/TokenRouter.h
+++ b/Source/Forward/TokenRouter.h
@@ -132,7 +132,7 @@
     KnownServer* formerServerFor(const FlowRecord*, const std::string& service, TimePoint now);
 
     RouterSettings settings_;
-    OpeningTimes openingTimes_;
+    OpeningLatency openingLatency_;
     OpeningAdmission admission_;
     OpeningPolicy policy_;
     ServerDirectory directory_;
