--- a/Source/Forward/OpenFlowTable.cpp
+++ b/Source/Forward/OpenFlowTable.cpp
@@ -131,8 +131,8 @@
             setBusy(flow, true, now);
     } else if (packet.payloadBytes > 0) {
         const bool isOutOfOrder = now - flow.lastNewBytes < reorderingWindow;
-        progress.mayBeHead = isOutOfOrder;
-        progress.repeats = !isOutOfOrder;
+        progress.mayBeRequestHead = isOutOfOrder;
+        progress.isRetransmission = !isOutOfOrder;
     }
 }
 
--- a/Source/Forward/OpenFlowTable.h
+++ b/Source/Forward/OpenFlowTable.h
@@ -53,9 +53,9 @@
     // The packet begins a request.
     bool beginsRequest = false;
     // It may be the head of the request that began just before, since the network changes the order of packets.
-    bool mayBeHead = false;
+    bool mayBeRequestHead = false;
     // It repeats bytes that the caller sent long enough before to have missed an acknowledgement.
-    bool repeats = false;
+    bool isRetransmission = false;
 };
 
 // A server began to leave requests unanswered, or answers again.
--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -71,10 +71,10 @@
 {
     const FlowProgress& progress = decision.progress;
     const bool isSlow = progress.answerTime && *progress.answerTime > slowAnswer;
-    const bool isRequest = progress.beginsRequest || (progress.mayBeHead && !requestId.empty());
-    if (!isRequest && !progress.repeats && !isSlow)
+    const bool isRequest = progress.beginsRequest || (progress.mayBeRequestHead && !requestId.empty());
+    if (!isRequest && !progress.isRetransmission && !isSlow)
         return;
-    const char* name = isRequest ? "request" : progress.repeats ? "repeated" : "answered_late";
+    const char* name = isRequest ? "request" : progress.isRetransmission ? "repeated" : "answered_late";
     const LogLevel level = isRequest ? LogLevel::Info : LogLevel::Warning;
     if (level < log_.level() || !log_.admits("flow", name, now))
         return;
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -110,7 +110,7 @@
         const bool hasFailed = decision.verdict != PacketVerdict::Forward;
         const FlowProgress& progress = decision.progress;
         return packet.payloadBytes > 0
-            && (hasFailed || progress.beginsRequest || progress.mayBeHead || progress.repeats);
+            && (hasFailed || progress.beginsRequest || progress.mayBeRequestHead || progress.isRetransmission);
     }
 
     void forward(unsigned index, const KnownServer& server)
