--- a/Benchmarks/ConfigurationSpreadBenchmark.cpp
+++ b/Benchmarks/ConfigurationSpreadBenchmark.cpp
@@ -76,7 +76,7 @@
         ForwardingConfiguration configuration = configurationOf(7, static_cast<std::size_t>(state.range(0)));
         const std::string first = platform::encodeConfiguration(configuration);
         auto& route = configuration.routes[configuration.routes.size() / 2];
-        route.aim = std::chrono::milliseconds(400);
+        route.targetLatency = std::chrono::milliseconds(400);
         const std::string second = platform::encodeConfiguration(configuration);
         platform::ConfigurationReader reader;
         RouteTable table;
--- a/Source/Forward/ForwardingConfiguration.cpp
+++ b/Source/Forward/ForwardingConfiguration.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    bool leadsTo(const FlowRoute* route, const std::string& service)
+    bool routesTo(const FlowRoute* route, const std::string& service)
     {
         return route && std::ranges::count(route->shares, service, &RouteShare::service) > 0;
     }
@@ -50,15 +50,15 @@
 {
     const FlowRoute* route = find(former.address);
     for (const RouteShare& share : former.shares) {
-        if (!leadsTo(route, share.service))
+        if (!routesTo(route, share.service))
             formerServices_[former.address].insert(share.service);
     }
 }
 
-bool RouteTable::hasLedTo(Endpoint address, const std::string& service) const
+bool RouteTable::hasRoutedTo(Endpoint address, const std::string& service) const
 {
     const auto former = formerServices_.find(address);
-    return leadsTo(find(address), service) || (former != formerServices_.end() && former->second.contains(service));
+    return routesTo(find(address), service) || (former != formerServices_.end() && former->second.contains(service));
 }
 
 const FlowRoute* RouteTable::find(Endpoint address) const
--- a/Source/Forward/ForwardingConfiguration.h
+++ b/Source/Forward/ForwardingConfiguration.h
@@ -28,7 +28,7 @@
     Endpoint address;
     std::vector<RouteShare> shares;
     // How soon callers want their answers; zero where operators say nothing.
-    std::chrono::milliseconds aim { 0 };
+    std::chrono::milliseconds targetLatency { 0 };
 
     bool operator==(const FlowRoute&) const = default;
 };
@@ -66,7 +66,7 @@
     // Null when no route has the address.
     const FlowRoute* find(Endpoint) const;
     // Whether this or an earlier configuration sent new flows of this address to the service.
-    bool hasLedTo(Endpoint address, const std::string& service) const;
+    bool hasRoutedTo(Endpoint address, const std::string& service) const;
     std::size_t size() const { return routes_.size(); }
 
 private:
--- a/Source/Forward/OpeningAdmission.cpp
+++ b/Source/Forward/OpeningAdmission.cpp
@@ -28,15 +28,15 @@
 }
 
 Admission OpeningAdmission::admit(
-    const std::string& service, std::chrono::milliseconds aim, const FlowEnds& ends, TimePoint now) const
+    const std::string& service, std::chrono::milliseconds targetLatency, const FlowEnds& ends, TimePoint now) const
 {
     Admission admission;
     const auto found = services_.find(service);
-    if (aim <= std::chrono::milliseconds::zero() || found == services_.end())
+    if (targetLatency <= std::chrono::milliseconds::zero() || found == services_.end())
         return admission;
     admission.answerTime = answerTimeOf(found->second, now);
     const std::chrono::duration<double> time = admission.answerTime;
-    const double share = time / std::chrono::duration<double>(aim);
+    const double share = time / std::chrono::duration<double>(targetLatency);
     const double refused = (share - settings_.refuseFrom) / (settings_.refuseAllFrom - settings_.refuseFrom);
     admission.isRefused = refused > lotOf(ends);
     return admission;
--- a/Source/Forward/OpeningAdmission.h
+++ b/Source/Forward/OpeningAdmission.h
@@ -52,7 +52,8 @@
     void noteAnswer(const std::string& service, Duration took, TimePoint now);
     // A flow's first opening packet asks for the service; aim is zero where operators named none. Which flows are
     // refused between the two shares depends on the flow alone.
-    Admission admit(const std::string& service, std::chrono::milliseconds aim, const FlowEnds&, TimePoint now) const;
+    Admission admit(
+        const std::string& service, std::chrono::milliseconds targetLatency, const FlowEnds&, TimePoint now) const;
 
 private:
     static constexpr std::size_t remembered = 16;
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -130,7 +130,7 @@
     decision.copies = packet.acknowledgement;
     // Copies are never refused: the flow may be open at a server that another balancer chose.
     if (!former && packet.acknowledgement == 0) {
-        decision.admission = admission_.admit(*service, route->aim, packet.ends, now);
+        decision.admission = admission_.admit(*service, route->targetLatency, packet.ends, now);
         if (decision.admission.isRefused) {
             decision.verdict = PacketVerdict::Reset;
             decision.reason = PacketReason::Overloaded;
@@ -208,7 +208,7 @@
 // told. Flows of the new process come by routes that lead to its service, or did when they were opened.
 bool TokenRouter::isOfFormerProcess(const TokenPacket& packet, const KnownServer& server) const
 {
-    return server.hasChangedService && !routes_.hasLedTo(packet.ends.route, server.entry.service);
+    return server.hasChangedService && !routes_.hasRoutedTo(packet.ends.route, server.entry.service);
 }
 
 // The first copies are answered with silence: news of a route or a server may be on its way, and the caller asks again
--- a/Tests/Forward/OpeningAdmissionTest.cpp
+++ b/Tests/Forward/OpeningAdmissionTest.cpp
@@ -9,7 +9,7 @@
     using namespace std::chrono_literals;
 
     struct OpeningAdmissionTest : testing::Test, ForwardFixture {
-        static constexpr std::chrono::milliseconds aim { 100 };
+        static constexpr std::chrono::milliseconds targetLatency { 100 };
         OpeningAdmission admission;
 
         void answer(int count, std::chrono::milliseconds took)
@@ -19,7 +19,7 @@
         }
 
         // How many of 1,000 new flows are refused.
-        int refused(const std::string& service = "tryon", std::chrono::milliseconds wanted = aim)
+        int refused(const std::string& service = "tryon", std::chrono::milliseconds wanted = targetLatency)
         {
             int count = 0;
             for (std::uint32_t caller = 0; caller < 1000; ++caller)
@@ -66,7 +66,7 @@
     TEST_F(OpeningAdmissionTest, onlyAFirstOpeningIsRefused)
     {
         ForwardingConfiguration timed = configuration(50);
-        timed.routes.front().aim = aim;
+        timed.routes.front().targetLatency = targetLatency;
         router.applyConfiguration(timed);
         put(server(1));
         const std::uint32_t token = tokenOf(1);
--- a/Tests/PlatformAdapter/ConfigurationTextTest.cpp
+++ b/Tests/PlatformAdapter/ConfigurationTextTest.cpp
@@ -175,7 +175,7 @@
             std::uint32_t newest = 400;
             for (std::uint64_t version = 1; version <= 60; ++version) {
                 for (std::uint32_t i = random() % 4; i > 0; --i)
-                    routes[random() % routes.size()].aim = std::chrono::milliseconds(random() % 1000);
+                    routes[random() % routes.size()].targetLatency = std::chrono::milliseconds(random() % 1000);
                 for (std::uint32_t i = random() % 3; i > 0; --i)
                     routes.insert(routes.begin() + random() % routes.size(), route(++newest));
                 for (std::uint32_t i = random() % 3; i > 0; --i)
