--- a/Source/Forward/OpeningAdmission.cpp
+++ b/Source/Forward/OpeningAdmission.cpp
@@ -47,10 +47,10 @@
     std::array<Duration, remembered> times {};
     std::size_t count = 0;
     for (const Answer& answer : recent.answers) {
-        if (answer.at != TimePoint::min() && now - answer.at <= settings_.memory)
+        if (answer.at != TimePoint::min() && now - answer.at <= settings_.maxAnswerAge)
             times[count++] = answer.took;
     }
-    if (count < settings_.fewestAnswers)
+    if (count < settings_.minAnswers)
         return {};
     const auto rank = static_cast<std::size_t>(static_cast<double>(count - 1) * settings_.quantile);
     std::nth_element(times.begin(), times.begin() + rank, times.begin() + count);
--- a/Source/Forward/OpeningAdmission.h
+++ b/Source/Forward/OpeningAdmission.h
@@ -23,9 +23,9 @@
     double refuseFrom = 0.35;
     double refuseAllFrom = 0.7;
     // Answers that are older say nothing of now. A balancer of a large zone sees one of a service every 50 ms.
-    std::chrono::milliseconds memory { 1000 };
+    std::chrono::milliseconds maxAnswerAge { 1000 };
     // With fewer answers nothing is refused.
-    std::size_t fewestAnswers = 8;
+    std::size_t minAnswers = 8;
 
     bool operator==(const AdmissionSettings&) const = default;
 };
--- a/Source/Model/ModelPolicy.cpp
+++ b/Source/Model/ModelPolicy.cpp
@@ -13,7 +13,7 @@
     AdmissionSettings neverRefusing()
     {
         AdmissionSettings settings;
-        settings.fewestAnswers = std::numeric_limits<std::size_t>::max();
+        settings.minAnswers = std::numeric_limits<std::size_t>::max();
         return settings;
     }
 
