--- a/Benchmarks/ConfigurationSpreadBenchmark.cpp
+++ b/Benchmarks/ConfigurationSpreadBenchmark.cpp
@@ -26,7 +26,7 @@
         return configuration;
     }
 
-    NewsItem itemOf(std::uint64_t version, std::size_t routes)
+    StoreUpdate itemOf(std::uint64_t version, std::size_t routes)
     {
         return { "configuration", platform::encodeConfiguration(configurationOf(version, routes)), version, false };
     }
@@ -35,7 +35,7 @@
     {
         HttpResponse response;
         response.status = 200;
-        const NewsItem item = itemOf(7, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate item = itemOf(7, static_cast<std::size_t>(state.range(0)));
         response.body = platform::encodeChanges({ { { item.key, item.value, 7 } }, 7 });
         const HttpOutcome outcome = response;
         for (auto _ : state)
@@ -45,10 +45,10 @@
 
     void packForOthers(benchmark::State& state)
     {
-        const NewsItem item = itemOf(7, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate item = itemOf(7, static_cast<std::size_t>(state.range(0)));
         std::size_t bytes = 0;
         for (auto _ : state) {
-            NewsItem packed = item;
+            StoreUpdate packed = item;
             packValue(packed);
             bytes = packed.value.size();
         }
@@ -57,7 +57,7 @@
 
     void unpack(benchmark::State& state)
     {
-        NewsItem item = itemOf(7, static_cast<std::size_t>(state.range(0)));
+        StoreUpdate item = itemOf(7, static_cast<std::size_t>(state.range(0)));
         packValue(item);
         for (auto _ : state)
             benchmark::DoNotOptimize(valueOf(item));
@@ -65,7 +65,7 @@
 
     void decode(benchmark::State& state)
     {
-        const NewsItem item = itemOf(7, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate item = itemOf(7, static_cast<std::size_t>(state.range(0)));
         for (auto _ : state)
             benchmark::DoNotOptimize(platform::decodeConfiguration(item.value));
     }
@@ -98,8 +98,8 @@
     // The watcher's work for a change of one route, and a receiver's.
     void makePatch(benchmark::State& state)
     {
-        const NewsItem former = itemOf(7, static_cast<std::size_t>(state.range(0)));
-        const NewsItem item = itemOf(8, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate former = itemOf(7, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate item = itemOf(8, static_cast<std::size_t>(state.range(0)));
         std::size_t bytes = 0;
         for (auto _ : state)
             bytes = patchBytes(former.value, item.value)->size();
@@ -108,8 +108,8 @@
 
     void usePatch(benchmark::State& state)
     {
-        const NewsItem former = itemOf(7, static_cast<std::size_t>(state.range(0)));
-        const NewsItem item = itemOf(8, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate former = itemOf(7, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate item = itemOf(8, static_cast<std::size_t>(state.range(0)));
         const ValuePatch patch { item.key, 7, 8, *patchBytes(former.value, item.value) };
         for (auto _ : state)
             benchmark::DoNotOptimize(applyPatch(former.value, patch));
--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -117,7 +117,7 @@
         BOOST_OUTCOME_TRY(socket, PacketSocket::open(settings_.flow));
         BOOST_OUTCOME_TRY(peers,
             PeerNews::open(context_, self(), settings_.seeds, seed_, log_, metrics_,
-                [this](const NewsChanged& news) { handleNews(news); }));
+                [this](const ReplicaChanged& news) { handleNews(news); }));
         peers_ = std::move(peers);
         packets_ = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peers_->exchange(),
             life_, lines_, metrics_, [this](TimePoint now) { store_.noteContradiction(now); });
@@ -153,7 +153,7 @@
         return member;
     }
 
-    void handleNews(const NewsChanged& news)
+    void handleNews(const ReplicaChanged& news)
     {
         const TimePoint now = Clock::now();
         applier_.apply(news, now);
--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -147,7 +147,7 @@
         now);
 }
 
-void ForwarderLog::configuration(const ConfigurationArrival& arrival, const NewsChanged& news, TimePoint now)
+void ForwarderLog::configuration(const ConfigurationArrival& arrival, const ReplicaChanged& news, TimePoint now)
 {
     log_.write(LogLevel::Info, "configuration", arrival.isTaken ? "taken" : "older_ignored",
         Event()
@@ -169,7 +169,7 @@
     log_.writeAdmitted(LogLevel::Error, "news", "refused", Event().add("key", key).add("error", error.toString()), now);
 }
 
-void ForwarderLog::news(const NewsChanged& news, TimePoint now)
+void ForwarderLog::news(const ReplicaChanged& news, TimePoint now)
 {
     log_.write(LogLevel::Debug, "news", "taken",
         Event()
--- a/Source/Forwarder/ForwarderLog.h
+++ b/Source/Forwarder/ForwarderLog.h
@@ -2,7 +2,7 @@
 
 #include "Core/EventLog.h"
 #include "Forward/TokenRouter.h"
-#include "News/NewsExchange.h"
+#include "News/ReplicaSync.h"
 
 #include <string>
 #include <string_view>
@@ -49,9 +49,9 @@
     // mostSingleLines are told in one line: a listing names hundreds of servers, and what matters would go with them.
     void transitions(
         const ServerDirectory::Transitions&, std::uint64_t revision, const std::string& source, TimePoint now);
-    void configuration(const ConfigurationArrival&, const NewsChanged&, TimePoint now);
+    void configuration(const ConfigurationArrival&, const ReplicaChanged&, TimePoint now);
     void unreadable(const std::string& key, const Error&, TimePoint now);
-    void news(const NewsChanged&, TimePoint now);
+    void news(const ReplicaChanged&, TimePoint now);
     void leftOut(const KnownServer&, TimePoint now);
     void back(const KnownServer&, TimePoint now);
     void failing(const FailingChange&, TimePoint now);
--- a/Source/Forwarder/NewsApplier.h
+++ b/Source/Forwarder/NewsApplier.h
@@ -3,8 +3,8 @@
 #include "Forward/TokenRouter.h"
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
-#include "News/NewsExchange.h"
 #include "News/PackedValue.h"
+#include "News/ReplicaSync.h"
 
 #include <algorithm>
 #include <chrono>
@@ -25,12 +25,12 @@
     {
     }
 
-    void apply(const NewsChanged& news, TimePoint now)
+    void apply(const ReplicaChanged& news, TimePoint now)
     {
         metrics_.countNews(news.source, news.items.size());
         log_.news(news, now);
         ServerDirectory::Transitions transitions;
-        for (const NewsItem& item : news.items) {
+        for (const StoreUpdate& item : news.items) {
             if (item.key == Adapter::configurationKey)
                 applyConfiguration(item, news, now);
             else if (const auto zone = Adapter::emptiedZoneOf(item.key))
@@ -42,7 +42,7 @@
     }
 
 private:
-    void applyConfiguration(const NewsItem& item, const NewsChanged& news, TimePoint now)
+    void applyConfiguration(const StoreUpdate& item, const ReplicaChanged& news, TimePoint now)
     {
         // Operators replace the configuration and never take it away; without one nothing could be routed.
         if (item.isRemoved)
@@ -69,7 +69,7 @@
     }
 
     // The order is the key, and its value says nothing: an order with a value that can't be read is one too.
-    void applyZoneOrder(const std::string& zone, const NewsItem& item, const NewsChanged& news, TimePoint now)
+    void applyZoneOrder(const std::string& zone, const StoreUpdate& item, const ReplicaChanged& news, TimePoint now)
     {
         const auto change = router_.orderZone(zone, !item.isRemoved, item.revision, now);
         if (change)
@@ -77,7 +77,7 @@
     }
 
     ServerDirectory::Transitions applyServer(
-        const std::string& id, const NewsItem& item, const NewsChanged& news, TimePoint now)
+        const std::string& id, const StoreUpdate& item, const ReplicaChanged& news, TimePoint now)
     {
         if (item.isRemoved)
             return router_.removeServer(id, news.isInDoubt, now);
@@ -89,14 +89,14 @@
         return router_.putServer(server.value(), item.revision, now);
     }
 
-    Result<RegisteredServer> readServer(const std::string& id, const NewsItem& item)
+    Result<RegisteredServer> readServer(const std::string& id, const StoreUpdate& item)
     {
         if (item.isPacked)
             return valueOf(item).error();
         return Adapter::decodeServer(id, item.value);
     }
 
-    void refuse(const NewsItem& item, const Error& error, TimePoint now)
+    void refuse(const StoreUpdate& item, const Error& error, TimePoint now)
     {
         metrics_.countRefusedNews();
         log_.unreadable(item.key, error, now);
--- a/Source/Forwarder/PeerNews.cpp
+++ b/Source/Forwarder/PeerNews.cpp
@@ -17,7 +17,7 @@
     // Who sends it takes patches of large values; a balancer of an earlier version neither sends it nor looks at it.
     constexpr const char* takesPatchesHeader = "wisteriadock-takes-patches";
     constexpr std::chrono::milliseconds connectWithin { 800 };
-    // The longest that an answer may take, however steadily its bytes come. NewsExchange gives up a silent one sooner.
+    // The longest that an answer may take, however steadily its bytes come. ReplicaSync gives up a silent one sooner.
     constexpr std::chrono::milliseconds fetchWithin { 4000 };
     // Who has been behind others for longer gets a line in the log: a tenth of the time in which the users want a
     // configuration to be in force is usual, a fifth is not.
@@ -30,7 +30,7 @@
     Http2Limits fetchLimits()
     {
         Http2Limits limits;
-        limits.bodyBytes = largestNews;
+        limits.bodyBytes = maxDeltaBytes;
         limits.connectTimeout = connectWithin;
         // All balancers of a large zone may fetch at once after a start.
         limits.connections = 256;
@@ -43,7 +43,7 @@
 
 Result<std::unique_ptr<PeerNews>> PeerNews::open(boost::asio::io_context& context, const Member& self,
     std::vector<Endpoint> seeds, std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler,
-    NewsSettings settings)
+    ReplicaSyncSettings settings)
 {
     std::unique_ptr<PeerNews> news(
         new PeerNews(context, self, std::move(seeds), seed, log, metrics, std::move(handler), settings));
@@ -60,7 +60,7 @@
 }
 
 PeerNews::PeerNews(boost::asio::io_context& context, const Member& self, std::vector<Endpoint> seeds,
-    std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler, NewsSettings settings)
+    std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler, ReplicaSyncSettings settings)
     : context_(context)
     , address_(self.peerAddress)
     , seeds_(std::move(seeds))
@@ -212,7 +212,7 @@
         perform(membership_.handle(PeerMessageReceived { sender, envelope }, now), now);
         return;
     }
-    if (const auto delta = decodeMessage<NewsDelta>(envelope.payload))
+    if (const auto delta = decodeMessage<StoreDelta>(envelope.payload))
         perform(exchange_.handlePush(envelope.sender, delta.value(), now), now);
 }
 
@@ -229,8 +229,8 @@
         exchange->respond(std::move(response));
         return;
     }
-    const auto form
-        = exchange->request().header(takesPatchesHeader).empty() ? NewsBook::Form::Whole : NewsBook::Form::Patched;
+    const auto form = exchange->request().header(takesPatchesHeader).empty() ? StoreReplica::Form::Whole
+                                                                             : StoreReplica::Form::Patched;
     const std::vector<std::uint8_t> body = encodeMessage(exchange_.book().since(after, Clock::now(), form));
     response.body.assign(body.begin(), body.end());
     ++fetchesServed_;
@@ -250,15 +250,15 @@
     }
 }
 
-void PeerNews::perform(const NewsActions& actions, TimePoint now)
+void PeerNews::perform(const ReplicaSyncActions& actions, TimePoint now)
 {
-    for (const NewsAction& action : actions) {
-        if (const auto* push = std::get_if<PushNews>(&action)) {
+    for (const ReplicaSyncAction& action : actions) {
+        if (const auto* push = std::get_if<PushDelta>(&action)) {
             this->push(*push);
-        } else if (const auto* fetch = std::get_if<FetchNews>(&action)) {
+        } else if (const auto* fetch = std::get_if<FetchDelta>(&action)) {
             this->fetch(*fetch);
         } else {
-            const auto& changed = std::get<NewsChanged>(action);
+            const auto& changed = std::get<ReplicaChanged>(action);
             if (changed.source != "store" && exchange_.behindSince())
                 metrics_.observeNewsLag(now - *exchange_.behindSince());
             handler_(changed);
@@ -266,7 +266,7 @@
     }
 }
 
-void PeerNews::push(const PushNews& push)
+void PeerNews::push(const PushDelta& push)
 {
     link_->send(push.to,
         { .sender = membership_.view()->self,
@@ -275,7 +275,7 @@
             .payload = encodeMessage(push.delta) });
 }
 
-void PeerNews::fetch(const FetchNews& fetch)
+void PeerNews::fetch(const FetchDelta& fetch)
 {
     const Member* member = membership_.view()->find(fetch.from);
     const std::string source = member ? member->name : "unknown";
@@ -300,7 +300,7 @@
     HttpRequest request;
     request.path = fmt::format("{}{}", newsPath, fetch.after);
     request.authority = fetch.address.toString();
-    if (fetch.form == NewsBook::Form::Patched)
+    if (fetch.form == StoreReplica::Form::Patched)
         request.headers.push_back({ takesPatchesHeader, "1" });
     fetcher_->send(
         std::move(request), now + fetchWithin, [this, source, number = fetchNumber_](const HttpOutcome& outcome) {
@@ -324,8 +324,8 @@
         return;
     }
     const std::string& body = outcome.value().body;
-    const auto delta = decodeMessage<NewsDelta>(
-        std::span(reinterpret_cast<const std::uint8_t*>(body.data()), body.size()), largestNews);
+    const auto delta = decodeMessage<StoreDelta>(
+        std::span(reinterpret_cast<const std::uint8_t*>(body.data()), body.size()), maxDeltaBytes);
     if (!delta) {
         metrics_.countFetch("unreadable");
         log_.write(LogLevel::Error, "news", "fetch_unreadable",
--- a/Source/Forwarder/PeerNews.h
+++ b/Source/Forwarder/PeerNews.h
@@ -7,7 +7,7 @@
 #include "Membership/Membership.h"
 #include "Net/Http2Client.h"
 #include "Net/Http2Server.h"
-#include "News/NewsExchange.h"
+#include "News/ReplicaSync.h"
 #include "News/StoreFeed.h"
 #include "Peers/PeerLink.h"
 #include "Peers/WatchDuty.h"
@@ -27,12 +27,13 @@
 // requests for news that is too large for them (HTTP/2). Everything happens on the thread of the io_context.
 class PeerNews {
 public:
-    using Handler = std::function<void(const NewsChanged&)>;
+    using Handler = std::function<void(const ReplicaChanged&)>;
 
     // Fails with Unavailable when the address can't be bound for datagrams or connections. The handler runs for each
     // piece of news, whoever told of it.
     static Result<std::unique_ptr<PeerNews>> open(boost::asio::io_context&, const Member& self,
-        std::vector<Endpoint> seeds, std::uint64_t seed, EventLog&, ForwarderMetrics&, Handler, NewsSettings = {});
+        std::vector<Endpoint> seeds, std::uint64_t seed, EventLog&, ForwarderMetrics&, Handler,
+        ReplicaSyncSettings = {});
     ~PeerNews();
     PeerNews(const PeerNews&) = delete;
     PeerNews& operator=(const PeerNews&) = delete;
@@ -52,7 +53,7 @@
     void setAsksAtOnce(bool asksAtOnce) { exchange_.setAsksAtOnce(asksAtOnce); }
     // Whether this balancer is among those that watch the store.
     bool shallWatch(TimePoint now) const;
-    const NewsExchange& exchange() const { return exchange_; }
+    const ReplicaSync& exchange() const { return exchange_; }
     std::size_t members() const { return membership_.view()->members.size(); }
     // Those of this balancer's zone that are alive, itself included.
     std::vector<std::uint32_t> balancersOfZone() const;
@@ -64,14 +65,14 @@
 
 private:
     PeerNews(boost::asio::io_context&, const Member& self, std::vector<Endpoint> seeds, std::uint64_t seed, EventLog&,
-        ForwarderMetrics&, Handler, NewsSettings);
+        ForwarderMetrics&, Handler, ReplicaSyncSettings);
 
     void receive(const PeerEnvelope&, const Endpoint& sender);
     void answer(const std::shared_ptr<Http2Exchange>&);
     void perform(const MembershipActions&, TimePoint now);
-    void perform(const NewsActions&, TimePoint now);
-    void push(const PushNews&);
-    void fetch(const FetchNews&);
+    void perform(const ReplicaSyncActions&, TimePoint now);
+    void push(const PushDelta&);
+    void fetch(const FetchDelta&);
     void handleFetched(const std::string& source, const HttpOutcome&);
     void noteFetchProgress(TimePoint now);
     void logBehind(TimePoint now);
@@ -86,7 +87,7 @@
     Handler handler_;
     Membership membership_;
     WatchDuty watchDuty_;
-    NewsExchange exchange_;
+    ReplicaSync exchange_;
     std::unique_ptr<PeerLink> link_;
     std::unique_ptr<Http2Server> server_;
     std::unique_ptr<Http2Client> fetcher_;
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -4,7 +4,7 @@
 #include "Forwarder/ForwarderLife.h"
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
-#include "News/NewsExchange.h"
+#include "News/ReplicaSync.h"
 #include "PacketIo/PacketBatch.h"
 #include "PacketIo/PacketSocket.h"
 
@@ -24,9 +24,8 @@
     // Runs when a packet names a server that is not known here, or a service without servers that may get it.
     using OnContradiction = std::function<void(TimePoint)>;
 
-    TokenPacketPath(boost::asio::io_context& context, PacketSocket socket, TokenRouter& router,
-        const NewsExchange& news, ForwarderLife& life, ForwarderLog& log, ForwarderMetrics& metrics,
-        OnContradiction onContradiction)
+    TokenPacketPath(boost::asio::io_context& context, PacketSocket socket, TokenRouter& router, const ReplicaSync& news,
+        ForwarderLife& life, ForwarderLog& log, ForwarderMetrics& metrics, OnContradiction onContradiction)
         : socket_(std::move(socket))
         , descriptor_(context, socket_.descriptor())
         , router_(router)
@@ -132,7 +131,7 @@
     PacketSocket socket_;
     boost::asio::posix::stream_descriptor descriptor_;
     TokenRouter& router_;
-    const NewsExchange& news_;
+    const ReplicaSync& news_;
     ForwarderLife& life_;
     ForwarderLog& log_;
     ForwarderMetrics& metrics_;
--- a/Source/News/PackedValue.cpp
+++ b/Source/News/PackedValue.cpp
@@ -8,7 +8,7 @@
 
 namespace wisteriadock {
 
-void packValue(NewsItem& item)
+void packValue(StoreUpdate& item)
 {
     if (item.isPacked || item.value.size() < packedFrom)
         return;
@@ -19,11 +19,11 @@
     item.isPacked = true;
 }
 
-Result<std::string> valueOf(const NewsItem& item)
+Result<std::string> valueOf(const StoreUpdate& item)
 {
     if (!item.isPacked)
         return item.value;
-    Result<std::string> value = unpackBytes(item.value, largestNews);
+    Result<std::string> value = unpackBytes(item.value, maxDeltaBytes);
     if (value)
         return value;
     return Error { ErrorCode::InvalidArgument,
--- a/Source/News/PackedValue.h
+++ b/Source/News/PackedValue.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Error.h"
-#include "News/NewsMessages.h"
+#include "News/StoreDelta.h"
 
 #include <cstddef>
 #include <string>
@@ -14,9 +14,10 @@
 // Packs the item's value (zstd) if that makes it smaller. A configuration of 1,250 routes goes over the thin links of a
 // zone once for each balancer: as text its 250 KB take 0.2 s each on 10 Mbit/s, and the last of 20 balancers had it
 // after 6 s.
-void packValue(NewsItem&);
+void packValue(StoreUpdate&);
 
-// The value as the store holds it. Fails with InvalidArgument for bytes that don't unpack, or to more than largestNews.
-Result<std::string> valueOf(const NewsItem&);
+// The value as the store holds it. Fails with InvalidArgument for bytes that don't unpack, or to more than
+// maxDeltaBytes.
+Result<std::string> valueOf(const StoreUpdate&);
 
 }
--- a/Source/News/NewsExchange.cpp
+++ b/Source/News/ReplicaSync.cpp
@@ -1,4 +1,4 @@
-#include "News/NewsExchange.h"
+#include "News/ReplicaSync.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,11 +13,11 @@
     constexpr std::size_t deltaOverhead = 32;
     constexpr std::size_t itemOverhead = 24;
 
-    std::size_t sizeOf(const NewsItem& item) { return item.key.size() + item.value.size() + itemOverhead; }
+    std::size_t sizeOf(const StoreUpdate& item) { return item.key.size() + item.value.size() + itemOverhead; }
 
-    NewsDelta emptyLike(const NewsDelta& delta, std::uint64_t from)
+    StoreDelta emptyLike(const StoreDelta& delta, std::uint64_t from)
     {
-        NewsDelta piece;
+        StoreDelta piece;
         piece.from = from;
         piece.patchedFrom = from;
         piece.isInDoubt = delta.isInDoubt;
@@ -29,7 +29,7 @@
     struct Part {
         std::uint64_t revision = 0;
         std::size_t size = 0;
-        const NewsItem* item = nullptr;
+        const StoreUpdate* item = nullptr;
         const ValuePatch* patch = nullptr;
     };
 
@@ -38,17 +38,17 @@
         return { patch.revision, patch.key.size() + patch.bytes.size() + itemOverhead, nullptr, &patch };
     }
 
-    Part partOf(const NewsItem& item, const NewsBook& book, std::size_t most)
+    Part partOf(const StoreUpdate& item, const StoreReplica& book, std::size_t most)
     {
         const Part whole { item.revision, sizeOf(item), &item, nullptr };
         const ValuePatch* patch = deltaOverhead + whole.size > most ? book.patchTo(item.key, item.revision) : nullptr;
         return patch ? partOf(*patch) : whole;
     }
 
-    std::vector<Part> partsOf(const NewsDelta& delta, const NewsBook& book, std::size_t most)
+    std::vector<Part> partsOf(const StoreDelta& delta, const StoreReplica& book, std::size_t most)
     {
         std::vector<Part> parts;
-        for (const NewsItem& item : delta.items)
+        for (const StoreUpdate& item : delta.items)
             parts.push_back(partOf(item, book, most));
         for (const ValuePatch& patch : delta.patches)
             parts.push_back(partOf(patch));
@@ -59,10 +59,10 @@
     // The delta in pieces of so many bytes at most, each complete for a receiver that has all before it. A large item
     // goes as the patch that made it, and is left out where that is too large as well, so that the piece behind it
     // follows for nobody who lacks the item.
-    std::vector<NewsDelta> piecesOf(const NewsDelta& delta, const NewsBook& book, std::size_t most)
+    std::vector<StoreDelta> piecesOf(const StoreDelta& delta, const StoreReplica& book, std::size_t most)
     {
-        std::vector<NewsDelta> pieces;
-        NewsDelta piece = emptyLike(delta, delta.from);
+        std::vector<StoreDelta> pieces;
+        StoreDelta piece = emptyLike(delta, delta.from);
         std::size_t size = deltaOverhead;
         std::optional<std::uint64_t> last;
         const auto close = [&](std::uint64_t to, std::uint64_t next) {
@@ -99,16 +99,16 @@
 
 }
 
-NewsExchange::NewsExchange(std::string availabilityZone, std::uint64_t seed, NewsSettings settings)
+ReplicaSync::ReplicaSync(std::string availabilityZone, std::uint64_t seed, ReplicaSyncSettings settings)
     : availabilityZone_(std::move(availabilityZone))
     , settings_(settings)
     , random_(seed)
 {
 }
 
-NewsActions NewsExchange::handleStore(const NewsDelta& delta, TimePoint now, bool isForOthers)
+ReplicaSyncActions ReplicaSync::handleStore(const StoreDelta& delta, TimePoint now, bool isForOthers)
 {
-    NewsActions actions = report("store", delta, book_.mergeFromStore(delta, now), now);
+    ReplicaSyncActions actions = report("store", delta, book_.mergeFromStore(delta, now), now);
     if (delta.isFresh)
         storeHeardAt_ = now;
     if (delta.isWhole)
@@ -120,75 +120,75 @@
     return actions;
 }
 
-NewsActions NewsExchange::handlePush(BalancerId sender, const NewsDelta& delta, TimePoint now)
+ReplicaSyncActions ReplicaSync::handlePush(BalancerId sender, const StoreDelta& delta, TimePoint now)
 {
     heard_[sender] = std::max(heard_[sender], delta.to);
     if (delta.isFresh)
         storeHeardAt_ = now;
     const Member* member = view_ ? view_->find(sender) : nullptr;
-    NewsActions actions = report(member ? member->name : "unknown", delta, book_.merge(delta, now), now);
+    ReplicaSyncActions actions = report(member ? member->name : "unknown", delta, book_.merge(delta, now), now);
     review(now, actions);
     return actions;
 }
 
-NewsActions NewsExchange::handleAnswer(const std::string& sender, const NewsDelta& delta, TimePoint now)
+ReplicaSyncActions ReplicaSync::handleAnswer(const std::string& sender, const StoreDelta& delta, TimePoint now)
 {
     fetchUntil_.reset();
     // The answer was put together when the request came; large ones are on their way for seconds.
-    NewsDelta aged = delta;
+    StoreDelta aged = delta;
     const auto onItsWay = std::chrono::duration_cast<std::chrono::milliseconds>(now - fetchedAt_);
-    for (NewsItem& item : aged.items)
+    for (StoreUpdate& item : aged.items)
         item.ageMilliseconds += static_cast<std::uint32_t>(onItsWay.count());
     for (ValuePatch& patch : aged.patches)
         patch.ageMilliseconds += static_cast<std::uint32_t>(onItsWay.count());
-    NewsActions actions = report(sender, aged, book_.merge(aged, now), now);
-    fetchForm_ = book_.lacksPatchedValue() ? NewsBook::Form::Whole : NewsBook::Form::Patched;
+    ReplicaSyncActions actions = report(sender, aged, book_.merge(aged, now), now);
+    fetchForm_ = book_.lacksPatchedValue() ? StoreReplica::Form::Whole : StoreReplica::Form::Patched;
     if (!actions.empty())
         isWatcher_ ? push(aged, actions) : announce(actions);
     review(now, actions);
     return actions;
 }
 
-void NewsExchange::setRole(bool isWatcher, bool isStoreLost)
+void ReplicaSync::setRole(bool isWatcher, bool isStoreLost)
 {
     isWatcher_ = isWatcher;
     isStoreLost_ = isStoreLost;
 }
 
-NewsActions NewsExchange::handleNoAnswer(TimePoint now)
+ReplicaSyncActions ReplicaSync::handleNoAnswer(TimePoint now)
 {
     fetchUntil_.reset();
-    NewsActions actions;
+    ReplicaSyncActions actions;
     review(now, actions);
     return actions;
 }
 
-void NewsExchange::noteAnswering(TimePoint now)
+void ReplicaSync::noteAnswering(TimePoint now)
 {
     if (fetchUntil_)
         fetchUntil_ = now + settings_.answerWithin;
 }
 
-NewsActions NewsExchange::handleView(std::shared_ptr<const MembersView> view, TimePoint now)
+ReplicaSyncActions ReplicaSync::handleView(std::shared_ptr<const MembersView> view, TimePoint now)
 {
     view_ = std::move(view);
     std::erase_if(heard_, [&](const auto& row) { return !view_->find(row.first); });
-    NewsActions actions;
+    ReplicaSyncActions actions;
     review(now, actions);
     return actions;
 }
 
-NewsActions NewsExchange::tick(TimePoint now)
+ReplicaSyncActions ReplicaSync::tick(TimePoint now)
 {
     book_.tick(now);
     if (fetchUntil_ && now >= *fetchUntil_)
         fetchUntil_.reset();
-    NewsActions actions;
+    ReplicaSyncActions actions;
     review(now, actions);
     return actions;
 }
 
-std::optional<TimePoint> NewsExchange::nextTick() const
+std::optional<TimePoint> ReplicaSync::nextTick() const
 {
     if (fetchUntil_)
         return fetchUntil_;
@@ -197,12 +197,12 @@
     return std::nullopt;
 }
 
-NewsActions NewsExchange::report(
-    const std::string& source, const NewsDelta& delta, NewsBook::Changed changed, TimePoint now) const
+ReplicaSyncActions ReplicaSync::report(
+    const std::string& source, const StoreDelta& delta, StoreReplica::Changed changed, TimePoint now) const
 {
-    NewsActions actions;
+    ReplicaSyncActions actions;
     if (!changed.empty())
-        actions.emplace_back(NewsChanged { std::move(changed), delta.isInDoubt, source,
+        actions.emplace_back(ReplicaChanged { std::move(changed), delta.isInDoubt, source,
             behindSince_ ? now - *behindSince_ : Duration::zero(), book_.completeTo() });
     return actions;
 }
@@ -210,35 +210,35 @@
 // A large configuration must not hold up what is small: servers that leave are told at once, in as many datagrams as it
 // takes, and only the large items are left to be fetched. A datagram that got lost, or an item that was left out,
 // leaves a gap that the receiver notices by the revisions.
-void NewsExchange::push(const NewsDelta& delta, NewsActions& actions) const
+void ReplicaSync::push(const StoreDelta& delta, ReplicaSyncActions& actions) const
 {
     if (!view_ || delta.isWhole)
         return;
     const std::vector<const Member*> others = othersInZone();
-    std::vector<NewsDelta> pieces = piecesOf(delta, book_, settings_.pushBytes);
+    std::vector<StoreDelta> pieces = piecesOf(delta, book_, settings_.pushBytes);
     // What is left of so much news is fetched.
     if (pieces.size() * others.size() > settings_.mostPushes)
-        pieces = { NewsDelta { delta.to, delta.to, false, delta.isInDoubt, {}, delta.isFresh } };
-    for (const NewsDelta& piece : pieces) {
+        pieces = { StoreDelta { delta.to, delta.to, false, delta.isInDoubt, {}, delta.isFresh } };
+    for (const StoreDelta& piece : pieces) {
         for (const Member* member : others)
-            actions.emplace_back(PushNews { member->peerAddress, piece });
+            actions.emplace_back(PushDelta { member->peerAddress, piece });
     }
 }
 
 // All of a large zone asking its two watchers for a large configuration would keep their links busy for seconds.
-void NewsExchange::announce(NewsActions& actions)
+void ReplicaSync::announce(ReplicaSyncActions& actions)
 {
     std::vector<const Member*> others = view_ ? othersInZone() : std::vector<const Member*>();
     if (others.size() < settings_.largeZone)
         return;
-    const NewsDelta announcement { book_.completeTo(), book_.completeTo(), false, false, {} };
+    const StoreDelta announcement { book_.completeTo(), book_.completeTo(), false, false, {} };
     for (std::size_t i = 0; i < settings_.announcements; ++i)
-        actions.emplace_back(PushNews { others[random_() % others.size()]->peerAddress, announcement });
+        actions.emplace_back(PushDelta { others[random_() % others.size()]->peerAddress, announcement });
 }
 
 // Who waits for somebody to ask would otherwise hear by gossip, half a second later, that this balancer knows
 // everything.
-void NewsExchange::announceToUninformed(NewsActions& actions)
+void ReplicaSync::announceToUninformed(ReplicaSyncActions& actions)
 {
     const Member* self = view_ ? view_->findSelf() : nullptr;
     if (!self || book_.completeTo() == 0)
@@ -249,12 +249,12 @@
     const std::size_t most
         = std::max<std::size_t>(settings_.announcements, self->linkMegabits / settings_.megabitsForEachUninformed);
     uninformed.resize(std::min(uninformed.size(), most));
-    const NewsDelta announcement { book_.completeTo(), book_.completeTo(), false, false, {} };
+    const StoreDelta announcement { book_.completeTo(), book_.completeTo(), false, false, {} };
     for (const Member* member : uninformed)
-        actions.emplace_back(PushNews { member->peerAddress, announcement });
+        actions.emplace_back(PushDelta { member->peerAddress, announcement });
 }
 
-std::vector<const Member*> NewsExchange::othersInZone() const
+std::vector<const Member*> ReplicaSync::othersInZone() const
 {
     std::vector<const Member*> others;
     for (const Member& member : view_->members) {
@@ -265,7 +265,7 @@
     return others;
 }
 
-void NewsExchange::review(TimePoint now, NewsActions& actions)
+void ReplicaSync::review(TimePoint now, ReplicaSyncActions& actions)
 {
     if (newestElsewhere() <= book_.completeTo()) {
         behindSince_.reset();
@@ -287,10 +287,10 @@
     fetchUntil_ = now + settings_.answerWithin;
     fetchedAt_ = now;
     lastSource_ = source->id;
-    actions.emplace_back(FetchNews { source->id, source->requestAddress, book_.completeTo(), fetchForm_ });
+    actions.emplace_back(FetchDelta { source->id, source->requestAddress, book_.completeTo(), fetchForm_ });
 }
 
-Duration NewsExchange::patienceFor(bool hasNearSource) const
+Duration ReplicaSync::patienceFor(bool hasNearSource) const
 {
     // Everything at once is much, and the store gives it to many more quickly than a balancer on a thin link does.
     if (book_.completeTo() == 0 && (isStoreLost_ || asksAtOnce_))
@@ -301,9 +301,9 @@
     return settings_.patience + jitter_ + (mayAskAtOnce ? Duration::zero() : Duration(settings_.farPatience));
 }
 
-bool NewsExchange::knowsMuchWider() const { return view_ && isAnyMuchWider(othersInZone()); }
+bool ReplicaSync::knowsMuchWider() const { return view_ && isAnyMuchWider(othersInZone()); }
 
-bool NewsExchange::isAnyMuchWider(const std::vector<const Member*>& members) const
+bool ReplicaSync::isAnyMuchWider(const std::vector<const Member*>& members) const
 {
     const Member* self = view_->findSelf();
     if (!self || self->linkMegabits == 0)
@@ -313,7 +313,7 @@
         members, [&](const Member* member) { return widthClassOf(member->linkMegabits) >= wide; });
 }
 
-std::vector<const Member*> NewsExchange::sources(bool isNear) const
+std::vector<const Member*> ReplicaSync::sources(bool isNear) const
 {
     std::vector<const Member*> found;
     for (const Member& member : view_->members) {
@@ -326,7 +326,7 @@
 
 // Not the one that was asked last, which may be silent, if there is another; of the rest one with the widest link,
 // since answers may be large and many ask at once.
-const Member* NewsExchange::choose(std::vector<const Member*> members)
+const Member* ReplicaSync::choose(std::vector<const Member*> members)
 {
     if (members.size() > 1)
         std::erase_if(members, [&](const Member* member) { return member->id == lastSource_; });
@@ -337,7 +337,7 @@
     return members[random_() % members.size()];
 }
 
-std::uint64_t NewsExchange::newestElsewhere() const
+std::uint64_t ReplicaSync::newestElsewhere() const
 {
     std::uint64_t newest = 0;
     if (!view_)
@@ -349,7 +349,7 @@
     return newest;
 }
 
-std::uint64_t NewsExchange::revisionOf(const Member& member) const
+std::uint64_t ReplicaSync::revisionOf(const Member& member) const
 {
     const auto heard = heard_.find(member.id);
     return heard == heard_.end() ? member.configurationVersion : std::max(heard->second, member.configurationVersion);
--- a/Source/News/NewsExchange.h
+++ b/Source/News/ReplicaSync.h
@@ -4,8 +4,8 @@
 #include "Core/Endpoint.h"
 #include "Core/Identifiers.h"
 #include "Membership/Member.h"
-#include "News/NewsBook.h"
-#include "News/NewsMessages.h"
+#include "News/StoreDelta.h"
+#include "News/StoreReplica.h"
 
 #include <chrono>
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 namespace wisteriadock {
 
-struct NewsSettings {
+struct ReplicaSyncSettings {
     // How long a balancer waits for news to be pushed to it, once it has heard that others have it, before it asks.
     std::chrono::milliseconds patience { 300 };
     // How much longer it waits before it asks another zone, since bytes between zones are dear: its zone's watchers ask
@@ -53,23 +53,23 @@
 };
 
 // News for one balancer that fits into a datagram.
-struct PushNews {
+struct PushDelta {
     Endpoint to;
-    NewsDelta delta;
+    StoreDelta delta;
 };
 
 // Ask this balancer for everything after the revision; give the answer to handleAnswer(), or call handleNoAnswer().
-struct FetchNews {
+struct FetchDelta {
     BalancerId from;
     Endpoint address;
     std::uint64_t after = 0;
     // What the answer may hold.
-    NewsBook::Form form = NewsBook::Form::Whole;
+    StoreReplica::Form form = StoreReplica::Form::Whole;
 };
 
 // Something became new: the rest of the process shall act on it.
-struct NewsChanged {
-    std::vector<NewsItem> items;
+struct ReplicaChanged {
+    std::vector<StoreUpdate> items;
     bool isInDoubt = false;
     // Who told it: the store, or a balancer.
     std::string source;
@@ -79,37 +79,37 @@
     std::uint64_t revision = 0;
 };
 
-using NewsAction = std::variant<PushNews, FetchNews, NewsChanged>;
-using NewsActions = std::vector<NewsAction>;
+using ReplicaSyncAction = std::variant<PushDelta, FetchDelta, ReplicaChanged>;
+using ReplicaSyncActions = std::vector<ReplicaSyncAction>;
 
 // Spreads the platform's news among balancers. Those that watch the store push what they learn to the others of their
 // availability zone. Membership tells everybody how far everybody is; a balancer that stays behind fetches from one
 // that is ahead, so news gets around also when pushes are lost, when all watchers of a zone are turned away by the
 // store, and when only another zone reaches it. The shell calls it from one thread and does what the actions say.
-class NewsExchange {
+class ReplicaSync {
 public:
-    NewsExchange(std::string availabilityZone, std::uint64_t seed, NewsSettings settings = {});
+    ReplicaSync(std::string availabilityZone, std::uint64_t seed, ReplicaSyncSettings settings = {});
 
     // News of the store itself, which this balancer shares with its zone, if it is for others.
-    NewsActions handleStore(const NewsDelta&, TimePoint now, bool isForOthers = true);
-    NewsActions handlePush(BalancerId sender, const NewsDelta&, TimePoint now);
-    NewsActions handleAnswer(const std::string& sender, const NewsDelta&, TimePoint now);
-    NewsActions handleNoAnswer(TimePoint now);
+    ReplicaSyncActions handleStore(const StoreDelta&, TimePoint now, bool isForOthers = true);
+    ReplicaSyncActions handlePush(BalancerId sender, const StoreDelta&, TimePoint now);
+    ReplicaSyncActions handleAnswer(const std::string& sender, const StoreDelta&, TimePoint now);
+    ReplicaSyncActions handleNoAnswer(TimePoint now);
     // Bytes of the answer in progress came.
     void noteAnswering(TimePoint now);
     // Whether this balancer watches the store, and whether the store answers it.
     void setRole(bool isWatcher, bool isStoreLost);
     // Whether this balancer, while it knows nothing, asks others without waiting for the store.
     void setAsksAtOnce(bool asksAtOnce) { asksAtOnce_ = asksAtOnce; }
-    NewsActions handleView(std::shared_ptr<const MembersView>, TimePoint now);
-    NewsActions tick(TimePoint now);
+    ReplicaSyncActions handleView(std::shared_ptr<const MembersView>, TimePoint now);
+    ReplicaSyncActions tick(TimePoint now);
 
-    const NewsBook& book() const { return book_; }
+    const StoreReplica& book() const { return book_; }
     // When tick() should be called next, if nothing happens before; none when there is nothing to wait for.
     std::optional<TimePoint> nextTick() const;
     // Since when others are known to be ahead of this balancer; none when nobody is.
     std::optional<TimePoint> behindSince() const { return behindSince_; }
-    // When the store last told this balancer or its zone's watcher something that is certain (NewsDelta::isFresh).
+    // When the store last told this balancer or its zone's watcher something that is certain (StoreDelta::isFresh).
     TimePoint storeHeardAt() const { return storeHeardAt_; }
     // Whether somebody in the zone is known whose link is much wider than this balancer's.
     bool knowsMuchWider() const;
@@ -117,23 +117,23 @@
     std::uint64_t newestElsewhere() const;
 
 private:
-    NewsActions report(const std::string& source, const NewsDelta&, NewsBook::Changed, TimePoint now) const;
-    void push(const NewsDelta&, NewsActions&) const;
-    void announce(NewsActions&);
-    void announceToUninformed(NewsActions&);
+    ReplicaSyncActions report(const std::string& source, const StoreDelta&, StoreReplica::Changed, TimePoint now) const;
+    void push(const StoreDelta&, ReplicaSyncActions&) const;
+    void announce(ReplicaSyncActions&);
+    void announceToUninformed(ReplicaSyncActions&);
     Duration patienceFor(bool hasNearSource) const;
     bool isAnyMuchWider(const std::vector<const Member*>&) const;
     std::vector<const Member*> othersInZone() const;
-    void review(TimePoint now, NewsActions&);
+    void review(TimePoint now, ReplicaSyncActions&);
     std::vector<const Member*> sources(bool isNear) const;
     const Member* choose(std::vector<const Member*> members);
     // How far a member is, by what it pushed and by what membership says.
     std::uint64_t revisionOf(const Member&) const;
 
     const std::string availabilityZone_;
-    const NewsSettings settings_;
+    const ReplicaSyncSettings settings_;
     std::mt19937_64 random_;
-    NewsBook book_;
+    StoreReplica book_;
     std::shared_ptr<const MembersView> view_;
     // The revisions of pushes, which are ahead of what membership tells.
     std::map<BalancerId, std::uint64_t> heard_;
@@ -144,11 +144,11 @@
     TimePoint fetchedAt_;
     std::optional<BalancerId> lastSource_;
     // Whole after an answer whose patches were for a value that this balancer does not hold.
-    NewsBook::Form fetchForm_ = NewsBook::Form::Patched;
+    StoreReplica::Form fetchForm_ = StoreReplica::Form::Patched;
     bool isWatcher_ = false;
     bool isStoreLost_ = false;
     bool asksAtOnce_ = false;
-    // This balancer's own part of NewsSettings::spread, drawn anew for each wait.
+    // This balancer's own part of ReplicaSyncSettings::spread, drawn anew for each wait.
     Duration jitter_ {};
 };
 
--- a/Source/News/NewsMessages.h
+++ b/Source/News/StoreDelta.h
@@ -12,7 +12,7 @@
 namespace wisteriadock {
 
 // One key of the platform's key-value service as it was written last, or the note that it was removed.
-struct NewsItem {
+struct StoreUpdate {
     std::string key;
     std::string value;
     std::uint64_t revision = 0;
@@ -23,12 +23,12 @@
     std::uint32_t ageMilliseconds = 0;
 
     MSGPACK_DEFINE_ARRAY(key, value, revision, isRemoved, isPacked, ageMilliseconds);
-    bool operator==(const NewsItem&) const = default;
+    bool operator==(const StoreUpdate&) const = default;
 };
 
 // What changed after one revision and up to another. Between balancers it travels as a datagram when it is small, and
 // as the answer to a request otherwise.
-struct NewsDelta {
+struct StoreDelta {
     // Complete for a receiver that has everything up to here.
     std::uint64_t from = 0;
     std::uint64_t to = 0;
@@ -36,7 +36,7 @@
     bool isWhole = false;
     // The sender's contact with the store was troubled lately, so that vanished entries may be back soon.
     bool isInDoubt = false;
-    std::vector<NewsItem> items;
+    std::vector<StoreUpdate> items;
     // The store itself said this just now, and has been in contact for longer than vanished entries take to come back.
     bool isFresh = false;
     // Changes of large values, in the order of their revisions. With them the delta is complete for a receiver that has
@@ -50,6 +50,6 @@
 };
 
 // The largest answer to a request for news: a large directory and a large configuration.
-inline constexpr std::size_t largestNews = std::size_t(8) * 1024 * 1024;
+inline constexpr std::size_t maxDeltaBytes = std::size_t(8) * 1024 * 1024;
 
 }
--- a/Source/News/StoreFeed.cpp
+++ b/Source/News/StoreFeed.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-    NewsItem newsOf(const PlatformItem& item)
+    StoreUpdate newsOf(const PlatformItem& item)
     {
-        NewsItem news { item.key, item.value, item.revision, item.isRemoved };
+        StoreUpdate news { item.key, item.value, item.revision, item.isRemoved };
         packValue(news);
         return news;
     }
@@ -66,7 +66,7 @@
         list(now, actions);
         return actions;
     }
-    NewsDelta delta { 0, *listRevision_, true, isTroubled(now), std::move(listed_) };
+    StoreDelta delta { 0, *listRevision_, true, isTroubled(now), std::move(listed_) };
     delta.isFresh = !mayListStale_ && now >= freshFrom_;
     if (delta.isInDoubt)
         confirmAt_ = now + settings_.returnWithin;
@@ -162,7 +162,7 @@
     const bool isConfirmation = confirmAt_ && now >= *confirmAt_;
     if (isConfirmation)
         confirmAt_.reset();
-    NewsDelta delta = deltaOf(changes.value(), completeTo_, now);
+    StoreDelta delta = deltaOf(changes.value(), completeTo_, now);
     delta.isFresh = now >= freshFrom_;
     completeTo_ = delta.to;
     const bool isNews = !delta.items.empty();
@@ -179,11 +179,11 @@
 }
 
 // What changed after a revision. Has the store asked once more about what vanished in doubt.
-NewsDelta StoreFeed::deltaOf(const PlatformChanges& changes, std::uint64_t from, TimePoint now)
+StoreDelta StoreFeed::deltaOf(const PlatformChanges& changes, std::uint64_t from, TimePoint now)
 {
     const auto removals = static_cast<std::size_t>(
         std::ranges::count_if(changes.items, [](const PlatformItem& item) { return item.isRemoved; }));
-    NewsDelta delta;
+    StoreDelta delta;
     delta.from = from;
     delta.to = std::max(changes.revision, from);
     delta.isInDoubt = isTroubled(now) || removals >= settings_.massRemoval;
@@ -202,7 +202,7 @@
     const bool isFormer = formerWatch_ && formerWatch_->number == number;
     if (!isFormer || !changes || changes.value().revision <= completeTo_)
         return actions;
-    NewsDelta delta = deltaOf(changes.value(), formerWatch_->revision, now);
+    StoreDelta delta = deltaOf(changes.value(), formerWatch_->revision, now);
     formerWatch_.reset();
     completeTo_ = delta.to;
     actions.emplace_back(StoreNews { std::move(delta) });
--- a/Source/News/StoreFeed.h
+++ b/Source/News/StoreFeed.h
@@ -3,7 +3,7 @@
 #include "Core/Clock.h"
 #include "Core/Error.h"
 #include "KeyValue/PlatformCalls.h"
-#include "News/NewsMessages.h"
+#include "News/StoreDelta.h"
 #include "Peers/Backoff.h"
 
 #include <chrono>
@@ -71,9 +71,9 @@
 // Give the listing in progress up; its outcome does not count.
 struct LeaveListing { };
 
-// News for NewsExchange::handleStore().
+// News for ReplicaSync::handleStore().
 struct StoreNews {
-    NewsDelta delta;
+    StoreDelta delta;
     // False where this balancer asked for itself only: others of its zone do so too, and all telling all would fill
     // their links.
     bool isForOthers = true;
@@ -144,7 +144,7 @@
     void watch(TimePoint now, StoreFeedActions&);
     void watch(std::chrono::milliseconds wait, TimePoint now, StoreFeedActions&);
     bool isSilent(std::optional<TimePoint> behindSince, TimePoint now) const;
-    NewsDelta deltaOf(const PlatformChanges&, std::uint64_t from, TimePoint now);
+    StoreDelta deltaOf(const PlatformChanges&, std::uint64_t from, TimePoint now);
     StoreFeedActions takeLateAnswer(std::uint64_t number, const Result<PlatformChanges>&, TimePoint now);
     std::chrono::milliseconds watchTime(TimePoint now) const;
     void pause(State, std::chrono::milliseconds, TimePoint now);
@@ -170,7 +170,7 @@
     // When the store is to be asked whether entries that vanished in doubt are back; none when none did.
     std::optional<TimePoint> confirmAt_;
     // The pages of the listing in progress.
-    std::vector<NewsItem> listed_;
+    std::vector<StoreUpdate> listed_;
     std::optional<std::uint64_t> listRevision_;
     // A first reading may be old, since there is nothing yet that it could take back.
     bool mayListStale_ = true;
--- a/Source/News/NewsBook.cpp
+++ b/Source/News/StoreReplica.cpp
@@ -1,4 +1,4 @@
-#include "News/NewsBook.h"
+#include "News/StoreReplica.h"
 
 #include "News/PackedValue.h"
 
@@ -29,9 +29,9 @@
     }
 
     // The value unpacked, if it can be; otherwise as it came, for its reader to refuse.
-    NewsItem unpacked(const NewsItem& item)
+    StoreUpdate unpacked(const StoreUpdate& item)
     {
-        NewsItem plain = item;
+        StoreUpdate plain = item;
         if (!item.isPacked)
             return plain;
         if (Result<std::string> value = valueOf(item)) {
@@ -43,17 +43,17 @@
 
 }
 
-NewsBook::Changed NewsBook::merge(const NewsDelta& delta, TimePoint now)
+StoreReplica::Changed StoreReplica::merge(const StoreDelta& delta, TimePoint now)
 {
     return mergeAll(delta, now, PatchMaking::No);
 }
 
-NewsBook::Changed NewsBook::mergeFromStore(const NewsDelta& delta, TimePoint now)
+StoreReplica::Changed StoreReplica::mergeFromStore(const StoreDelta& delta, TimePoint now)
 {
     return mergeAll(delta, now, PatchMaking::Yes);
 }
 
-NewsBook::Changed NewsBook::mergeAll(const NewsDelta& delta, TimePoint now, PatchMaking making)
+StoreReplica::Changed StoreReplica::mergeAll(const StoreDelta& delta, TimePoint now, PatchMaking making)
 {
     Changed changed;
     lacksPatchedValue_ = false;
@@ -62,7 +62,7 @@
         return changed;
     if (delta.isWhole)
         removeUnnamed(delta, now, changed);
-    for (const NewsItem& item : delta.items) {
+    for (const StoreUpdate& item : delta.items) {
         if (mergeItem(item, now, making))
             changed.push_back(rows_.at(item.key).item);
     }
@@ -72,14 +72,14 @@
     if (follows && !lacksPatchedValue_)
         completeTo_ = std::max(completeTo_, delta.to);
     // Receivers act in the order in which the store made the changes.
-    std::ranges::stable_sort(changed, {}, &NewsItem::revision);
+    std::ranges::stable_sort(changed, {}, &StoreUpdate::revision);
     return changed;
 }
 
-void NewsBook::removeUnnamed(const NewsDelta& delta, TimePoint now, Changed& changed)
+void StoreReplica::removeUnnamed(const StoreDelta& delta, TimePoint now, Changed& changed)
 {
     absl::flat_hash_set<std::string> named;
-    for (const NewsItem& item : delta.items)
+    for (const StoreUpdate& item : delta.items)
         named.insert(item.key);
     for (auto& [key, row] : rows_) {
         const bool hasVanished = !row.item.isRemoved && row.item.revision <= delta.to && !named.contains(key);
@@ -90,7 +90,7 @@
     }
 }
 
-bool NewsBook::mergeItem(const NewsItem& item, TimePoint now, PatchMaking making)
+bool StoreReplica::mergeItem(const StoreUpdate& item, TimePoint now, PatchMaking making)
 {
     const auto [entry, isNew] = rows_.try_emplace(item.key);
     Row& row = entry->second;
@@ -112,7 +112,7 @@
 }
 
 // False when the value that the patch changes is not here, so that something remains missing.
-bool NewsBook::mergePatch(const ValuePatch& patch, TimePoint now, Changed& changed)
+bool StoreReplica::mergePatch(const ValuePatch& patch, TimePoint now, Changed& changed)
 {
     const auto found = rows_.find(patch.key);
     if (found == rows_.end())
@@ -133,12 +133,12 @@
     row.packed = {};
     addPatch(row, patch);
     // Of several patches in a row only what comes out in the end is news.
-    std::erase_if(changed, [&](const NewsItem& item) { return item.key == patch.key; });
+    std::erase_if(changed, [&](const StoreUpdate& item) { return item.key == patch.key; });
     changed.push_back(row.item);
     return true;
 }
 
-void NewsBook::addPatch(Row& row, ValuePatch patch)
+void StoreReplica::addPatch(Row& row, ValuePatch patch)
 {
     row.patches.push_back(std::move(patch));
     const auto isTooMuch = [&row] {
@@ -151,7 +151,7 @@
         row.patches.erase(row.patches.begin());
 }
 
-const ValuePatch* NewsBook::patchTo(const std::string& key, std::uint64_t revision) const
+const ValuePatch* StoreReplica::patchTo(const std::string& key, std::uint64_t revision) const
 {
     const auto found = rows_.find(key);
     if (found == rows_.end())
@@ -160,7 +160,7 @@
     return patch == found->second.patches.end() ? nullptr : &*patch;
 }
 
-const NewsItem& NewsBook::travellingItem(const Row& row)
+const StoreUpdate& StoreReplica::travellingItem(const Row& row)
 {
     if (!row.travelsPacked)
         return row.item;
@@ -173,7 +173,7 @@
 
 // Adds the patches from the value that was in force at the revision, if they are all here. Who is complete up to there
 // holds that value, or a newer one, which the patches also lead on from.
-bool NewsBook::addPatches(const Row& row, std::uint64_t revision, TimePoint now, NewsDelta& delta)
+bool StoreReplica::addPatches(const Row& row, std::uint64_t revision, TimePoint now, StoreDelta& delta)
 {
     const auto first = std::ranges::find_if(
         row.patches, [&](const ValuePatch& patch) { return patch.base <= revision && patch.revision > revision; });
@@ -186,9 +186,9 @@
     return true;
 }
 
-NewsDelta NewsBook::since(std::uint64_t revision, TimePoint now, Form form) const
+StoreDelta StoreReplica::since(std::uint64_t revision, TimePoint now, Form form) const
 {
-    NewsDelta delta;
+    StoreDelta delta;
     delta.isWhole = revision == 0 || revision < forgottenTo_;
     delta.from = delta.isWhole ? 0 : revision;
     delta.to = completeTo_;
@@ -206,7 +206,7 @@
     return delta;
 }
 
-void NewsBook::tick(TimePoint now)
+void StoreReplica::tick(TimePoint now)
 {
     absl::erase_if(rows_, [&](const auto& row) {
         const bool isOld = row.second.item.isRemoved && now - row.second.at > removalLifetime;
--- a/Source/News/NewsBook.h
+++ b/Source/News/StoreReplica.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "News/NewsMessages.h"
+#include "News/StoreDelta.h"
 
 #include <absl/container/flat_hash_map.h>
 
@@ -19,10 +19,10 @@
 //
 // Of a large value the book also keeps the last patches that led to it, so that a change of it costs others about what
 // changed, and not the whole value.
-class NewsBook {
+class StoreReplica {
 public:
     // What became new by an update; each key once, large values unpacked.
-    using Changed = std::vector<NewsItem>;
+    using Changed = std::vector<StoreUpdate>;
 
     // What the receiver of a delta can make use of.
     enum class Form {
@@ -31,14 +31,14 @@
     };
 
     // Merges what the sender knows. Items count also when something before them is missing; completeTo() then stays.
-    Changed merge(const NewsDelta&, TimePoint now);
+    Changed merge(const StoreDelta&, TimePoint now);
     // The same for news of the store itself, which always holds whole values: makes the patches for others.
-    Changed mergeFromStore(const NewsDelta&, TimePoint now);
+    Changed mergeFromStore(const StoreDelta&, TimePoint now);
     // Whether the last merge had a patch for a value that this book does not hold.
     bool lacksPatchedValue() const { return lacksPatchedValue_; }
 
     // Everything after a revision; the whole book when removals of that time are forgotten already.
-    NewsDelta since(std::uint64_t revision, TimePoint now, Form = Form::Whole) const;
+    StoreDelta since(std::uint64_t revision, TimePoint now, Form = Form::Whole) const;
     // The patch that made the key's value what it is at this revision; null when there is none.
     const ValuePatch* patchTo(const std::string& key, std::uint64_t revision) const;
     // The book has all changes up to this revision; 0 before the first listing.
@@ -50,24 +50,24 @@
 private:
     struct Row {
         // A value that came packed is held unpacked.
-        NewsItem item;
+        StoreUpdate item;
         // When a balancer had it from the store, as far as this one knows.
         TimePoint at;
         // The patches that led to the value, one behind the other; the last one to its revision.
         std::vector<ValuePatch> patches {};
         // The value travels packed. Packing it waits until somebody asks for it whole.
         bool travelsPacked = false;
-        mutable NewsItem packed {};
+        mutable StoreUpdate packed {};
     };
     enum class PatchMaking { No, Yes };
 
-    Changed mergeAll(const NewsDelta&, TimePoint now, PatchMaking);
-    void removeUnnamed(const NewsDelta&, TimePoint now, Changed&);
-    bool mergeItem(const NewsItem&, TimePoint now, PatchMaking);
+    Changed mergeAll(const StoreDelta&, TimePoint now, PatchMaking);
+    void removeUnnamed(const StoreDelta&, TimePoint now, Changed&);
+    bool mergeItem(const StoreUpdate&, TimePoint now, PatchMaking);
     bool mergePatch(const ValuePatch&, TimePoint now, Changed&);
     static void addPatch(Row&, ValuePatch);
-    static const NewsItem& travellingItem(const Row&);
-    static bool addPatches(const Row&, std::uint64_t revision, TimePoint now, NewsDelta&);
+    static const StoreUpdate& travellingItem(const Row&);
+    static bool addPatches(const Row&, std::uint64_t revision, TimePoint now, StoreDelta&);
 
     absl::flat_hash_map<std::string, Row> rows_;
     std::uint64_t completeTo_ = 0;
--- a/Source/News/ValuePatch.cpp
+++ b/Source/News/ValuePatch.cpp
@@ -1,6 +1,6 @@
 #include "News/ValuePatch.h"
 
-#include "News/NewsMessages.h"
+#include "News/StoreDelta.h"
 
 #include <fmt/format.h>
 #include <zstd.h>
@@ -64,7 +64,7 @@
 {
     const unsigned long long size = ZSTD_getFrameContentSize(patch.bytes.data(), patch.bytes.size());
     // Both marks of the library for an unknown size are larger than any size that is allowed.
-    if (size > largestNews)
+    if (size > maxDeltaBytes)
         return patchError(patch, "no size, or too large");
     const std::unique_ptr<ZSTD_DCtx, FreeDecompressor> context(ZSTD_createDCtx());
     if (!context)
--- a/Source/News/ValuePatch.h
+++ b/Source/News/ValuePatch.h
@@ -18,7 +18,7 @@
     std::uint64_t base = 0;
     std::uint64_t revision = 0;
     std::string bytes;
-    // As NewsItem::ageMilliseconds.
+    // As StoreUpdate::ageMilliseconds.
     std::uint32_t ageMilliseconds = 0;
 
     MSGPACK_DEFINE_ARRAY(key, base, revision, bytes, ageMilliseconds);
@@ -30,7 +30,7 @@
 std::optional<std::string> patchBytes(const std::string& former, const std::string& value);
 
 // The value that the bytes make of the former one. Fails with InvalidArgument for bytes that don't unpack, to more than
-// largestNews, or to another value than they were made for: they carry its checksum.
+// maxDeltaBytes, or to another value than they were made for: they carry its checksum.
 Result<std::string> applyPatch(const std::string& former, const ValuePatch&);
 
 }
--- a/Tests/Forwarder/PeerNewsTest.cpp
+++ b/Tests/Forwarder/PeerNewsTest.cpp
@@ -36,14 +36,14 @@
         ServerDirectory directory;
         EmptiedZones emptiedZones;
         std::unique_ptr<PeerNews> news;
-        std::vector<NewsItem> received;
+        std::vector<StoreUpdate> received;
 
         Balancer() = default;
         ~Balancer() { ::close(descriptor); }
         Balancer(const Balancer&) = delete;
         Balancer& operator=(const Balancer&) = delete;
 
-        bool open(std::uint32_t address, std::uint32_t other, std::uint16_t port, NewsSettings settings)
+        bool open(std::uint32_t address, std::uint32_t other, std::uint16_t port, ReplicaSyncSettings settings)
         {
             Member self;
             self.name = Endpoint { address, port }.toString();
@@ -52,7 +52,7 @@
             self.peerAddress = { address, port };
             self.requestAddress = self.peerAddress;
             self.incarnation = 1;
-            const auto handler = [this](const NewsChanged& changed) {
+            const auto handler = [this](const ReplicaChanged& changed) {
                 received.insert(received.end(), changed.items.begin(), changed.items.end());
             };
             auto opened = PeerNews::open(context, self, { { other, port } }, address, log, metrics, handler, settings);
@@ -83,7 +83,7 @@
     };
 
     struct PeerNewsTest : testing::Test {
-        NewsSettings settings;
+        ReplicaSyncSettings settings;
         Balancer asking;
         Balancer other;
 
@@ -117,7 +117,7 @@
         }
 
         // Larger than a datagram, also when packed.
-        static NewsDelta largeNews()
+        static StoreDelta largeNews()
         {
             std::mt19937 random(1);
             std::string noise(20000, ' ');
--- a/Tests/Fuzz/FuzzTargets.cpp
+++ b/Tests/Fuzz/FuzzTargets.cpp
@@ -2,8 +2,8 @@
 
 #include "Forwarder/ForwarderSettings.h"
 #include "Membership/MembersPages.h"
-#include "News/NewsBook.h"
 #include "News/PackedValue.h"
+#include "News/StoreReplica.h"
 #include "Wire/PeerMessageCodec.h"
 #include "platform/ConfigurationText.h"
 #include "platform/PacketLayout.h"
@@ -67,12 +67,12 @@
 
     void runPeerNews(std::span<const std::uint8_t> input)
     {
-        const auto delta = decodeMessage<NewsDelta>(input, largestNews);
+        const auto delta = decodeMessage<StoreDelta>(input, maxDeltaBytes);
         if (!delta)
             return;
-        NewsBook book;
+        StoreReplica book;
         const TimePoint now = TimePoint(std::chrono::hours(1));
-        for (const NewsItem& item : book.merge(delta.value(), now))
+        for (const StoreUpdate& item : book.merge(delta.value(), now))
             (void)valueOf(item);
         require(book.merge(delta.value(), now).empty());
     }
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/DecisionFleet.cpp
@@ -40,7 +40,7 @@
     Balancer& balancer = balancers_[index];
     ++lives_[index];
     balancer.feed = std::make_unique<StoreFeed>(random_());
-    balancer.exchange = std::make_unique<NewsExchange>(balancer.availabilityZone, random_());
+    balancer.exchange = std::make_unique<ReplicaSync>(balancer.availabilityZone, random_());
     RouterSettings settings;
     settings.availabilityZone = balancer.availabilityZone;
     balancer.router = std::make_unique<TokenRouter>(settings);
@@ -206,13 +206,13 @@
     });
 }
 
-void DecisionFleet::perform(std::size_t index, const NewsActions& actions)
+void DecisionFleet::perform(std::size_t index, const ReplicaSyncActions& actions)
 {
-    for (const NewsAction& action : actions) {
+    for (const ReplicaSyncAction& action : actions) {
         const BalancerId self = balancers_[index].id;
-        if (const auto* changed = std::get_if<NewsChanged>(&action)) {
+        if (const auto* changed = std::get_if<ReplicaChanged>(&action)) {
             apply(balancers_[index], *changed);
-        } else if (const auto* push = std::get_if<PushNews>(&action)) {
+        } else if (const auto* push = std::get_if<PushDelta>(&action)) {
             if (isLost())
                 continue;
             schedule(messageTime, [this, self, push = *push] {
@@ -221,7 +221,7 @@
                         perform(to, balancers_[to].exchange->handlePush(self, push.delta, now()));
                 }
             });
-        } else if (const auto* fetch = std::get_if<FetchNews>(&action)) {
+        } else if (const auto* fetch = std::get_if<FetchDelta>(&action)) {
             const bool isAnswered = !isLost();
             const std::uint64_t life = lives_[index];
             schedule(2 * messageTime, [this, index, life, fetch = *fetch, isAnswered] {
@@ -240,9 +240,9 @@
     }
 }
 
-void DecisionFleet::apply(Balancer& balancer, const NewsChanged& news)
+void DecisionFleet::apply(Balancer& balancer, const ReplicaChanged& news)
 {
-    for (const NewsItem& item : news.items) {
+    for (const StoreUpdate& item : news.items) {
         if (item.key == "configuration") {
             balancer.router->applyConfiguration(configurations_.at(std::stoull(item.value)));
             regressions_ += balancer.router->configurationVersion() < balancer.newestVersion;
--- a/Tests/News/DecisionFleet.h
+++ b/Tests/News/DecisionFleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Forward/ForwardFixture.h"
-#include "News/NewsExchange.h"
+#include "News/ReplicaSync.h"
 #include "News/StoreFeed.h"
 
 #include <cstdint>
@@ -29,7 +29,7 @@
         std::string availabilityZone;
         BalancerId id;
         std::unique_ptr<StoreFeed> feed;
-        std::unique_ptr<NewsExchange> exchange;
+        std::unique_ptr<ReplicaSync> exchange;
         std::unique_ptr<TokenRouter> router;
         bool isFrozen = false;
         bool isTurnedAway = false;
@@ -72,8 +72,8 @@
     void put(const std::string& key, std::string value, bool isRemoved);
     void schedule(Duration, std::function<void()>);
     void perform(std::size_t, const StoreFeedActions&);
-    void perform(std::size_t, const NewsActions&);
-    void apply(Balancer&, const NewsChanged&);
+    void perform(std::size_t, const ReplicaSyncActions&);
+    void apply(Balancer&, const ReplicaChanged&);
     PlatformPage page() const;
     void answerList(std::size_t, bool mayBeOld);
     void answerWatch(std::size_t, const SendWatch&, TimePoint until);
--- a/Tests/News/PackedValueTest.cpp
+++ b/Tests/News/PackedValueTest.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-    NewsItem itemOf(std::string value)
+    StoreUpdate itemOf(std::string value)
     {
-        NewsItem item;
+        StoreUpdate item;
         item.key = "configuration";
         item.value = std::move(value);
         return item;
@@ -21,7 +21,7 @@
         std::string text;
         for (int i = 0; i < 1250; ++i)
             text += "{\"name\":\"r-" + std::to_string(i * 7919) + "\",\"prefix\":\"/8443/\",\"type\":\"idempotent\"},";
-        NewsItem item = itemOf(text);
+        StoreUpdate item = itemOf(text);
         packValue(item);
         EXPECT_TRUE(item.isPacked);
         EXPECT_LT(item.value.size(), text.size() / 4);
@@ -29,7 +29,7 @@
         EXPECT_EQ(valueOf(item).value(), text);
         {
             SCOPED_TRACE("packing it again changes nothing");
-            const NewsItem before = item;
+            const StoreUpdate before = item;
             packValue(item);
             EXPECT_EQ(item, before);
         }
@@ -37,7 +37,7 @@
 
     TEST(PackedValueTest, whatGainsNothingStaysAsItIs)
     {
-        NewsItem small = itemOf("{\"state\":\"ready\"}");
+        StoreUpdate small = itemOf("{\"state\":\"ready\"}");
         packValue(small);
         EXPECT_FALSE(small.isPacked);
         EXPECT_EQ(valueOf(small).value(), "{\"state\":\"ready\"}");
@@ -45,7 +45,7 @@
         std::string noise(packedFrom, ' ');
         for (char& byte : noise)
             byte = static_cast<char>(random());
-        NewsItem item = itemOf(noise);
+        StoreUpdate item = itemOf(noise);
         packValue(item);
         EXPECT_FALSE(item.isPacked);
         EXPECT_EQ(valueOf(item).value(), noise);
@@ -53,19 +53,19 @@
 
     TEST(PackedValueTest, changedBytesAreReadOrRefused)
     {
-        NewsItem good = itemOf(std::string(5000, 'x') + "end");
+        StoreUpdate good = itemOf(std::string(5000, 'x') + "end");
         packValue(good);
         ASSERT_TRUE(good.isPacked);
         std::mt19937 random(11);
         int refused = 0;
         for (int round = 0; round < 5000; ++round) {
-            NewsItem item = good;
+            StoreUpdate item = good;
             item.value[random() % item.value.size()] = static_cast<char>(random());
             if (random() % 4 == 0)
                 item.value.resize(random() % item.value.size());
             const auto value = valueOf(item);
             refused += !value;
-            EXPECT_LE(value ? value.value().size() : 0, largestNews);
+            EXPECT_LE(value ? value.value().size() : 0, maxDeltaBytes);
         }
         EXPECT_GT(refused, 1000);
     }
--- a/Tests/News/RandomDecisionsTest.cpp
+++ b/Tests/News/RandomDecisionsTest.cpp
@@ -271,7 +271,7 @@
 
     // Symptom: a zone stayed behind although others had the news.
     // Sequence: the store turns away all balancers of a zone for longer than any bound, while the configuration
-    // changes. Cause: see NewsExchangeTest; here the bound itself is checked, 3 s of which the gossip takes half a
+    // changes. Cause: see ReplicaSyncTest; here the bound itself is checked, 3 s of which the gossip takes half a
     // second.
     TEST(RandomDecisionsTest, aZoneThatTheStoreTurnsAwayHasANewConfigurationWithinTwoSeconds)
     {
--- a/Tests/News/NewsBookTest.cpp
+++ b/Tests/News/StoreReplicaTest.cpp
@@ -1,4 +1,4 @@
-#include "News/NewsBook.h"
+#include "News/StoreReplica.h"
 
 #include <gtest/gtest.h>
 
@@ -12,26 +12,29 @@
 
     using namespace std::chrono_literals;
 
-    NewsItem item(const std::string& key, const std::string& value, std::uint64_t revision)
+    StoreUpdate item(const std::string& key, const std::string& value, std::uint64_t revision)
     {
         return { key, value, revision, false };
     }
 
-    NewsItem removal(const std::string& key, std::uint64_t revision) { return { key, {}, revision, true }; }
+    StoreUpdate removal(const std::string& key, std::uint64_t revision) { return { key, {}, revision, true }; }
 
-    NewsDelta whole(std::uint64_t to, std::vector<NewsItem> items) { return { 0, to, true, false, std::move(items) }; }
+    StoreDelta whole(std::uint64_t to, std::vector<StoreUpdate> items)
+    {
+        return { 0, to, true, false, std::move(items) };
+    }
 
-    NewsDelta delta(std::uint64_t from, std::uint64_t to, std::vector<NewsItem> items)
+    StoreDelta delta(std::uint64_t from, std::uint64_t to, std::vector<StoreUpdate> items)
     {
         return { from, to, false, false, std::move(items) };
     }
 
-    struct NewsBookTest : testing::Test {
+    struct StoreReplicaTest : testing::Test {
         ManualClock clock;
-        NewsBook book;
+        StoreReplica book;
     };
 
-    TEST_F(NewsBookTest, aListingAndThenChangesMakeItComplete)
+    TEST_F(StoreReplicaTest, aListingAndThenChangesMakeItComplete)
     {
         EXPECT_EQ(book.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now()).size(), 2U);
         EXPECT_EQ(book.completeTo(), 10U);
@@ -41,7 +44,7 @@
         EXPECT_EQ(book.completeTo(), 14U);
     }
 
-    TEST_F(NewsBookTest, newsWithAGapCountsButDoesNotMakeItComplete)
+    TEST_F(StoreReplicaTest, newsWithAGapCountsButDoesNotMakeItComplete)
     {
         book.merge(whole(10, {}), clock.now());
         EXPECT_EQ(book.merge(delta(20, 22, { item("a", "1", 22) }), clock.now()).size(), 1U);
@@ -53,15 +56,15 @@
     // Symptom: a balancer went back to an older configuration.
     // Sequence: it has read the newest one, and then a listing that may be seconds old arrives, or a push of a peer
     // that stayed behind. Cause: whatever came last was taken for the newest.
-    TEST_F(NewsBookTest, nothingOlderTakesItBack)
+    TEST_F(StoreReplicaTest, nothingOlderTakesItBack)
     {
         book.merge(whole(30, { item("a", "new", 25) }), clock.now());
         EXPECT_TRUE(book.merge(whole(20, { item("a", "old", 15) }), clock.now()).empty());
         EXPECT_TRUE(book.merge(delta(0, 20, { item("a", "old", 15), removal("a", 16) }), clock.now()).empty());
-        EXPECT_EQ(book.since(0, clock.now()).items, std::vector<NewsItem> { item("a", "new", 25) });
+        EXPECT_EQ(book.since(0, clock.now()).items, std::vector<StoreUpdate> { item("a", "new", 25) });
     }
 
-    TEST_F(NewsBookTest, aWholeListingShowsWhatVanished)
+    TEST_F(StoreReplicaTest, aWholeListingShowsWhatVanished)
     {
         book.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
         const auto changed = book.merge(whole(20, { item("a", "1", 4) }), clock.now());
@@ -69,7 +72,7 @@
         EXPECT_EQ(changed.front(), removal("b", 20));
     }
 
-    TEST_F(NewsBookTest, whoStayedAwayLongerThanRemovalsAreKeptGetsEverything)
+    TEST_F(StoreReplicaTest, whoStayedAwayLongerThanRemovalsAreKeptGetsEverything)
     {
         book.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
         book.merge(delta(10, 11, { removal("b", 11) }), clock.now());
@@ -81,34 +84,34 @@
     }
 
     // Whatever way news takes, in whatever order and however often, all books that heard everything are equal.
-    TEST_F(NewsBookTest, anyOrderOfNewsGivesTheSameBook)
+    TEST_F(StoreReplicaTest, anyOrderOfNewsGivesTheSameBook)
     {
         for (std::uint32_t seed = 1; seed <= 200; ++seed) {
             SCOPED_TRACE(seed);
             std::mt19937 random(seed);
-            std::vector<NewsDelta> changes;
-            std::map<std::string, NewsItem> truth;
+            std::vector<StoreDelta> changes;
+            std::map<std::string, StoreUpdate> truth;
             for (std::uint64_t revision = 1; revision <= 60; ++revision) {
                 const std::string key(1, static_cast<char>('a' + random() % 8));
                 const bool isRemoval = truth.contains(key) && random() % 3 == 0;
-                const NewsItem change
+                const StoreUpdate change
                     = isRemoval ? removal(key, revision) : item(key, std::to_string(revision), revision);
                 changes.push_back(delta(revision - 1, revision, { change }));
                 isRemoval ? static_cast<void>(truth.erase(key)) : static_cast<void>(truth[key] = change);
             }
-            NewsBook other;
+            StoreReplica other;
             other.merge(whole(0, {}), clock.now());
-            std::vector<NewsDelta> shuffled = changes;
+            std::vector<StoreDelta> shuffled = changes;
             shuffled.insert(shuffled.end(), changes.begin(), changes.begin() + 20);
             std::ranges::shuffle(shuffled, random);
             std::uint64_t lastComplete = 0;
-            for (const NewsDelta& change : shuffled) {
+            for (const StoreDelta& change : shuffled) {
                 other.merge(change, clock.now());
                 EXPECT_GE(other.completeTo(), lastComplete);
                 lastComplete = other.completeTo();
             }
-            std::map<std::string, NewsItem> found;
-            for (const NewsItem& held : other.since(0, clock.now()).items)
+            std::map<std::string, StoreUpdate> found;
+            for (const StoreUpdate& held : other.since(0, clock.now()).items)
                 found[held.key] = held;
             EXPECT_EQ(found, truth);
         }
--- a/Tests/News/ThinLinkFleet.cpp
+++ b/Tests/News/ThinLinkFleet.cpp
@@ -84,7 +84,7 @@
     StoreFeedSettings settings;
     settings.linkMegabits = balancer.member.linkMegabits;
     balancer.feed = std::make_unique<StoreFeed>(random_(), settings);
-    balancer.exchange = std::make_unique<NewsExchange>("zone", random_());
+    balancer.exchange = std::make_unique<ReplicaSync>("zone", random_());
     balancer.version = 0;
     balancer.had.clear();
     balancer.datagramBytes = 0;
@@ -337,13 +337,13 @@
     }
 }
 
-void ThinLinkFleet::perform(std::size_t index, const NewsActions& actions)
+void ThinLinkFleet::perform(std::size_t index, const ReplicaSyncActions& actions)
 {
     Balancer& balancer = balancers_[index];
-    for (const NewsAction& action : actions) {
-        if (const auto* changed = std::get_if<NewsChanged>(&action)) {
+    for (const ReplicaSyncAction& action : actions) {
+        if (const auto* changed = std::get_if<ReplicaChanged>(&action)) {
             apply(index, *changed);
-        } else if (const auto* push = std::get_if<PushNews>(&action)) {
+        } else if (const auto* push = std::get_if<PushDelta>(&action)) {
             const double bytes = datagramOverhead + static_cast<double>(encodeMessage(push->delta).size());
             const std::size_t to = push->to.address - 1;
             balancer.datagramBytes += bytes;
@@ -353,7 +353,7 @@
             const TimePoint at = clock_.now() + messageTime + std::chrono::duration_cast<Duration>(onLink);
             datagrams_.push_back({ at, index, to, push->delta });
         } else {
-            const auto& fetch = std::get<FetchNews>(action);
+            const auto& fetch = std::get<FetchDelta>(action);
             // The daemon has one fetch at a time: a new one ends the former.
             std::erase_if(
                 transfers_, [&](const Transfer& transfer) { return transfer.isFetch && transfer.to == index; });
@@ -369,10 +369,10 @@
     }
 }
 
-void ThinLinkFleet::apply(std::size_t index, const NewsChanged& news)
+void ThinLinkFleet::apply(std::size_t index, const ReplicaChanged& news)
 {
     Balancer& balancer = balancers_[index];
-    for (const NewsItem& item : news.items) {
+    for (const StoreUpdate& item : news.items) {
         if (item.key != configurationKey)
             continue;
         const Result<std::string> text = valueOf(item);
--- a/Tests/News/ThinLinkFleet.h
+++ b/Tests/News/ThinLinkFleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "News/NewsExchange.h"
+#include "News/ReplicaSync.h"
 #include "News/StoreFeed.h"
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 // The balancers of one availability zone and the platform's store in virtual time, with links of a given rate: an
 // answer takes as long as its bytes need on the sender's and the receiver's link, which all transfers there share.
-// Balancers run the decisions of the daemon (StoreFeed, NewsExchange); this class does the I/O and the gossip.
+// Balancers run the decisions of the daemon (StoreFeed, ReplicaSync); this class does the I/O and the gossip.
 class ThinLinkFleet {
 public:
     struct Link {
@@ -49,7 +49,7 @@
         Member member;
         double bytesPerSecond = 0;
         std::unique_ptr<StoreFeed> feed;
-        std::unique_ptr<NewsExchange> exchange;
+        std::unique_ptr<ReplicaSync> exchange;
         std::uint64_t version = 0;
         // By version: when this balancer had it.
         std::map<std::uint64_t, TimePoint> had;
@@ -70,7 +70,7 @@
         bool isFetch = false;
         bool hasMoved = false;
         std::uint64_t watchNumber = 0;
-        std::optional<NewsDelta> delta;
+        std::optional<StoreDelta> delta;
         std::optional<PlatformPage> page;
         std::optional<PlatformChanges> changes;
     };
@@ -79,7 +79,7 @@
         TimePoint at;
         std::size_t from = 0;
         std::size_t to = 0;
-        NewsDelta delta;
+        StoreDelta delta;
     };
 
     struct Watch {
@@ -99,8 +99,8 @@
     // Tells the balancer how much has come of its listing.
     void noteListing(std::size_t);
     void perform(std::size_t, const StoreFeedActions&);
-    void perform(std::size_t, const NewsActions&);
-    void apply(std::size_t, const NewsChanged&);
+    void perform(std::size_t, const ReplicaSyncActions&);
+    void apply(std::size_t, const ReplicaChanged&);
     std::size_t indexOf(BalancerId) const;
     std::shared_ptr<const MembersView> viewOf(std::size_t) const;
     void put(PlatformItem);
--- a/Tests/News/ValuePatchTest.cpp
+++ b/Tests/News/ValuePatchTest.cpp
@@ -1,5 +1,5 @@
-#include "News/NewsBook.h"
 #include "News/PackedValue.h"
+#include "News/StoreReplica.h"
 
 #include <gtest/gtest.h>
 
@@ -24,14 +24,14 @@
         return text;
     }
 
-    NewsItem itemOf(std::uint64_t revision, std::string text)
+    StoreUpdate itemOf(std::uint64_t revision, std::string text)
     {
-        NewsItem item { "configuration", std::move(text), revision, false };
+        StoreUpdate item { "configuration", std::move(text), revision, false };
         packValue(item);
         return item;
     }
 
-    NewsDelta storeDelta(std::uint64_t from, std::uint64_t to, const std::string& text)
+    StoreDelta storeDelta(std::uint64_t from, std::uint64_t to, const std::string& text)
     {
         return { from, to, from == 0, false, { itemOf(to, text) } };
     }
@@ -80,13 +80,13 @@
     TEST(ValuePatchTest, whoHoldsAnEarlierVersionGetsWhatChanged)
     {
         const TimePoint now = ManualClock().now();
-        NewsBook sender;
-        NewsBook receiver;
+        StoreReplica sender;
+        StoreReplica receiver;
         sender.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
-        receiver.merge(sender.since(0, now, NewsBook::Form::Patched), now);
+        receiver.merge(sender.since(0, now, StoreReplica::Form::Patched), now);
         for (std::uint64_t revision = 2; revision <= 5; ++revision)
             sender.mergeFromStore(storeDelta(revision - 1, revision, textOf(revision)), now);
-        const NewsDelta delta = sender.since(1, now, NewsBook::Form::Patched);
+        const StoreDelta delta = sender.since(1, now, StoreReplica::Form::Patched);
         EXPECT_TRUE(delta.items.empty());
         EXPECT_EQ(delta.patches.size(), 4U);
         {
@@ -98,14 +98,14 @@
         }
         {
             SCOPED_TRACE("it can pass them on, and whole to one that knows no patches");
-            EXPECT_EQ(receiver.since(3, now, NewsBook::Form::Patched).patches.size(), 2U);
-            const NewsDelta whole = receiver.since(3, now);
+            EXPECT_EQ(receiver.since(3, now, StoreReplica::Form::Patched).patches.size(), 2U);
+            const StoreDelta whole = receiver.since(3, now);
             ASSERT_EQ(whole.items.size(), 1U);
             EXPECT_EQ(valueOf(whole.items.front()).value(), textOf(5));
         }
         {
             SCOPED_TRACE("patches of a value that is not here change nothing and complete nothing");
-            NewsBook other;
+            StoreReplica other;
             other.merge(storeDelta(0, 2, "another text"), now);
             EXPECT_TRUE(other.merge(delta, now).empty());
             EXPECT_TRUE(other.lacksPatchedValue());
@@ -121,9 +121,9 @@
     TEST(ValuePatchTest, eachOfSeveralVersionsInOneAnswerHasItsPatch)
     {
         const TimePoint now = ManualClock().now();
-        NewsBook book;
+        StoreReplica book;
         book.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
-        NewsDelta answer { 1, 3, false, false, { itemOf(2, textOf(2)), itemOf(3, textOf(3)) } };
+        StoreDelta answer { 1, 3, false, false, { itemOf(2, textOf(2)), itemOf(3, textOf(3)) } };
         book.mergeFromStore(answer, now);
         for (const std::uint64_t revision : { 2U, 3U }) {
             const ValuePatch* patch = book.patchTo("configuration", revision);
@@ -137,7 +137,7 @@
     TEST(ValuePatchTest, patchesTakeNoMoreMemoryThanTheirValue)
     {
         const TimePoint now = ManualClock().now();
-        NewsBook book;
+        StoreReplica book;
         std::uint64_t revision = 1;
         book.mergeFromStore(storeDelta(0, revision, textOf(1)), now);
         std::mt19937 random(9);
@@ -166,19 +166,19 @@
             std::mt19937 random(seed);
             const TimePoint now = ManualClock().now();
             std::map<std::uint64_t, std::string> written { { 1, textOf(1) } };
-            std::vector<NewsBook> books(6);
-            std::vector<NewsDelta> late;
+            std::vector<StoreReplica> books(6);
+            std::vector<StoreDelta> late;
             constexpr std::size_t watchers = 2;
-            for (NewsBook& book : books)
+            for (StoreReplica& book : books)
                 book.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
-            const auto check = [&](const NewsBook& book) {
-                for (const NewsItem& item : book.since(0, now).items) {
+            const auto check = [&](const StoreReplica& book) {
+                for (const StoreUpdate& item : book.since(0, now).items) {
                     ASSERT_EQ(valueOf(item).value(), written.at(item.revision));
                     ASSERT_GE(item.revision, std::prev(written.upper_bound(book.completeTo()))->first);
                 }
             };
-            const auto ask = [&](NewsBook& book, const NewsBook& other) {
-                const auto form = book.lacksPatchedValue() ? NewsBook::Form::Whole : NewsBook::Form::Patched;
+            const auto ask = [&](StoreReplica& book, const StoreReplica& other) {
+                const auto form = book.lacksPatchedValue() ? StoreReplica::Form::Whole : StoreReplica::Form::Patched;
                 return other.since(book.completeTo(), now, form);
             };
             std::uint64_t revision = 1;
@@ -187,24 +187,24 @@
                 if (random() % 2 == 0)
                     written[revision] = textOf(random() % 50);
                 const std::uint64_t newest = written.rbegin()->first;
-                NewsBook& watcher = books[random() % watchers];
-                NewsDelta news { watcher.completeTo(), revision, false, false, {} };
+                StoreReplica& watcher = books[random() % watchers];
+                StoreDelta news { watcher.completeTo(), revision, false, false, {} };
                 if (newest > watcher.completeTo())
                     news.items.push_back(itemOf(newest, written.at(newest)));
                 watcher.mergeFromStore(news, now);
-                NewsBook& asking = books[random() % books.size()];
-                NewsDelta answer = ask(asking, books[random() % books.size()]);
+                StoreReplica& asking = books[random() % books.size()];
+                StoreDelta answer = ask(asking, books[random() % books.size()]);
                 if (random() % 3 == 0)
                     late.push_back(answer);
                 else if (random() % 3 != 0)
                     asking.merge(answer, now);
                 if (!late.empty() && random() % 2 == 0)
                     books[random() % books.size()].merge(late[random() % late.size()], now);
-                for (const NewsBook& book : books)
+                for (const StoreReplica& book : books)
                     check(book);
             }
-            const NewsBook& ahead = books[books[0].completeTo() > books[1].completeTo() ? 0 : 1];
-            for (NewsBook& book : books) {
+            const StoreReplica& ahead = books[books[0].completeTo() > books[1].completeTo() ? 0 : 1];
+            for (StoreReplica& book : books) {
                 book.merge(ask(book, ahead), now);
                 book.merge(ask(book, ahead), now);
                 EXPECT_EQ(book.completeTo(), ahead.completeTo());
