--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -184,14 +184,14 @@
     void perform(const StoreFeedAction& action)
     {
         const TimePoint now = Clock::now();
-        if (const auto* news = std::get_if<StoreNews>(&action)) {
+        if (const auto* news = std::get_if<DeltaReceived>(&action)) {
             peers_->handleStore(*news, now);
-        } else if (const auto* lost = std::get_if<StoreLost>(&action)) {
+        } else if (const auto* lost = std::get_if<StoreUnreachable>(&action)) {
             peers_->noteStore(true, now);
             log_.write(LogLevel::Warning, "store", "lost", Event().add("error", lost->error.toString()), now);
-        } else if (const auto* regained = std::get_if<StoreRegained>(&action)) {
+        } else if (const auto* regained = std::get_if<StoreReachable>(&action)) {
             peers_->noteStore(false, now);
-            log_.write(LogLevel::Info, "store", "regained", Event().add("away_ms", regained->away), now);
+            log_.write(LogLevel::Info, "store", "regained", Event().add("away_ms", regained->outage), now);
         }
     }
 
--- a/Source/Forwarder/PeerNews.cpp
+++ b/Source/Forwarder/PeerNews.cpp
@@ -160,7 +160,7 @@
     fetchProgress_ = bytes;
 }
 
-void PeerNews::handleStore(const StoreNews& news, TimePoint now)
+void PeerNews::handleStore(const DeltaReceived& news, TimePoint now)
 {
     perform(exchange_.handleStore(news.delta, now, news.isForOthers), now);
 }
--- a/Source/Forwarder/PeerNews.h
+++ b/Source/Forwarder/PeerNews.h
@@ -42,7 +42,7 @@
     // Call it every 100 to 250 ms.
     void tick(TimePoint now);
     // News that this balancer read from the store.
-    void handleStore(const StoreNews&, TimePoint now);
+    void handleStore(const DeltaReceived&, TimePoint now);
     // A planned stop begins.
     void leave(TimePoint now);
     void setSeeds(std::vector<Endpoint> seeds, TimePoint now);
--- a/Source/Forwarder/StoreLink.h
+++ b/Source/Forwarder/StoreLink.h
@@ -16,7 +16,7 @@
 // Sends what StoreFeed asks for to the platform's store, and gives it the answers.
 template <typename Adapter> class StoreLink {
 public:
-    // Runs with the actions that concern others: StoreNews, StoreLost, StoreRegained.
+    // Runs with the actions that concern others: DeltaReceived, StoreUnreachable, StoreReachable.
     using Handler = std::function<void(const StoreFeedAction&)>;
 
     StoreLink(boost::asio::io_context& context, Endpoint store, std::uint64_t seed, StoreFeedSettings settings,
@@ -52,7 +52,7 @@
                 send(*list);
             else if (const auto* watch = std::get_if<SendWatch>(&action))
                 send(*watch);
-            else if (std::holds_alternative<LeaveListing>(action))
+            else if (std::holds_alternative<CancelListing>(action))
                 client_.http().cancelAll();
             else
                 handler_(action);
--- a/Source/News/StoreFeed.cpp
+++ b/Source/News/StoreFeed.cpp
@@ -75,7 +75,7 @@
     listRevision_.reset();
     listedStaleAt_ = mayListStale_ ? std::optional(now) : std::nullopt;
     mayListStale_ = false;
-    actions.emplace_back(StoreNews { std::move(delta) });
+    actions.emplace_back(DeltaReceived { std::move(delta) });
     state_ = State::Idle;
     if (shallWatch_)
         watch(now, actions);
@@ -98,7 +98,7 @@
     hasLeftListing_ = true;
     listRevision_.reset();
     pause(State::PausingBeforeList, settings_.neighboursWithin, now);
-    actions.emplace_back(LeaveListing {});
+    actions.emplace_back(CancelListing {});
     return actions;
 }
 
@@ -168,7 +168,7 @@
     const bool isNews = !delta.items.empty();
     const bool isForOthers = !std::exchange(isChecking_, false);
     if (isNews || delta.to > delta.from || isConfirmation)
-        actions.emplace_back(StoreNews { std::move(delta), isForOthers });
+        actions.emplace_back(DeltaReceived { std::move(delta), isForOthers });
     if (!shallWatch_)
         state_ = State::Idle;
     else if (isNews)
@@ -205,7 +205,7 @@
     StoreDelta delta = deltaOf(changes.value(), formerWatch_->revision, now);
     formerWatch_.reset();
     completeTo_ = delta.to;
-    actions.emplace_back(StoreNews { std::move(delta) });
+    actions.emplace_back(DeltaReceived { std::move(delta) });
     return actions;
 }
 
@@ -281,7 +281,7 @@
     if (lostSince_)
         return;
     lostSince_ = now;
-    actions.emplace_back(StoreLost { error });
+    actions.emplace_back(StoreUnreachable { error });
 }
 
 void StoreFeed::noteSuccess(TimePoint now, StoreFeedActions& actions)
@@ -289,7 +289,7 @@
     backoff_.reset();
     if (!lostSince_)
         return;
-    actions.emplace_back(StoreRegained { now - *lostSince_ });
+    actions.emplace_back(StoreReachable { now - *lostSince_ });
     lostSince_.reset();
     troubledUntil_ = now + settings_.doubtAfterTrouble;
     freshFrom_ = now + settings_.returnWithin;
--- a/Source/News/StoreFeed.h
+++ b/Source/News/StoreFeed.h
@@ -69,10 +69,10 @@
 };
 
 // Give the listing in progress up; its outcome does not count.
-struct LeaveListing { };
+struct CancelListing { };
 
 // News for ReplicaSync::handleStore().
-struct StoreNews {
+struct DeltaReceived {
     StoreDelta delta;
     // False where this balancer asked for itself only: others of its zone do so too, and all telling all would fill
     // their links.
@@ -80,14 +80,15 @@
 };
 
 // The store stopped answering this balancer, or does so again.
-struct StoreLost {
+struct StoreUnreachable {
     Error error;
 };
-struct StoreRegained {
-    Duration away { 0 };
+struct StoreReachable {
+    Duration outage { 0 };
 };
 
-using StoreFeedAction = std::variant<SendList, SendWatch, LeaveListing, StoreNews, StoreLost, StoreRegained>;
+using StoreFeedAction
+    = std::variant<SendList, SendWatch, CancelListing, DeltaReceived, StoreUnreachable, StoreReachable>;
 using StoreFeedActions = std::vector<StoreFeedAction>;
 
 // Keeps a balancer informed by the platform's store: one listing at the start, and then watches, if this balancer is
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/DecisionFleet.cpp
@@ -150,7 +150,7 @@
                     then();
             };
         };
-        if (const auto* news = std::get_if<StoreNews>(&action)) {
+        if (const auto* news = std::get_if<DeltaReceived>(&action)) {
             perform(index, balancers_[index].exchange->handleStore(news->delta, now()));
         } else if (const auto* list = std::get_if<SendList>(&action)) {
             const bool mayBeOld = list->call.mayBeStale;
--- a/Tests/News/StoreFeedTest.cpp
+++ b/Tests/News/StoreFeedTest.cpp
@@ -64,8 +64,8 @@
         const StoreFeedActions listed = feed.handlePage(page(12), clock.now());
         {
             SCOPED_TRACE("the watch begins at the first page, since pages are no snapshot");
-            EXPECT_EQ(only<StoreNews>(listed)->delta.to, 10U);
-            EXPECT_EQ(only<StoreNews>(listed)->delta.items.size(), 2U);
+            EXPECT_EQ(only<DeltaReceived>(listed)->delta.to, 10U);
+            EXPECT_EQ(only<DeltaReceived>(listed)->delta.items.size(), 2U);
             EXPECT_EQ(only<SendWatch>(listed)->call.revision, 10U);
         }
     }
@@ -83,8 +83,8 @@
     {
         const std::uint64_t number = beginToWatch();
         const StoreFeedActions news = feed.handleChanges(number, removals(14, 1), clock.now());
-        EXPECT_EQ(only<StoreNews>(news)->delta.from, 10U);
-        EXPECT_EQ(only<StoreNews>(news)->delta.to, 14U);
+        EXPECT_EQ(only<DeltaReceived>(news)->delta.from, 10U);
+        EXPECT_EQ(only<DeltaReceived>(news)->delta.to, 14U);
         EXPECT_EQ(only<SendWatch>(news), nullptr);
         EXPECT_EQ(only<SendWatch>(advanceTo(feed.nextTick()))->call.revision, 14U);
     }
@@ -106,7 +106,7 @@
         for (int i = 0; i < 8; ++i) {
             const StoreFeedActions failed
                 = feed.handlePage(Error { ErrorCode::Unavailable, "status 503" }, clock.now());
-            EXPECT_EQ(only<StoreLost>(failed) != nullptr, i == 0);
+            EXPECT_EQ(only<StoreUnreachable>(failed) != nullptr, i == 0);
             ASSERT_TRUE(feed.nextTick().has_value());
             pauses += *feed.nextTick() - clock.now();
             EXPECT_NE(only<SendList>(advanceTo(feed.nextTick())), nullptr);
@@ -114,7 +114,7 @@
         EXPECT_GT(pauses, 2s);
         EXPECT_LT(pauses, 8s);
         const StoreFeedActions listed = feed.handlePage(page(10), clock.now());
-        EXPECT_EQ(only<StoreRegained>(listed)->away, pauses);
+        EXPECT_EQ(only<StoreReachable>(listed)->outage, pauses);
     }
 
     // Symptom: after an outage, servers that lived were given up.
@@ -126,16 +126,16 @@
         feed.handleChanges(number, Error { ErrorCode::DeadlineExceeded, "silent" }, clock.now());
         number = only<SendWatch>(advanceTo(feed.nextTick()))->number;
         const StoreFeedActions after = feed.handleChanges(number, removals(14, 1), clock.now());
-        EXPECT_TRUE(only<StoreNews>(after)->delta.isInDoubt);
+        EXPECT_TRUE(only<DeltaReceived>(after)->delta.isInDoubt);
 
         clock.advance(6s);
         number = only<SendWatch>(feed.tick(clock.now()))->number;
         const StoreFeedActions calm = feed.handleChanges(number, removals(20, 1), clock.now());
-        EXPECT_FALSE(only<StoreNews>(calm)->delta.isInDoubt);
+        EXPECT_FALSE(only<DeltaReceived>(calm)->delta.isInDoubt);
 
         number = only<SendWatch>(advanceTo(feed.nextTick()))->number;
         const StoreFeedActions many = feed.handleChanges(number, removals(30, 3), clock.now());
-        EXPECT_TRUE(only<StoreNews>(many)->delta.isInDoubt);
+        EXPECT_TRUE(only<DeltaReceived>(many)->delta.isInDoubt);
     }
 
     // Symptom: see ServerDirectoryTest: what vanished in doubt was taken for gone, or stayed in doubt for long.
@@ -145,7 +145,7 @@
     {
         std::uint64_t number = beginToWatch();
         const StoreFeedActions vanished = feed.handleChanges(number, removals(14, 3), clock.now());
-        EXPECT_TRUE(only<StoreNews>(vanished)->delta.isFresh);
+        EXPECT_TRUE(only<DeltaReceived>(vanished)->delta.isFresh);
         const StoreFeedActions next = advanceTo(feed.nextTick());
         ASSERT_NE(only<SendWatch>(next), nullptr);
         EXPECT_LT(only<SendWatch>(next)->call.wait, 2s);
@@ -154,8 +154,8 @@
             clock.advance(only<SendWatch>(next)->call.wait);
             number = only<SendWatch>(next)->number;
             const StoreFeedActions confirmed = feed.handleChanges(number, PlatformChanges { {}, 14 }, clock.now());
-            ASSERT_NE(only<StoreNews>(confirmed), nullptr);
-            EXPECT_TRUE(only<StoreNews>(confirmed)->delta.isFresh);
+            ASSERT_NE(only<DeltaReceived>(confirmed), nullptr);
+            EXPECT_TRUE(only<DeltaReceived>(confirmed)->delta.isFresh);
             EXPECT_EQ(only<SendWatch>(confirmed)->call.wait, StoreFeedSettings {}.watchFor);
         }
     }
@@ -169,8 +169,8 @@
         feed.handleChanges(number, Error { ErrorCode::DeadlineExceeded, "silent" }, clock.now());
         number = only<SendWatch>(advanceTo(feed.nextTick()))->number;
         const StoreFeedActions regained = feed.handleChanges(number, PlatformChanges { {}, 14 }, clock.now());
-        EXPECT_NE(only<StoreRegained>(regained), nullptr);
-        EXPECT_EQ(only<StoreNews>(regained), nullptr);
+        EXPECT_NE(only<StoreReachable>(regained), nullptr);
+        EXPECT_EQ(only<DeltaReceived>(regained), nullptr);
         ASSERT_NE(only<SendWatch>(regained), nullptr);
         EXPECT_EQ(only<SendWatch>(regained)->call.wait, 2s);
     }
@@ -187,12 +187,12 @@
         clock.advance(400ms);
         const StoreFeedActions replaced = feed.update(10, true, behindSince, clock.now());
         ASSERT_NE(only<SendWatch>(replaced), nullptr);
-        EXPECT_NE(only<StoreLost>(replaced), nullptr);
+        EXPECT_NE(only<StoreUnreachable>(replaced), nullptr);
         {
             SCOPED_TRACE("should it answer after all, that counts once and does not end the new one");
             const StoreFeedActions late = feed.handleChanges(silent, removals(14, 1), clock.now());
-            ASSERT_NE(only<StoreNews>(late), nullptr);
-            EXPECT_TRUE(only<StoreNews>(late)->delta.isInDoubt);
+            ASSERT_NE(only<DeltaReceived>(late), nullptr);
+            EXPECT_TRUE(only<DeltaReceived>(late)->delta.isInDoubt);
             EXPECT_TRUE(feed.handleChanges(silent, removals(14, 1), clock.now()).empty());
             EXPECT_TRUE(feed.isWatching());
         }
@@ -212,9 +212,9 @@
         ASSERT_NE(only<SendWatch>(replaced), nullptr);
         const StoreFeedActions late
             = feed.handleChanges(first, PlatformChanges { { { "key11", "value", 11, false } }, 11 }, clock.now());
-        ASSERT_NE(only<StoreNews>(late), nullptr);
-        EXPECT_EQ(only<StoreNews>(late)->delta.from, 10U);
-        EXPECT_EQ(only<StoreNews>(late)->delta.to, 11U);
+        ASSERT_NE(only<DeltaReceived>(late), nullptr);
+        EXPECT_EQ(only<DeltaReceived>(late)->delta.from, 10U);
+        EXPECT_EQ(only<DeltaReceived>(late)->delta.to, 11U);
         EXPECT_TRUE(feed.isWatching());
         {
             SCOPED_TRACE("what is known already is no news");
@@ -234,7 +234,7 @@
         EXPECT_TRUE(feed.update(12, true, std::nullopt, clock.now()).empty());
         clock.advance(200ms);
         const StoreFeedActions replaced = feed.update(12, true, std::nullopt, clock.now());
-        EXPECT_NE(only<StoreLost>(replaced), nullptr);
+        EXPECT_NE(only<StoreUnreachable>(replaced), nullptr);
         ASSERT_NE(only<SendWatch>(replaced), nullptr);
         EXPECT_EQ(only<SendWatch>(replaced)->call.revision, 12U);
     }
@@ -258,8 +258,8 @@
         const StoreFeedActions replaced = feed.update(10, true, behindSince, clock.now());
         ASSERT_NE(only<SendWatch>(replaced), nullptr);
         const StoreFeedActions late = feed.handleChanges(first, removals(14, 3), clock.now());
-        ASSERT_NE(only<StoreNews>(late), nullptr);
-        EXPECT_TRUE(only<StoreNews>(late)->delta.isInDoubt);
+        ASSERT_NE(only<DeltaReceived>(late), nullptr);
+        EXPECT_TRUE(only<DeltaReceived>(late)->delta.isInDoubt);
         const auto next
             = feed.handleChanges(only<SendWatch>(replaced)->number, PlatformChanges { {}, 14 }, clock.now());
         ASSERT_NE(only<SendWatch>(next), nullptr);
@@ -284,8 +284,8 @@
             = feed.handleChanges(only<SendWatch>(check)->number, PlatformChanges { page(14).items, 14 }, clock.now());
         {
             SCOPED_TRACE("what it finds is for this balancer only, as all of its zone may ask");
-            ASSERT_NE(only<StoreNews>(news), nullptr);
-            EXPECT_FALSE(only<StoreNews>(news)->isForOthers);
+            ASSERT_NE(only<DeltaReceived>(news), nullptr);
+            EXPECT_FALSE(only<DeltaReceived>(news)->isForOthers);
             EXPECT_EQ(only<SendWatch>(news), nullptr);
         }
         {
--- a/Tests/News/ThinLinkFleet.cpp
+++ b/Tests/News/ThinLinkFleet.cpp
@@ -317,7 +317,7 @@
 {
     Balancer& balancer = balancers_[index];
     for (const StoreFeedAction& action : actions) {
-        if (const auto* news = std::get_if<StoreNews>(&action)) {
+        if (const auto* news = std::get_if<DeltaReceived>(&action)) {
             perform(index, balancer.exchange->handleStore(news->delta, clock_.now()));
         } else if (std::holds_alternative<SendList>(action)) {
             Transfer transfer;
@@ -329,7 +329,7 @@
             transfer.bytes = sizeOf(transfer.page->items);
             transfer.bytesLeft = transfer.bytes;
             transfers_.push_back(std::move(transfer));
-        } else if (std::holds_alternative<LeaveListing>(action)) {
+        } else if (std::holds_alternative<CancelListing>(action)) {
             std::erase_if(transfers_, [&](const Transfer& transfer) { return transfer.to == index && transfer.page; });
         } else if (const auto* watch = std::get_if<SendWatch>(&action)) {
             watches_.push_back({ index, balancer.life, *watch, clock_.now() + watch->call.wait });
