--- a/Benchmarks/ConfigurationSpreadBenchmark.cpp
+++ b/Benchmarks/ConfigurationSpreadBenchmark.cpp
@@ -1,7 +1,7 @@
 // What one change of the operators' configuration costs a forwarder, by the number of routes in force: reading the
 // store's answer, packing it for others, unpacking, decoding and taking it.
 #include "Forward/ForwardFixture.h"
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 #include "platform/ConfigurationText.h"
 #include "platform/StoreDialect.h"
 #include "platform/StoredValues.h"
@@ -49,7 +49,7 @@
         std::size_t bytes = 0;
         for (auto _ : state) {
             StoreUpdate packed = item;
-            packValue(packed);
+            compressValue(packed);
             bytes = packed.value.size();
         }
         state.counters["bytes"] = static_cast<double>(bytes);
@@ -58,9 +58,9 @@
     void unpack(benchmark::State& state)
     {
         StoreUpdate item = itemOf(7, static_cast<std::size_t>(state.range(0)));
-        packValue(item);
+        compressValue(item);
         for (auto _ : state)
-            benchmark::DoNotOptimize(valueOf(item));
+            benchmark::DoNotOptimize(plainValue(item));
     }
 
     void decode(benchmark::State& state)
--- a/Source/Forwarder/NewsApplier.h
+++ b/Source/Forwarder/NewsApplier.h
@@ -3,7 +3,7 @@
 #include "Forward/TokenRouter.h"
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 #include "News/ReplicaSync.h"
 
 #include <algorithm>
@@ -48,8 +48,8 @@
         if (item.isRemoved)
             return refuse(item, { ErrorCode::NotFound, "the configuration was removed; the last one stays" }, now);
         // The book unpacks what can be unpacked.
-        if (item.isPacked)
-            return refuse(item, valueOf(item).error(), now);
+        if (item.isCompressed)
+            return refuse(item, plainValue(item).error(), now);
         Result<ConfigurationChange> change = reader_.read(item.value);
         if (!change)
             return refuse(item, change.error(), now);
@@ -91,8 +91,8 @@
 
     Result<RegisteredServer> readServer(const std::string& id, const StoreUpdate& item)
     {
-        if (item.isPacked)
-            return valueOf(item).error();
+        if (item.isCompressed)
+            return plainValue(item).error();
         return Adapter::decodeServer(id, item.value);
     }
 
--- a/Source/News/PackedValue.cpp
+++ b/Source/News/CompressedValue.cpp
@@ -1,4 +1,4 @@
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 
 #include "Wire/PackedBytes.h"
 
@@ -8,20 +8,20 @@
 
 namespace wisteriadock {
 
-void packValue(StoreUpdate& item)
+void compressValue(StoreUpdate& item)
 {
-    if (item.isPacked || item.value.size() < packedFrom)
+    if (item.isCompressed || item.value.size() < compressionThreshold)
         return;
     std::string packed = packBytes(item.value);
     if (packed.empty() || packed.size() >= item.value.size())
         return;
     item.value = std::move(packed);
-    item.isPacked = true;
+    item.isCompressed = true;
 }
 
-Result<std::string> valueOf(const StoreUpdate& item)
+Result<std::string> plainValue(const StoreUpdate& item)
 {
-    if (!item.isPacked)
+    if (!item.isCompressed)
         return item.value;
     Result<std::string> value = unpackBytes(item.value, maxDeltaBytes);
     if (value)
--- a/Source/News/StoreDelta.h
+++ b/Source/News/StoreDelta.h
@@ -17,12 +17,12 @@
     std::string value;
     std::uint64_t revision = 0;
     bool isRemoved = false;
-    // The value is packed; valueOf() in PackedValue.h unpacks it.
-    bool isPacked = false;
+    // The value is packed; plainValue() in CompressedValue.h unpacks it.
+    bool isCompressed = false;
     // How long ago a balancer had it from the store, as its sender knows it; for logs and metrics.
     std::uint32_t ageMilliseconds = 0;
 
-    MSGPACK_DEFINE_ARRAY(key, value, revision, isRemoved, isPacked, ageMilliseconds);
+    MSGPACK_DEFINE_ARRAY(key, value, revision, isRemoved, isCompressed, ageMilliseconds);
     bool operator==(const StoreUpdate&) const = default;
 };
 
--- a/Source/News/StoreFeed.cpp
+++ b/Source/News/StoreFeed.cpp
@@ -1,6 +1,6 @@
 #include "News/StoreFeed.h"
 
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 
 #include <algorithm>
 #include <random>
@@ -13,7 +13,7 @@
     StoreUpdate newsOf(const PlatformItem& item)
     {
         StoreUpdate news { item.key, item.value, item.revision, item.isRemoved };
-        packValue(news);
+        compressValue(news);
         return news;
     }
 
--- a/Source/News/StoreReplica.cpp
+++ b/Source/News/StoreReplica.cpp
@@ -1,6 +1,6 @@
 #include "News/StoreReplica.h"
 
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 
 #include <absl/container/flat_hash_set.h>
 
@@ -29,14 +29,14 @@
     }
 
     // The value unpacked, if it can be; otherwise as it came, for its reader to refuse.
-    StoreUpdate unpacked(const StoreUpdate& item)
+    StoreUpdate decompressed(const StoreUpdate& item)
     {
         StoreUpdate plain = item;
-        if (!item.isPacked)
+        if (!item.isCompressed)
             return plain;
-        if (Result<std::string> value = valueOf(item)) {
+        if (Result<std::string> value = plainValue(item)) {
             plain.value = std::move(value).value();
-            plain.isPacked = false;
+            plain.isCompressed = false;
         }
         return plain;
     }
@@ -97,11 +97,11 @@
     if (!isNew && item.revision <= row.item.revision)
         return false;
     const bool wasKnown = !isNew && !row.item.isRemoved;
-    Row former = std::exchange(row, { unpacked(item), now - std::chrono::milliseconds(item.ageMilliseconds) });
-    row.travelsPacked = item.isPacked && !row.item.isPacked;
-    if (row.travelsPacked)
-        row.packed = item;
-    if (making == PatchMaking::Yes && wasKnown && row.travelsPacked && former.travelsPacked) {
+    Row former = std::exchange(row, { decompressed(item), now - std::chrono::milliseconds(item.ageMilliseconds) });
+    row.isSentCompressed = item.isCompressed && !row.item.isCompressed;
+    if (row.isSentCompressed)
+        row.compressed = item;
+    if (making == PatchMaking::Yes && wasKnown && row.isSentCompressed && former.isSentCompressed) {
         row.patches = std::move(former.patches);
         if (auto bytes = patchBytes(former.item.value, row.item.value))
             addPatch(row, { item.key, former.item.revision, item.revision, std::move(*bytes) });
@@ -129,8 +129,8 @@
     row.item.revision = patch.revision;
     row.item.ageMilliseconds = patch.ageMilliseconds;
     row.at = now - std::chrono::milliseconds(patch.ageMilliseconds);
-    row.travelsPacked = true;
-    row.packed = {};
+    row.isSentCompressed = true;
+    row.compressed = {};
     addPatch(row, patch);
     // Of several patches in a row only what comes out in the end is news.
     std::erase_if(changed, [&](const StoreUpdate& item) { return item.key == patch.key; });
@@ -160,15 +160,15 @@
     return patch == found->second.patches.end() ? nullptr : &*patch;
 }
 
-const StoreUpdate& StoreReplica::travellingItem(const Row& row)
+const StoreUpdate& StoreReplica::updateToSend(const Row& row)
 {
-    if (!row.travelsPacked)
+    if (!row.isSentCompressed)
         return row.item;
-    if (row.packed.revision != row.item.revision) {
-        row.packed = row.item;
-        packValue(row.packed);
+    if (row.compressed.revision != row.item.revision) {
+        row.compressed = row.item;
+        compressValue(row.compressed);
     }
-    return row.packed;
+    return row.compressed;
 }
 
 // Adds the patches from the value that was in force at the revision, if they are all here. Who is complete up to there
@@ -199,7 +199,7 @@
             continue;
         if (form == Form::Patched && !delta.isWhole && addPatches(row, revision, now, delta))
             continue;
-        delta.items.push_back(travellingItem(row));
+        delta.items.push_back(updateToSend(row));
         delta.items.back().ageMilliseconds = millisecondsBetween(row.at, now);
     }
     std::ranges::sort(delta.patches, {}, &ValuePatch::revision);
--- a/Source/News/StoreReplica.h
+++ b/Source/News/StoreReplica.h
@@ -56,8 +56,8 @@
         // The patches that led to the value, one behind the other; the last one to its revision.
         std::vector<ValuePatch> patches {};
         // The value travels packed. Packing it waits until somebody asks for it whole.
-        bool travelsPacked = false;
-        mutable StoreUpdate packed {};
+        bool isSentCompressed = false;
+        mutable StoreUpdate compressed {};
     };
     enum class PatchMaking { No, Yes };
 
@@ -66,7 +66,7 @@
     bool mergeItem(const StoreUpdate&, TimePoint now, PatchMaking);
     bool mergePatch(const ValuePatch&, TimePoint now, Changed&);
     static void addPatch(Row&, ValuePatch);
-    static const StoreUpdate& travellingItem(const Row&);
+    static const StoreUpdate& updateToSend(const Row&);
     static bool addPatches(const Row&, std::uint64_t revision, TimePoint now, StoreDelta&);
 
     absl::flat_hash_map<std::string, Row> rows_;
--- a/Tests/Fuzz/FuzzTargets.cpp
+++ b/Tests/Fuzz/FuzzTargets.cpp
@@ -2,7 +2,7 @@
 
 #include "Forwarder/ForwarderSettings.h"
 #include "Membership/MembersPages.h"
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 #include "News/StoreReplica.h"
 #include "Wire/PeerMessageCodec.h"
 #include "platform/ConfigurationText.h"
@@ -73,7 +73,7 @@
         StoreReplica book;
         const TimePoint now = TimePoint(std::chrono::hours(1));
         for (const StoreUpdate& item : book.merge(delta.value(), now))
-            (void)valueOf(item);
+            (void)plainValue(item);
         require(book.merge(delta.value(), now).empty());
     }
 
--- a/Tests/News/PackedValueTest.cpp
+++ b/Tests/News/CompressedValueTest.cpp
@@ -1,4 +1,4 @@
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 
 #include <gtest/gtest.h>
 
@@ -16,46 +16,46 @@
         return item;
     }
 
-    TEST(PackedValueTest, aLargeValueComesBackWhole)
+    TEST(CompressedValueTest, aLargeValueComesBackWhole)
     {
         std::string text;
         for (int i = 0; i < 1250; ++i)
             text += "{\"name\":\"r-" + std::to_string(i * 7919) + "\",\"prefix\":\"/8443/\",\"type\":\"idempotent\"},";
         StoreUpdate item = itemOf(text);
-        packValue(item);
-        EXPECT_TRUE(item.isPacked);
+        compressValue(item);
+        EXPECT_TRUE(item.isCompressed);
         EXPECT_LT(item.value.size(), text.size() / 4);
-        ASSERT_TRUE(valueOf(item));
-        EXPECT_EQ(valueOf(item).value(), text);
+        ASSERT_TRUE(plainValue(item));
+        EXPECT_EQ(plainValue(item).value(), text);
         {
             SCOPED_TRACE("packing it again changes nothing");
             const StoreUpdate before = item;
-            packValue(item);
+            compressValue(item);
             EXPECT_EQ(item, before);
         }
     }
 
-    TEST(PackedValueTest, whatGainsNothingStaysAsItIs)
+    TEST(CompressedValueTest, whatGainsNothingStaysAsItIs)
     {
         StoreUpdate small = itemOf("{\"state\":\"ready\"}");
-        packValue(small);
-        EXPECT_FALSE(small.isPacked);
-        EXPECT_EQ(valueOf(small).value(), "{\"state\":\"ready\"}");
+        compressValue(small);
+        EXPECT_FALSE(small.isCompressed);
+        EXPECT_EQ(plainValue(small).value(), "{\"state\":\"ready\"}");
         std::mt19937 random(3);
-        std::string noise(packedFrom, ' ');
+        std::string noise(compressionThreshold, ' ');
         for (char& byte : noise)
             byte = static_cast<char>(random());
         StoreUpdate item = itemOf(noise);
-        packValue(item);
-        EXPECT_FALSE(item.isPacked);
-        EXPECT_EQ(valueOf(item).value(), noise);
+        compressValue(item);
+        EXPECT_FALSE(item.isCompressed);
+        EXPECT_EQ(plainValue(item).value(), noise);
     }
 
-    TEST(PackedValueTest, changedBytesAreReadOrRefused)
+    TEST(CompressedValueTest, changedBytesAreReadOrRefused)
     {
         StoreUpdate good = itemOf(std::string(5000, 'x') + "end");
-        packValue(good);
-        ASSERT_TRUE(good.isPacked);
+        compressValue(good);
+        ASSERT_TRUE(good.isCompressed);
         std::mt19937 random(11);
         int refused = 0;
         for (int round = 0; round < 5000; ++round) {
@@ -63,7 +63,7 @@
             item.value[random() % item.value.size()] = static_cast<char>(random());
             if (random() % 4 == 0)
                 item.value.resize(random() % item.value.size());
-            const auto value = valueOf(item);
+            const auto value = plainValue(item);
             refused += !value;
             EXPECT_LE(value ? value.value().size() : 0, maxDeltaBytes);
         }
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/DecisionFleet.cpp
@@ -1,6 +1,6 @@
 #include "News/DecisionFleet.h"
 
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 
 #include <fmt/format.h>
 
@@ -67,7 +67,7 @@
     }
     configurations_[version] = configuration;
     // Long enough to travel packed, and as patches.
-    put("configuration", fmt::format("{}\n{}", version, std::string(packedFrom, 'r')), false);
+    put("configuration", fmt::format("{}\n{}", version, std::string(compressionThreshold, 'r')), false);
 }
 
 void DecisionFleet::writeServer(const RegisteredServer& server)
--- a/Tests/News/ReplicaSyncTest.cpp
+++ b/Tests/News/ReplicaSyncTest.cpp
@@ -1,6 +1,6 @@
 #include "News/ReplicaSync.h"
 
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 
 #include <gtest/gtest.h>
 
@@ -231,7 +231,7 @@
             StoreUpdate item { "configuration", {}, revision, false };
             for (std::size_t line = 0; line < lines; ++line)
                 item.value += fmt::format("route {} of {}\n", line * 7919, line == 50 ? revision : 0);
-            packValue(item);
+            compressValue(item);
             return item;
         };
         // A change of one line, which fits into a datagram, and one of nearly all.
--- a/Tests/News/ThinLinkFleet.cpp
+++ b/Tests/News/ThinLinkFleet.cpp
@@ -1,6 +1,6 @@
 #include "News/ThinLinkFleet.h"
 
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 #include "Peers/ConfigurationWatchers.h"
 #include "Wire/PeerMessageCodec.h"
 
@@ -375,7 +375,7 @@
     for (const StoreUpdate& item : news.items) {
         if (item.key != configurationKey)
             continue;
-        const Result<std::string> text = valueOf(item);
+        const Result<std::string> text = plainValue(item);
         constexpr std::size_t beforeNumber = std::string_view(R"({"version":)").size();
         const std::uint64_t version = text ? std::stoull(text.value().substr(beforeNumber, 20)) : 0;
         const auto written = texts_.find(version);
--- a/Tests/News/ValuePatchTest.cpp
+++ b/Tests/News/ValuePatchTest.cpp
@@ -1,4 +1,4 @@
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 #include "News/StoreReplica.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
     StoreUpdate itemOf(std::uint64_t revision, std::string text)
     {
         StoreUpdate item { "configuration", std::move(text), revision, false };
-        packValue(item);
+        compressValue(item);
         return item;
     }
 
@@ -101,7 +101,7 @@
             EXPECT_EQ(receiver.since(3, now, StoreReplica::Form::Patched).patches.size(), 2U);
             const StoreDelta whole = receiver.since(3, now);
             ASSERT_EQ(whole.items.size(), 1U);
-            EXPECT_EQ(valueOf(whole.items.front()).value(), textOf(5));
+            EXPECT_EQ(plainValue(whole.items.front()).value(), textOf(5));
         }
         {
             SCOPED_TRACE("patches of a value that is not here change nothing and complete nothing");
@@ -173,7 +173,7 @@
                 book.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
             const auto check = [&](const StoreReplica& book) {
                 for (const StoreUpdate& item : book.since(0, now).items) {
-                    ASSERT_EQ(valueOf(item).value(), written.at(item.revision));
+                    ASSERT_EQ(plainValue(item).value(), written.at(item.revision));
                     ASSERT_GE(item.revision, std::prev(written.upper_bound(book.completeTo()))->first);
                 }
             };
