--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -157,7 +157,7 @@
     {
         const TimePoint now = Clock::now();
         applier_.apply(news, now);
-        const bool isInformed = router_.configurationVersion() > 0 && peers_->exchange().book().completeTo() > 0;
+        const bool isInformed = router_.configurationVersion() > 0 && peers_->exchange().replica().completeTo() > 0;
         if (isInformed && life_.noteInformed()) {
             // Packets that came before wait in the socket's buffer. Nothing could be done with them but drop them, and
             // callers would send them again only after 200 ms.
@@ -211,12 +211,12 @@
         peers_->noteStore(store_.feed().isLost(), now);
         peers_->setAsksAtOnce(store_.feed().asksNeighbours());
         peers_->tick(now);
-        store_.update(peers_->exchange().book().completeTo(), peers_->shallWatch(now) && !life_.isStopping(),
+        store_.update(peers_->exchange().replica().completeTo(), peers_->shallWatch(now) && !life_.isStopping(),
             peers_->exchange().behindSince(), now);
         store_.tick(peers_->exchange().knowsMuchWider(), now);
         router_.noteStoreHeard(peers_->exchange().storeHeardAt());
         router_.setBalancers(balancerIdOf(settings_.vm).value, peers_->balancersOfZone(), peers_->isSettled(now), now);
-        lines_.transitions(router_.tick(now), peers_->exchange().book().completeTo(), "time", now);
+        lines_.transitions(router_.tick(now), peers_->exchange().replica().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
             lines_.failing(change, now);
         for (const ZoneChange& change : router_.takeZoneChanges())
--- a/Source/Forwarder/ForwarderAnswers.h
+++ b/Source/Forwarder/ForwarderAnswers.h
@@ -63,7 +63,7 @@
     {
         ForwarderMetrics::Readings readings;
         readings.configurationVersion = router_.configurationVersion();
-        readings.newsRevision = peers_.exchange().book().completeTo();
+        readings.newsRevision = peers_.exchange().replica().completeTo();
         if (const auto since = peers_.exchange().behindSince())
             readings.newsBehind = now - *since;
         readings.flows = router_.flows().size();
--- a/Source/Forwarder/PeerNews.cpp
+++ b/Source/Forwarder/PeerNews.cpp
@@ -122,8 +122,8 @@
 
 void PeerNews::tick(TimePoint now)
 {
-    if (exchange_.book().completeTo() > toldRevision_) {
-        toldRevision_ = exchange_.book().completeTo();
+    if (exchange_.replica().completeTo() > toldRevision_) {
+        toldRevision_ = exchange_.replica().completeTo();
         perform(membership_.setConfigurationVersion(toldRevision_, now), now);
     }
     perform(membership_.tick(now), now);
@@ -144,7 +144,7 @@
         return;
     log_.write(LogLevel::Warning, "news", "behind",
         Event()
-            .add("revision", exchange_.book().completeTo())
+            .add("revision", exchange_.replica().completeTo())
             .add("newest", exchange_.newestElsewhere())
             .add("behind_ms", now - *since)
             .add("asking", fetchSource_)
@@ -229,9 +229,9 @@
         exchange->respond(std::move(response));
         return;
     }
-    const auto form = exchange->request().header(takesPatchesHeader).empty() ? StoreReplica::Form::Whole
-                                                                             : StoreReplica::Form::Patched;
-    const std::vector<std::uint8_t> body = encodeMessage(exchange_.book().since(after, Clock::now(), form));
+    const auto encoding = exchange->request().header(takesPatchesHeader).empty() ? StoreReplica::Encoding::Full
+                                                                                 : StoreReplica::Encoding::Patched;
+    const std::vector<std::uint8_t> body = encodeMessage(exchange_.replica().deltaSince(after, Clock::now(), encoding));
     response.body.assign(body.begin(), body.end());
     ++fetchesServed_;
     exchange->respond(std::move(response));
@@ -300,7 +300,7 @@
     HttpRequest request;
     request.path = fmt::format("{}{}", newsPath, fetch.after);
     request.authority = fetch.address.toString();
-    if (fetch.form == StoreReplica::Form::Patched)
+    if (fetch.encoding == StoreReplica::Encoding::Patched)
         request.headers.push_back({ takesPatchesHeader, "1" });
     fetcher_->send(
         std::move(request), now + fetchWithin, [this, source, number = fetchNumber_](const HttpOutcome& outcome) {
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -90,7 +90,7 @@
             || decision.reason == PacketReason::ZonesEmptied)
             onContradiction_(now);
         const std::string_view requestId = showsRequest(*packet, decision) ? Adapter::requestIdOf(datagram) : "";
-        log_.packet(*packet, decision, requestId, router_.configurationVersion(), news_.book().completeTo(), now);
+        log_.packet(*packet, decision, requestId, router_.configurationVersion(), news_.replica().completeTo(), now);
         for (const KnownServer* server : decision.choice.leftOut)
             log_.leftOut(*server, now);
         if (decision.progress.isBack)
--- a/Source/News/ReplicaSync.cpp
+++ b/Source/News/ReplicaSync.cpp
@@ -38,18 +38,19 @@
         return { patch.revision, patch.key.size() + patch.bytes.size() + itemOverhead, nullptr, &patch };
     }
 
-    Part partOf(const StoreUpdate& item, const StoreReplica& book, std::size_t most)
+    Part partOf(const StoreUpdate& item, const StoreReplica& replica, std::size_t most)
     {
         const Part whole { item.revision, sizeOf(item), &item, nullptr };
-        const ValuePatch* patch = deltaOverhead + whole.size > most ? book.patchTo(item.key, item.revision) : nullptr;
+        const ValuePatch* patch
+            = deltaOverhead + whole.size > most ? replica.patchTo(item.key, item.revision) : nullptr;
         return patch ? partOf(*patch) : whole;
     }
 
-    std::vector<Part> partsOf(const StoreDelta& delta, const StoreReplica& book, std::size_t most)
+    std::vector<Part> partsOf(const StoreDelta& delta, const StoreReplica& replica, std::size_t most)
     {
         std::vector<Part> parts;
         for (const StoreUpdate& item : delta.items)
-            parts.push_back(partOf(item, book, most));
+            parts.push_back(partOf(item, replica, most));
         for (const ValuePatch& patch : delta.patches)
             parts.push_back(partOf(patch));
         std::ranges::sort(parts, {}, &Part::revision);
@@ -59,7 +60,7 @@
     // The delta in pieces of so many bytes at most, each complete for a receiver that has all before it. A large item
     // goes as the patch that made it, and is left out where that is too large as well, so that the piece behind it
     // follows for nobody who lacks the item.
-    std::vector<StoreDelta> piecesOf(const StoreDelta& delta, const StoreReplica& book, std::size_t most)
+    std::vector<StoreDelta> piecesOf(const StoreDelta& delta, const StoreReplica& replica, std::size_t most)
     {
         std::vector<StoreDelta> pieces;
         StoreDelta piece = emptyLike(delta, delta.from);
@@ -71,7 +72,7 @@
             size = deltaOverhead;
             last.reset();
         };
-        for (const Part& part : partsOf(delta, book, most)) {
+        for (const Part& part : partsOf(delta, replica, most)) {
             const bool isTooLarge = deltaOverhead + part.size > most;
             const bool isFull = size + part.size > most;
             if (last && (isTooLarge || isFull)) {
@@ -108,7 +109,7 @@
 
 ReplicaSyncActions ReplicaSync::handleStore(const StoreDelta& delta, TimePoint now, bool isForOthers)
 {
-    ReplicaSyncActions actions = report("store", delta, book_.mergeFromStore(delta, now), now);
+    ReplicaSyncActions actions = report("store", delta, replica_.mergeFromStore(delta, now), now);
     if (delta.isFresh)
         storeHeardAt_ = now;
     if (delta.isWhole)
@@ -126,7 +127,7 @@
     if (delta.isFresh)
         storeHeardAt_ = now;
     const Member* member = view_ ? view_->find(sender) : nullptr;
-    ReplicaSyncActions actions = report(member ? member->name : "unknown", delta, book_.merge(delta, now), now);
+    ReplicaSyncActions actions = report(member ? member->name : "unknown", delta, replica_.merge(delta, now), now);
     review(now, actions);
     return actions;
 }
@@ -141,8 +142,8 @@
         item.ageMilliseconds += static_cast<std::uint32_t>(onItsWay.count());
     for (ValuePatch& patch : aged.patches)
         patch.ageMilliseconds += static_cast<std::uint32_t>(onItsWay.count());
-    ReplicaSyncActions actions = report(sender, aged, book_.merge(aged, now), now);
-    fetchForm_ = book_.lacksPatchedValue() ? StoreReplica::Form::Whole : StoreReplica::Form::Patched;
+    ReplicaSyncActions actions = report(sender, aged, replica_.merge(aged, now), now);
+    fetchEncoding_ = replica_.lacksPatchBase() ? StoreReplica::Encoding::Full : StoreReplica::Encoding::Patched;
     if (!actions.empty())
         isWatcher_ ? push(aged, actions) : announce(actions);
     review(now, actions);
@@ -180,7 +181,7 @@
 
 ReplicaSyncActions ReplicaSync::tick(TimePoint now)
 {
-    book_.tick(now);
+    replica_.tick(now);
     if (fetchUntil_ && now >= *fetchUntil_)
         fetchUntil_.reset();
     ReplicaSyncActions actions;
@@ -198,12 +199,12 @@
 }
 
 ReplicaSyncActions ReplicaSync::report(
-    const std::string& source, const StoreDelta& delta, StoreReplica::Changed changed, TimePoint now) const
+    const std::string& source, const StoreDelta& delta, StoreReplica::Updates changed, TimePoint now) const
 {
     ReplicaSyncActions actions;
     if (!changed.empty())
         actions.emplace_back(ReplicaChanged { std::move(changed), delta.isInDoubt, source,
-            behindSince_ ? now - *behindSince_ : Duration::zero(), book_.completeTo() });
+            behindSince_ ? now - *behindSince_ : Duration::zero(), replica_.completeTo() });
     return actions;
 }
 
@@ -215,7 +216,7 @@
     if (!view_ || delta.isWhole)
         return;
     const std::vector<const Member*> others = othersInZone();
-    std::vector<StoreDelta> pieces = piecesOf(delta, book_, settings_.pushBytes);
+    std::vector<StoreDelta> pieces = piecesOf(delta, replica_, settings_.pushBytes);
     // What is left of so much news is fetched.
     if (pieces.size() * others.size() > settings_.mostPushes)
         pieces = { StoreDelta { delta.to, delta.to, false, delta.isInDoubt, {}, delta.isFresh } };
@@ -231,7 +232,7 @@
     std::vector<const Member*> others = view_ ? othersInZone() : std::vector<const Member*>();
     if (others.size() < settings_.largeZone)
         return;
-    const StoreDelta announcement { book_.completeTo(), book_.completeTo(), false, false, {} };
+    const StoreDelta announcement { replica_.completeTo(), replica_.completeTo(), false, false, {} };
     for (std::size_t i = 0; i < settings_.announcements; ++i)
         actions.emplace_back(PushDelta { others[random_() % others.size()]->peerAddress, announcement });
 }
@@ -241,7 +242,7 @@
 void ReplicaSync::announceToUninformed(ReplicaSyncActions& actions)
 {
     const Member* self = view_ ? view_->findSelf() : nullptr;
-    if (!self || book_.completeTo() == 0)
+    if (!self || replica_.completeTo() == 0)
         return;
     std::vector<const Member*> uninformed = othersInZone();
     std::erase_if(uninformed, [&](const Member* member) { return revisionOf(*member) > 0; });
@@ -249,7 +250,7 @@
     const std::size_t most
         = std::max<std::size_t>(settings_.announcements, self->linkMegabits / settings_.megabitsForEachUninformed);
     uninformed.resize(std::min(uninformed.size(), most));
-    const StoreDelta announcement { book_.completeTo(), book_.completeTo(), false, false, {} };
+    const StoreDelta announcement { replica_.completeTo(), replica_.completeTo(), false, false, {} };
     for (const Member* member : uninformed)
         actions.emplace_back(PushDelta { member->peerAddress, announcement });
 }
@@ -267,7 +268,7 @@
 
 void ReplicaSync::review(TimePoint now, ReplicaSyncActions& actions)
 {
-    if (newestElsewhere() <= book_.completeTo()) {
+    if (newestElsewhere() <= replica_.completeTo()) {
         behindSince_.reset();
         return;
     }
@@ -287,15 +288,15 @@
     fetchUntil_ = now + settings_.answerWithin;
     fetchedAt_ = now;
     lastSource_ = source->id;
-    actions.emplace_back(FetchDelta { source->id, source->requestAddress, book_.completeTo(), fetchForm_ });
+    actions.emplace_back(FetchDelta { source->id, source->requestAddress, replica_.completeTo(), fetchEncoding_ });
 }
 
 Duration ReplicaSync::patienceFor(bool hasNearSource) const
 {
     // Everything at once is much, and the store gives it to many more quickly than a balancer on a thin link does.
-    if (book_.completeTo() == 0 && (isStoreLost_ || asksAtOnce_))
+    if (replica_.completeTo() == 0 && (isStoreLost_ || asksAtOnce_))
         return Duration::zero();
-    if (book_.completeTo() == 0)
+    if (replica_.completeTo() == 0)
         return isAnyMuchWider(sources(true)) ? settings_.widePatience : settings_.firstPatience;
     const bool mayAskAtOnce = hasNearSource || isWatcher_;
     return settings_.patience + jitter_ + (mayAskAtOnce ? Duration::zero() : Duration(settings_.farPatience));
@@ -317,7 +318,7 @@
 {
     std::vector<const Member*> found;
     for (const Member& member : view_->members) {
-        const bool isAhead = member.id != view_->self && revisionOf(member) > book_.completeTo();
+        const bool isAhead = member.id != view_->self && revisionOf(member) > replica_.completeTo();
         if (isAhead && isReachable(member) && (member.availabilityZone == availabilityZone_) == isNear)
             found.push_back(&member);
     }
--- a/Source/News/ReplicaSync.h
+++ b/Source/News/ReplicaSync.h
@@ -64,7 +64,7 @@
     Endpoint address;
     std::uint64_t after = 0;
     // What the answer may hold.
-    StoreReplica::Form form = StoreReplica::Form::Whole;
+    StoreReplica::Encoding encoding = StoreReplica::Encoding::Full;
 };
 
 // Something became new: the rest of the process shall act on it.
@@ -75,7 +75,7 @@
     std::string source;
     // How long this balancer had known that others are ahead; zero when it heard the news first.
     Duration behind {};
-    // The book is complete up to here.
+    // The replica is complete up to here.
     std::uint64_t revision = 0;
 };
 
@@ -104,7 +104,7 @@
     ReplicaSyncActions handleView(std::shared_ptr<const MembersView>, TimePoint now);
     ReplicaSyncActions tick(TimePoint now);
 
-    const StoreReplica& book() const { return book_; }
+    const StoreReplica& replica() const { return replica_; }
     // When tick() should be called next, if nothing happens before; none when there is nothing to wait for.
     std::optional<TimePoint> nextTick() const;
     // Since when others are known to be ahead of this balancer; none when nobody is.
@@ -117,7 +117,7 @@
     std::uint64_t newestElsewhere() const;
 
 private:
-    ReplicaSyncActions report(const std::string& source, const StoreDelta&, StoreReplica::Changed, TimePoint now) const;
+    ReplicaSyncActions report(const std::string& source, const StoreDelta&, StoreReplica::Updates, TimePoint now) const;
     void push(const StoreDelta&, ReplicaSyncActions&) const;
     void announce(ReplicaSyncActions&);
     void announceToUninformed(ReplicaSyncActions&);
@@ -133,7 +133,7 @@
     const std::string availabilityZone_;
     const ReplicaSyncSettings settings_;
     std::mt19937_64 random_;
-    StoreReplica book_;
+    StoreReplica replica_;
     std::shared_ptr<const MembersView> view_;
     // The revisions of pushes, which are ahead of what membership tells.
     std::map<BalancerId, std::uint64_t> heard_;
@@ -144,7 +144,7 @@
     TimePoint fetchedAt_;
     std::optional<BalancerId> lastSource_;
     // Whole after an answer whose patches were for a value that this balancer does not hold.
-    StoreReplica::Form fetchForm_ = StoreReplica::Form::Patched;
+    StoreReplica::Encoding fetchEncoding_ = StoreReplica::Encoding::Patched;
     bool isWatcher_ = false;
     bool isStoreLost_ = false;
     bool asksAtOnce_ = false;
--- a/Source/News/StoreReplica.cpp
+++ b/Source/News/StoreReplica.cpp
@@ -43,40 +43,40 @@
 
 }
 
-StoreReplica::Changed StoreReplica::merge(const StoreDelta& delta, TimePoint now)
+StoreReplica::Updates StoreReplica::merge(const StoreDelta& delta, TimePoint now)
 {
-    return mergeAll(delta, now, PatchMaking::No);
+    return mergeAll(delta, now, PatchCreation::No);
 }
 
-StoreReplica::Changed StoreReplica::mergeFromStore(const StoreDelta& delta, TimePoint now)
+StoreReplica::Updates StoreReplica::mergeFromStore(const StoreDelta& delta, TimePoint now)
 {
-    return mergeAll(delta, now, PatchMaking::Yes);
+    return mergeAll(delta, now, PatchCreation::Yes);
 }
 
-StoreReplica::Changed StoreReplica::mergeAll(const StoreDelta& delta, TimePoint now, PatchMaking making)
+StoreReplica::Updates StoreReplica::mergeAll(const StoreDelta& delta, TimePoint now, PatchCreation creation)
 {
-    Changed changed;
-    lacksPatchedValue_ = false;
-    // A whole book that is older than this one would take this balancer back.
+    Updates changed;
+    lacksPatchBase_ = false;
+    // A whole replica that is older than this one would take this balancer back.
     if (delta.isWhole && delta.to < completeTo_)
         return changed;
     if (delta.isWhole)
-        removeUnnamed(delta, now, changed);
+        removeMissing(delta, now, changed);
     for (const StoreUpdate& item : delta.items) {
-        if (mergeItem(item, now, making))
+        if (mergeItem(item, now, creation))
             changed.push_back(rows_.at(item.key).item);
     }
     for (const ValuePatch& patch : delta.patches)
-        lacksPatchedValue_ |= !mergePatch(patch, now, changed);
+        lacksPatchBase_ |= !mergePatch(patch, now, changed);
     const bool follows = delta.isWhole || delta.completeFrom() <= completeTo_;
-    if (follows && !lacksPatchedValue_)
+    if (follows && !lacksPatchBase_)
         completeTo_ = std::max(completeTo_, delta.to);
     // Receivers act in the order in which the store made the changes.
     std::ranges::stable_sort(changed, {}, &StoreUpdate::revision);
     return changed;
 }
 
-void StoreReplica::removeUnnamed(const StoreDelta& delta, TimePoint now, Changed& changed)
+void StoreReplica::removeMissing(const StoreDelta& delta, TimePoint now, Updates& changed)
 {
     absl::flat_hash_set<std::string> named;
     for (const StoreUpdate& item : delta.items)
@@ -90,7 +90,7 @@
     }
 }
 
-bool StoreReplica::mergeItem(const StoreUpdate& item, TimePoint now, PatchMaking making)
+bool StoreReplica::mergeItem(const StoreUpdate& item, TimePoint now, PatchCreation creation)
 {
     const auto [entry, isNew] = rows_.try_emplace(item.key);
     Row& row = entry->second;
@@ -101,7 +101,7 @@
     row.isSentCompressed = item.isCompressed && !row.item.isCompressed;
     if (row.isSentCompressed)
         row.compressed = item;
-    if (making == PatchMaking::Yes && wasKnown && row.isSentCompressed && former.isSentCompressed) {
+    if (creation == PatchCreation::Yes && wasKnown && row.isSentCompressed && former.isSentCompressed) {
         row.patches = std::move(former.patches);
         if (auto bytes = patchBytes(former.item.value, row.item.value))
             addPatch(row, { item.key, former.item.revision, item.revision, std::move(*bytes) });
@@ -112,7 +112,7 @@
 }
 
 // False when the value that the patch changes is not here, so that something remains missing.
-bool StoreReplica::mergePatch(const ValuePatch& patch, TimePoint now, Changed& changed)
+bool StoreReplica::mergePatch(const ValuePatch& patch, TimePoint now, Updates& changed)
 {
     const auto found = rows_.find(patch.key);
     if (found == rows_.end())
@@ -186,7 +186,7 @@
     return true;
 }
 
-StoreDelta StoreReplica::since(std::uint64_t revision, TimePoint now, Form form) const
+StoreDelta StoreReplica::deltaSince(std::uint64_t revision, TimePoint now, Encoding encoding) const
 {
     StoreDelta delta;
     delta.isWhole = revision == 0 || revision < forgottenTo_;
@@ -197,7 +197,7 @@
         const bool isWanted = delta.isWhole ? !row.item.isRemoved : row.item.revision > revision;
         if (!isWanted)
             continue;
-        if (form == Form::Patched && !delta.isWhole && addPatches(row, revision, now, delta))
+        if (encoding == Encoding::Patched && !delta.isWhole && addPatches(row, revision, now, delta))
             continue;
         delta.items.push_back(updateToSend(row));
         delta.items.back().ageMilliseconds = millisecondsBetween(row.at, now);
--- a/Source/News/StoreReplica.h
+++ b/Source/News/StoreReplica.h
@@ -17,31 +17,31 @@
 // Revisions come from one counter of the service, so news from the store and from any other balancer can be merged in
 // any order and as often as it comes, and nothing ever goes back.
 //
-// Of a large value the book also keeps the last patches that led to it, so that a change of it costs others about what
-// changed, and not the whole value.
+// Of a large value the replica also keeps the last patches that led to it, so that a change of it costs others about
+// what changed, and not the whole value.
 class StoreReplica {
 public:
     // What became new by an update; each key once, large values unpacked.
-    using Changed = std::vector<StoreUpdate>;
+    using Updates = std::vector<StoreUpdate>;
 
     // What the receiver of a delta can make use of.
-    enum class Form {
-        Whole, // Large values as they are.
+    enum class Encoding {
+        Full, // Large values as they are.
         Patched, // Patches of large values that it holds at an earlier revision.
     };
 
     // Merges what the sender knows. Items count also when something before them is missing; completeTo() then stays.
-    Changed merge(const StoreDelta&, TimePoint now);
+    Updates merge(const StoreDelta&, TimePoint now);
     // The same for news of the store itself, which always holds whole values: makes the patches for others.
-    Changed mergeFromStore(const StoreDelta&, TimePoint now);
-    // Whether the last merge had a patch for a value that this book does not hold.
-    bool lacksPatchedValue() const { return lacksPatchedValue_; }
+    Updates mergeFromStore(const StoreDelta&, TimePoint now);
+    // Whether the last merge had a patch for a value that this replica does not hold.
+    bool lacksPatchBase() const { return lacksPatchBase_; }
 
-    // Everything after a revision; the whole book when removals of that time are forgotten already.
-    StoreDelta since(std::uint64_t revision, TimePoint now, Form = Form::Whole) const;
+    // Everything after a revision; the whole replica when removals of that time are forgotten already.
+    StoreDelta deltaSince(std::uint64_t revision, TimePoint now, Encoding = Encoding::Full) const;
     // The patch that made the key's value what it is at this revision; null when there is none.
     const ValuePatch* patchTo(const std::string& key, std::uint64_t revision) const;
-    // The book has all changes up to this revision; 0 before the first listing.
+    // The replica has all changes up to this revision; 0 before the first listing.
     std::uint64_t completeTo() const { return completeTo_; }
 
     // Forgets old removals.
@@ -59,12 +59,12 @@
         bool isSentCompressed = false;
         mutable StoreUpdate compressed {};
     };
-    enum class PatchMaking { No, Yes };
+    enum class PatchCreation { No, Yes };
 
-    Changed mergeAll(const StoreDelta&, TimePoint now, PatchMaking);
-    void removeUnnamed(const StoreDelta&, TimePoint now, Changed&);
-    bool mergeItem(const StoreUpdate&, TimePoint now, PatchMaking);
-    bool mergePatch(const ValuePatch&, TimePoint now, Changed&);
+    Updates mergeAll(const StoreDelta&, TimePoint now, PatchCreation);
+    void removeMissing(const StoreDelta&, TimePoint now, Updates&);
+    bool mergeItem(const StoreUpdate&, TimePoint now, PatchCreation);
+    bool mergePatch(const ValuePatch&, TimePoint now, Updates&);
     static void addPatch(Row&, ValuePatch);
     static const StoreUpdate& updateToSend(const Row&);
     static bool addPatches(const Row&, std::uint64_t revision, TimePoint now, StoreDelta&);
@@ -73,7 +73,7 @@
     std::uint64_t completeTo_ = 0;
     // The highest revision of a removal that was forgotten.
     std::uint64_t forgottenTo_ = 0;
-    bool lacksPatchedValue_ = false;
+    bool lacksPatchBase_ = false;
 };
 
 }
--- a/Tests/Fuzz/FuzzTargets.cpp
+++ b/Tests/Fuzz/FuzzTargets.cpp
@@ -70,11 +70,11 @@
         const auto delta = decodeMessage<StoreDelta>(input, maxDeltaBytes);
         if (!delta)
             return;
-        StoreReplica book;
+        StoreReplica replica;
         const TimePoint now = TimePoint(std::chrono::hours(1));
-        for (const StoreUpdate& item : book.merge(delta.value(), now))
+        for (const StoreUpdate& item : replica.merge(delta.value(), now))
             (void)plainValue(item);
-        require(book.merge(delta.value(), now).empty());
+        require(replica.merge(delta.value(), now).empty());
     }
 
     void runMembersPage(std::span<const std::uint8_t> input)
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/DecisionFleet.cpp
@@ -123,7 +123,7 @@
             member.state = other.isFrozen ? MemberState::Dead : MemberState::Serving;
             member.peerAddress = { other.id.value, 1 };
             member.requestAddress = member.peerAddress;
-            member.configurationVersion = isLost() ? 0 : other.exchange->book().completeTo();
+            member.configurationVersion = isLost() ? 0 : other.exchange->replica().completeTo();
             view->members.push_back(member);
         }
         std::ranges::sort(view->members, {}, &Member::id);
@@ -133,7 +133,7 @@
         balancer.exchange->setRole(shallWatch, balancer.feed->isLost());
         perform(index,
             balancer.feed->update(
-                balancer.exchange->book().completeTo(), shallWatch, balancer.exchange->behindSince(), now()));
+                balancer.exchange->replica().completeTo(), shallWatch, balancer.exchange->behindSince(), now()));
         perform(index, balancer.feed->tick(now()));
         balancer.router->noteStoreHeard(balancer.exchange->storeHeardAt());
         balancer.router->tick(now());
@@ -231,8 +231,8 @@
                 for (const Balancer& other : balancers_) {
                     if (other.id == fetch.from && isAnswered && !other.isFrozen)
                         return perform(index,
-                            asking.exchange->handleAnswer(
-                                other.name, other.exchange->book().since(fetch.after, now(), fetch.form), now()));
+                            asking.exchange->handleAnswer(other.name,
+                                other.exchange->replica().deltaSince(fetch.after, now(), fetch.encoding), now()));
                 }
                 perform(index, asking.exchange->handleNoAnswer(now()));
             });
--- a/Tests/News/ReplicaSyncTest.cpp
+++ b/Tests/News/ReplicaSyncTest.cpp
@@ -104,14 +104,14 @@
         receiver.handleView(view, clock.now());
         receiver.handleStore({ 0, 5, true, false, {} }, clock.now());
         EXPECT_TRUE(receiver.handlePush(balancerIdOf("walu-0"), pushes.front().delta, clock.now()).empty());
-        EXPECT_EQ(receiver.book().completeTo(), 5U);
+        EXPECT_EQ(receiver.replica().completeTo(), 5U);
         clock.advance(300ms);
         const auto fetches = all<FetchDelta>(receiver.tick(clock.now()));
         ASSERT_EQ(fetches.size(), 1U);
         EXPECT_EQ(fetches.front().from, balancerIdOf("walu-0"));
         EXPECT_EQ(fetches.front().after, 5U);
-        receiver.handleAnswer("walu-0", exchange.book().since(5, clock.now()), clock.now());
-        EXPECT_EQ(receiver.book().completeTo(), 7U);
+        receiver.handleAnswer("walu-0", exchange.replica().deltaSince(5, clock.now()), clock.now());
+        EXPECT_EQ(receiver.replica().completeTo(), 7U);
         EXPECT_FALSE(receiver.behindSince().has_value());
     }
 
@@ -147,7 +147,7 @@
         {
             SCOPED_TRACE("all servers are known at once, and nothing is taken for complete that is not");
             EXPECT_EQ(taken, 54U);
-            EXPECT_EQ(receiver.book().completeTo(), 25U);
+            EXPECT_EQ(receiver.replica().completeTo(), 25U);
         }
         {
             SCOPED_TRACE("what is missing is fetched");
@@ -155,8 +155,8 @@
             const auto fetches = all<FetchDelta>(receiver.tick(clock.now()));
             ASSERT_EQ(fetches.size(), 1U);
             EXPECT_EQ(fetches.front().after, 25U);
-            receiver.handleAnswer("walu-0", exchange.book().since(25, clock.now()), clock.now());
-            EXPECT_EQ(receiver.book().completeTo(), 60U);
+            receiver.handleAnswer("walu-0", exchange.replica().deltaSince(25, clock.now()), clock.now());
+            EXPECT_EQ(receiver.replica().completeTo(), 60U);
         }
         {
             SCOPED_TRACE("in any order, and with any one datagram lost, no revision is taken for complete too soon");
@@ -167,9 +167,9 @@
                     if (i != lost)
                         take(other, pieces[pieces.size() - 1 - i]);
                 }
-                const std::uint64_t complete = other.book().completeTo();
+                const std::uint64_t complete = other.replica().completeTo();
                 for (const StoreUpdate& item : delta.items) {
-                    const auto held = other.book().since(0, clock.now()).items;
+                    const auto held = other.replica().deltaSince(0, clock.now()).items;
                     if (item.revision > complete)
                         continue;
                     EXPECT_EQ(std::ranges::count(held, item), 1) << item.key;
@@ -189,7 +189,7 @@
         ReplicaSync receiver("walu", 2);
         receiver.handleStore({ 0, 5, true, false, {} }, clock.now());
         receiver.handlePush(balancerIdOf("walu-0"), pushes.front().delta, clock.now());
-        EXPECT_EQ(receiver.book().completeTo(), 6U);
+        EXPECT_EQ(receiver.replica().completeTo(), 6U);
     }
 
     TEST_F(ReplicaSyncTest, newsThatWouldKeepTheLinkBusyIsOnlyAnnounced)
@@ -247,13 +247,13 @@
             StoreDelta news { 5, 8, false, false, { configuration(7, lines) } };
             news.items.push_back({ "servers/1", "ready", 8, false });
             other.handleStore(news, clock.now());
-            const StoreDelta answer = other.book().since(5, clock.now(), StoreReplica::Form::Patched);
+            const StoreDelta answer = other.replica().deltaSince(5, clock.now(), StoreReplica::Encoding::Patched);
             ASSERT_EQ(answer.patches.size(), 1U);
             for (const PushDelta& push : all<PushDelta>(watcher.handleAnswer("nabua-0", answer, clock.now())))
                 receiver.handlePush(balancerIdOf("walu-0"), push.delta, clock.now());
-            EXPECT_EQ(watcher.book().completeTo(), 8U);
-            EXPECT_EQ(receiver.book().completeTo(), lines == 1000 ? 8U : 5U);
-            const auto held = receiver.book().since(0, clock.now()).items;
+            EXPECT_EQ(watcher.replica().completeTo(), 8U);
+            EXPECT_EQ(receiver.replica().completeTo(), lines == 1000 ? 8U : 5U);
+            const auto held = receiver.replica().deltaSince(0, clock.now()).items;
             const auto ofReceiver = std::ranges::find(held, "configuration", &StoreUpdate::key);
             ASSERT_NE(ofReceiver, held.end());
             EXPECT_EQ(ofReceiver->revision, lines == 1000 ? 7U : 5U);
--- a/Tests/News/StoreReplicaTest.cpp
+++ b/Tests/News/StoreReplicaTest.cpp
@@ -31,26 +31,26 @@
 
     struct StoreReplicaTest : testing::Test {
         ManualClock clock;
-        StoreReplica book;
+        StoreReplica replica;
     };
 
     TEST_F(StoreReplicaTest, aListingAndThenChangesMakeItComplete)
     {
-        EXPECT_EQ(book.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now()).size(), 2U);
-        EXPECT_EQ(book.completeTo(), 10U);
-        const auto changed = book.merge(delta(10, 14, { removal("b", 14), item("a", "2", 12) }), clock.now());
+        EXPECT_EQ(replica.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now()).size(), 2U);
+        EXPECT_EQ(replica.completeTo(), 10U);
+        const auto changed = replica.merge(delta(10, 14, { removal("b", 14), item("a", "2", 12) }), clock.now());
         ASSERT_EQ(changed.size(), 2U);
         EXPECT_EQ(changed.front().revision, 12U);
-        EXPECT_EQ(book.completeTo(), 14U);
+        EXPECT_EQ(replica.completeTo(), 14U);
     }
 
     TEST_F(StoreReplicaTest, newsWithAGapCountsButDoesNotMakeItComplete)
     {
-        book.merge(whole(10, {}), clock.now());
-        EXPECT_EQ(book.merge(delta(20, 22, { item("a", "1", 22) }), clock.now()).size(), 1U);
-        EXPECT_EQ(book.completeTo(), 10U);
-        book.merge(delta(10, 22, { item("b", "1", 15), item("a", "1", 22) }), clock.now());
-        EXPECT_EQ(book.completeTo(), 22U);
+        replica.merge(whole(10, {}), clock.now());
+        EXPECT_EQ(replica.merge(delta(20, 22, { item("a", "1", 22) }), clock.now()).size(), 1U);
+        EXPECT_EQ(replica.completeTo(), 10U);
+        replica.merge(delta(10, 22, { item("b", "1", 15), item("a", "1", 22) }), clock.now());
+        EXPECT_EQ(replica.completeTo(), 22U);
     }
 
     // Symptom: a balancer went back to an older configuration.
@@ -58,32 +58,32 @@
     // that stayed behind. Cause: whatever came last was taken for the newest.
     TEST_F(StoreReplicaTest, nothingOlderTakesItBack)
     {
-        book.merge(whole(30, { item("a", "new", 25) }), clock.now());
-        EXPECT_TRUE(book.merge(whole(20, { item("a", "old", 15) }), clock.now()).empty());
-        EXPECT_TRUE(book.merge(delta(0, 20, { item("a", "old", 15), removal("a", 16) }), clock.now()).empty());
-        EXPECT_EQ(book.since(0, clock.now()).items, std::vector<StoreUpdate> { item("a", "new", 25) });
+        replica.merge(whole(30, { item("a", "new", 25) }), clock.now());
+        EXPECT_TRUE(replica.merge(whole(20, { item("a", "old", 15) }), clock.now()).empty());
+        EXPECT_TRUE(replica.merge(delta(0, 20, { item("a", "old", 15), removal("a", 16) }), clock.now()).empty());
+        EXPECT_EQ(replica.deltaSince(0, clock.now()).items, std::vector<StoreUpdate> { item("a", "new", 25) });
     }
 
     TEST_F(StoreReplicaTest, aWholeListingShowsWhatVanished)
     {
-        book.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
-        const auto changed = book.merge(whole(20, { item("a", "1", 4) }), clock.now());
+        replica.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
+        const auto changed = replica.merge(whole(20, { item("a", "1", 4) }), clock.now());
         ASSERT_EQ(changed.size(), 1U);
         EXPECT_EQ(changed.front(), removal("b", 20));
     }
 
     TEST_F(StoreReplicaTest, whoStayedAwayLongerThanRemovalsAreKeptGetsEverything)
     {
-        book.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
-        book.merge(delta(10, 11, { removal("b", 11) }), clock.now());
-        EXPECT_FALSE(book.since(10, clock.now()).isWhole);
+        replica.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
+        replica.merge(delta(10, 11, { removal("b", 11) }), clock.now());
+        EXPECT_FALSE(replica.deltaSince(10, clock.now()).isWhole);
         clock.advance(3min);
-        book.tick(clock.now());
-        EXPECT_TRUE(book.since(10, clock.now()).isWhole);
-        EXPECT_FALSE(book.since(11, clock.now()).isWhole);
+        replica.tick(clock.now());
+        EXPECT_TRUE(replica.deltaSince(10, clock.now()).isWhole);
+        EXPECT_FALSE(replica.deltaSince(11, clock.now()).isWhole);
     }
 
-    // Whatever way news takes, in whatever order and however often, all books that heard everything are equal.
+    // Whatever way news takes, in whatever order and however often, all replicas that heard everything are equal.
     TEST_F(StoreReplicaTest, anyOrderOfNewsGivesTheSameBook)
     {
         for (std::uint32_t seed = 1; seed <= 200; ++seed) {
@@ -111,7 +111,7 @@
                 lastComplete = other.completeTo();
             }
             std::map<std::string, StoreUpdate> found;
-            for (const StoreUpdate& held : other.since(0, clock.now()).items)
+            for (const StoreUpdate& held : other.deltaSince(0, clock.now()).items)
                 found[held.key] = held;
             EXPECT_EQ(found, truth);
         }
--- a/Tests/News/ThinLinkFleet.cpp
+++ b/Tests/News/ThinLinkFleet.cpp
@@ -277,7 +277,7 @@
     balancer.exchange->setRole(shallWatch, balancer.feed->isLost());
     perform(index,
         balancer.feed->update(
-            balancer.exchange->book().completeTo(), shallWatch, balancer.exchange->behindSince(), now));
+            balancer.exchange->replica().completeTo(), shallWatch, balancer.exchange->behindSince(), now));
     perform(index, balancer.feed->tick(now));
 }
 
@@ -301,7 +301,7 @@
     view->members.reserve(balancers_.size());
     for (const Balancer& balancer : balancers_) {
         view->members.push_back(balancer.member);
-        view->members.back().configurationVersion = balancer.exchange->book().completeTo();
+        view->members.back().configurationVersion = balancer.exchange->replica().completeTo();
     }
     std::ranges::sort(view->members, {}, &Member::id);
     return view;
@@ -362,7 +362,8 @@
             transfer.to = index;
             transfer.life = balancer.life;
             transfer.isFetch = true;
-            transfer.delta = balancers_[*transfer.from].exchange->book().since(fetch.after, clock_.now(), fetch.form);
+            transfer.delta
+                = balancers_[*transfer.from].exchange->replica().deltaSince(fetch.after, clock_.now(), fetch.encoding);
             transfer.bytesLeft = answerOverhead + static_cast<double>(encodeMessage(*transfer.delta).size());
             transfers_.push_back(std::move(transfer));
         }
--- a/Tests/News/ValuePatchTest.cpp
+++ b/Tests/News/ValuePatchTest.cpp
@@ -83,10 +83,10 @@
         StoreReplica sender;
         StoreReplica receiver;
         sender.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
-        receiver.merge(sender.since(0, now, StoreReplica::Form::Patched), now);
+        receiver.merge(sender.deltaSince(0, now, StoreReplica::Encoding::Patched), now);
         for (std::uint64_t revision = 2; revision <= 5; ++revision)
             sender.mergeFromStore(storeDelta(revision - 1, revision, textOf(revision)), now);
-        const StoreDelta delta = sender.since(1, now, StoreReplica::Form::Patched);
+        const StoreDelta delta = sender.deltaSince(1, now, StoreReplica::Encoding::Patched);
         EXPECT_TRUE(delta.items.empty());
         EXPECT_EQ(delta.patches.size(), 4U);
         {
@@ -98,8 +98,8 @@
         }
         {
             SCOPED_TRACE("it can pass them on, and whole to one that knows no patches");
-            EXPECT_EQ(receiver.since(3, now, StoreReplica::Form::Patched).patches.size(), 2U);
-            const StoreDelta whole = receiver.since(3, now);
+            EXPECT_EQ(receiver.deltaSince(3, now, StoreReplica::Encoding::Patched).patches.size(), 2U);
+            const StoreDelta whole = receiver.deltaSince(3, now);
             ASSERT_EQ(whole.items.size(), 1U);
             EXPECT_EQ(plainValue(whole.items.front()).value(), textOf(5));
         }
@@ -108,10 +108,10 @@
             StoreReplica other;
             other.merge(storeDelta(0, 2, "another text"), now);
             EXPECT_TRUE(other.merge(delta, now).empty());
-            EXPECT_TRUE(other.lacksPatchedValue());
+            EXPECT_TRUE(other.lacksPatchBase());
             EXPECT_EQ(other.completeTo(), 2U);
-            other.merge(sender.since(2, now), now);
-            EXPECT_FALSE(other.lacksPatchedValue());
+            other.merge(sender.deltaSince(2, now), now);
+            EXPECT_FALSE(other.lacksPatchBase());
             EXPECT_EQ(other.completeTo(), 5U);
         }
     }
@@ -121,36 +121,36 @@
     TEST(ValuePatchTest, eachOfSeveralVersionsInOneAnswerHasItsPatch)
     {
         const TimePoint now = ManualClock().now();
-        StoreReplica book;
-        book.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
+        StoreReplica replica;
+        replica.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
         StoreDelta answer { 1, 3, false, false, { itemOf(2, textOf(2)), itemOf(3, textOf(3)) } };
-        book.mergeFromStore(answer, now);
+        replica.mergeFromStore(answer, now);
         for (const std::uint64_t revision : { 2U, 3U }) {
-            const ValuePatch* patch = book.patchTo("configuration", revision);
+            const ValuePatch* patch = replica.patchTo("configuration", revision);
             ASSERT_NE(patch, nullptr) << revision;
             EXPECT_EQ(patch->base, revision - 1);
         }
-        EXPECT_EQ(book.patchTo("configuration", 1), nullptr);
-        EXPECT_EQ(book.patchTo("another", 3), nullptr);
+        EXPECT_EQ(replica.patchTo("configuration", 1), nullptr);
+        EXPECT_EQ(replica.patchTo("another", 3), nullptr);
     }
 
     TEST(ValuePatchTest, patchesTakeNoMoreMemoryThanTheirValue)
     {
         const TimePoint now = ManualClock().now();
-        StoreReplica book;
+        StoreReplica replica;
         std::uint64_t revision = 1;
-        book.mergeFromStore(storeDelta(0, revision, textOf(1)), now);
+        replica.mergeFromStore(storeDelta(0, revision, textOf(1)), now);
         std::mt19937 random(9);
         for (; revision < 40; ++revision) {
             // A third of it is new each time.
             std::string text = textOf(1);
             for (std::size_t at = 0; at < text.size() / 3; ++at)
                 text[at] = static_cast<char>('a' + random() % 26);
-            book.mergeFromStore(storeDelta(revision, revision + 1, text), now);
+            replica.mergeFromStore(storeDelta(revision, revision + 1, text), now);
         }
         std::size_t bytes = 0;
         for (std::uint64_t to = 1; to <= revision; ++to) {
-            if (const ValuePatch* patch = book.patchTo("configuration", to))
+            if (const ValuePatch* patch = replica.patchTo("configuration", to))
                 bytes += patch->bytes.size();
         }
         EXPECT_GT(bytes, 0U);
@@ -166,20 +166,21 @@
             std::mt19937 random(seed);
             const TimePoint now = ManualClock().now();
             std::map<std::uint64_t, std::string> written { { 1, textOf(1) } };
-            std::vector<StoreReplica> books(6);
+            std::vector<StoreReplica> replicas(6);
             std::vector<StoreDelta> late;
             constexpr std::size_t watchers = 2;
-            for (StoreReplica& book : books)
-                book.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
-            const auto check = [&](const StoreReplica& book) {
-                for (const StoreUpdate& item : book.since(0, now).items) {
+            for (StoreReplica& replica : replicas)
+                replica.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
+            const auto check = [&](const StoreReplica& replica) {
+                for (const StoreUpdate& item : replica.deltaSince(0, now).items) {
                     ASSERT_EQ(plainValue(item).value(), written.at(item.revision));
-                    ASSERT_GE(item.revision, std::prev(written.upper_bound(book.completeTo()))->first);
+                    ASSERT_GE(item.revision, std::prev(written.upper_bound(replica.completeTo()))->first);
                 }
             };
-            const auto ask = [&](StoreReplica& book, const StoreReplica& other) {
-                const auto form = book.lacksPatchedValue() ? StoreReplica::Form::Whole : StoreReplica::Form::Patched;
-                return other.since(book.completeTo(), now, form);
+            const auto ask = [&](StoreReplica& replica, const StoreReplica& other) {
+                const auto encoding
+                    = replica.lacksPatchBase() ? StoreReplica::Encoding::Full : StoreReplica::Encoding::Patched;
+                return other.deltaSince(replica.completeTo(), now, encoding);
             };
             std::uint64_t revision = 1;
             for (int step = 0; step < 300; ++step) {
@@ -187,27 +188,27 @@
                 if (random() % 2 == 0)
                     written[revision] = textOf(random() % 50);
                 const std::uint64_t newest = written.rbegin()->first;
-                StoreReplica& watcher = books[random() % watchers];
+                StoreReplica& watcher = replicas[random() % watchers];
                 StoreDelta news { watcher.completeTo(), revision, false, false, {} };
                 if (newest > watcher.completeTo())
                     news.items.push_back(itemOf(newest, written.at(newest)));
                 watcher.mergeFromStore(news, now);
-                StoreReplica& asking = books[random() % books.size()];
-                StoreDelta answer = ask(asking, books[random() % books.size()]);
+                StoreReplica& asking = replicas[random() % replicas.size()];
+                StoreDelta answer = ask(asking, replicas[random() % replicas.size()]);
                 if (random() % 3 == 0)
                     late.push_back(answer);
                 else if (random() % 3 != 0)
                     asking.merge(answer, now);
                 if (!late.empty() && random() % 2 == 0)
-                    books[random() % books.size()].merge(late[random() % late.size()], now);
-                for (const StoreReplica& book : books)
-                    check(book);
+                    replicas[random() % replicas.size()].merge(late[random() % late.size()], now);
+                for (const StoreReplica& replica : replicas)
+                    check(replica);
             }
-            const StoreReplica& ahead = books[books[0].completeTo() > books[1].completeTo() ? 0 : 1];
-            for (StoreReplica& book : books) {
-                book.merge(ask(book, ahead), now);
-                book.merge(ask(book, ahead), now);
-                EXPECT_EQ(book.completeTo(), ahead.completeTo());
+            const StoreReplica& ahead = replicas[replicas[0].completeTo() > replicas[1].completeTo() ? 0 : 1];
+            for (StoreReplica& replica : replicas) {
+                replica.merge(ask(replica, ahead), now);
+                replica.merge(ask(replica, ahead), now);
+                EXPECT_EQ(replica.completeTo(), ahead.completeTo());
             }
         }
     }
