--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -213,8 +213,8 @@
         peers_->tick(now);
         store_.update(peers_->exchange().replica().completeTo(), peers_->shallWatch(now) && !life_.isStopping(),
             peers_->exchange().behindSince(), now);
-        store_.tick(peers_->exchange().knowsMuchWider(), now);
-        router_.noteStoreHeard(peers_->exchange().storeHeardAt());
+        store_.tick(peers_->exchange().knowsFasterPeer(), now);
+        router_.noteStoreHeard(peers_->exchange().lastStoreContact());
         router_.setBalancers(balancerIdOf(settings_.vm).value, peers_->balancersOfZone(), peers_->isSettled(now), now);
         lines_.transitions(router_.tick(now), peers_->exchange().replica().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
--- a/Source/Forwarder/PeerNews.cpp
+++ b/Source/Forwarder/PeerNews.cpp
@@ -145,7 +145,7 @@
     log_.write(LogLevel::Warning, "news", "behind",
         Event()
             .add("revision", exchange_.replica().completeTo())
-            .add("newest", exchange_.newestElsewhere())
+            .add("newest", exchange_.newestPeerRevision())
             .add("behind_ms", now - *since)
             .add("asking", fetchSource_)
             .add("answer_bytes", fetchProgress_),
@@ -156,13 +156,13 @@
 {
     const std::uint64_t bytes = fetcher_ ? fetcher_->bytesTransferred() : 0;
     if (bytes > fetchProgress_)
-        exchange_.noteAnswering(now);
+        exchange_.noteFetchProgress(now);
     fetchProgress_ = bytes;
 }
 
 void PeerNews::handleStore(const DeltaReceived& news, TimePoint now)
 {
-    perform(exchange_.handleStore(news.delta, now, news.isForOthers), now);
+    perform(exchange_.handleStoreDelta(news.delta, now, news.isForOthers), now);
 }
 
 void PeerNews::leave(TimePoint now)
@@ -320,7 +320,7 @@
                 .add("source", source)
                 .add("error", outcome ? fmt::format("status {}", outcome.value().status) : outcome.error().detail),
             now);
-        perform(exchange_.handleNoAnswer(now), now);
+        perform(exchange_.handleFetchFailure(now), now);
         return;
     }
     const std::string& body = outcome.value().body;
@@ -330,7 +330,7 @@
         metrics_.countFetch("unreadable");
         log_.write(LogLevel::Error, "news", "fetch_unreadable",
             Event().add("source", source).add("error", delta.error().toString()), now);
-        perform(exchange_.handleNoAnswer(now), now);
+        perform(exchange_.handleFetchFailure(now), now);
         return;
     }
     metrics_.countFetch("ok");
--- a/Source/Forwarder/PeerNews.h
+++ b/Source/Forwarder/PeerNews.h
@@ -50,7 +50,7 @@
     // Tells the others whether this balancer, if it is to watch the store, can.
     void noteStore(bool isLost, TimePoint now);
     // Whether neighbours are asked for everything without waiting for the store.
-    void setAsksAtOnce(bool asksAtOnce) { exchange_.setAsksAtOnce(asksAtOnce); }
+    void setAsksAtOnce(bool asksAtOnce) { exchange_.setFetchesImmediately(asksAtOnce); }
     // Whether this balancer is among those that watch the store.
     bool shallWatch(TimePoint now) const;
     const ReplicaSync& exchange() const { return exchange_; }
--- a/Source/News/ReplicaSync.cpp
+++ b/Source/News/ReplicaSync.cpp
@@ -13,9 +13,9 @@
     constexpr std::size_t deltaOverhead = 32;
     constexpr std::size_t itemOverhead = 24;
 
-    std::size_t sizeOf(const StoreUpdate& item) { return item.key.size() + item.value.size() + itemOverhead; }
+    std::size_t encodedSize(const StoreUpdate& item) { return item.key.size() + item.value.size() + itemOverhead; }
 
-    StoreDelta emptyLike(const StoreDelta& delta, std::uint64_t from)
+    StoreDelta emptyPiece(const StoreDelta& delta, std::uint64_t from)
     {
         StoreDelta piece;
         piece.from = from;
@@ -38,19 +38,19 @@
         return { patch.revision, patch.key.size() + patch.bytes.size() + itemOverhead, nullptr, &patch };
     }
 
-    Part partOf(const StoreUpdate& item, const StoreReplica& replica, std::size_t most)
+    Part partOf(const StoreUpdate& item, const StoreReplica& replica, std::size_t maxBytes)
     {
-        const Part whole { item.revision, sizeOf(item), &item, nullptr };
+        const Part full { item.revision, encodedSize(item), &item, nullptr };
         const ValuePatch* patch
-            = deltaOverhead + whole.size > most ? replica.patchTo(item.key, item.revision) : nullptr;
-        return patch ? partOf(*patch) : whole;
+            = deltaOverhead + full.size > maxBytes ? replica.patchTo(item.key, item.revision) : nullptr;
+        return patch ? partOf(*patch) : full;
     }
 
-    std::vector<Part> partsOf(const StoreDelta& delta, const StoreReplica& replica, std::size_t most)
+    std::vector<Part> partsOf(const StoreDelta& delta, const StoreReplica& replica, std::size_t maxBytes)
     {
         std::vector<Part> parts;
         for (const StoreUpdate& item : delta.items)
-            parts.push_back(partOf(item, replica, most));
+            parts.push_back(partOf(item, replica, maxBytes));
         for (const ValuePatch& patch : delta.patches)
             parts.push_back(partOf(patch));
         std::ranges::sort(parts, {}, &Part::revision);
@@ -60,21 +60,21 @@
     // The delta in pieces of so many bytes at most, each complete for a receiver that has all before it. A large item
     // goes as the patch that made it, and is left out where that is too large as well, so that the piece behind it
     // follows for nobody who lacks the item.
-    std::vector<StoreDelta> piecesOf(const StoreDelta& delta, const StoreReplica& replica, std::size_t most)
+    std::vector<StoreDelta> piecesOf(const StoreDelta& delta, const StoreReplica& replica, std::size_t maxBytes)
     {
         std::vector<StoreDelta> pieces;
-        StoreDelta piece = emptyLike(delta, delta.from);
+        StoreDelta piece = emptyPiece(delta, delta.from);
         std::size_t size = deltaOverhead;
         std::optional<std::uint64_t> last;
         const auto close = [&](std::uint64_t to, std::uint64_t next) {
             piece.to = to;
-            pieces.push_back(std::exchange(piece, emptyLike(delta, next)));
+            pieces.push_back(std::exchange(piece, emptyPiece(delta, next)));
             size = deltaOverhead;
             last.reset();
         };
-        for (const Part& part : partsOf(delta, replica, most)) {
-            const bool isTooLarge = deltaOverhead + part.size > most;
-            const bool isFull = size + part.size > most;
+        for (const Part& part : partsOf(delta, replica, maxBytes)) {
+            const bool isTooLarge = deltaOverhead + part.size > maxBytes;
+            const bool isFull = size + part.size > maxBytes;
             if (last && (isTooLarge || isFull)) {
                 // Half of a revision is not complete up to it, so what is behind such a split follows for nobody.
                 const bool splitsRevision = *last == part.revision;
@@ -107,98 +107,99 @@
 {
 }
 
-ReplicaSyncActions ReplicaSync::handleStore(const StoreDelta& delta, TimePoint now, bool isForOthers)
+ReplicaSyncActions ReplicaSync::handleStoreDelta(const StoreDelta& delta, TimePoint now, bool isForOthers)
 {
-    ReplicaSyncActions actions = report("store", delta, replica_.mergeFromStore(delta, now), now);
+    ReplicaSyncActions actions = reportChanges("store", delta, replica_.mergeFromStore(delta, now), now);
     if (delta.isFresh)
-        storeHeardAt_ = now;
+        lastStoreContact_ = now;
     if (delta.isWhole)
         announceToUninformed(actions);
     const bool isConfirmation = delta.isFresh && delta.items.empty() && delta.from == delta.to;
     if (isForOthers && (!actions.empty() || isConfirmation))
         push(delta, actions);
-    review(now, actions);
+    fetchIfBehind(now, actions);
     return actions;
 }
 
 ReplicaSyncActions ReplicaSync::handlePush(BalancerId sender, const StoreDelta& delta, TimePoint now)
 {
-    heard_[sender] = std::max(heard_[sender], delta.to);
+    pushedRevisions_[sender] = std::max(pushedRevisions_[sender], delta.to);
     if (delta.isFresh)
-        storeHeardAt_ = now;
+        lastStoreContact_ = now;
     const Member* member = view_ ? view_->find(sender) : nullptr;
-    ReplicaSyncActions actions = report(member ? member->name : "unknown", delta, replica_.merge(delta, now), now);
-    review(now, actions);
+    ReplicaSyncActions actions
+        = reportChanges(member ? member->name : "unknown", delta, replica_.merge(delta, now), now);
+    fetchIfBehind(now, actions);
     return actions;
 }
 
 ReplicaSyncActions ReplicaSync::handleAnswer(const std::string& sender, const StoreDelta& delta, TimePoint now)
 {
-    fetchUntil_.reset();
+    fetchDeadline_.reset();
     // The answer was put together when the request came; large ones are on their way for seconds.
     StoreDelta aged = delta;
-    const auto onItsWay = std::chrono::duration_cast<std::chrono::milliseconds>(now - fetchedAt_);
+    const auto transferTime = std::chrono::duration_cast<std::chrono::milliseconds>(now - fetchStartedAt_);
     for (StoreUpdate& item : aged.items)
-        item.ageMilliseconds += static_cast<std::uint32_t>(onItsWay.count());
+        item.ageMilliseconds += static_cast<std::uint32_t>(transferTime.count());
     for (ValuePatch& patch : aged.patches)
-        patch.ageMilliseconds += static_cast<std::uint32_t>(onItsWay.count());
-    ReplicaSyncActions actions = report(sender, aged, replica_.merge(aged, now), now);
+        patch.ageMilliseconds += static_cast<std::uint32_t>(transferTime.count());
+    ReplicaSyncActions actions = reportChanges(sender, aged, replica_.merge(aged, now), now);
     fetchEncoding_ = replica_.lacksPatchBase() ? StoreReplica::Encoding::Full : StoreReplica::Encoding::Patched;
     if (!actions.empty())
         isWatcher_ ? push(aged, actions) : announce(actions);
-    review(now, actions);
+    fetchIfBehind(now, actions);
     return actions;
 }
 
-void ReplicaSync::setRole(bool isWatcher, bool isStoreLost)
+void ReplicaSync::setRole(bool isWatcher, bool isStoreUnreachable)
 {
     isWatcher_ = isWatcher;
-    isStoreLost_ = isStoreLost;
+    isStoreUnreachable_ = isStoreUnreachable;
 }
 
-ReplicaSyncActions ReplicaSync::handleNoAnswer(TimePoint now)
+ReplicaSyncActions ReplicaSync::handleFetchFailure(TimePoint now)
 {
-    fetchUntil_.reset();
+    fetchDeadline_.reset();
     ReplicaSyncActions actions;
-    review(now, actions);
+    fetchIfBehind(now, actions);
     return actions;
 }
 
-void ReplicaSync::noteAnswering(TimePoint now)
+void ReplicaSync::noteFetchProgress(TimePoint now)
 {
-    if (fetchUntil_)
-        fetchUntil_ = now + settings_.answerWithin;
+    if (fetchDeadline_)
+        fetchDeadline_ = now + settings_.answerWithin;
 }
 
 ReplicaSyncActions ReplicaSync::handleView(std::shared_ptr<const MembersView> view, TimePoint now)
 {
     view_ = std::move(view);
-    std::erase_if(heard_, [&](const auto& row) { return !view_->find(row.first); });
+    std::erase_if(pushedRevisions_, [&](const auto& row) { return !view_->find(row.first); });
     ReplicaSyncActions actions;
-    review(now, actions);
+    fetchIfBehind(now, actions);
     return actions;
 }
 
 ReplicaSyncActions ReplicaSync::tick(TimePoint now)
 {
     replica_.tick(now);
-    if (fetchUntil_ && now >= *fetchUntil_)
-        fetchUntil_.reset();
+    if (fetchDeadline_ && now >= *fetchDeadline_)
+        fetchDeadline_.reset();
     ReplicaSyncActions actions;
-    review(now, actions);
+    fetchIfBehind(now, actions);
     return actions;
 }
 
 std::optional<TimePoint> ReplicaSync::nextTick() const
 {
-    if (fetchUntil_)
-        return fetchUntil_;
+    if (fetchDeadline_)
+        return fetchDeadline_;
     if (behindSince_)
-        return *behindSince_ + patienceFor(true);
+        return *behindSince_ + fetchDelay(true);
     return std::nullopt;
 }
 
-ReplicaSyncActions ReplicaSync::report(
+ReplicaSyncActions ReplicaSync::reportChanges(
     const std::string& source, const StoreDelta& delta, StoreReplica::Updates changed, TimePoint now) const
 {
     ReplicaSyncActions actions;
@@ -247,9 +248,9 @@
     std::vector<const Member*> uninformed = othersInZone();
     std::erase_if(uninformed, [&](const Member* member) { return revisionOf(*member) > 0; });
     std::ranges::shuffle(uninformed, random_);
-    const std::size_t most
+    const std::size_t maxAnnouncements
         = std::max<std::size_t>(settings_.announcements, self->linkMegabits / settings_.megabitsForEachUninformed);
-    uninformed.resize(std::min(uninformed.size(), most));
+    uninformed.resize(std::min(uninformed.size(), maxAnnouncements));
     const StoreDelta announcement { replica_.completeTo(), replica_.completeTo(), false, false, {} };
     for (const Member* member : uninformed)
         actions.emplace_back(PushDelta { member->peerAddress, announcement });
@@ -266,9 +267,9 @@
     return others;
 }
 
-void ReplicaSync::review(TimePoint now, ReplicaSyncActions& actions)
+void ReplicaSync::fetchIfBehind(TimePoint now, ReplicaSyncActions& actions)
 {
-    if (newestElsewhere() <= replica_.completeTo()) {
+    if (newestPeerRevision() <= replica_.completeTo()) {
         behindSince_.reset();
         return;
     }
@@ -279,32 +280,32 @@
             = isLarge ? random_() % (settings_.spread.count() + 1) * std::chrono::milliseconds(1) : Duration::zero();
     }
     std::vector<const Member*> candidates = sources(true);
-    const bool hasNearSource = !candidates.empty();
-    if (!hasNearSource)
+    const bool hasSourceInZone = !candidates.empty();
+    if (!hasSourceInZone)
         candidates = sources(false);
-    if (fetchUntil_ || candidates.empty() || now - *behindSince_ < patienceFor(hasNearSource))
+    if (fetchDeadline_ || candidates.empty() || now - *behindSince_ < fetchDelay(hasSourceInZone))
         return;
-    const Member* source = choose(std::move(candidates));
-    fetchUntil_ = now + settings_.answerWithin;
-    fetchedAt_ = now;
+    const Member* source = chooseSource(std::move(candidates));
+    fetchDeadline_ = now + settings_.answerWithin;
+    fetchStartedAt_ = now;
     lastSource_ = source->id;
     actions.emplace_back(FetchDelta { source->id, source->requestAddress, replica_.completeTo(), fetchEncoding_ });
 }
 
-Duration ReplicaSync::patienceFor(bool hasNearSource) const
+Duration ReplicaSync::fetchDelay(bool hasSourceInZone) const
 {
     // Everything at once is much, and the store gives it to many more quickly than a balancer on a thin link does.
-    if (replica_.completeTo() == 0 && (isStoreLost_ || asksAtOnce_))
+    if (replica_.completeTo() == 0 && (isStoreUnreachable_ || fetchesImmediately_))
         return Duration::zero();
     if (replica_.completeTo() == 0)
-        return isAnyMuchWider(sources(true)) ? settings_.widePatience : settings_.firstPatience;
-    const bool mayAskAtOnce = hasNearSource || isWatcher_;
-    return settings_.patience + jitter_ + (mayAskAtOnce ? Duration::zero() : Duration(settings_.farPatience));
+        return hasFasterPeer(sources(true)) ? settings_.widePatience : settings_.firstPatience;
+    const bool mayFetchSooner = hasSourceInZone || isWatcher_;
+    return settings_.patience + jitter_ + (mayFetchSooner ? Duration::zero() : Duration(settings_.farPatience));
 }
 
-bool ReplicaSync::knowsMuchWider() const { return view_ && isAnyMuchWider(othersInZone()); }
+bool ReplicaSync::knowsFasterPeer() const { return view_ && hasFasterPeer(othersInZone()); }
 
-bool ReplicaSync::isAnyMuchWider(const std::vector<const Member*>& members) const
+bool ReplicaSync::hasFasterPeer(const std::vector<const Member*>& members) const
 {
     const Member* self = view_->findSelf();
     if (!self || self->linkMegabits == 0)
@@ -314,12 +315,12 @@
         members, [&](const Member* member) { return widthClassOf(member->linkMegabits) >= wide; });
 }
 
-std::vector<const Member*> ReplicaSync::sources(bool isNear) const
+std::vector<const Member*> ReplicaSync::sources(bool isInZone) const
 {
     std::vector<const Member*> found;
     for (const Member& member : view_->members) {
         const bool isAhead = member.id != view_->self && revisionOf(member) > replica_.completeTo();
-        if (isAhead && isReachable(member) && (member.availabilityZone == availabilityZone_) == isNear)
+        if (isAhead && isReachable(member) && (member.availabilityZone == availabilityZone_) == isInZone)
             found.push_back(&member);
     }
     return found;
@@ -327,7 +328,7 @@
 
 // Not the one that was asked last, which may be silent, if there is another; of the rest one with the widest link,
 // since answers may be large and many ask at once.
-const Member* ReplicaSync::choose(std::vector<const Member*> members)
+const Member* ReplicaSync::chooseSource(std::vector<const Member*> members)
 {
     if (members.size() > 1)
         std::erase_if(members, [&](const Member* member) { return member->id == lastSource_; });
@@ -338,7 +339,7 @@
     return members[random_() % members.size()];
 }
 
-std::uint64_t ReplicaSync::newestElsewhere() const
+std::uint64_t ReplicaSync::newestPeerRevision() const
 {
     std::uint64_t newest = 0;
     if (!view_)
@@ -352,8 +353,9 @@
 
 std::uint64_t ReplicaSync::revisionOf(const Member& member) const
 {
-    const auto heard = heard_.find(member.id);
-    return heard == heard_.end() ? member.configurationVersion : std::max(heard->second, member.configurationVersion);
+    const auto pushed = pushedRevisions_.find(member.id);
+    return pushed == pushedRevisions_.end() ? member.configurationVersion
+                                            : std::max(pushed->second, member.configurationVersion);
 }
 
 }
--- a/Source/News/ReplicaSync.h
+++ b/Source/News/ReplicaSync.h
@@ -58,7 +58,7 @@
     StoreDelta delta;
 };
 
-// Ask this balancer for everything after the revision; give the answer to handleAnswer(), or call handleNoAnswer().
+// Ask this balancer for everything after the revision; give the answer to handleAnswer(), or call handleFetchFailure().
 struct FetchDelta {
     BalancerId from;
     Endpoint address;
@@ -91,16 +91,16 @@
     ReplicaSync(std::string availabilityZone, std::uint64_t seed, ReplicaSyncSettings settings = {});
 
     // News of the store itself, which this balancer shares with its zone, if it is for others.
-    ReplicaSyncActions handleStore(const StoreDelta&, TimePoint now, bool isForOthers = true);
+    ReplicaSyncActions handleStoreDelta(const StoreDelta&, TimePoint now, bool isForOthers = true);
     ReplicaSyncActions handlePush(BalancerId sender, const StoreDelta&, TimePoint now);
     ReplicaSyncActions handleAnswer(const std::string& sender, const StoreDelta&, TimePoint now);
-    ReplicaSyncActions handleNoAnswer(TimePoint now);
+    ReplicaSyncActions handleFetchFailure(TimePoint now);
     // Bytes of the answer in progress came.
-    void noteAnswering(TimePoint now);
+    void noteFetchProgress(TimePoint now);
     // Whether this balancer watches the store, and whether the store answers it.
-    void setRole(bool isWatcher, bool isStoreLost);
+    void setRole(bool isWatcher, bool isStoreUnreachable);
     // Whether this balancer, while it knows nothing, asks others without waiting for the store.
-    void setAsksAtOnce(bool asksAtOnce) { asksAtOnce_ = asksAtOnce; }
+    void setFetchesImmediately(bool fetchesImmediately) { fetchesImmediately_ = fetchesImmediately; }
     ReplicaSyncActions handleView(std::shared_ptr<const MembersView>, TimePoint now);
     ReplicaSyncActions tick(TimePoint now);
 
@@ -110,23 +110,24 @@
     // Since when others are known to be ahead of this balancer; none when nobody is.
     std::optional<TimePoint> behindSince() const { return behindSince_; }
     // When the store last told this balancer or its zone's watcher something that is certain (StoreDelta::isFresh).
-    TimePoint storeHeardAt() const { return storeHeardAt_; }
+    TimePoint lastStoreContact() const { return lastStoreContact_; }
     // Whether somebody in the zone is known whose link is much wider than this balancer's.
-    bool knowsMuchWider() const;
+    bool knowsFasterPeer() const;
     // The highest revision that another balancer is known to have; 0 when none is known.
-    std::uint64_t newestElsewhere() const;
+    std::uint64_t newestPeerRevision() const;
 
 private:
-    ReplicaSyncActions report(const std::string& source, const StoreDelta&, StoreReplica::Updates, TimePoint now) const;
+    ReplicaSyncActions reportChanges(
+        const std::string& source, const StoreDelta&, StoreReplica::Updates, TimePoint now) const;
     void push(const StoreDelta&, ReplicaSyncActions&) const;
     void announce(ReplicaSyncActions&);
     void announceToUninformed(ReplicaSyncActions&);
-    Duration patienceFor(bool hasNearSource) const;
-    bool isAnyMuchWider(const std::vector<const Member*>&) const;
+    Duration fetchDelay(bool hasSourceInZone) const;
+    bool hasFasterPeer(const std::vector<const Member*>&) const;
     std::vector<const Member*> othersInZone() const;
-    void review(TimePoint now, ReplicaSyncActions&);
-    std::vector<const Member*> sources(bool isNear) const;
-    const Member* choose(std::vector<const Member*> members);
+    void fetchIfBehind(TimePoint now, ReplicaSyncActions&);
+    std::vector<const Member*> sources(bool isInZone) const;
+    const Member* chooseSource(std::vector<const Member*> members);
     // How far a member is, by what it pushed and by what membership says.
     std::uint64_t revisionOf(const Member&) const;
 
@@ -136,18 +137,18 @@
     StoreReplica replica_;
     std::shared_ptr<const MembersView> view_;
     // The revisions of pushes, which are ahead of what membership tells.
-    std::map<BalancerId, std::uint64_t> heard_;
+    std::map<BalancerId, std::uint64_t> pushedRevisions_;
     std::optional<TimePoint> behindSince_;
-    TimePoint storeHeardAt_ = TimePoint::min();
+    TimePoint lastStoreContact_ = TimePoint::min();
     // When the fetch in progress is given up.
-    std::optional<TimePoint> fetchUntil_;
-    TimePoint fetchedAt_;
+    std::optional<TimePoint> fetchDeadline_;
+    TimePoint fetchStartedAt_;
     std::optional<BalancerId> lastSource_;
     // Whole after an answer whose patches were for a value that this balancer does not hold.
     StoreReplica::Encoding fetchEncoding_ = StoreReplica::Encoding::Patched;
     bool isWatcher_ = false;
-    bool isStoreLost_ = false;
-    bool asksAtOnce_ = false;
+    bool isStoreUnreachable_ = false;
+    bool fetchesImmediately_ = false;
     // This balancer's own part of ReplicaSyncSettings::spread, drawn anew for each wait.
     Duration jitter_ {};
 };
--- a/Source/News/StoreFeed.h
+++ b/Source/News/StoreFeed.h
@@ -71,7 +71,7 @@
 // Give the listing in progress up; its outcome does not count.
 struct CancelListing { };
 
-// News for ReplicaSync::handleStore().
+// News for ReplicaSync::handleStoreDelta().
 struct DeltaReceived {
     StoreDelta delta;
     // False where this balancer asked for itself only: others of its zone do so too, and all telling all would fill
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/DecisionFleet.cpp
@@ -40,7 +40,7 @@
     Balancer& balancer = balancers_[index];
     ++lives_[index];
     balancer.feed = std::make_unique<StoreFeed>(random_());
-    balancer.exchange = std::make_unique<ReplicaSync>(balancer.availabilityZone, random_());
+    balancer.sync = std::make_unique<ReplicaSync>(balancer.availabilityZone, random_());
     RouterSettings settings;
     settings.availabilityZone = balancer.availabilityZone;
     balancer.router = std::make_unique<TokenRouter>(settings);
@@ -123,19 +123,19 @@
             member.state = other.isFrozen ? MemberState::Dead : MemberState::Serving;
             member.peerAddress = { other.id.value, 1 };
             member.requestAddress = member.peerAddress;
-            member.configurationVersion = isLost() ? 0 : other.exchange->replica().completeTo();
+            member.configurationVersion = isLost() ? 0 : other.sync->replica().completeTo();
             view->members.push_back(member);
         }
         std::ranges::sort(view->members, {}, &Member::id);
-        perform(index, balancer.exchange->handleView(view, now()));
-        perform(index, balancer.exchange->tick(now()));
+        perform(index, balancer.sync->handleView(view, now()));
+        perform(index, balancer.sync->tick(now()));
         const bool shallWatch = index % balancersPerZone < watchersPerZone;
-        balancer.exchange->setRole(shallWatch, balancer.feed->isLost());
+        balancer.sync->setRole(shallWatch, balancer.feed->isLost());
         perform(index,
             balancer.feed->update(
-                balancer.exchange->replica().completeTo(), shallWatch, balancer.exchange->behindSince(), now()));
+                balancer.sync->replica().completeTo(), shallWatch, balancer.sync->behindSince(), now()));
         perform(index, balancer.feed->tick(now()));
-        balancer.router->noteStoreHeard(balancer.exchange->storeHeardAt());
+        balancer.router->noteStoreHeard(balancer.sync->lastStoreContact());
         balancer.router->tick(now());
     }
 }
@@ -151,7 +151,7 @@
             };
         };
         if (const auto* news = std::get_if<DeltaReceived>(&action)) {
-            perform(index, balancers_[index].exchange->handleStore(news->delta, now()));
+            perform(index, balancers_[index].sync->handleStoreDelta(news->delta, now()));
         } else if (const auto* list = std::get_if<SendList>(&action)) {
             const bool mayBeOld = list->call.mayBeStale;
             schedule(storeTime, whenAlive([this, index, mayBeOld] { answerList(index, mayBeOld); }));
@@ -218,7 +218,7 @@
             schedule(messageTime, [this, self, push = *push] {
                 for (std::size_t to = 0; to < balancers_.size(); ++to) {
                     if (balancers_[to].id.value == push.to.address && !balancers_[to].isFrozen)
-                        perform(to, balancers_[to].exchange->handlePush(self, push.delta, now()));
+                        perform(to, balancers_[to].sync->handlePush(self, push.delta, now()));
                 }
             });
         } else if (const auto* fetch = std::get_if<FetchDelta>(&action)) {
@@ -231,10 +231,10 @@
                 for (const Balancer& other : balancers_) {
                     if (other.id == fetch.from && isAnswered && !other.isFrozen)
                         return perform(index,
-                            asking.exchange->handleAnswer(other.name,
-                                other.exchange->replica().deltaSince(fetch.after, now(), fetch.encoding), now()));
+                            asking.sync->handleAnswer(other.name,
+                                other.sync->replica().deltaSince(fetch.after, now(), fetch.encoding), now()));
                 }
-                perform(index, asking.exchange->handleNoAnswer(now()));
+                perform(index, asking.sync->handleFetchFailure(now()));
             });
         }
     }
--- a/Tests/News/DecisionFleet.h
+++ b/Tests/News/DecisionFleet.h
@@ -15,7 +15,7 @@
 
 namespace wisteriadock {
 
-// Several balancers' decisions in virtual time: each has a feed of the store, an exchange of news and a token router.
+// Several balancers' decisions in virtual time: each has a feed of the store, an sync of news and a token router.
 // The store, the messages between balancers and the gossip of revisions are played by this class, with seeded faults.
 class DecisionFleet {
 public:
@@ -29,7 +29,7 @@
         std::string availabilityZone;
         BalancerId id;
         std::unique_ptr<StoreFeed> feed;
-        std::unique_ptr<ReplicaSync> exchange;
+        std::unique_ptr<ReplicaSync> sync;
         std::unique_ptr<TokenRouter> router;
         bool isFrozen = false;
         bool isTurnedAway = false;
--- a/Tests/News/RandomDecisionsTest.cpp
+++ b/Tests/News/RandomDecisionsTest.cpp
@@ -194,7 +194,7 @@
             }
             fleet_.advance(3s);
             for (auto& balancer : fleet_.balancers()) {
-                EXPECT_EQ(balancer.exchange->replica().completeTo(), fleet_.revision()) << balancer.name;
+                EXPECT_EQ(balancer.sync->replica().completeTo(), fleet_.revision()) << balancer.name;
                 EXPECT_EQ(balancer.router->configurationVersion(), version_) << balancer.name;
                 expectGoodChoices(*balancer.router);
             }
--- a/Tests/News/ReplicaSyncTest.cpp
+++ b/Tests/News/ReplicaSyncTest.cpp
@@ -17,7 +17,7 @@
 
     struct ReplicaSyncTest : testing::Test {
         ManualClock clock;
-        ReplicaSync exchange { "walu", 1 };
+        ReplicaSync sync { "walu", 1 };
         std::shared_ptr<MembersView> view = std::make_shared<MembersView>();
 
         ReplicaSyncTest()
@@ -37,7 +37,7 @@
             publish();
         }
 
-        ReplicaSyncActions publish() { return exchange.handleView(std::make_shared<MembersView>(*view), clock.now()); }
+        ReplicaSyncActions publish() { return sync.handleView(std::make_shared<MembersView>(*view), clock.now()); }
 
         ReplicaSyncActions setRevision(const std::string& name, std::uint64_t revision)
         {
@@ -66,43 +66,43 @@
 
     TEST_F(ReplicaSyncTest, thatTheStoreWasHeardIsTheWholeZonesKnowledge)
     {
-        exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
-        EXPECT_EQ(exchange.storeHeardAt(), TimePoint::min());
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        EXPECT_EQ(sync.lastStoreContact(), TimePoint::min());
         clock.advance(1s);
         StoreDelta confirmation { 5, 5, false, false, {} };
         confirmation.isFresh = true;
-        EXPECT_EQ(all<PushDelta>(exchange.handleStore(confirmation, clock.now())).size(), 2U);
-        EXPECT_EQ(exchange.storeHeardAt(), clock.now());
+        EXPECT_EQ(all<PushDelta>(sync.handleStoreDelta(confirmation, clock.now())).size(), 2U);
+        EXPECT_EQ(sync.lastStoreContact(), clock.now());
         clock.advance(1s);
-        exchange.handlePush(balancerIdOf("walu-1"), confirmation, clock.now());
-        EXPECT_EQ(exchange.storeHeardAt(), clock.now());
+        sync.handlePush(balancerIdOf("walu-1"), confirmation, clock.now());
+        EXPECT_EQ(sync.lastStoreContact(), clock.now());
     }
 
     TEST_F(ReplicaSyncTest, newsOfTheStoreIsPushedToTheOwnZone)
     {
-        exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
-        const ReplicaSyncActions actions = exchange.handleStore(change(5, 7), clock.now());
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const ReplicaSyncActions actions = sync.handleStoreDelta(change(5, 7), clock.now());
         EXPECT_EQ(all<ReplicaChanged>(actions).size(), 1U);
         ASSERT_EQ(all<PushDelta>(actions).size(), 2U);
         for (const PushDelta& push : all<PushDelta>(actions))
             EXPECT_EQ(push.delta.items.size(), 1U);
         {
             SCOPED_TRACE("the same news again is nobody's news");
-            EXPECT_TRUE(exchange.handleStore(change(5, 7), clock.now()).empty());
+            EXPECT_TRUE(sync.handleStoreDelta(change(5, 7), clock.now()).empty());
         }
     }
 
     TEST_F(ReplicaSyncTest, largeNewsIsOnlyAnnouncedAndThenFetched)
     {
-        exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
-        const auto pushes = all<PushDelta>(exchange.handleStore(change(5, 7, 5000), clock.now()));
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const auto pushes = all<PushDelta>(sync.handleStoreDelta(change(5, 7, 5000), clock.now()));
         ASSERT_EQ(pushes.size(), 2U);
         EXPECT_TRUE(pushes.front().delta.items.empty());
 
         ReplicaSync receiver("walu", 2);
         view->self = balancerIdOf("walu-1");
         receiver.handleView(view, clock.now());
-        receiver.handleStore({ 0, 5, true, false, {} }, clock.now());
+        receiver.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         EXPECT_TRUE(receiver.handlePush(balancerIdOf("walu-0"), pushes.front().delta, clock.now()).empty());
         EXPECT_EQ(receiver.replica().completeTo(), 5U);
         clock.advance(300ms);
@@ -110,7 +110,7 @@
         ASSERT_EQ(fetches.size(), 1U);
         EXPECT_EQ(fetches.front().from, balancerIdOf("walu-0"));
         EXPECT_EQ(fetches.front().after, 5U);
-        receiver.handleAnswer("walu-0", exchange.replica().deltaSince(5, clock.now()), clock.now());
+        receiver.handleAnswer("walu-0", sync.replica().deltaSince(5, clock.now()), clock.now());
         EXPECT_EQ(receiver.replica().completeTo(), 7U);
         EXPECT_FALSE(receiver.behindSince().has_value());
     }
@@ -125,13 +125,13 @@
         for (std::uint64_t revision = 6; revision <= 60; ++revision)
             delta.items.push_back({ fmt::format("servers/{}", revision), std::string(150, 's'), revision, false });
         delta.items[20] = { "configuration", std::string(250000, 'c'), 26, false };
-        exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
-        const auto pushes = all<PushDelta>(exchange.handleStore(delta, clock.now()));
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const auto pushes = all<PushDelta>(sync.handleStoreDelta(delta, clock.now()));
 
         ReplicaSync receiver("walu", 2);
         view->self = balancerIdOf("walu-1");
         receiver.handleView(view, clock.now());
-        receiver.handleStore({ 0, 5, true, false, {} }, clock.now());
+        receiver.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         std::size_t taken = 0;
         const auto take = [&](ReplicaSync& target, const StoreDelta& piece) {
             for (const auto& news : all<ReplicaChanged>(target.handlePush(balancerIdOf("walu-0"), piece, clock.now())))
@@ -155,14 +155,14 @@
             const auto fetches = all<FetchDelta>(receiver.tick(clock.now()));
             ASSERT_EQ(fetches.size(), 1U);
             EXPECT_EQ(fetches.front().after, 25U);
-            receiver.handleAnswer("walu-0", exchange.replica().deltaSince(25, clock.now()), clock.now());
+            receiver.handleAnswer("walu-0", sync.replica().deltaSince(25, clock.now()), clock.now());
             EXPECT_EQ(receiver.replica().completeTo(), 60U);
         }
         {
             SCOPED_TRACE("in any order, and with any one datagram lost, no revision is taken for complete too soon");
             for (std::size_t lost = 0; lost < pieces.size(); ++lost) {
                 ReplicaSync other("walu", 3);
-                other.handleStore({ 0, 5, true, false, {} }, clock.now());
+                other.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
                 for (std::size_t i = 0; i < pieces.size(); ++i) {
                     if (i != lost)
                         take(other, pieces[pieces.size() - 1 - i]);
@@ -183,11 +183,11 @@
         StoreDelta delta { 5, 7, false, false, {} };
         for (int i = 0; i < 20; ++i)
             delta.items.push_back({ fmt::format("key{}", i), std::string(100, 's'), 7, false });
-        exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
-        const auto pushes = all<PushDelta>(exchange.handleStore(delta, clock.now()));
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const auto pushes = all<PushDelta>(sync.handleStoreDelta(delta, clock.now()));
         ASSERT_GT(pushes.size(), 2U);
         ReplicaSync receiver("walu", 2);
-        receiver.handleStore({ 0, 5, true, false, {} }, clock.now());
+        receiver.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         receiver.handlePush(balancerIdOf("walu-0"), pushes.front().delta, clock.now());
         EXPECT_EQ(receiver.replica().completeTo(), 6U);
     }
@@ -197,8 +197,8 @@
         StoreDelta delta { 5, 2005, false, false, {} };
         for (std::uint64_t revision = 6; revision <= 2005; ++revision)
             delta.items.push_back({ fmt::format("servers/{}", revision), std::string(150, 's'), revision, false });
-        exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
-        const auto pushes = all<PushDelta>(exchange.handleStore(delta, clock.now()));
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const auto pushes = all<PushDelta>(sync.handleStoreDelta(delta, clock.now()));
         ASSERT_EQ(pushes.size(), 2U);
         EXPECT_TRUE(pushes.front().delta.items.empty());
         EXPECT_EQ(pushes.front().delta.to, 2005U);
@@ -209,17 +209,17 @@
     // Cause: an answer was given up by its age, also while its bytes came.
     TEST_F(ReplicaSyncTest, anAnswerThatIsComingIsNotGivenUp)
     {
-        exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         setRevision("walu-1", 9);
         clock.advance(300ms);
-        ASSERT_EQ(all<FetchDelta>(exchange.tick(clock.now())).size(), 1U);
+        ASSERT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
         for (int i = 0; i < 8; ++i) {
             clock.advance(400ms);
-            exchange.noteAnswering(clock.now());
-            EXPECT_TRUE(all<FetchDelta>(exchange.tick(clock.now())).empty());
+            sync.noteFetchProgress(clock.now());
+            EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
         }
         clock.advance(800ms);
-        EXPECT_EQ(all<FetchDelta>(exchange.tick(clock.now())).size(), 1U);
+        EXPECT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
     }
 
     // Symptom: a zone that hears from another one keeps an old configuration and takes itself for complete. Sequence:
@@ -243,10 +243,10 @@
             watcher.handleView(view, clock.now());
             watcher.setRole(true, true);
             for (ReplicaSync* each : { &other, &watcher, &receiver })
-                each->handleStore({ 0, 5, true, false, { configuration(5, 1000) } }, clock.now());
+                each->handleStoreDelta({ 0, 5, true, false, { configuration(5, 1000) } }, clock.now());
             StoreDelta news { 5, 8, false, false, { configuration(7, lines) } };
             news.items.push_back({ "servers/1", "ready", 8, false });
-            other.handleStore(news, clock.now());
+            other.handleStoreDelta(news, clock.now());
             const StoreDelta answer = other.replica().deltaSince(5, clock.now(), StoreReplica::Encoding::Patched);
             ASSERT_EQ(answer.patches.size(), 1U);
             for (const PushDelta& push : all<PushDelta>(watcher.handleAnswer("nabua-0", answer, clock.now())))
@@ -265,40 +265,40 @@
     // Cause: news reached a zone by its own watchers alone.
     TEST_F(ReplicaSyncTest, whoSeesOthersAheadAsksOneOfThem)
     {
-        exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         EXPECT_TRUE(all<FetchDelta>(setRevision("nabua-0", 9)).empty());
         clock.advance(899ms);
-        EXPECT_TRUE(all<FetchDelta>(exchange.tick(clock.now())).empty());
+        EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
         clock.advance(1ms);
-        const auto fetches = all<FetchDelta>(exchange.tick(clock.now()));
+        const auto fetches = all<FetchDelta>(sync.tick(clock.now()));
         ASSERT_EQ(fetches.size(), 1U);
         EXPECT_EQ(fetches.front().from, balancerIdOf("nabua-0"));
         {
             SCOPED_TRACE("while it waits for the answer it asks nobody else");
-            EXPECT_TRUE(all<FetchDelta>(exchange.tick(clock.now())).empty());
+            EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
         }
         {
             SCOPED_TRACE("without an answer it asks another, in its own zone if it can");
             setRevision("walu-1", 9);
-            const auto again = all<FetchDelta>(exchange.handleNoAnswer(clock.now()));
+            const auto again = all<FetchDelta>(sync.handleFetchFailure(clock.now()));
             ASSERT_EQ(again.size(), 1U);
             EXPECT_EQ(again.front().from, balancerIdOf("walu-1"));
         }
         {
             SCOPED_TRACE("an answer that never comes is given up");
             clock.advance(800ms);
-            EXPECT_EQ(all<FetchDelta>(exchange.tick(clock.now())).size(), 1U);
+            EXPECT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
         }
     }
 
     TEST_F(ReplicaSyncTest, aWatcherThatTheStoreTurnsAwayAsksAnotherZoneSoonerAndTellsItsOwn)
     {
-        exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
-        exchange.setRole(true, true);
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        sync.setRole(true, true);
         setRevision("nabua-0", 9);
         clock.advance(300ms);
-        ASSERT_EQ(all<FetchDelta>(exchange.tick(clock.now())).size(), 1U);
-        EXPECT_EQ(all<PushDelta>(exchange.handleAnswer("nabua-0", change(5, 9), clock.now())).size(), 2U);
+        ASSERT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
+        EXPECT_EQ(all<PushDelta>(sync.handleAnswer("nabua-0", change(5, 9), clock.now())).size(), 2U);
     }
 
     // Symptom: after all were killed, a hundred balancers took ten times as long to serve as ten.
@@ -308,9 +308,9 @@
     {
         EXPECT_TRUE(all<FetchDelta>(setRevision("walu-2", 9)).empty());
         clock.advance(1499ms);
-        EXPECT_TRUE(all<FetchDelta>(exchange.tick(clock.now())).empty());
-        exchange.setRole(false, true);
-        EXPECT_EQ(all<FetchDelta>(exchange.tick(clock.now())).size(), 1U);
+        EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
+        sync.setRole(false, true);
+        EXPECT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
     }
 
     TEST_F(ReplicaSyncTest, whoKnowsNothingAsksANeighbourWithAMuchWiderLinkSooner)
@@ -322,7 +322,7 @@
             setRevision("walu-1", 9);
             setRevision("nabua-0", 9);
             clock.advance(1s);
-            EXPECT_TRUE(all<FetchDelta>(exchange.tick(clock.now())).empty());
+            EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
         }
         {
             SCOPED_TRACE("the wide one, and not the thin one beside it");
@@ -332,7 +332,7 @@
         }
         {
             SCOPED_TRACE("without an answer the thin one is better than none");
-            const auto again = all<FetchDelta>(exchange.handleNoAnswer(clock.now()));
+            const auto again = all<FetchDelta>(sync.handleFetchFailure(clock.now()));
             ASSERT_EQ(again.size(), 1U);
             EXPECT_EQ(again.front().from, balancerIdOf("walu-1"));
         }
@@ -353,7 +353,7 @@
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             ReplicaSync receiver("walu", seed);
             receiver.handleView(view, clock.now());
-            receiver.handleStore({ 0, 5, true, false, {} }, clock.now());
+            receiver.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
             receiver.handlePush(balancerIdOf("walu-1"), { 9, 9, false, false, {} }, clock.now());
             waits.insert(*receiver.nextTick() - clock.now());
             EXPECT_EQ(all<PushDelta>(receiver.handleAnswer("walu-1", change(5, 9), clock.now())).size(), 4U);
@@ -376,7 +376,7 @@
     TEST_F(ReplicaSyncTest, whoReadsEverythingTellsThoseOfItsZoneThatKnowNothing)
     {
         setRevision("walu-1", 5);
-        const ReplicaSyncActions actions = exchange.handleStore({ 0, 5, true, false, {} }, clock.now());
+        const ReplicaSyncActions actions = sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         const std::vector<PushDelta> pushes = all<PushDelta>(actions);
         ASSERT_EQ(pushes.size(), 1U);
         EXPECT_EQ(pushes.front().to, view->find(balancerIdOf("walu-2"))->peerAddress);
@@ -388,7 +388,7 @@
             otherView.self = balancerIdOf("walu-2");
             for (Member& member : otherView.members)
                 member.configurationVersion = 0;
-            other.setAsksAtOnce(true);
+            other.setFetchesImmediately(true);
             other.handleView(std::make_shared<MembersView>(otherView), clock.now());
             const ReplicaSyncActions asked = other.handlePush(view->self, pushes.front().delta, clock.now());
             EXPECT_EQ(all<FetchDelta>(asked).size(), 1U);
--- a/Tests/News/ThinLinkFleet.cpp
+++ b/Tests/News/ThinLinkFleet.cpp
@@ -84,7 +84,7 @@
     StoreFeedSettings settings;
     settings.linkMegabits = balancer.member.linkMegabits;
     balancer.feed = std::make_unique<StoreFeed>(random_(), settings);
-    balancer.exchange = std::make_unique<ReplicaSync>("zone", random_());
+    balancer.sync = std::make_unique<ReplicaSync>("zone", random_());
     balancer.version = 0;
     balancer.had.clear();
     balancer.datagramBytes = 0;
@@ -216,7 +216,7 @@
         perform(transfer.to, balancer.feed->handleChanges(transfer.watchNumber, *transfer.changes, clock_.now()));
     else
         perform(transfer.to,
-            balancer.exchange->handleAnswer(balancers_[*transfer.from].member.name, *transfer.delta, clock_.now()));
+            balancer.sync->handleAnswer(balancers_[*transfer.from].member.name, *transfer.delta, clock_.now()));
 }
 
 void ThinLinkFleet::deliverDatagrams()
@@ -230,7 +230,7 @@
     });
     for (const Datagram& datagram : due) {
         const BalancerId sender = balancers_[datagram.from].member.id;
-        perform(datagram.to, balancers_[datagram.to].exchange->handlePush(sender, datagram.delta, clock_.now()));
+        perform(datagram.to, balancers_[datagram.to].sync->handlePush(sender, datagram.delta, clock_.now()));
     }
 }
 
@@ -265,19 +265,18 @@
     Balancer& balancer = balancers_[index];
     const TimePoint now = clock_.now();
     const auto view = viewOf(index);
-    perform(index, balancer.exchange->handleView(view, now));
+    perform(index, balancer.sync->handleView(view, now));
     for (Transfer& transfer : transfers_) {
         if (transfer.to == index && transfer.isFetch && std::exchange(transfer.hasMoved, false))
-            balancer.exchange->noteAnswering(now);
+            balancer.sync->noteFetchProgress(now);
     }
     noteListing(index);
-    balancer.exchange->setAsksAtOnce(balancer.feed->asksNeighbours());
-    perform(index, balancer.exchange->tick(now));
+    balancer.sync->setFetchesImmediately(balancer.feed->asksNeighbours());
+    perform(index, balancer.sync->tick(now));
     const bool shallWatch = shallWatchConfiguration(*view, watcherNumbers);
-    balancer.exchange->setRole(shallWatch, balancer.feed->isLost());
+    balancer.sync->setRole(shallWatch, balancer.feed->isLost());
     perform(index,
-        balancer.feed->update(
-            balancer.exchange->replica().completeTo(), shallWatch, balancer.exchange->behindSince(), now));
+        balancer.feed->update(balancer.sync->replica().completeTo(), shallWatch, balancer.sync->behindSince(), now));
     perform(index, balancer.feed->tick(now));
 }
 
@@ -290,8 +289,7 @@
     const auto received = static_cast<std::uint64_t>(listing->bytes - listing->bytesLeft);
     const auto total = static_cast<std::uint64_t>(listing->bytes);
     Balancer& balancer = balancers_[index];
-    perform(
-        index, balancer.feed->handlePageProgress(received, total, balancer.exchange->knowsMuchWider(), clock_.now()));
+    perform(index, balancer.feed->handlePageProgress(received, total, balancer.sync->knowsFasterPeer(), clock_.now()));
 }
 
 std::shared_ptr<const MembersView> ThinLinkFleet::viewOf(std::size_t index) const
@@ -301,7 +299,7 @@
     view->members.reserve(balancers_.size());
     for (const Balancer& balancer : balancers_) {
         view->members.push_back(balancer.member);
-        view->members.back().configurationVersion = balancer.exchange->replica().completeTo();
+        view->members.back().configurationVersion = balancer.sync->replica().completeTo();
     }
     std::ranges::sort(view->members, {}, &Member::id);
     return view;
@@ -318,7 +316,7 @@
     Balancer& balancer = balancers_[index];
     for (const StoreFeedAction& action : actions) {
         if (const auto* news = std::get_if<DeltaReceived>(&action)) {
-            perform(index, balancer.exchange->handleStore(news->delta, clock_.now()));
+            perform(index, balancer.sync->handleStoreDelta(news->delta, clock_.now()));
         } else if (std::holds_alternative<SendList>(action)) {
             Transfer transfer;
             transfer.to = index;
@@ -363,7 +361,7 @@
             transfer.life = balancer.life;
             transfer.isFetch = true;
             transfer.delta
-                = balancers_[*transfer.from].exchange->replica().deltaSince(fetch.after, clock_.now(), fetch.encoding);
+                = balancers_[*transfer.from].sync->replica().deltaSince(fetch.after, clock_.now(), fetch.encoding);
             transfer.bytesLeft = answerOverhead + static_cast<double>(encodeMessage(*transfer.delta).size());
             transfers_.push_back(std::move(transfer));
         }
--- a/Tests/News/ThinLinkFleet.h
+++ b/Tests/News/ThinLinkFleet.h
@@ -49,7 +49,7 @@
         Member member;
         double bytesPerSecond = 0;
         std::unique_ptr<StoreFeed> feed;
-        std::unique_ptr<ReplicaSync> exchange;
+        std::unique_ptr<ReplicaSync> sync;
         std::uint64_t version = 0;
         // By version: when this balancer had it.
         std::map<std::uint64_t, TimePoint> had;
