--- a/Source/News/ReplicaSync.cpp
+++ b/Source/News/ReplicaSync.cpp
@@ -168,7 +168,7 @@
 void ReplicaSync::noteFetchProgress(TimePoint now)
 {
     if (fetchDeadline_)
-        fetchDeadline_ = now + settings_.answerWithin;
+        fetchDeadline_ = now + settings_.answerTimeout;
 }
 
 ReplicaSyncActions ReplicaSync::handleView(std::shared_ptr<const MembersView> view, TimePoint now)
@@ -217,9 +217,9 @@
     if (!view_ || delta.isWhole)
         return;
     const std::vector<const Member*> others = othersInZone();
-    std::vector<StoreDelta> pieces = piecesOf(delta, replica_, settings_.pushBytes);
+    std::vector<StoreDelta> pieces = piecesOf(delta, replica_, settings_.maxPushBytes);
     // What is left of so much news is fetched.
-    if (pieces.size() * others.size() > settings_.mostPushes)
+    if (pieces.size() * others.size() > settings_.maxPushes)
         pieces = { StoreDelta { delta.to, delta.to, false, delta.isInDoubt, {}, delta.isFresh } };
     for (const StoreDelta& piece : pieces) {
         for (const Member* member : others)
@@ -231,10 +231,10 @@
 void ReplicaSync::announce(ReplicaSyncActions& actions)
 {
     std::vector<const Member*> others = view_ ? othersInZone() : std::vector<const Member*>();
-    if (others.size() < settings_.largeZone)
+    if (others.size() < settings_.largeZoneSize)
         return;
     const StoreDelta announcement { replica_.completeTo(), replica_.completeTo(), false, false, {} };
-    for (std::size_t i = 0; i < settings_.announcements; ++i)
+    for (std::size_t i = 0; i < settings_.announcementFanout; ++i)
         actions.emplace_back(PushDelta { others[random_() % others.size()]->peerAddress, announcement });
 }
 
@@ -249,7 +249,7 @@
     std::erase_if(uninformed, [&](const Member* member) { return revisionOf(*member) > 0; });
     std::ranges::shuffle(uninformed, random_);
     const std::size_t maxAnnouncements
-        = std::max<std::size_t>(settings_.announcements, self->linkMegabits / settings_.megabitsForEachUninformed);
+        = std::max<std::size_t>(settings_.announcementFanout, self->linkMegabits / settings_.megabitsPerUninformedPeer);
     uninformed.resize(std::min(uninformed.size(), maxAnnouncements));
     const StoreDelta announcement { replica_.completeTo(), replica_.completeTo(), false, false, {} };
     for (const Member* member : uninformed)
@@ -275,9 +275,9 @@
     }
     if (!behindSince_) {
         behindSince_ = now;
-        const bool isLarge = othersInZone().size() >= settings_.largeZone;
+        const bool isLarge = othersInZone().size() >= settings_.largeZoneSize;
         jitter_
-            = isLarge ? random_() % (settings_.spread.count() + 1) * std::chrono::milliseconds(1) : Duration::zero();
+            = isLarge ? random_() % (settings_.maxJitter.count() + 1) * std::chrono::milliseconds(1) : Duration::zero();
     }
     std::vector<const Member*> candidates = sources(true);
     const bool hasSourceInZone = !candidates.empty();
@@ -286,7 +286,7 @@
     if (fetchDeadline_ || candidates.empty() || now - *behindSince_ < fetchDelay(hasSourceInZone))
         return;
     const Member* source = chooseSource(std::move(candidates));
-    fetchDeadline_ = now + settings_.answerWithin;
+    fetchDeadline_ = now + settings_.answerTimeout;
     fetchStartedAt_ = now;
     lastSource_ = source->id;
     actions.emplace_back(FetchDelta { source->id, source->requestAddress, replica_.completeTo(), fetchEncoding_ });
@@ -298,9 +298,9 @@
     if (replica_.completeTo() == 0 && (isStoreUnreachable_ || fetchesImmediately_))
         return Duration::zero();
     if (replica_.completeTo() == 0)
-        return hasFasterPeer(sources(true)) ? settings_.widePatience : settings_.firstPatience;
+        return hasFasterPeer(sources(true)) ? settings_.fasterPeerListingTimeout : settings_.listingTimeout;
     const bool mayFetchSooner = hasSourceInZone || isWatcher_;
-    return settings_.patience + jitter_ + (mayFetchSooner ? Duration::zero() : Duration(settings_.farPatience));
+    return settings_.pushTimeout + jitter_ + (mayFetchSooner ? Duration::zero() : Duration(settings_.otherZoneDelay));
 }
 
 bool ReplicaSync::knowsFasterPeer() const { return view_ && hasFasterPeer(othersInZone()); }
@@ -310,7 +310,7 @@
     const Member* self = view_->findSelf();
     if (!self || self->linkMegabits == 0)
         return false;
-    const int wide = widthClassOf(self->linkMegabits) + settings_.muchWider;
+    const int wide = widthClassOf(self->linkMegabits) + settings_.fasterPeerClasses;
     return std::ranges::any_of(
         members, [&](const Member* member) { return widthClassOf(member->linkMegabits) >= wide; });
 }
--- a/Source/News/ReplicaSync.h
+++ b/Source/News/ReplicaSync.h
@@ -21,35 +21,35 @@
 
 struct ReplicaSyncSettings {
     // How long a balancer waits for news to be pushed to it, once it has heard that others have it, before it asks.
-    std::chrono::milliseconds patience { 300 };
+    std::chrono::milliseconds pushTimeout { 300 };
     // How much longer it waits before it asks another zone, since bytes between zones are dear: its zone's watchers ask
     // first, and tell the others.
-    std::chrono::milliseconds farPatience { 600 };
+    std::chrono::milliseconds otherZoneDelay { 600 };
     // How long one that knows nothing yet leaves it to the store, which answers everybody at once, before it asks
     // others for everything.
-    std::chrono::milliseconds firstPatience { 1500 };
+    std::chrono::milliseconds listingTimeout { 1500 };
     // The same while one is ahead whose link is wider by so many classes (widthClassOf(): 3 are a factor of 4 at
     // least): with 10,000 routes the store's answer takes 2.3 s on a link of 10 Mbit/s, and a neighbour's packed one
     // 0.2 s. Longer than the store's answer takes while configurations are small, so that nobody is asked then.
-    std::chrono::milliseconds widePatience { 300 };
-    int muchWider = 3;
+    std::chrono::milliseconds fasterPeerListingTimeout { 300 };
+    int fasterPeerClasses = 3;
     // In a zone of more than this many, requests spread over a time, and whoever has been answered tells a few others,
     // so that not all ask the watchers.
-    std::size_t largeZone = 12;
-    std::chrono::milliseconds spread { 500 };
-    std::size_t announcements = 4;
+    std::size_t largeZoneSize = 12;
+    std::chrono::milliseconds maxJitter { 500 };
+    std::size_t announcementFanout = 4;
     // Who has read everything tells so many that know nothing that its link gives each of them so much of it: a packed
     // configuration of 10,000 routes, 3 Mbit, then takes 0.6 s. More would ask it at once and wait for each other.
-    std::uint32_t megabitsForEachUninformed = 5;
+    std::uint32_t megabitsPerUninformedPeer = 5;
     // How long nothing of an answer may come, before another balancer is asked. Measured from the last bytes, since all
     // of a zone fetch a large configuration at once over thin links: when each gave up after 0.8 s and began anew, the
     // last balancer of a zone had a server's leaving after 5.2 s instead of 1 s (71 balancers, links of 10 Mbit/s).
-    std::chrono::milliseconds answerWithin { 800 };
+    std::chrono::milliseconds answerTimeout { 800 };
     // Payload of a push; what does not fit into one is sent in several, and a larger item is fetched by the receiver.
-    std::size_t pushBytes = 1100;
+    std::size_t maxPushBytes = 1100;
     // Datagrams for one piece of news; above it the zone is only told that there is news. 400 keep a link of 10 Mbit/s
     // busy for 0.35 s.
-    std::size_t mostPushes = 400;
+    std::size_t maxPushes = 400;
 };
 
 // News for one balancer that fits into a datagram.
--- a/Source/News/StoreFeed.cpp
+++ b/Source/News/StoreFeed.cpp
@@ -21,8 +21,8 @@
 
 StoreFeed::StoreFeed(std::uint64_t seed, StoreFeedSettings settings)
     : settings_(settings)
-    , backoff_(settings.shortestPause, settings.longestPause, seed)
-    , staysByChance_(std::mt19937_64(seed)() % settings.oneStaysOf == 0)
+    , backoff_(settings.minBackoff, settings.maxBackoff, seed)
+    , staysByChance_(std::mt19937_64(seed)() % settings.keepListingOneIn == 0)
 {
 }
 
@@ -41,7 +41,7 @@
     if (!listRevision_)
         listed_.clear();
     const std::string after = listed_.empty() ? std::string() : listed_.back().key;
-    actions.emplace_back(SendList { { "", after, mayListStale_ }, settings_.listWithin });
+    actions.emplace_back(SendList { { "", after, mayListStale_ }, settings_.listTimeout });
 }
 
 StoreFeedActions StoreFeed::handlePage(const Result<PlatformPage>& page, TimePoint now)
@@ -69,7 +69,7 @@
     StoreDelta delta { 0, *listRevision_, true, isTroubled(now), std::move(listed_) };
     delta.isFresh = !mayListStale_ && now >= freshFrom_;
     if (delta.isInDoubt)
-        confirmAt_ = now + settings_.returnWithin;
+        confirmAt_ = now + settings_.reregistrationTime;
     completeTo_ = std::max(completeTo_, delta.to);
     listed_.clear();
     listRevision_.reset();
@@ -89,22 +89,22 @@
     const Duration taken = now - pageSentAt_;
     const bool isFirst = state_ == State::Listing && completeTo_ == 0 && !hasLeftListing_;
     const bool isHeldUp = received < linkCarries(taken / 2);
-    if (!isFirst || taken < settings_.judgeListingAfter || !isHeldUp || staysWithListing(total, knowsWiderNeighbour))
+    if (!isFirst || taken < settings_.listingCheckDelay || !isHeldUp || staysWithListing(total, knowsWiderNeighbour))
         return actions;
     const double left
         = static_cast<double>(total - received) / static_cast<double>(std::max<std::uint64_t>(received, 1));
-    if (left * taken <= Duration(settings_.leaveWhenLeft))
+    if (left * taken <= Duration(settings_.minRemainingToCancel))
         return actions;
     hasLeftListing_ = true;
     listRevision_.reset();
-    pause(State::PausingBeforeList, settings_.neighboursWithin, now);
+    pause(State::PausingBeforeList, settings_.peersTimeout, now);
     actions.emplace_back(CancelListing {});
     return actions;
 }
 
 bool StoreFeed::staysWithListing(std::uint64_t bytes, bool knowsWiderNeighbour) const
 {
-    const bool isWide = settings_.linkMegabits == 0 || bytes <= linkCarries(settings_.wideLinkTakes);
+    const bool isWide = settings_.linkMegabits == 0 || bytes <= linkCarries(settings_.fastLinkListingTime);
     return isWide || (staysByChance_ && !knowsWiderNeighbour);
 }
 
@@ -130,15 +130,15 @@
     watchedRevision_ = completeTo_;
     overtakenSince_.reset();
     ++watchNumber_;
-    actions.emplace_back(SendWatch { { "", completeTo_, wait }, wait + settings_.answerWithin, watchNumber_ });
+    actions.emplace_back(SendWatch { { "", completeTo_, wait }, wait + settings_.answerTimeout, watchNumber_ });
 }
 
 std::chrono::milliseconds StoreFeed::watchTime(TimePoint now) const
 {
     if (!confirmAt_)
-        return settings_.watchFor;
+        return settings_.watchDuration;
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(*confirmAt_ - now);
-    return std::clamp(left, settings_.shortestWatch, settings_.watchFor);
+    return std::clamp(left, settings_.minWatchDuration, settings_.watchDuration);
 }
 
 StoreFeedActions StoreFeed::handleChanges(std::uint64_t number, const Result<PlatformChanges>& changes, TimePoint now)
@@ -172,7 +172,7 @@
     if (!shallWatch_)
         state_ = State::Idle;
     else if (isNews)
-        pause(State::PausingBeforeWatch, settings_.gather, now);
+        pause(State::PausingBeforeWatch, settings_.batchDelay, now);
     else
         watch(now, actions);
     return actions;
@@ -186,9 +186,9 @@
     StoreDelta delta;
     delta.from = from;
     delta.to = std::max(changes.revision, from);
-    delta.isInDoubt = isTroubled(now) || removals >= settings_.massRemoval;
+    delta.isInDoubt = isTroubled(now) || removals >= settings_.massRemovalThreshold;
     if (delta.isInDoubt && removals > 0)
-        confirmAt_ = now + settings_.returnWithin;
+        confirmAt_ = now + settings_.reregistrationTime;
     for (const PlatformItem& item : changes.items)
         delta.items.push_back(newsOf(item));
     return delta;
@@ -215,10 +215,10 @@
 {
     StoreFeedActions actions;
     const auto listedAt = std::exchange(listedStaleAt_, std::nullopt);
-    if (!listedAt || state_ != State::Idle || now - *listedAt >= settings_.oldestListing)
+    if (!listedAt || state_ != State::Idle || now - *listedAt >= settings_.maxListingAge)
         return actions;
     isChecking_ = true;
-    watch(settings_.shortestWatch, now, actions);
+    watch(settings_.minWatchDuration, now, actions);
     return actions;
 }
 
@@ -246,8 +246,8 @@
 {
     if (state_ != State::Watching)
         return false;
-    const bool isBehind = behindSince && now - std::max(*behindSince, watchedSince_) > settings_.silentAfter;
-    const bool isOvertaken = overtakenSince_ && now - *overtakenSince_ > settings_.silentAfter;
+    const bool isBehind = behindSince && now - std::max(*behindSince, watchedSince_) > settings_.unresponsiveAfter;
+    const bool isOvertaken = overtakenSince_ && now - *overtakenSince_ > settings_.unresponsiveAfter;
     return isBehind || isOvertaken;
 }
 
@@ -291,8 +291,8 @@
         return;
     actions.emplace_back(StoreReachable { now - *lostSince_ });
     lostSince_.reset();
-    troubledUntil_ = now + settings_.doubtAfterTrouble;
-    freshFrom_ = now + settings_.returnWithin;
+    troubledUntil_ = now + settings_.doubtAfterOutage;
+    freshFrom_ = now + settings_.reregistrationTime;
     if (confirmAt_)
         confirmAt_ = freshFrom_;
 }
--- a/Source/News/StoreFeed.h
+++ b/Source/News/StoreFeed.h
@@ -18,41 +18,41 @@
 struct StoreFeedSettings {
     // How long the store holds a watch open. Short enough that a connection which went silent is noticed well before
     // news is due everywhere; each second of it saves half a call a second in a zone.
-    std::chrono::milliseconds watchFor { 2500 };
+    std::chrono::milliseconds watchDuration { 2500 };
     // How much longer an answer may take than the store was asked to wait, and how long any other answer may take.
-    std::chrono::milliseconds answerWithin { 700 };
-    std::chrono::milliseconds listWithin { 1500 };
+    std::chrono::milliseconds answerTimeout { 700 };
+    std::chrono::milliseconds listTimeout { 1500 };
     // Pause after news, so that a series of changes costs one call and not one for each.
-    std::chrono::milliseconds gather { 300 };
+    std::chrono::milliseconds batchDelay { 300 };
     // Between two tries while the store does not answer.
-    std::chrono::milliseconds shortestPause { 150 };
-    std::chrono::milliseconds longestPause { 1000 };
+    std::chrono::milliseconds minBackoff { 150 };
+    std::chrono::milliseconds maxBackoff { 1000 };
     // A watch that has not answered this long after others had the news is taken for silent.
-    std::chrono::milliseconds silentAfter { 700 };
+    std::chrono::milliseconds unresponsiveAfter { 700 };
     // For how long after an outage vanished entries are doubtful.
-    std::chrono::milliseconds doubtAfterTrouble { 5000 };
+    std::chrono::milliseconds doubtAfterOutage { 5000 };
     // How long entries take to come back that vanished with an outage (the store's operators promise two seconds). When
     // some vanished, the store is asked again after it: only what is missing then is certainly gone.
-    std::chrono::milliseconds returnWithin { 2000 };
+    std::chrono::milliseconds reregistrationTime { 2000 };
     // The shortest wait of that question.
-    std::chrono::milliseconds shortestWatch { 50 };
+    std::chrono::milliseconds minWatchDuration { 50 };
     // The oldest that a listing is taken to be.
-    std::chrono::milliseconds oldestListing { 15000 };
+    std::chrono::milliseconds maxListingAge { 15000 };
     // A first listing is looked at so long after it was sent. If it comes at less than half the pace of this balancer's
     // own link, so that the store's link holds it up, and more than leaveWhenLeft is to come at that pace, it is left
     // to others, and neighbours are asked for what it holds.
-    std::chrono::milliseconds judgeListingAfter { 150 };
-    std::chrono::milliseconds leaveWhenLeft { 500 };
+    std::chrono::milliseconds listingCheckDelay { 150 };
+    std::chrono::milliseconds minRemainingToCancel { 500 };
     // A balancer whose own link would carry the listing within this time stays with it, and where no wider neighbour is
     // known, one of so many others: the neighbours need somebody to ask.
-    std::chrono::milliseconds wideLinkTakes { 250 };
-    std::uint32_t oneStaysOf = 8;
+    std::chrono::milliseconds fastLinkListingTime { 250 };
+    std::uint32_t keepListingOneIn = 8;
     // How long neighbours are asked before the store is asked once more, for everything and to the end.
-    std::chrono::milliseconds neighboursWithin { 2000 };
+    std::chrono::milliseconds peersTimeout { 2000 };
     // What this balancer's link carries; 0 when nothing says so, which counts as wide.
     std::uint32_t linkMegabits = 0;
     // So many entries that vanish at once are taken for the work of an outage that this balancer did not see.
-    std::size_t massRemoval = 3;
+    std::size_t massRemovalThreshold = 3;
 };
 
 // Read a page of everything; give the outcome to handlePage().
--- a/Tests/Forwarder/PeerNewsTest.cpp
+++ b/Tests/Forwarder/PeerNewsTest.cpp
@@ -89,9 +89,9 @@
 
         PeerNewsTest()
         {
-            settings.patience = 0ms;
-            settings.firstPatience = 0ms;
-            settings.answerWithin = 40ms;
+            settings.pushTimeout = 0ms;
+            settings.listingTimeout = 0ms;
+            settings.answerTimeout = 40ms;
             bool isOpen = false;
             for (int i = 0; i < 20 && !isOpen; ++i) {
                 const std::uint16_t port = freePort();
@@ -138,14 +138,14 @@
         other.news->handleStore({ largeNews() }, began);
         // The other one stands still from here on: connections to it open, but nothing answers.
         waitUntil([&] { return asking.fetches("asked") >= 6; }, [&] { asking.poll(); });
-        const auto givenUp = static_cast<std::uint64_t>((Clock::now() - began) / settings.answerWithin);
+        const auto givenUp = static_cast<std::uint64_t>((Clock::now() - began) / settings.answerTimeout);
         EXPECT_LE(asking.fetches("asked"), 1 + givenUp);
         {
             SCOPED_TRACE("also while the connection has not been opened, as to a VM without power");
             const std::uint64_t before = asking.fetches("asked");
             const TimePoint since = Clock::now();
             waitUntil([&] { return asking.fetches("asked") >= before + 6; }, [&] { asking.news->tick(Clock::now()); });
-            const auto more = static_cast<std::uint64_t>((Clock::now() - since) / settings.answerWithin);
+            const auto more = static_cast<std::uint64_t>((Clock::now() - since) / settings.answerTimeout);
             EXPECT_LE(asking.fetches("asked"), before + 1 + more);
         }
         {
--- a/Tests/News/StoreFeedTest.cpp
+++ b/Tests/News/StoreFeedTest.cpp
@@ -156,7 +156,7 @@
             const StoreFeedActions confirmed = feed.handleChanges(number, PlatformChanges { {}, 14 }, clock.now());
             ASSERT_NE(only<DeltaReceived>(confirmed), nullptr);
             EXPECT_TRUE(only<DeltaReceived>(confirmed)->delta.isFresh);
-            EXPECT_EQ(only<SendWatch>(confirmed)->call.wait, StoreFeedSettings {}.watchFor);
+            EXPECT_EQ(only<SendWatch>(confirmed)->call.wait, StoreFeedSettings {}.watchDuration);
         }
     }
 
@@ -316,7 +316,7 @@
         ThinStoreFeedTest()
         {
             settings.linkMegabits = 20;
-            settings.oneStaysOf = 1'000'000;
+            settings.keepListingOneIn = 1'000'000;
         }
 
         // What becomes of a listing of which so much has come after the time at which it is judged.
@@ -324,7 +324,7 @@
         {
             StoreFeed feed(1, settings);
             feed.start(clock.now());
-            const TimePoint judged = clock.now() + settings.judgeListingAfter;
+            const TimePoint judged = clock.now() + settings.listingCheckDelay;
             const StoreFeedActions actions = feed.handlePageProgress(received, bytes, knowsWider, judged);
             EXPECT_EQ(feed.asksNeighbours(), !actions.empty());
             return !actions.empty();
@@ -345,7 +345,7 @@
         {
             SCOPED_TRACE("nor by the few who stay so that neighbours have somebody to ask");
             settings.linkMegabits = 20;
-            settings.oneStaysOf = 1;
+            settings.keepListingOneIn = 1;
             EXPECT_FALSE(leaves(bytes / 40));
             EXPECT_TRUE(leaves(bytes / 40, true)) << "who know somebody better to ask";
         }
@@ -359,21 +359,21 @@
     {
         settings.linkMegabits = 2;
         constexpr std::uint64_t bytesPerMillisecond = 250;
-        EXPECT_FALSE(leaves(bytesPerMillisecond * static_cast<std::uint64_t>(settings.judgeListingAfter.count())));
+        EXPECT_FALSE(leaves(bytesPerMillisecond * static_cast<std::uint64_t>(settings.listingCheckDelay.count())));
     }
 
     TEST_F(ThinStoreFeedTest, whoLeftAListingAndHeardFromNobodyReadsItToTheEnd)
     {
         StoreFeed feed(1, settings);
         feed.start(clock.now());
-        clock.advance(settings.judgeListingAfter);
+        clock.advance(settings.listingCheckDelay);
         ASSERT_FALSE(feed.handlePageProgress(bytes / 40, bytes, false, clock.now()).empty());
         EXPECT_FALSE(feed.isLost()) << "the store answered";
-        clock.advance(settings.neighboursWithin);
+        clock.advance(settings.peersTimeout);
         const StoreFeedActions again = feed.tick(clock.now());
         ASSERT_EQ(again.size(), 1U);
         EXPECT_TRUE(std::holds_alternative<SendList>(again.front()));
-        clock.advance(settings.judgeListingAfter);
+        clock.advance(settings.listingCheckDelay);
         EXPECT_TRUE(feed.handlePageProgress(bytes / 40, bytes, false, clock.now()).empty());
     }
 
@@ -381,11 +381,11 @@
     {
         StoreFeed feed(1, settings);
         feed.start(clock.now());
-        clock.advance(settings.judgeListingAfter);
+        clock.advance(settings.listingCheckDelay);
         feed.handlePageProgress(bytes / 40, bytes, false, clock.now());
         feed.update(7, false, std::nullopt, clock.now());
         EXPECT_FALSE(feed.asksNeighbours());
-        clock.advance(settings.neighboursWithin);
+        clock.advance(settings.peersTimeout);
         EXPECT_TRUE(feed.tick(clock.now()).empty());
     }
 
