--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -208,8 +208,8 @@
     void onBeat(TimePoint now)
     {
         meetPeers(now);
-        peers_->noteStore(store_.feed().isLost(), now);
-        peers_->setAsksAtOnce(store_.feed().asksNeighbours());
+        peers_->noteStore(store_.feed().isUnreachable(), now);
+        peers_->setAsksAtOnce(store_.feed().asksPeers());
         peers_->tick(now);
         store_.update(peers_->exchange().replica().completeTo(), peers_->shallWatch(now) && !life_.isStopping(),
             peers_->exchange().behindSince(), now);
--- a/Source/Forwarder/ForwarderAnswers.h
+++ b/Source/Forwarder/ForwarderAnswers.h
@@ -69,7 +69,7 @@
         readings.flows = router_.flows().size();
         readings.members = peers_.members();
         readings.isReady = life_.isReady();
-        readings.isStoreLost = store_.feed().isLost();
+        readings.isStoreLost = store_.feed().isUnreachable();
         readings.isWatching = store_.feed().isWatching();
         readings.logLines = log_.buffer().lines();
         readings.logDropped = log_.buffer().dropped();
--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -157,7 +157,7 @@
             .add("revision", arrival.revision)
             .add("source", news.source)
             .add("age_ms", Duration(arrival.age))
-            .add("behind_ms", news.behind)
+            .add("behind_ms", news.lag)
             .add("read_ms", arrival.reading),
         now);
 }
--- a/Source/Forwarder/PeerNews.cpp
+++ b/Source/Forwarder/PeerNews.cpp
@@ -343,7 +343,7 @@
             .add("patches", std::uint64_t(delta.value().patches.size()))
             .add("from", delta.value().completeFrom())
             .add("to", delta.value().to)
-            .add("whole", boolName(delta.value().isWhole)),
+            .add("whole", boolName(delta.value().isSnapshot)),
         now);
     perform(exchange_.handleAnswer(source, delta.value(), now), now);
 }
--- a/Source/Forwarder/StoreLink.h
+++ b/Source/Forwarder/StoreLink.h
@@ -62,7 +62,7 @@
     void send(const SendList& list)
     {
         const TimePoint sent = Clock::now();
-        client_.send(list.call, sent + list.within, [this, sent](const Result<PlatformPage>& page) {
+        client_.send(list.call, sent + list.timeout, [this, sent](const Result<PlatformPage>& page) {
             const TimePoint now = Clock::now();
             count("list", page, now - sent);
             perform(feed_.handlePage(page, now));
@@ -72,7 +72,7 @@
     void send(const SendWatch& watch)
     {
         const TimePoint sent = Clock::now();
-        client_.send(watch.call, sent + watch.within,
+        client_.send(watch.call, sent + watch.timeout,
             [this, sent, number = watch.number](const Result<PlatformChanges>& changes) {
                 const TimePoint now = Clock::now();
                 count("watch", changes, now - sent);
--- a/Source/News/ReplicaSync.cpp
+++ b/Source/News/ReplicaSync.cpp
@@ -112,7 +112,7 @@
     ReplicaSyncActions actions = reportChanges("store", delta, replica_.mergeFromStore(delta, now), now);
     if (delta.isFresh)
         lastStoreContact_ = now;
-    if (delta.isWhole)
+    if (delta.isSnapshot)
         announceToUninformed(actions);
     const bool isConfirmation = delta.isFresh && delta.items.empty() && delta.from == delta.to;
     if (isForOthers && (!actions.empty() || isConfirmation))
@@ -214,7 +214,7 @@
 // leaves a gap that the receiver notices by the revisions.
 void ReplicaSync::push(const StoreDelta& delta, ReplicaSyncActions& actions) const
 {
-    if (!view_ || delta.isWhole)
+    if (!view_ || delta.isSnapshot)
         return;
     const std::vector<const Member*> others = othersInZone();
     std::vector<StoreDelta> pieces = piecesOf(delta, replica_, settings_.maxPushBytes);
--- a/Source/News/ReplicaSync.h
+++ b/Source/News/ReplicaSync.h
@@ -74,7 +74,7 @@
     // Who told it: the store, or a balancer.
     std::string source;
     // How long this balancer had known that others are ahead; zero when it heard the news first.
-    Duration behind {};
+    Duration lag {};
     // The replica is complete up to here.
     std::uint64_t revision = 0;
 };
--- a/Source/News/StoreDelta.h
+++ b/Source/News/StoreDelta.h
@@ -33,7 +33,7 @@
     std::uint64_t from = 0;
     std::uint64_t to = 0;
     // Everything there is: keys that it does not name do not exist.
-    bool isWhole = false;
+    bool isSnapshot = false;
     // The sender's contact with the store was troubled lately, so that vanished entries may be back soon.
     bool isInDoubt = false;
     std::vector<StoreUpdate> items;
@@ -46,7 +46,7 @@
 
     std::uint64_t completeFrom() const { return patches.empty() ? from : patchedFrom; }
 
-    MSGPACK_DEFINE_ARRAY(from, to, isWhole, isInDoubt, items, isFresh, patches, patchedFrom);
+    MSGPACK_DEFINE_ARRAY(from, to, isSnapshot, isInDoubt, items, isFresh, patches, patchedFrom);
 };
 
 // The largest answer to a request for news: a large directory and a large configuration.
--- a/Source/News/StoreFeed.cpp
+++ b/Source/News/StoreFeed.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    StoreUpdate newsOf(const PlatformItem& item)
+    StoreUpdate updateOf(const PlatformItem& item)
     {
         StoreUpdate news { item.key, item.value, item.revision, item.isRemoved };
         compressValue(news);
@@ -22,7 +22,7 @@
 StoreFeed::StoreFeed(std::uint64_t seed, StoreFeedSettings settings)
     : settings_(settings)
     , backoff_(settings.minBackoff, settings.maxBackoff, seed)
-    , staysByChance_(std::mt19937_64(seed)() % settings.keepListingOneIn == 0)
+    , keepsListingByChance_(std::mt19937_64(seed)() % settings.keepListingOneIn == 0)
 {
 }
 
@@ -61,55 +61,55 @@
     if (!listRevision_)
         listRevision_ = page.value().revision;
     for (const PlatformItem& item : page.value().items)
-        listed_.push_back(newsOf(item));
+        listed_.push_back(updateOf(item));
     if (page.value().hasMore && !page.value().items.empty()) {
         list(now, actions);
         return actions;
     }
-    StoreDelta delta { 0, *listRevision_, true, isTroubled(now), std::move(listed_) };
+    StoreDelta delta { 0, *listRevision_, true, hadRecentOutage(now), std::move(listed_) };
     delta.isFresh = !mayListStale_ && now >= freshFrom_;
     if (delta.isInDoubt)
         confirmAt_ = now + settings_.reregistrationTime;
     completeTo_ = std::max(completeTo_, delta.to);
     listed_.clear();
     listRevision_.reset();
-    listedStaleAt_ = mayListStale_ ? std::optional(now) : std::nullopt;
+    staleListingAt_ = mayListStale_ ? std::optional(now) : std::nullopt;
     mayListStale_ = false;
     actions.emplace_back(DeltaReceived { std::move(delta) });
     state_ = State::Idle;
-    if (shallWatch_)
+    if (isWatcher_)
         watch(now, actions);
     return actions;
 }
 
 StoreFeedActions StoreFeed::handlePageProgress(
-    std::uint64_t received, std::uint64_t total, bool knowsWiderNeighbour, TimePoint now)
+    std::uint64_t received, std::uint64_t total, bool knowsFasterPeer, TimePoint now)
 {
     StoreFeedActions actions;
     const Duration taken = now - pageSentAt_;
-    const bool isFirst = state_ == State::Listing && completeTo_ == 0 && !hasLeftListing_;
-    const bool isHeldUp = received < linkCarries(taken / 2);
-    if (!isFirst || taken < settings_.listingCheckDelay || !isHeldUp || staysWithListing(total, knowsWiderNeighbour))
+    const bool isFirst = state_ == State::Listing && completeTo_ == 0 && !hasCancelledListing_;
+    const bool isSlow = received < linkBytes(taken / 2);
+    if (!isFirst || taken < settings_.listingCheckDelay || !isSlow || keepsListing(total, knowsFasterPeer))
         return actions;
     const double left
         = static_cast<double>(total - received) / static_cast<double>(std::max<std::uint64_t>(received, 1));
     if (left * taken <= Duration(settings_.minRemainingToCancel))
         return actions;
-    hasLeftListing_ = true;
+    hasCancelledListing_ = true;
     listRevision_.reset();
     pause(State::PausingBeforeList, settings_.peersTimeout, now);
     actions.emplace_back(CancelListing {});
     return actions;
 }
 
-bool StoreFeed::staysWithListing(std::uint64_t bytes, bool knowsWiderNeighbour) const
+bool StoreFeed::keepsListing(std::uint64_t bytes, bool knowsFasterPeer) const
 {
-    const bool isWide = settings_.linkMegabits == 0 || bytes <= linkCarries(settings_.fastLinkListingTime);
-    return isWide || (staysByChance_ && !knowsWiderNeighbour);
+    const bool isWide = settings_.linkMegabits == 0 || bytes <= linkBytes(settings_.fastLinkListingTime);
+    return isWide || (keepsListingByChance_ && !knowsFasterPeer);
 }
 
 // The bytes that this balancer's own link carries in a time.
-std::uint64_t StoreFeed::linkCarries(Duration time) const
+std::uint64_t StoreFeed::linkBytes(Duration time) const
 {
     constexpr std::uint64_t bytesPerMegabit = 125'000;
     return static_cast<std::uint64_t>(
@@ -118,8 +118,8 @@
 
 void StoreFeed::watch(TimePoint now, StoreFeedActions& actions)
 {
-    isChecking_ = false;
-    watch(watchTime(now), now, actions);
+    isCheckingListing_ = false;
+    watch(nextWatchDuration(now), now, actions);
 }
 
 void StoreFeed::watch(std::chrono::milliseconds wait, TimePoint now, StoreFeedActions& actions)
@@ -128,12 +128,12 @@
     pauseUntil_.reset();
     watchedSince_ = now;
     watchedRevision_ = completeTo_;
-    overtakenSince_.reset();
+    supersededSince_.reset();
     ++watchNumber_;
     actions.emplace_back(SendWatch { { "", completeTo_, wait }, wait + settings_.answerTimeout, watchNumber_ });
 }
 
-std::chrono::milliseconds StoreFeed::watchTime(TimePoint now) const
+std::chrono::milliseconds StoreFeed::nextWatchDuration(TimePoint now) const
 {
     if (!confirmAt_)
         return settings_.watchDuration;
@@ -145,7 +145,7 @@
 {
     StoreFeedActions actions;
     if (state_ != State::Watching || number != watchNumber_)
-        return takeLateAnswer(number, changes, now);
+        return handleLateAnswer(number, changes, now);
     if (!changes && changes.error().code == ErrorCode::NotFound) {
         // The store no longer has the history since then. What vanished meanwhile shows only in a whole listing, which
         // must not be an old one.
@@ -166,10 +166,10 @@
     delta.isFresh = now >= freshFrom_;
     completeTo_ = delta.to;
     const bool isNews = !delta.items.empty();
-    const bool isForOthers = !std::exchange(isChecking_, false);
+    const bool isForOthers = !std::exchange(isCheckingListing_, false);
     if (isNews || delta.to > delta.from || isConfirmation)
         actions.emplace_back(DeltaReceived { std::move(delta), isForOthers });
-    if (!shallWatch_)
+    if (!isWatcher_)
         state_ = State::Idle;
     else if (isNews)
         pause(State::PausingBeforeWatch, settings_.batchDelay, now);
@@ -186,24 +186,25 @@
     StoreDelta delta;
     delta.from = from;
     delta.to = std::max(changes.revision, from);
-    delta.isInDoubt = isTroubled(now) || removals >= settings_.massRemovalThreshold;
+    delta.isInDoubt = hadRecentOutage(now) || removals >= settings_.massRemovalThreshold;
     if (delta.isInDoubt && removals > 0)
         confirmAt_ = now + settings_.reregistrationTime;
     for (const PlatformItem& item : changes.items)
-        delta.items.push_back(newsOf(item));
+        delta.items.push_back(updateOf(item));
     return delta;
 }
 
 // A watch that was taken for silent may only have been slow: a large configuration takes seconds on a thin link. Its
 // answer is as good as that of the watch that replaced it, and comes sooner.
-StoreFeedActions StoreFeed::takeLateAnswer(std::uint64_t number, const Result<PlatformChanges>& changes, TimePoint now)
+StoreFeedActions StoreFeed::handleLateAnswer(
+    std::uint64_t number, const Result<PlatformChanges>& changes, TimePoint now)
 {
     StoreFeedActions actions;
-    const bool isFormer = formerWatch_ && formerWatch_->number == number;
-    if (!isFormer || !changes || changes.value().revision <= completeTo_)
+    const bool isReplaced = replacedWatch_ && replacedWatch_->number == number;
+    if (!isReplaced || !changes || changes.value().revision <= completeTo_)
         return actions;
-    StoreDelta delta = deltaOf(changes.value(), formerWatch_->revision, now);
-    formerWatch_.reset();
+    StoreDelta delta = deltaOf(changes.value(), replacedWatch_->revision, now);
+    replacedWatch_.reset();
     completeTo_ = delta.to;
     actions.emplace_back(DeltaReceived { std::move(delta) });
     return actions;
@@ -214,27 +215,27 @@
 StoreFeedActions StoreFeed::noteContradiction(TimePoint now)
 {
     StoreFeedActions actions;
-    const auto listedAt = std::exchange(listedStaleAt_, std::nullopt);
+    const auto listedAt = std::exchange(staleListingAt_, std::nullopt);
     if (!listedAt || state_ != State::Idle || now - *listedAt >= settings_.maxListingAge)
         return actions;
-    isChecking_ = true;
+    isCheckingListing_ = true;
     watch(settings_.minWatchDuration, now, actions);
     return actions;
 }
 
 StoreFeedActions StoreFeed::update(
-    std::uint64_t completeTo, bool shallWatch, std::optional<TimePoint> behindSince, TimePoint now)
+    std::uint64_t completeTo, bool isWatcher, std::optional<TimePoint> behindSince, TimePoint now)
 {
     StoreFeedActions actions;
     completeTo_ = std::max(completeTo_, completeTo);
-    shallWatch_ = shallWatch;
-    if (state_ == State::Idle && shallWatch_ && completeTo_ > 0)
+    isWatcher_ = isWatcher;
+    if (state_ == State::Idle && isWatcher_ && completeTo_ > 0)
         watch(now, actions);
-    if (completeTo_ > watchedRevision_ && !overtakenSince_)
-        overtakenSince_ = now;
-    if (isSilent(behindSince, now)) {
+    if (completeTo_ > watchedRevision_ && !supersededSince_)
+        supersededSince_ = now;
+    if (isUnresponsive(behindSince, now)) {
         noteFailure({ ErrorCode::DeadlineExceeded, "the watch is silent while others have news" }, now, actions);
-        formerWatch_ = FormerWatch { watchNumber_, watchedRevision_ };
+        replacedWatch_ = ReplacedWatch { watchNumber_, watchedRevision_ };
         watch(now, actions);
     }
     return actions;
@@ -242,13 +243,13 @@
 
 // A connection that went silent looks like a store with nothing to say. Others having news that the watch should have
 // told shows the difference, also when this balancer has meanwhile been told it by them.
-bool StoreFeed::isSilent(std::optional<TimePoint> behindSince, TimePoint now) const
+bool StoreFeed::isUnresponsive(std::optional<TimePoint> behindSince, TimePoint now) const
 {
     if (state_ != State::Watching)
         return false;
     const bool isBehind = behindSince && now - std::max(*behindSince, watchedSince_) > settings_.unresponsiveAfter;
-    const bool isOvertaken = overtakenSince_ && now - *overtakenSince_ > settings_.unresponsiveAfter;
-    return isBehind || isOvertaken;
+    const bool isSuperseded = supersededSince_ && now - *supersededSince_ > settings_.unresponsiveAfter;
+    return isBehind || isSuperseded;
 }
 
 StoreFeedActions StoreFeed::tick(TimePoint now)
@@ -261,14 +262,14 @@
     const bool needsList = state_ == State::PausingBeforeList && (completeTo_ == 0 || !mayListStale_);
     if (needsList)
         list(now, actions);
-    else if (shallWatch_)
+    else if (isWatcher_)
         watch(now, actions);
     else
         state_ = State::Idle;
     return actions;
 }
 
-bool StoreFeed::isTroubled(TimePoint now) const { return lostSince_ || now < troubledUntil_; }
+bool StoreFeed::hadRecentOutage(TimePoint now) const { return unreachableSince_ || now < doubtUntil_; }
 
 void StoreFeed::pause(State state, std::chrono::milliseconds time, TimePoint now)
 {
@@ -278,20 +279,20 @@
 
 void StoreFeed::noteFailure(const Error& error, TimePoint now, StoreFeedActions& actions)
 {
-    if (lostSince_)
+    if (unreachableSince_)
         return;
-    lostSince_ = now;
+    unreachableSince_ = now;
     actions.emplace_back(StoreUnreachable { error });
 }
 
 void StoreFeed::noteSuccess(TimePoint now, StoreFeedActions& actions)
 {
     backoff_.reset();
-    if (!lostSince_)
+    if (!unreachableSince_)
         return;
-    actions.emplace_back(StoreReachable { now - *lostSince_ });
-    lostSince_.reset();
-    troubledUntil_ = now + settings_.doubtAfterOutage;
+    actions.emplace_back(StoreReachable { now - *unreachableSince_ });
+    unreachableSince_.reset();
+    doubtUntil_ = now + settings_.doubtAfterOutage;
     freshFrom_ = now + settings_.reregistrationTime;
     if (confirmAt_)
         confirmAt_ = freshFrom_;
--- a/Source/News/StoreFeed.h
+++ b/Source/News/StoreFeed.h
@@ -58,13 +58,13 @@
 // Read a page of everything; give the outcome to handlePage().
 struct SendList {
     ListCall call;
-    std::chrono::milliseconds within { 0 };
+    std::chrono::milliseconds timeout { 0 };
 };
 
 // Wait for changes; give the outcome to handleChanges() with the same number.
 struct SendWatch {
     ChangesCall call;
-    std::chrono::milliseconds within { 0 };
+    std::chrono::milliseconds timeout { 0 };
     std::uint64_t number = 0;
 };
 
@@ -104,11 +104,11 @@
     // the listing. When all of a fleet start together, they share the store's link, so that a long listing takes
     // seconds however wide their own links are, and callers wait.
     StoreFeedActions handlePageProgress(
-        std::uint64_t received, std::uint64_t total, bool knowsWiderNeighbour, TimePoint now);
+        std::uint64_t received, std::uint64_t total, bool knowsFasterPeer, TimePoint now);
     StoreFeedActions handleChanges(std::uint64_t number, const Result<PlatformChanges>&, TimePoint now);
     // What the process knows, from whatever source, and whether it shall watch.
     StoreFeedActions update(
-        std::uint64_t completeTo, bool shallWatch, std::optional<TimePoint> behindSince, TimePoint now);
+        std::uint64_t completeTo, bool isWatcher, std::optional<TimePoint> behindSince, TimePoint now);
     StoreFeedActions tick(TimePoint now);
     // Packets show that the listing of the start, which may be seconds old, lacks something, such as servers that came
     // back after a cut. Asks the store once what has changed since then. Of no effect when this was done, when this
@@ -117,12 +117,12 @@
     // When tick() should be called next; none when there is nothing to wait for.
     std::optional<TimePoint> nextTick() const { return pauseUntil_; }
 
-    bool isLost() const { return lostSince_.has_value(); }
+    bool isUnreachable() const { return unreachableSince_.has_value(); }
     bool isWatching() const { return state_ == State::Watching; }
     // The first listing was left to others, and nothing is known yet: neighbours are to be asked at once.
-    bool asksNeighbours() const { return hasLeftListing_ && completeTo_ == 0; }
+    bool asksPeers() const { return hasCancelledListing_ && completeTo_ == 0; }
     // Vanished entries may be back soon.
-    bool isTroubled(TimePoint now) const;
+    bool hadRecentOutage(TimePoint now) const;
 
 private:
     enum class State {
@@ -134,20 +134,20 @@
     };
 
     // A watch that was replaced before it was answered.
-    struct FormerWatch {
+    struct ReplacedWatch {
         std::uint64_t number = 0;
         std::uint64_t revision = 0;
     };
 
     void list(TimePoint now, StoreFeedActions&);
-    bool staysWithListing(std::uint64_t bytes, bool knowsWiderNeighbour) const;
-    std::uint64_t linkCarries(Duration) const;
+    bool keepsListing(std::uint64_t bytes, bool knowsFasterPeer) const;
+    std::uint64_t linkBytes(Duration) const;
     void watch(TimePoint now, StoreFeedActions&);
     void watch(std::chrono::milliseconds wait, TimePoint now, StoreFeedActions&);
-    bool isSilent(std::optional<TimePoint> behindSince, TimePoint now) const;
+    bool isUnresponsive(std::optional<TimePoint> behindSince, TimePoint now) const;
     StoreDelta deltaOf(const PlatformChanges&, std::uint64_t from, TimePoint now);
-    StoreFeedActions takeLateAnswer(std::uint64_t number, const Result<PlatformChanges>&, TimePoint now);
-    std::chrono::milliseconds watchTime(TimePoint now) const;
+    StoreFeedActions handleLateAnswer(std::uint64_t number, const Result<PlatformChanges>&, TimePoint now);
+    std::chrono::milliseconds nextWatchDuration(TimePoint now) const;
     void pause(State, std::chrono::milliseconds, TimePoint now);
     void noteFailure(const Error&, TimePoint now, StoreFeedActions&);
     void noteSuccess(TimePoint now, StoreFeedActions&);
@@ -155,17 +155,17 @@
     const StoreFeedSettings settings_;
     Backoff backoff_;
     State state_ = State::Idle;
-    bool shallWatch_ = false;
+    bool isWatcher_ = false;
     std::uint64_t completeTo_ = 0;
     std::uint64_t watchNumber_ = 0;
     TimePoint watchedSince_;
     // What the watch waits beyond, and since when others are known to have told more than that.
     std::uint64_t watchedRevision_ = 0;
-    std::optional<TimePoint> overtakenSince_;
-    std::optional<FormerWatch> formerWatch_;
+    std::optional<TimePoint> supersededSince_;
+    std::optional<ReplacedWatch> replacedWatch_;
     std::optional<TimePoint> pauseUntil_;
-    std::optional<TimePoint> lostSince_;
-    TimePoint troubledUntil_ = TimePoint::min();
+    std::optional<TimePoint> unreachableSince_;
+    TimePoint doubtUntil_ = TimePoint::min();
     // From when on an answer of the store shows what is certainly gone.
     TimePoint freshFrom_ = TimePoint::min();
     // When the store is to be asked whether entries that vanished in doubt are back; none when none did.
@@ -177,12 +177,12 @@
     bool mayListStale_ = true;
     TimePoint pageSentAt_;
     // Whether this balancer is among those that stay with a long listing, by chance.
-    const bool staysByChance_;
-    bool hasLeftListing_ = false;
+    const bool keepsListingByChance_;
+    bool hasCancelledListing_ = false;
     // When the listing that may be old came; none after it was checked.
-    std::optional<TimePoint> listedStaleAt_;
+    std::optional<TimePoint> staleListingAt_;
     // The watch in progress is the check of that listing.
-    bool isChecking_ = false;
+    bool isCheckingListing_ = false;
 };
 
 }
--- a/Source/News/StoreReplica.cpp
+++ b/Source/News/StoreReplica.cpp
@@ -58,9 +58,9 @@
     Updates changed;
     lacksPatchBase_ = false;
     // A whole replica that is older than this one would take this balancer back.
-    if (delta.isWhole && delta.to < completeTo_)
+    if (delta.isSnapshot && delta.to < completeTo_)
         return changed;
-    if (delta.isWhole)
+    if (delta.isSnapshot)
         removeMissing(delta, now, changed);
     for (const StoreUpdate& item : delta.items) {
         if (mergeItem(item, now, creation))
@@ -68,7 +68,7 @@
     }
     for (const ValuePatch& patch : delta.patches)
         lacksPatchBase_ |= !mergePatch(patch, now, changed);
-    const bool follows = delta.isWhole || delta.completeFrom() <= completeTo_;
+    const bool follows = delta.isSnapshot || delta.completeFrom() <= completeTo_;
     if (follows && !lacksPatchBase_)
         completeTo_ = std::max(completeTo_, delta.to);
     // Receivers act in the order in which the store made the changes.
@@ -189,15 +189,15 @@
 StoreDelta StoreReplica::deltaSince(std::uint64_t revision, TimePoint now, Encoding encoding) const
 {
     StoreDelta delta;
-    delta.isWhole = revision == 0 || revision < forgottenTo_;
-    delta.from = delta.isWhole ? 0 : revision;
+    delta.isSnapshot = revision == 0 || revision < forgottenTo_;
+    delta.from = delta.isSnapshot ? 0 : revision;
     delta.to = completeTo_;
     delta.patchedFrom = delta.from;
     for (const auto& [key, row] : rows_) {
-        const bool isWanted = delta.isWhole ? !row.item.isRemoved : row.item.revision > revision;
+        const bool isWanted = delta.isSnapshot ? !row.item.isRemoved : row.item.revision > revision;
         if (!isWanted)
             continue;
-        if (encoding == Encoding::Patched && !delta.isWhole && addPatches(row, revision, now, delta))
+        if (encoding == Encoding::Patched && !delta.isSnapshot && addPatches(row, revision, now, delta))
             continue;
         delta.items.push_back(updateToSend(row));
         delta.items.back().ageMilliseconds = millisecondsBetween(row.at, now);
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/DecisionFleet.cpp
@@ -129,11 +129,11 @@
         std::ranges::sort(view->members, {}, &Member::id);
         perform(index, balancer.sync->handleView(view, now()));
         perform(index, balancer.sync->tick(now()));
-        const bool shallWatch = index % balancersPerZone < watchersPerZone;
-        balancer.sync->setRole(shallWatch, balancer.feed->isLost());
+        const bool isWatcher = index % balancersPerZone < watchersPerZone;
+        balancer.sync->setRole(isWatcher, balancer.feed->isUnreachable());
         perform(index,
             balancer.feed->update(
-                balancer.sync->replica().completeTo(), shallWatch, balancer.sync->behindSince(), now()));
+                balancer.sync->replica().completeTo(), isWatcher, balancer.sync->behindSince(), now()));
         perform(index, balancer.feed->tick(now()));
         balancer.router->noteStoreHeard(balancer.sync->lastStoreContact());
         balancer.router->tick(now());
--- a/Tests/News/StoreFeedTest.cpp
+++ b/Tests/News/StoreFeedTest.cpp
@@ -95,7 +95,7 @@
         const StoreFeedActions actions = feed.handleChanges(number, Error { ErrorCode::NotFound, "gone" }, clock.now());
         ASSERT_NE(only<SendList>(actions), nullptr);
         EXPECT_FALSE(only<SendList>(actions)->call.mayBeStale);
-        EXPECT_FALSE(feed.isLost());
+        EXPECT_FALSE(feed.isUnreachable());
     }
 
     TEST_F(StoreFeedTest, aStoreThatDoesNotAnswerIsTriedAgainAfterPauses)
@@ -326,7 +326,7 @@
             feed.start(clock.now());
             const TimePoint judged = clock.now() + settings.listingCheckDelay;
             const StoreFeedActions actions = feed.handlePageProgress(received, bytes, knowsWider, judged);
-            EXPECT_EQ(feed.asksNeighbours(), !actions.empty());
+            EXPECT_EQ(feed.asksPeers(), !actions.empty());
             return !actions.empty();
         }
     };
@@ -368,7 +368,7 @@
         feed.start(clock.now());
         clock.advance(settings.listingCheckDelay);
         ASSERT_FALSE(feed.handlePageProgress(bytes / 40, bytes, false, clock.now()).empty());
-        EXPECT_FALSE(feed.isLost()) << "the store answered";
+        EXPECT_FALSE(feed.isUnreachable()) << "the store answered";
         clock.advance(settings.peersTimeout);
         const StoreFeedActions again = feed.tick(clock.now());
         ASSERT_EQ(again.size(), 1U);
@@ -384,7 +384,7 @@
         clock.advance(settings.listingCheckDelay);
         feed.handlePageProgress(bytes / 40, bytes, false, clock.now());
         feed.update(7, false, std::nullopt, clock.now());
-        EXPECT_FALSE(feed.asksNeighbours());
+        EXPECT_FALSE(feed.asksPeers());
         clock.advance(settings.peersTimeout);
         EXPECT_TRUE(feed.tick(clock.now()).empty());
     }
--- a/Tests/News/StoreReplicaTest.cpp
+++ b/Tests/News/StoreReplicaTest.cpp
@@ -76,11 +76,11 @@
     {
         replica.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
         replica.merge(delta(10, 11, { removal("b", 11) }), clock.now());
-        EXPECT_FALSE(replica.deltaSince(10, clock.now()).isWhole);
+        EXPECT_FALSE(replica.deltaSince(10, clock.now()).isSnapshot);
         clock.advance(3min);
         replica.tick(clock.now());
-        EXPECT_TRUE(replica.deltaSince(10, clock.now()).isWhole);
-        EXPECT_FALSE(replica.deltaSince(11, clock.now()).isWhole);
+        EXPECT_TRUE(replica.deltaSince(10, clock.now()).isSnapshot);
+        EXPECT_FALSE(replica.deltaSince(11, clock.now()).isSnapshot);
     }
 
     // Whatever way news takes, in whatever order and however often, all replicas that heard everything are equal.
--- a/Tests/News/ThinLinkFleet.cpp
+++ b/Tests/News/ThinLinkFleet.cpp
@@ -271,12 +271,12 @@
             balancer.sync->noteFetchProgress(now);
     }
     noteListing(index);
-    balancer.sync->setFetchesImmediately(balancer.feed->asksNeighbours());
+    balancer.sync->setFetchesImmediately(balancer.feed->asksPeers());
     perform(index, balancer.sync->tick(now));
-    const bool shallWatch = shallWatchConfiguration(*view, watcherNumbers);
-    balancer.sync->setRole(shallWatch, balancer.feed->isLost());
+    const bool isWatcher = shallWatchConfiguration(*view, watcherNumbers);
+    balancer.sync->setRole(isWatcher, balancer.feed->isUnreachable());
     perform(index,
-        balancer.feed->update(balancer.sync->replica().completeTo(), shallWatch, balancer.sync->behindSince(), now));
+        balancer.feed->update(balancer.sync->replica().completeTo(), isWatcher, balancer.sync->behindSince(), now));
     perform(index, balancer.feed->tick(now));
 }
 
