--- a/Tests/News/ConfigurationSpreadTest.cpp
+++ b/Tests/News/ConfigurationSpreadTest.cpp
@@ -1,4 +1,4 @@
-#include "News/ThinLinkFleet.h"
+#include "News/SlowLinkSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -11,15 +11,15 @@
     using namespace std::chrono_literals;
 
     // A version must be in force so soon after the store took it.
-    constexpr auto inForceWithin = 5s;
+    constexpr auto appliedWithin = 5s;
     // What a balancer may spend on control, and the time between two changes of 2,800 a day.
     constexpr std::uint64_t controlBytesPerSecond = 4096;
-    constexpr auto betweenChanges = 30857ms;
+    constexpr auto changeInterval = 30857ms;
     // A caller sends an opening three times and gives it up so long after the first.
-    constexpr auto openingGivenUpAfter = 1400ms;
+    constexpr auto openingTimeout = 1400ms;
 
     // Two balancers have wide links and the others thin ones, as in the users' availability zones.
-    const std::vector<ThinLinkFleet::Link> mixedZone { { 2, 200 }, { 22, 10 } };
+    const std::vector<SlowLinkSimulation::Link> mixedBandwidthZone { { 2, 200 }, { 22, 10 } };
 
     std::int64_t milliseconds(Duration time)
     {
@@ -41,7 +41,7 @@
     {
         for (std::uint32_t seed = 1; seed <= 5; ++seed) {
             SCOPED_TRACE(seed);
-            ThinLinkFleet fleet(seed, { { 20, 10 } });
+            SlowLinkSimulation fleet(seed, { { 20, 10 } });
             fleet.writeConfiguration(4, configurationText(4, 45, 0));
             fleet.advance(5s);
             fleet.writeConfiguration(7, configurationText(7, 1445, 0));
@@ -52,10 +52,10 @@
                 fleet.advance(500ms);
             }
             for (const std::uint64_t version : { 7, 10 }) {
-                ASSERT_TRUE(fleet.lastHad(version));
-                EXPECT_LT(milliseconds(*fleet.lastHad(version)), milliseconds(inForceWithin)) << version;
+                ASSERT_TRUE(fleet.slowestArrival(version));
+                EXPECT_LT(milliseconds(*fleet.slowestArrival(version)), milliseconds(appliedWithin)) << version;
             }
-            EXPECT_EQ(fleet.wrongTexts(), 0U);
+            EXPECT_EQ(fleet.corruptTexts(), 0U);
         }
     }
 
@@ -65,19 +65,19 @@
     // text. Cause: a configuration was one value that travels whole.
     TEST(ConfigurationSpreadTest, aChangeOfOneRouteKeepsALargeZoneWithinItsControlBytes)
     {
-        ThinLinkFleet fleet(1, { { 237, 200 } });
+        SlowLinkSimulation fleet(1, { { 237, 200 } });
         fleet.writeConfiguration(1, configurationText(1, 2400, 0));
         fleet.advance(10s);
-        fleet.takeMostPeerBytes();
-        const auto allowed = controlBytesPerSecond * static_cast<std::uint64_t>(milliseconds(betweenChanges)) / 1000;
+        fleet.takeMaxPeerBytes();
+        const auto allowed = controlBytesPerSecond * static_cast<std::uint64_t>(milliseconds(changeInterval)) / 1000;
         for (const std::uint64_t version : { 2, 3 }) {
             fleet.writeConfiguration(version, configurationText(version, 2400, 1));
             fleet.advance(15s);
-            ASSERT_TRUE(fleet.lastHad(version));
-            EXPECT_LT(milliseconds(*fleet.lastHad(version)), milliseconds(inForceWithin));
-            EXPECT_LT(fleet.takeMostPeerBytes(), allowed);
+            ASSERT_TRUE(fleet.slowestArrival(version));
+            EXPECT_LT(milliseconds(*fleet.slowestArrival(version)), milliseconds(appliedWithin));
+            EXPECT_LT(fleet.takeMaxPeerBytes(), allowed);
         }
-        EXPECT_EQ(fleet.wrongTexts(), 0U);
+        EXPECT_EQ(fleet.corruptTexts(), 0U);
     }
 
     // Symptom: with 10,000 routes in force, two changes in a row are in force 3 to 5 s after the first balancer has
@@ -88,7 +88,7 @@
     {
         for (std::uint32_t seed = 1; seed <= 3; ++seed) {
             SCOPED_TRACE(seed);
-            ThinLinkFleet fleet(seed, mixedZone);
+            SlowLinkSimulation fleet(seed, mixedBandwidthZone);
             fleet.writeConfiguration(1, configurationText(1, 10000, 0));
             fleet.advance(20s);
             fleet.writeConfiguration(2, configurationText(2, 10000, 1));
@@ -96,10 +96,10 @@
             fleet.writeConfiguration(3, configurationText(3, 10000, 1));
             fleet.advance(20s);
             for (const std::uint64_t version : { 2, 3 }) {
-                ASSERT_TRUE(fleet.lastHad(version));
-                EXPECT_LT(milliseconds(*fleet.lastHad(version)), milliseconds(inForceWithin)) << version;
+                ASSERT_TRUE(fleet.slowestArrival(version));
+                EXPECT_LT(milliseconds(*fleet.slowestArrival(version)), milliseconds(appliedWithin)) << version;
             }
-            EXPECT_EQ(fleet.wrongTexts(), 0U);
+            EXPECT_EQ(fleet.corruptTexts(), 0U);
         }
     }
 
@@ -112,14 +112,14 @@
     {
         for (std::uint32_t seed = 1; seed <= 3; ++seed) {
             SCOPED_TRACE(seed);
-            ThinLinkFleet fleet(seed, mixedZone);
+            SlowLinkSimulation fleet(seed, mixedBandwidthZone);
             fleet.writeConfiguration(1, configurationText(1, 10000, 0));
             fleet.advance(20s);
             fleet.restartAll();
-            fleet.advance(openingGivenUpAfter);
-            EXPECT_EQ(fleet.informed(), fleet.size());
+            fleet.advance(openingTimeout);
+            EXPECT_EQ(fleet.configuredBalancers(), fleet.size());
             fleet.advance(5s);
-            EXPECT_EQ(fleet.informed(), fleet.size());
+            EXPECT_EQ(fleet.configuredBalancers(), fleet.size());
         }
     }
 
@@ -130,24 +130,24 @@
     // Cause: everybody read everything from one place.
     TEST(ConfigurationSpreadTest, tenThousandRoutesAreKnownToHundredsSoonAfterALossOfPower)
     {
-        ThinLinkFleet fleet(1, { { 15, 200 }, { 180, 20 } });
+        SlowLinkSimulation fleet(1, { { 15, 200 }, { 180, 20 } });
         fleet.writeConfiguration(1, configurationText(1, 10000, 0));
         fleet.advance(20s);
         fleet.restartAll();
-        fleet.advance(openingGivenUpAfter);
-        EXPECT_EQ(fleet.informed(), fleet.size());
+        fleet.advance(openingTimeout);
+        EXPECT_EQ(fleet.configuredBalancers(), fleet.size());
     }
 
     // The same where no link is wide: three times what one listing takes on such a link.
     TEST(ConfigurationSpreadTest, hundredsOnThinLinksKnowTenThousandRoutesSoon)
     {
-        constexpr auto informedWithin = 3100ms;
-        ThinLinkFleet fleet(1, { { 195, 20 } });
+        constexpr auto configuredWithin = 3100ms;
+        SlowLinkSimulation fleet(1, { { 195, 20 } });
         fleet.writeConfiguration(1, configurationText(1, 10000, 0));
         fleet.advance(30s);
         fleet.restartAll();
-        fleet.advance(informedWithin);
-        EXPECT_EQ(fleet.informed(), fleet.size());
+        fleet.advance(configuredWithin);
+        EXPECT_EQ(fleet.configuredBalancers(), fleet.size());
     }
 
 }
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/FleetSimulation.cpp
@@ -1,4 +1,4 @@
-#include "News/DecisionFleet.h"
+#include "News/FleetSimulation.h"
 
 #include "News/CompressedValue.h"
 
@@ -12,14 +12,14 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto messageTime = 2ms;
-    constexpr auto storeTime = 4ms;
-    constexpr auto watchStep = 20ms;
-    constexpr auto beatPeriod = 250ms;
+    constexpr auto messageLatency = 2ms;
+    constexpr auto storeLatency = 4ms;
+    constexpr auto watchPollInterval = 20ms;
+    constexpr auto tickPeriod = 250ms;
 
 }
 
-DecisionFleet::DecisionFleet(std::uint32_t seed)
+FleetSimulation::FleetSimulation(std::uint32_t seed)
     : random_(seed)
 {
     for (std::size_t i = 0; i < zones * balancersPerZone; ++i) {
@@ -28,17 +28,17 @@
         balancer.name = fmt::format("{}-{}", balancer.availabilityZone, i % balancersPerZone);
         balancer.id = balancerIdOf(balancer.name);
         balancers_.push_back(std::move(balancer));
-        lives_.push_back(0);
+        incarnations_.push_back(0);
     }
     for (std::size_t i = 0; i < balancers_.size(); ++i)
         start(i);
-    nextBeat_ = clock_.now();
+    nextTick_ = clock_.now();
 }
 
-void DecisionFleet::start(std::size_t index)
+void FleetSimulation::start(std::size_t index)
 {
     Balancer& balancer = balancers_[index];
-    ++lives_[index];
+    ++incarnations_[index];
     balancer.feed = std::make_unique<StoreFeed>(random_());
     balancer.sync = std::make_unique<ReplicaSync>(balancer.availabilityZone, random_());
     RouterSettings settings;
@@ -48,7 +48,7 @@
     perform(index, balancer.feed->start(clock_.now()));
 }
 
-void DecisionFleet::put(const std::string& key, std::string value, bool isRemoved)
+void FleetSimulation::put(const std::string& key, std::string value, bool isRemoved)
 {
     const PlatformItem item { key, std::move(value), ++revision_, isRemoved };
     history_.push_back(item);
@@ -58,7 +58,7 @@
         items_[key] = item;
 }
 
-void DecisionFleet::writeConfiguration(std::uint64_t version, const std::vector<std::string>& servicesByRoute)
+void FleetSimulation::writeConfiguration(std::uint64_t version, const std::vector<std::string>& servicesByRoute)
 {
     ForwardingConfiguration configuration { version, {}, 15s };
     for (std::size_t i = 0; i < servicesByRoute.size(); ++i) {
@@ -70,35 +70,35 @@
     put("configuration", fmt::format("{}\n{}", version, std::string(compressionThreshold, 'r')), false);
 }
 
-void DecisionFleet::writeServer(const RegisteredServer& server)
+void FleetSimulation::writeServer(const RegisteredServer& server)
 {
     servers_[fmt::format("{}@{}", server.id, revision_ + 1)] = server;
     put("server " + server.id, fmt::format("{}@{}", server.id, revision_ + 1), false);
 }
 
-void DecisionFleet::removeServer(const RegisteredServer& server) { put("server " + server.id, {}, true); }
+void FleetSimulation::removeServer(const RegisteredServer& server) { put("server " + server.id, {}, true); }
 
-void DecisionFleet::schedule(Duration delay, std::function<void()> action)
+void FleetSimulation::schedule(Duration delay, std::function<void()> action)
 {
-    events_.push_back({ clock_.now() + delay, nextOrder_++, std::move(action) });
+    events_.push_back({ clock_.now() + delay, nextSequence_++, std::move(action) });
 }
 
-void DecisionFleet::advance(Duration step)
+void FleetSimulation::advance(Duration step)
 {
     const TimePoint end = clock_.now() + step;
     for (;;) {
-        const auto next = std::ranges::min_element(
-            events_, [](const Event& a, const Event& b) { return a.at != b.at ? a.at < b.at : a.order < b.order; });
-        const bool hasEvent = next != events_.end() && next->at <= std::min(end, nextBeat_);
+        const auto next = std::ranges::min_element(events_,
+            [](const Event& a, const Event& b) { return a.at != b.at ? a.at < b.at : a.sequence < b.sequence; });
+        const bool hasEvent = next != events_.end() && next->at <= std::min(end, nextTick_);
         if (hasEvent) {
             const Event event = std::move(*next);
             events_.erase(next);
             clock_.advance(std::max<Duration>(event.at - clock_.now(), Duration::zero()));
             event.action();
-        } else if (nextBeat_ <= end) {
-            clock_.advance(nextBeat_ - clock_.now());
-            nextBeat_ += beatPeriod;
-            beat();
+        } else if (nextTick_ <= end) {
+            clock_.advance(nextTick_ - clock_.now());
+            nextTick_ += tickPeriod;
+            tickBalancers();
         } else {
             clock_.advance(end - clock_.now());
             return;
@@ -107,7 +107,7 @@
 }
 
 // What the daemon does at each beat; the revisions of the others come as membership brings them, unless they get lost.
-void DecisionFleet::beat()
+void FleetSimulation::tickBalancers()
 {
     for (std::size_t index = 0; index < balancers_.size(); ++index) {
         Balancer& balancer = balancers_[index];
@@ -140,32 +140,32 @@
     }
 }
 
-void DecisionFleet::perform(std::size_t index, const StoreFeedActions& actions)
+void FleetSimulation::perform(std::size_t index, const StoreFeedActions& actions)
 {
     for (const StoreFeedAction& action : actions) {
-        const std::uint64_t life = lives_[index];
-        const auto whenAlive = [this, index, life](std::function<void()> then) {
-            return [this, index, life, then = std::move(then)] {
-                if (lives_[index] == life && !balancers_[index].isFrozen)
+        const std::uint64_t incarnation = incarnations_[index];
+        const auto ifAlive = [this, index, incarnation](std::function<void()> then) {
+            return [this, index, incarnation, then = std::move(then)] {
+                if (incarnations_[index] == incarnation && !balancers_[index].isFrozen)
                     then();
             };
         };
         if (const auto* news = std::get_if<DeltaReceived>(&action)) {
             perform(index, balancers_[index].sync->handleStoreDelta(news->delta, now()));
         } else if (const auto* list = std::get_if<SendList>(&action)) {
-            const bool mayBeOld = list->call.mayBeStale;
-            schedule(storeTime, whenAlive([this, index, mayBeOld] { answerList(index, mayBeOld); }));
+            const bool mayBeStale = list->call.mayBeStale;
+            schedule(storeLatency, ifAlive([this, index, mayBeStale] { answerList(index, mayBeStale); }));
         } else if (const auto* watch = std::get_if<SendWatch>(&action)) {
-            schedule(storeTime, whenAlive([this, index, watch = *watch, until = now() + watch->call.wait] {
+            schedule(storeLatency, ifAlive([this, index, watch = *watch, until = now() + watch->call.wait] {
                 answerWatch(index, watch, until);
             }));
         }
     }
 }
 
-void DecisionFleet::keepListings(bool keeps) { keptPage_ = keeps ? std::optional(page()) : std::nullopt; }
+void FleetSimulation::serveStaleListings(bool keeps) { stalePage_ = keeps ? std::optional(page()) : std::nullopt; }
 
-PlatformPage DecisionFleet::page() const
+PlatformPage FleetSimulation::page() const
 {
     PlatformPage page;
     page.revision = revision_;
@@ -174,23 +174,23 @@
     return page;
 }
 
-void DecisionFleet::answerList(std::size_t index, bool mayBeOld)
+void FleetSimulation::answerList(std::size_t index, bool mayBeStale)
 {
     Balancer& balancer = balancers_[index];
-    if (isStoreDown || balancer.isTurnedAway)
+    if (isStoreDown || balancer.isRejectedByStore)
         return perform(index, balancer.feed->handlePage(Error { ErrorCode::Unavailable, "status 503" }, now()));
-    perform(index, balancer.feed->handlePage(mayBeOld && keptPage_ ? *keptPage_ : page(), now()));
+    perform(index, balancer.feed->handlePage(mayBeStale && stalePage_ ? *stalePage_ : page(), now()));
 }
 
-void DecisionFleet::answerWatch(std::size_t index, const SendWatch& watch, TimePoint until)
+void FleetSimulation::answerWatch(std::size_t index, const SendWatch& watch, TimePoint until)
 {
     Balancer& balancer = balancers_[index];
     const auto answer = [&](const Result<PlatformChanges>& changes) {
         perform(index, balancer.feed->handleChanges(watch.number, changes, now()));
     };
-    if (isStoreDown || balancer.isTurnedAway)
+    if (isStoreDown || balancer.isRejectedByStore)
         return answer(Error { ErrorCode::Unavailable, "status 503" });
-    if (watch.call.revision < forgottenTo_)
+    if (watch.call.revision < compactedRevision_)
         return answer(Error { ErrorCode::NotFound, "history" });
     PlatformChanges changes { {}, revision_ };
     for (const PlatformItem& item : history_) {
@@ -199,14 +199,14 @@
     }
     if (!changes.items.empty() || now() >= until)
         return answer(changes);
-    const std::uint64_t life = lives_[index];
-    schedule(watchStep, [this, index, watch, until, life] {
-        if (lives_[index] == life && !balancers_[index].isFrozen)
+    const std::uint64_t incarnation = incarnations_[index];
+    schedule(watchPollInterval, [this, index, watch, until, incarnation] {
+        if (incarnations_[index] == incarnation && !balancers_[index].isFrozen)
             answerWatch(index, watch, until);
     });
 }
 
-void DecisionFleet::perform(std::size_t index, const ReplicaSyncActions& actions)
+void FleetSimulation::perform(std::size_t index, const ReplicaSyncActions& actions)
 {
     for (const ReplicaSyncAction& action : actions) {
         const BalancerId self = balancers_[index].id;
@@ -215,7 +215,7 @@
         } else if (const auto* push = std::get_if<PushDelta>(&action)) {
             if (isLost())
                 continue;
-            schedule(messageTime, [this, self, push = *push] {
+            schedule(messageLatency, [this, self, push = *push] {
                 for (std::size_t to = 0; to < balancers_.size(); ++to) {
                     if (balancers_[to].id.value == push.to.address && !balancers_[to].isFrozen)
                         perform(to, balancers_[to].sync->handlePush(self, push.delta, now()));
@@ -223,10 +223,10 @@
             });
         } else if (const auto* fetch = std::get_if<FetchDelta>(&action)) {
             const bool isAnswered = !isLost();
-            const std::uint64_t life = lives_[index];
-            schedule(2 * messageTime, [this, index, life, fetch = *fetch, isAnswered] {
+            const std::uint64_t incarnation = incarnations_[index];
+            schedule(2 * messageLatency, [this, index, incarnation, fetch = *fetch, isAnswered] {
                 Balancer& asking = balancers_[index];
-                if (lives_[index] != life || asking.isFrozen)
+                if (incarnations_[index] != incarnation || asking.isFrozen)
                     return;
                 for (const Balancer& other : balancers_) {
                     if (other.id == fetch.from && isAnswered && !other.isFrozen)
@@ -240,7 +240,7 @@
     }
 }
 
-void DecisionFleet::apply(Balancer& balancer, const ReplicaChanged& news)
+void FleetSimulation::apply(Balancer& balancer, const ReplicaChanged& news)
 {
     for (const StoreUpdate& item : news.items) {
         if (item.key == "configuration") {
--- a/Tests/News/DecisionFleet.h
+++ b/Tests/News/FleetSimulation.h
@@ -17,7 +17,7 @@
 
 // Several balancers' decisions in virtual time: each has a feed of the store, an sync of news and a token router.
 // The store, the messages between balancers and the gossip of revisions are played by this class, with seeded faults.
-class DecisionFleet {
+class FleetSimulation {
 public:
     static constexpr std::size_t zones = 2;
     static constexpr std::size_t balancersPerZone = 3;
@@ -32,22 +32,22 @@
         std::unique_ptr<ReplicaSync> sync;
         std::unique_ptr<TokenRouter> router;
         bool isFrozen = false;
-        bool isTurnedAway = false;
+        bool isRejectedByStore = false;
         std::uint64_t newestVersion = 0;
     };
 
-    explicit DecisionFleet(std::uint32_t seed);
+    explicit FleetSimulation(std::uint32_t seed);
 
     // The operators' and the servers' writes.
     void writeConfiguration(std::uint64_t version, const std::vector<std::string>& servicesByRoute);
     void writeServer(const RegisteredServer&);
     void removeServer(const RegisteredServer&);
     // Operators order that a zone is emptied, or take the order back.
-    void orderZone(const std::string& zone) { put("empty " + zone, {}, false); }
-    void takeZoneBack(const std::string& zone) { put("empty " + zone, {}, true); }
-    void forgetHistory() { forgottenTo_ = revision_; }
+    void drainZone(const std::string& zone) { put("empty " + zone, {}, false); }
+    void undrainZone(const std::string& zone) { put("empty " + zone, {}, true); }
+    void compactHistory() { compactedRevision_ = revision_; }
     // From now on first listings show what there is now, or again what there is then.
-    void keepListings(bool keeps);
+    void serveStaleListings(bool keeps);
 
     // Starts a balancer, or starts it anew with nothing.
     void start(std::size_t index);
@@ -60,12 +60,12 @@
     std::uint64_t regressions() const { return regressions_; }
 
     bool isStoreDown = false;
-    double loss = 0;
+    double lossRate = 0;
 
 private:
     struct Event {
         TimePoint at;
-        std::uint64_t order = 0;
+        std::uint64_t sequence = 0;
         std::function<void()> action;
     };
 
@@ -75,27 +75,27 @@
     void perform(std::size_t, const ReplicaSyncActions&);
     void apply(Balancer&, const ReplicaChanged&);
     PlatformPage page() const;
-    void answerList(std::size_t, bool mayBeOld);
+    void answerList(std::size_t, bool mayBeStale);
     void answerWatch(std::size_t, const SendWatch&, TimePoint until);
-    void beat();
-    bool isLost() { return std::uniform_real_distribution<>()(random_) < loss; }
+    void tickBalancers();
+    bool isLost() { return std::uniform_real_distribution<>()(random_) < lossRate; }
 
     ManualClock clock_;
     std::mt19937 random_;
     std::vector<Balancer> balancers_;
-    std::vector<std::uint64_t> lives_;
+    std::vector<std::uint64_t> incarnations_;
     std::map<std::string, PlatformItem> items_;
     std::vector<PlatformItem> history_;
     std::map<std::string, RegisteredServer> servers_;
     std::map<std::uint64_t, ForwardingConfiguration> configurations_;
     std::uint64_t revision_ = 1;
     // The listing that may be old, where one is kept.
-    std::optional<PlatformPage> keptPage_;
-    std::uint64_t forgottenTo_ = 0;
+    std::optional<PlatformPage> stalePage_;
+    std::uint64_t compactedRevision_ = 0;
     std::uint64_t regressions_ = 0;
-    std::uint64_t nextOrder_ = 0;
+    std::uint64_t nextSequence_ = 0;
     std::vector<Event> events_;
-    TimePoint nextBeat_;
+    TimePoint nextTick_;
 };
 
 }
--- a/Tests/News/RandomDecisionsTest.cpp
+++ b/Tests/News/RandomFaultsTest.cpp
@@ -1,4 +1,4 @@
-#include "News/DecisionFleet.h"
+#include "News/FleetSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
     struct TestServer {
         RegisteredServer entry;
         bool isAlive = true;
-        TimePoint leavesSince = TimePoint::max();
+        TimePoint drainingSince = TimePoint::max();
     };
 
     struct TestFlow {
@@ -26,29 +26,29 @@
     };
 
     // Drives a fleet by a seeded schedule and checks what callers and servers would see.
-    class RandomDecisions {
+    class RandomFaultRun {
     public:
-        explicit RandomDecisions(std::uint32_t seed)
+        explicit RandomFaultRun(std::uint32_t seed)
             : fleet_(seed)
         {
             for (std::size_t i = 0; i < 8; ++i)
                 addServer(i % 2 == 0 ? "tryon" : "scanintake", i % 4 < 2 ? "walu" : "nabua", 0);
             fleet_.writeConfiguration(version_ = 2, services_);
-            noteConfiguration();
+            recordConfiguration();
             fleet_.advance(3s);
         }
 
         void run()
         {
             for (int step = 0; step < 60; ++step) {
-                disturb();
+                injectFault();
                 for (int i = 0; i < 5; ++i) {
-                    open();
-                    use();
+                    openFlow();
+                    useFlow();
                     fleet_.advance(50ms);
                 }
             }
-            calmDown();
+            recover();
         }
 
     private:
@@ -62,13 +62,13 @@
             fleet_.writeServer(servers_.back().entry);
         }
 
-        void noteConfiguration()
+        void recordConfiguration()
         {
             for (std::size_t i = 0; i < services_.size(); ++i)
-                everAllowed_.insert({ DecisionFleet::routeOf(i), services_[i] });
+                allowedServices_.insert({ FleetSimulation::routeOf(i), services_[i] });
         }
 
-        void disturb()
+        void injectFault()
         {
             auto& balancer = fleet_.balancers()[draw(6)];
             const std::size_t index = static_cast<std::size_t>(&balancer - fleet_.balancers().data());
@@ -81,27 +81,27 @@
                 balancer.isFrozen = !balancer.isFrozen;
                 return;
             case 2:
-                balancer.isTurnedAway = !balancer.isTurnedAway;
+                balancer.isRejectedByStore = !balancer.isRejectedByStore;
                 return;
             case 3:
                 fleet_.isStoreDown = !fleet_.isStoreDown;
                 return;
             case 4:
-                return fleet_.forgetHistory();
+                return fleet_.compactHistory();
             case 5:
-                fleet_.loss = draw(2) * 0.3;
+                fleet_.lossRate = draw(2) * 0.3;
                 return;
             case 6:
             case 7:
                 services_[draw(4)] = std::array<const char*, 3> { "tryon", "scanintake", "" }[draw(3)];
                 fleet_.writeConfiguration(version_ += 1 + draw(5), services_);
-                return noteConfiguration();
+                return recordConfiguration();
             case 8:
             case 9: {
                 if (!server.isAlive || server.entry.readiness == ServerReadiness::Draining)
                     return;
                 server.entry.readiness = ServerReadiness::Draining;
-                server.leavesSince = fleet_.now();
+                server.drainingSince = fleet_.now();
                 fleet_.writeServer(server.entry);
                 const RegisteredServer entry = server.entry;
                 return addServer(entry.service, entry.availabilityZone, 0);
@@ -130,18 +130,18 @@
             }
         }
 
-        void open()
+        void openFlow()
         {
             auto& balancer = fleet_.balancers()[draw(6)];
             if (balancer.isFrozen)
                 return;
             const std::size_t route = draw(4);
-            TokenPacket packet = ForwardFixture::opening(++nextCaller_, draw(3), DecisionFleet::routeOf(route));
+            TokenPacket packet = ForwardFixture::opening(++nextCaller_, draw(3), FleetSimulation::routeOf(route));
             const PacketDecision decision = balancer.router->route(packet, fleet_.now());
             if (decision.verdict != PacketVerdict::Forward)
                 return;
             const RegisteredServer& chosen = decision.server->entry;
-            EXPECT_TRUE(everAllowed_.contains({ packet.ends.route, chosen.service }))
+            EXPECT_TRUE(allowedServices_.contains({ packet.ends.route, chosen.service }))
                 << chosen.service << " never had " << packet.ends.route.toString();
             for (std::size_t i = 0; i < servers_.size(); ++i) {
                 if (servers_[i].entry.id == chosen.id && servers_[i].isAlive)
@@ -151,7 +151,7 @@
 
         // A packet of an open flow arrives at any balancer: it goes to its server, or nowhere, and is never reset while
         // that server lives.
-        void use()
+        void useFlow()
         {
             if (flows_.empty())
                 return;
@@ -176,12 +176,12 @@
 
         // Everything undisturbed: within seconds all know all, also those that just started, and new flows go to
         // living servers of the newest configuration.
-        void calmDown()
+        void recover()
         {
             fleet_.isStoreDown = false;
-            fleet_.loss = 0;
+            fleet_.lossRate = 0;
             for (auto& balancer : fleet_.balancers()) {
-                balancer.isTurnedAway = false;
+                balancer.isRejectedByStore = false;
                 balancer.isFrozen = false;
             }
             for (std::size_t i = 0; i < fleet_.balancers().size(); ++i) {
@@ -196,16 +196,17 @@
             for (auto& balancer : fleet_.balancers()) {
                 EXPECT_EQ(balancer.sync->replica().completeTo(), fleet_.revision()) << balancer.name;
                 EXPECT_EQ(balancer.router->configurationVersion(), version_) << balancer.name;
-                expectGoodChoices(*balancer.router);
+                expectValidChoices(*balancer.router);
             }
             EXPECT_EQ(fleet_.regressions(), 0U);
         }
 
-        void expectGoodChoices(TokenRouter& router)
+        void expectValidChoices(TokenRouter& router)
         {
             for (std::size_t route = 0; route < services_.size(); ++route) {
                 for (int i = 0; i < 10; ++i) {
-                    const TokenPacket packet = ForwardFixture::opening(++nextCaller_, 0, DecisionFleet::routeOf(route));
+                    const TokenPacket packet
+                        = ForwardFixture::opening(++nextCaller_, 0, FleetSimulation::routeOf(route));
                     const PacketDecision decision = router.route(packet, fleet_.now());
                     if (decision.verdict != PacketVerdict::Forward) {
                         EXPECT_TRUE(services_[route].empty() || decision.reason == PacketReason::NoServer);
@@ -220,21 +221,21 @@
             }
         }
 
-        DecisionFleet fleet_;
+        FleetSimulation fleet_;
         std::vector<TestServer> servers_;
         std::vector<TestFlow> flows_;
         std::vector<std::string> services_ { "tryon", "scanintake", "tryon", "" };
-        std::set<std::pair<Endpoint, std::string>> everAllowed_;
+        std::set<std::pair<Endpoint, std::string>> allowedServices_;
         std::uint64_t version_ = 0;
         std::uint64_t nextNumber_ = 0;
         std::uint32_t nextCaller_ = 0;
     };
 
-    TEST(RandomDecisionsTest, flowsAndConfigurationsSurviveSeededFaults)
+    TEST(RandomFaultsTest, flowsAndConfigurationsSurviveSeededFaults)
     {
         for (std::uint32_t seed = 1; seed <= 300; ++seed) {
             SCOPED_TRACE(seed);
-            RandomDecisions(seed).run();
+            RandomFaultRun(seed).run();
             if (HasFailure())
                 break;
         }
@@ -243,11 +244,11 @@
     // Symptom: new flows found no server although all were well.
     // Sequence: all entries lapse in an outage of the store, it says so when it is back, and is lost again before the
     // servers have registered anew. Cause: see ServerDirectoryTest.
-    TEST(RandomDecisionsTest, serversThatLapsedStayWhileTheStoreCannotSayThatTheyAreBack)
+    TEST(RandomFaultsTest, serversThatLapsedStayWhileTheStoreCannotSayThatTheyAreBack)
     {
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
             SCOPED_TRACE(seed);
-            DecisionFleet fleet(seed);
+            FleetSimulation fleet(seed);
             fleet.writeConfiguration(2, { "tryon" });
             for (std::uint64_t number = 1; number <= 4; ++number)
                 fleet.writeServer(ForwardFixture::server(number));
@@ -258,7 +259,7 @@
             fleet.isStoreDown = true;
             fleet.advance(5s);
             for (auto& balancer : fleet.balancers()) {
-                const TokenPacket packet = ForwardFixture::opening(1, 0, DecisionFleet::routeOf(0));
+                const TokenPacket packet = ForwardFixture::opening(1, 0, FleetSimulation::routeOf(0));
                 const PacketDecision decision = balancer.router->route(packet, fleet.now());
                 EXPECT_EQ(decision.verdict, PacketVerdict::Forward) << balancer.name;
             }
@@ -273,15 +274,15 @@
     // Sequence: the store turns away all balancers of a zone for longer than any bound, while the configuration
     // changes. Cause: see ReplicaSyncTest; here the bound itself is checked, 3 s of which the gossip takes half a
     // second.
-    TEST(RandomDecisionsTest, aZoneThatTheStoreTurnsAwayHasANewConfigurationWithinTwoSeconds)
+    TEST(RandomFaultsTest, aZoneThatTheStoreTurnsAwayHasANewConfigurationWithinTwoSeconds)
     {
         for (std::uint32_t seed = 1; seed <= 50; ++seed) {
             SCOPED_TRACE(seed);
-            DecisionFleet fleet(seed);
+            FleetSimulation fleet(seed);
             fleet.writeConfiguration(2, { "tryon" });
             fleet.advance(2s);
             for (auto& balancer : fleet.balancers())
-                balancer.isTurnedAway = balancer.availabilityZone == "nabua";
+                balancer.isRejectedByStore = balancer.availabilityZone == "nabua";
             fleet.advance(1s);
             fleet.writeConfiguration(7, { "scanintake" });
             fleet.advance(2s);
--- a/Tests/News/ThinLinkFleet.cpp
+++ b/Tests/News/SlowLinkSimulation.cpp
@@ -1,4 +1,4 @@
-#include "News/ThinLinkFleet.h"
+#include "News/SlowLinkSimulation.h"
 
 #include "News/CompressedValue.h"
 #include "Peers/ConfigurationWatchers.h"
@@ -16,8 +16,8 @@
     using namespace std::chrono_literals;
 
     constexpr auto stepTime = 5ms;
-    constexpr auto beatPeriod = 250ms;
-    constexpr auto messageTime = 2ms;
+    constexpr auto tickPeriod = 250ms;
+    constexpr auto messageLatency = 2ms;
     constexpr double bytesPerMegabit = 1e6 / 8;
     // The store's own link, which all balancers share.
     constexpr double storeBytesPerSecond = 1000 * bytesPerMegabit;
@@ -55,7 +55,7 @@
     return text + R"(],"services":[{"name":"streams","healthPath":"/health"}],"limits":{"idleTimeoutMs":15000}})";
 }
 
-ThinLinkFleet::ThinLinkFleet(std::uint32_t seed, const std::vector<Link>& links)
+SlowLinkSimulation::SlowLinkSimulation(std::uint32_t seed, const std::vector<Link>& links)
     : random_(seed)
 {
     for (const Link& link : links) {
@@ -77,22 +77,22 @@
         start(i);
 }
 
-void ThinLinkFleet::start(std::size_t index)
+void SlowLinkSimulation::start(std::size_t index)
 {
     Balancer& balancer = balancers_[index];
-    ++balancer.life;
+    ++balancer.incarnation;
     StoreFeedSettings settings;
     settings.linkMegabits = balancer.member.linkMegabits;
     balancer.feed = std::make_unique<StoreFeed>(random_(), settings);
     balancer.sync = std::make_unique<ReplicaSync>("zone", random_());
     balancer.version = 0;
-    balancer.had.clear();
-    balancer.datagramBytes = 0;
-    balancer.nextBeat = clock_.now() + random_() % 250 * 1ms;
+    balancer.receivedAt.clear();
+    balancer.queuedDatagramBytes = 0;
+    balancer.nextTick = clock_.now() + random_() % 250 * 1ms;
     perform(index, balancer.feed->start(clock_.now()));
 }
 
-void ThinLinkFleet::restartAll()
+void SlowLinkSimulation::restartAll()
 {
     transfers_.clear();
     datagrams_.clear();
@@ -101,43 +101,43 @@
         start(i);
 }
 
-void ThinLinkFleet::put(PlatformItem item)
+void SlowLinkSimulation::put(PlatformItem item)
 {
     item.revision = ++revision_;
     items_[item.key] = std::move(item);
 }
 
-void ThinLinkFleet::writeConfiguration(std::uint64_t version, const std::string& text)
+void SlowLinkSimulation::writeConfiguration(std::uint64_t version, const std::string& text)
 {
     texts_[version] = text;
     writtenAt_[version] = clock_.now();
     put({ configurationKey, text });
 }
 
-void ThinLinkFleet::write(const std::string& key, const std::string& value) { put({ key, value }); }
+void SlowLinkSimulation::write(const std::string& key, const std::string& value) { put({ key, value }); }
 
-std::optional<Duration> ThinLinkFleet::lastHad(std::uint64_t version) const
+std::optional<Duration> SlowLinkSimulation::slowestArrival(std::uint64_t version) const
 {
     Duration longest {};
     for (const Balancer& balancer : balancers_) {
-        const auto newer = balancer.had.lower_bound(version);
-        if (newer == balancer.had.end())
+        const auto newer = balancer.receivedAt.lower_bound(version);
+        if (newer == balancer.receivedAt.end())
             return std::nullopt;
         TimePoint first = TimePoint::max();
-        for (auto row = newer; row != balancer.had.end(); ++row)
+        for (auto row = newer; row != balancer.receivedAt.end(); ++row)
             first = std::min(first, row->second);
         longest = std::max(longest, first - writtenAt_.at(version));
     }
     return longest;
 }
 
-std::size_t ThinLinkFleet::informed() const
+std::size_t SlowLinkSimulation::configuredBalancers() const
 {
     return static_cast<std::size_t>(
         std::ranges::count_if(balancers_, [](const Balancer& balancer) { return balancer.version > 0; }));
 }
 
-std::uint64_t ThinLinkFleet::takeMostPeerBytes()
+std::uint64_t SlowLinkSimulation::takeMaxPeerBytes()
 {
     std::uint64_t most = 0;
     for (Balancer& balancer : balancers_)
@@ -145,29 +145,29 @@
     return most;
 }
 
-void ThinLinkFleet::advance(Duration time)
+void SlowLinkSimulation::advance(Duration time)
 {
     const TimePoint end = clock_.now() + time;
     while (clock_.now() < end)
         step();
 }
 
-void ThinLinkFleet::step()
+void SlowLinkSimulation::step()
 {
     clock_.advance(stepTime);
     moveBytes();
     deliverDatagrams();
     answerWatches();
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
-        if (clock_.now() < balancers_[i].nextBeat)
+        if (clock_.now() < balancers_[i].nextTick)
             continue;
-        balancers_[i].nextBeat += beatPeriod;
-        beat(i);
+        balancers_[i].nextTick += tickPeriod;
+        tickBalancer(i);
     }
 }
 
 // Each transfer gets an equal part of its sender's link and of its receiver's, whichever is less.
-void ThinLinkFleet::moveBytes()
+void SlowLinkSimulation::moveBytes()
 {
     const double seconds = std::chrono::duration<double>(stepTime).count();
     std::vector<double> sending(balancers_.size());
@@ -178,7 +178,7 @@
         ++receiving[transfer.to];
     }
     for (Balancer& balancer : balancers_)
-        balancer.datagramBytes = std::max(0.0, balancer.datagramBytes - balancer.bytesPerSecond * seconds);
+        balancer.queuedDatagramBytes = std::max(0.0, balancer.queuedDatagramBytes - balancer.bytesPerSecond * seconds);
     std::vector<Transfer> arrived;
     for (Transfer& transfer : transfers_) {
         Balancer& receiver = balancers_[transfer.to];
@@ -196,19 +196,19 @@
         }
     }
     std::erase_if(transfers_, [&](Transfer& transfer) {
-        const bool isOver = transfer.bytesLeft <= 0;
-        if (isOver)
+        const bool isComplete = transfer.bytesLeft <= 0;
+        if (isComplete)
             arrived.push_back(std::move(transfer));
-        return isOver;
+        return isComplete;
     });
     for (Transfer& transfer : arrived)
         deliver(std::move(transfer));
 }
 
-void ThinLinkFleet::deliver(Transfer transfer)
+void SlowLinkSimulation::deliver(Transfer transfer)
 {
     Balancer& balancer = balancers_[transfer.to];
-    if (transfer.life != balancer.life)
+    if (transfer.incarnation != balancer.incarnation)
         return;
     if (transfer.page)
         perform(transfer.to, balancer.feed->handlePage(*transfer.page, clock_.now()));
@@ -219,7 +219,7 @@
             balancer.sync->handleAnswer(balancers_[*transfer.from].member.name, *transfer.delta, clock_.now()));
 }
 
-void ThinLinkFleet::deliverDatagrams()
+void SlowLinkSimulation::deliverDatagrams()
 {
     std::vector<Datagram> due;
     std::erase_if(datagrams_, [&](Datagram& datagram) {
@@ -234,11 +234,11 @@
     }
 }
 
-void ThinLinkFleet::answerWatches()
+void SlowLinkSimulation::answerWatches()
 {
     std::vector<Watch> waiting = std::exchange(watches_, {});
     for (Watch& watch : waiting) {
-        if (watch.life != balancers_[watch.balancer].life)
+        if (watch.incarnation != balancers_[watch.balancer].incarnation)
             continue;
         PlatformChanges changes { {}, revision_ };
         for (const auto& [key, item] : items_) {
@@ -251,7 +251,7 @@
         }
         Transfer transfer;
         transfer.to = watch.balancer;
-        transfer.life = watch.life;
+        transfer.incarnation = watch.incarnation;
         transfer.bytesLeft = sizeOf(changes.items);
         transfer.watchNumber = watch.call.number;
         transfer.changes = std::move(changes);
@@ -260,7 +260,7 @@
 }
 
 // What the daemon does at each beat.
-void ThinLinkFleet::beat(std::size_t index)
+void SlowLinkSimulation::tickBalancer(std::size_t index)
 {
     Balancer& balancer = balancers_[index];
     const TimePoint now = clock_.now();
@@ -270,7 +270,7 @@
         if (transfer.to == index && transfer.isFetch && std::exchange(transfer.hasMoved, false))
             balancer.sync->noteFetchProgress(now);
     }
-    noteListing(index);
+    reportListingProgress(index);
     balancer.sync->setFetchesImmediately(balancer.feed->asksPeers());
     perform(index, balancer.sync->tick(now));
     const bool isWatcher = shallWatchConfiguration(*view, watcherNumbers);
@@ -280,7 +280,7 @@
     perform(index, balancer.feed->tick(now));
 }
 
-void ThinLinkFleet::noteListing(std::size_t index)
+void SlowLinkSimulation::reportListingProgress(std::size_t index)
 {
     const auto listing = std::ranges::find_if(
         transfers_, [&](const Transfer& transfer) { return transfer.to == index && transfer.page; });
@@ -292,7 +292,7 @@
     perform(index, balancer.feed->handlePageProgress(received, total, balancer.sync->knowsFasterPeer(), clock_.now()));
 }
 
-std::shared_ptr<const MembersView> ThinLinkFleet::viewOf(std::size_t index) const
+std::shared_ptr<const MembersView> SlowLinkSimulation::viewOf(std::size_t index) const
 {
     auto view = std::make_shared<MembersView>();
     view->self = balancers_[index].member.id;
@@ -305,13 +305,13 @@
     return view;
 }
 
-std::size_t ThinLinkFleet::indexOf(BalancerId id) const
+std::size_t SlowLinkSimulation::indexOf(BalancerId id) const
 {
     const auto found = std::ranges::find(balancers_, id, [](const Balancer& balancer) { return balancer.member.id; });
     return static_cast<std::size_t>(found - balancers_.begin());
 }
 
-void ThinLinkFleet::perform(std::size_t index, const StoreFeedActions& actions)
+void SlowLinkSimulation::perform(std::size_t index, const StoreFeedActions& actions)
 {
     Balancer& balancer = balancers_[index];
     for (const StoreFeedAction& action : actions) {
@@ -320,7 +320,7 @@
         } else if (std::holds_alternative<SendList>(action)) {
             Transfer transfer;
             transfer.to = index;
-            transfer.life = balancer.life;
+            transfer.incarnation = balancer.incarnation;
             transfer.page = PlatformPage { {}, false, revision_ };
             for (const auto& [key, item] : items_)
                 transfer.page->items.push_back(item);
@@ -330,12 +330,12 @@
         } else if (std::holds_alternative<CancelListing>(action)) {
             std::erase_if(transfers_, [&](const Transfer& transfer) { return transfer.to == index && transfer.page; });
         } else if (const auto* watch = std::get_if<SendWatch>(&action)) {
-            watches_.push_back({ index, balancer.life, *watch, clock_.now() + watch->call.wait });
+            watches_.push_back({ index, balancer.incarnation, *watch, clock_.now() + watch->call.wait });
         }
     }
 }
 
-void ThinLinkFleet::perform(std::size_t index, const ReplicaSyncActions& actions)
+void SlowLinkSimulation::perform(std::size_t index, const ReplicaSyncActions& actions)
 {
     Balancer& balancer = balancers_[index];
     for (const ReplicaSyncAction& action : actions) {
@@ -344,11 +344,11 @@
         } else if (const auto* push = std::get_if<PushDelta>(&action)) {
             const double bytes = datagramOverhead + static_cast<double>(encodeMessage(push->delta).size());
             const std::size_t to = push->to.address - 1;
-            balancer.datagramBytes += bytes;
+            balancer.queuedDatagramBytes += bytes;
             balancer.peerBytes += static_cast<std::uint64_t>(bytes);
             balancers_[to].peerBytes += static_cast<std::uint64_t>(bytes);
-            const auto onLink = std::chrono::duration<double>(balancer.datagramBytes / balancer.bytesPerSecond);
-            const TimePoint at = clock_.now() + messageTime + std::chrono::duration_cast<Duration>(onLink);
+            const auto onLink = std::chrono::duration<double>(balancer.queuedDatagramBytes / balancer.bytesPerSecond);
+            const TimePoint at = clock_.now() + messageLatency + std::chrono::duration_cast<Duration>(onLink);
             datagrams_.push_back({ at, index, to, push->delta });
         } else {
             const auto& fetch = std::get<FetchDelta>(action);
@@ -358,7 +358,7 @@
             Transfer transfer;
             transfer.from = indexOf(fetch.from);
             transfer.to = index;
-            transfer.life = balancer.life;
+            transfer.incarnation = balancer.incarnation;
             transfer.isFetch = true;
             transfer.delta
                 = balancers_[*transfer.from].sync->replica().deltaSince(fetch.after, clock_.now(), fetch.encoding);
@@ -368,7 +368,7 @@
     }
 }
 
-void ThinLinkFleet::apply(std::size_t index, const ReplicaChanged& news)
+void SlowLinkSimulation::apply(std::size_t index, const ReplicaChanged& news)
 {
     Balancer& balancer = balancers_[index];
     for (const StoreUpdate& item : news.items) {
@@ -379,11 +379,11 @@
         const std::uint64_t version = text ? std::stoull(text.value().substr(beforeNumber, 20)) : 0;
         const auto written = texts_.find(version);
         if (written == texts_.end() || written->second != text.value()) {
-            ++wrongTexts_;
+            ++corruptTexts_;
             continue;
         }
         balancer.version = version;
-        balancer.had.emplace(version, clock_.now());
+        balancer.receivedAt.emplace(version, clock_.now());
     }
 }
 
--- a/Tests/News/ThinLinkFleet.h
+++ b/Tests/News/SlowLinkSimulation.h
@@ -17,7 +17,7 @@
 // The balancers of one availability zone and the platform's store in virtual time, with links of a given rate: an
 // answer takes as long as its bytes need on the sender's and the receiver's link, which all transfers there share.
 // Balancers run the decisions of the daemon (StoreFeed, ReplicaSync); this class does the I/O and the gossip.
-class ThinLinkFleet {
+class SlowLinkSimulation {
 public:
     struct Link {
         std::size_t balancers = 0;
@@ -25,7 +25,7 @@
     };
 
     // The balancers are named zone-0, zone-1 and so on, in the order of the links.
-    ThinLinkFleet(std::uint32_t seed, const std::vector<Link>&);
+    SlowLinkSimulation(std::uint32_t seed, const std::vector<Link>&);
 
     void writeConfiguration(std::uint64_t version, const std::string& text);
     // Another key, as a server's entry is.
@@ -36,13 +36,13 @@
 
     std::size_t size() const { return balancers_.size(); }
     // How long after it was written the last balancer had the version or a newer one; none while one has neither.
-    std::optional<Duration> lastHad(std::uint64_t version) const;
+    std::optional<Duration> slowestArrival(std::uint64_t version) const;
     // How many balancers have a configuration at all.
-    std::size_t informed() const;
+    std::size_t configuredBalancers() const;
     // The most bytes that one balancer sent to or received from other balancers since the last call.
-    std::uint64_t takeMostPeerBytes();
+    std::uint64_t takeMaxPeerBytes();
     // How often a balancer held a text that no operator wrote under its version.
-    std::uint64_t wrongTexts() const { return wrongTexts_; }
+    std::uint64_t corruptTexts() const { return corruptTexts_; }
 
 private:
     struct Balancer {
@@ -52,19 +52,19 @@
         std::unique_ptr<ReplicaSync> sync;
         std::uint64_t version = 0;
         // By version: when this balancer had it.
-        std::map<std::uint64_t, TimePoint> had;
-        std::uint64_t life = 0;
+        std::map<std::uint64_t, TimePoint> receivedAt;
+        std::uint64_t incarnation = 0;
         std::uint64_t peerBytes = 0;
         // What waits on its link to be sent as datagrams.
-        double datagramBytes = 0;
-        TimePoint nextBeat;
+        double queuedDatagramBytes = 0;
+        TimePoint nextTick;
     };
 
     // Bytes on the way to a balancer; `from` is none for the store, whose link is wide.
     struct Transfer {
         std::optional<std::size_t> from;
         std::size_t to = 0;
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         double bytesLeft = 0;
         double bytes = 0;
         bool isFetch = false;
@@ -84,7 +84,7 @@
 
     struct Watch {
         std::size_t balancer = 0;
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         SendWatch call;
         TimePoint until;
     };
@@ -95,9 +95,9 @@
     void deliver(Transfer);
     void deliverDatagrams();
     void answerWatches();
-    void beat(std::size_t);
+    void tickBalancer(std::size_t);
     // Tells the balancer how much has come of its listing.
-    void noteListing(std::size_t);
+    void reportListingProgress(std::size_t);
     void perform(std::size_t, const StoreFeedActions&);
     void perform(std::size_t, const ReplicaSyncActions&);
     void apply(std::size_t, const ReplicaChanged&);
@@ -115,7 +115,7 @@
     std::map<std::uint64_t, std::string> texts_;
     std::map<std::uint64_t, TimePoint> writtenAt_;
     std::uint64_t revision_ = 1;
-    std::uint64_t wrongTexts_ = 0;
+    std::uint64_t corruptTexts_ = 0;
 };
 
 // An operators' text of so many routes, each of some 190 bytes as the platform writes them. `changed` routes of it,
--- a/Tests/News/StoreFeedTest.cpp
+++ b/Tests/News/StoreFeedTest.cpp
@@ -38,7 +38,7 @@
         }
 
         // Reads everything and begins to watch. Returns the number of the watch.
-        std::uint64_t beginToWatch()
+        std::uint64_t startWatching()
         {
             feed.start(clock.now());
             feed.update(0, true, std::nullopt, clock.now());
@@ -81,7 +81,7 @@
 
     TEST_F(StoreFeedTest, aSeriesOfChangesIsGathered)
     {
-        const std::uint64_t number = beginToWatch();
+        const std::uint64_t number = startWatching();
         const StoreFeedActions news = feed.handleChanges(number, removals(14, 1), clock.now());
         EXPECT_EQ(only<DeltaReceived>(news)->delta.from, 10U);
         EXPECT_EQ(only<DeltaReceived>(news)->delta.to, 14U);
@@ -91,7 +91,7 @@
 
     TEST_F(StoreFeedTest, lostHistoryMeansReadingEverythingAnewAndNotFromAnOldCopy)
     {
-        const std::uint64_t number = beginToWatch();
+        const std::uint64_t number = startWatching();
         const StoreFeedActions actions = feed.handleChanges(number, Error { ErrorCode::NotFound, "gone" }, clock.now());
         ASSERT_NE(only<SendList>(actions), nullptr);
         EXPECT_FALSE(only<SendList>(actions)->call.mayBeStale);
@@ -122,7 +122,7 @@
     // Cause: entries that vanish in or after an outage looked like servers that left.
     TEST_F(StoreFeedTest, newsInAndAfterTroubleIsInDoubt)
     {
-        std::uint64_t number = beginToWatch();
+        std::uint64_t number = startWatching();
         feed.handleChanges(number, Error { ErrorCode::DeadlineExceeded, "silent" }, clock.now());
         number = only<SendWatch>(advanceTo(feed.nextTick()))->number;
         const StoreFeedActions after = feed.handleChanges(number, removals(14, 1), clock.now());
@@ -143,7 +143,7 @@
     // Cause: a store that says nothing may have nothing to say, or not be heard.
     TEST_F(StoreFeedTest, whatVanishedInDoubtIsAskedForOnceItCouldBeBack)
     {
-        std::uint64_t number = beginToWatch();
+        std::uint64_t number = startWatching();
         const StoreFeedActions vanished = feed.handleChanges(number, removals(14, 3), clock.now());
         EXPECT_TRUE(only<DeltaReceived>(vanished)->delta.isFresh);
         const StoreFeedActions next = advanceTo(feed.nextTick());
@@ -162,7 +162,7 @@
 
     TEST_F(StoreFeedTest, afterAnOutageTheQuestionWaitsUntilServersCouldBeBack)
     {
-        std::uint64_t number = beginToWatch();
+        std::uint64_t number = startWatching();
         feed.handleChanges(number, removals(14, 3), clock.now());
         number = only<SendWatch>(advanceTo(feed.nextTick()))->number;
         clock.advance(2500ms);
@@ -180,7 +180,7 @@
     // Cause: a watch that says nothing looks like a store with nothing to say.
     TEST_F(StoreFeedTest, aWatchThatIsSilentWhileOthersHaveNewsIsReplaced)
     {
-        const std::uint64_t silent = beginToWatch();
+        const std::uint64_t silent = startWatching();
         const TimePoint behindSince = clock.now() + 100ms;
         clock.advance(500ms);
         EXPECT_TRUE(feed.update(10, true, behindSince, clock.now()).empty());
@@ -204,7 +204,7 @@
     // watch that was replaced was thrown away.
     TEST_F(StoreFeedTest, theAnswerToAWatchThatWasTakenForSilentCounts)
     {
-        const std::uint64_t first = beginToWatch();
+        const std::uint64_t first = startWatching();
         clock.advance(100ms);
         const TimePoint behindSince = clock.now();
         clock.advance(701ms);
@@ -227,7 +227,7 @@
     // Cause: once it had the news it was no longer behind, and being behind was the only sign.
     TEST_F(StoreFeedTest, aWatchThatDidNotTellWhatOthersToldIsReplaced)
     {
-        beginToWatch();
+        startWatching();
         clock.advance(200ms);
         EXPECT_TRUE(feed.update(12, true, std::nullopt, clock.now()).empty());
         clock.advance(600ms);
@@ -252,7 +252,7 @@
     // Cause: only the answer of the watch in force made the store be asked again.
     TEST_F(StoreFeedTest, whatVanishedByALateAnswerIsAskedForAsWell)
     {
-        const std::uint64_t first = beginToWatch();
+        const std::uint64_t first = startWatching();
         const TimePoint behindSince = clock.now();
         clock.advance(800ms);
         const StoreFeedActions replaced = feed.update(10, true, behindSince, clock.now());
@@ -308,46 +308,46 @@
         EXPECT_TRUE(watching.noteContradiction(clock.now()).empty());
     }
 
-    struct ThinStoreFeedTest : testing::Test {
+    struct SlowLinkStoreFeedTest : testing::Test {
         static constexpr std::uint64_t bytes = 2'400'000;
         ManualClock clock;
         StoreFeedSettings settings;
 
-        ThinStoreFeedTest()
+        SlowLinkStoreFeedTest()
         {
             settings.linkMegabits = 20;
             settings.keepListingOneIn = 1'000'000;
         }
 
-        // What becomes of a listing of which so much has come after the time at which it is judged.
-        bool leaves(std::uint64_t received, bool knowsWider = false)
+        // What becomes of a listing of which so much has come after the time at which it is checked.
+        bool cancelsListing(std::uint64_t received, bool knowsFasterPeer = false)
         {
             StoreFeed feed(1, settings);
             feed.start(clock.now());
-            const TimePoint judged = clock.now() + settings.listingCheckDelay;
-            const StoreFeedActions actions = feed.handlePageProgress(received, bytes, knowsWider, judged);
+            const TimePoint checkedAt = clock.now() + settings.listingCheckDelay;
+            const StoreFeedActions actions = feed.handlePageProgress(received, bytes, knowsFasterPeer, checkedAt);
             EXPECT_EQ(feed.asksPeers(), !actions.empty());
             return !actions.empty();
         }
     };
 
-    TEST_F(ThinStoreFeedTest, aLongListingIsLeftToOthersWhenItComesSlowly)
+    TEST_F(SlowLinkStoreFeedTest, aLongListingIsLeftToOthersWhenItComesSlowly)
     {
-        EXPECT_TRUE(leaves(bytes / 40));
-        EXPECT_FALSE(leaves(bytes / 2));
+        EXPECT_TRUE(cancelsListing(bytes / 40));
+        EXPECT_FALSE(cancelsListing(bytes / 2));
         {
             SCOPED_TRACE("not by those whose link is wide, or not known");
             settings.linkMegabits = 200;
-            EXPECT_FALSE(leaves(bytes / 40));
+            EXPECT_FALSE(cancelsListing(bytes / 40));
             settings.linkMegabits = 0;
-            EXPECT_FALSE(leaves(bytes / 40));
+            EXPECT_FALSE(cancelsListing(bytes / 40));
         }
         {
             SCOPED_TRACE("nor by the few who stay so that neighbours have somebody to ask");
             settings.linkMegabits = 20;
             settings.keepListingOneIn = 1;
-            EXPECT_FALSE(leaves(bytes / 40));
-            EXPECT_TRUE(leaves(bytes / 40, true)) << "who know somebody better to ask";
+            EXPECT_FALSE(cancelsListing(bytes / 40));
+            EXPECT_TRUE(cancelsListing(bytes / 40, true)) << "who know somebody better to ask";
         }
     }
 
@@ -355,14 +355,15 @@
     // takes 1.1. Sequence: all start together; all but a few leave a listing that comes slowly, and wait for these few,
     // who send it to each of them over links that are as thin. Cause: a listing was left also where the balancer's own
     // link was the reason.
-    TEST_F(ThinStoreFeedTest, aListingThatTheOwnLinkHoldsUpIsNotLeftToOthers)
+    TEST_F(SlowLinkStoreFeedTest, aListingThatTheOwnLinkHoldsUpIsNotLeftToOthers)
     {
         settings.linkMegabits = 2;
         constexpr std::uint64_t bytesPerMillisecond = 250;
-        EXPECT_FALSE(leaves(bytesPerMillisecond * static_cast<std::uint64_t>(settings.listingCheckDelay.count())));
+        EXPECT_FALSE(
+            cancelsListing(bytesPerMillisecond * static_cast<std::uint64_t>(settings.listingCheckDelay.count())));
     }
 
-    TEST_F(ThinStoreFeedTest, whoLeftAListingAndHeardFromNobodyReadsItToTheEnd)
+    TEST_F(SlowLinkStoreFeedTest, whoLeftAListingAndHeardFromNobodyReadsItToTheEnd)
     {
         StoreFeed feed(1, settings);
         feed.start(clock.now());
@@ -377,7 +378,7 @@
         EXPECT_TRUE(feed.handlePageProgress(bytes / 40, bytes, false, clock.now()).empty());
     }
 
-    TEST_F(ThinStoreFeedTest, whatNeighboursToldIsNotListedAgain)
+    TEST_F(SlowLinkStoreFeedTest, whatNeighboursToldIsNotListedAgain)
     {
         StoreFeed feed(1, settings);
         feed.start(clock.now());
--- a/Tests/News/ZoneOrdersTest.cpp
+++ b/Tests/News/ZoneDrainTest.cpp
@@ -1,4 +1,4 @@
-#include "News/DecisionFleet.h"
+#include "News/FleetSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -14,8 +14,8 @@
     constexpr auto bound = 5s;
 
     // Two zones of three balancers and two servers each. Orders go to "nabua".
-    struct ZoneOrdersTest : testing::TestWithParam<std::uint32_t> {
-        ZoneOrdersTest()
+    struct ZoneDrainTest : testing::TestWithParam<std::uint32_t> {
+        ZoneDrainTest()
         {
             fleet.writeConfiguration(2, { "tryon" });
             for (const std::uint64_t number : { 1, 2 })
@@ -26,117 +26,117 @@
         }
 
         // Whether each balancer that runs keeps new flows out of the zone.
-        void expectEmptied(bool isEmptied)
+        void expectDrained(bool isDrained)
         {
             for (auto& balancer : fleet.balancers()) {
                 if (balancer.isFrozen)
                     continue;
-                EXPECT_EQ(balancer.router->emptiedZones().contains("nabua"), isEmptied) << balancer.name;
+                EXPECT_EQ(balancer.router->emptiedZones().contains("nabua"), isDrained) << balancer.name;
                 for (int i = 0; i < 10; ++i) {
-                    const auto packet = ForwardFixture::opening(++caller, 0, DecisionFleet::routeOf(0));
+                    const auto packet = ForwardFixture::opening(++caller, 0, FleetSimulation::routeOf(0));
                     const PacketDecision decision = balancer.router->route(packet, fleet.now());
-                    if (decision.server && isEmptied) {
+                    if (decision.server && isDrained) {
                         EXPECT_NE(decision.server->entry.availabilityZone, "nabua") << balancer.name;
                     }
                 }
             }
         }
 
-        DecisionFleet fleet { GetParam() };
+        FleetSimulation fleet { GetParam() };
         std::uint32_t caller = 0;
     };
 
     // Guards against balancers that do not hear of an order, or of its end.
-    TEST_P(ZoneOrdersTest, anOrderIsInForceEverywhereWithinASecondAndSoIsItsEnd)
+    TEST_P(ZoneDrainTest, anOrderIsInForceEverywhereWithinASecondAndSoIsItsEnd)
     {
-        fleet.orderZone("nabua");
+        fleet.drainZone("nabua");
         fleet.advance(1s);
-        expectEmptied(true);
-        fleet.takeZoneBack("nabua");
+        expectDrained(true);
+        fleet.undrainZone("nabua");
         fleet.advance(1s);
-        expectEmptied(false);
+        expectDrained(false);
     }
 
     // Guards against a zone that goes on filling itself since the store answers nobody there.
-    TEST_P(ZoneOrdersTest, aZoneThatTheStoreTurnsAwayHearsOfItFromTheOthers)
+    TEST_P(ZoneDrainTest, aZoneThatTheStoreTurnsAwayHearsOfItFromTheOthers)
     {
         for (auto& balancer : fleet.balancers())
-            balancer.isTurnedAway = balancer.availabilityZone == "nabua";
+            balancer.isRejectedByStore = balancer.availabilityZone == "nabua";
         fleet.advance(1s);
-        fleet.orderZone("nabua");
+        fleet.drainZone("nabua");
         fleet.advance(bound / 2);
-        expectEmptied(true);
+        expectDrained(true);
     }
 
     // Guards against an order that was given while messages were lost and never got round.
-    TEST_P(ZoneOrdersTest, ordersGetRoundWhileAThirdOfTheMessagesIsLost)
+    TEST_P(ZoneDrainTest, ordersGetRoundWhileAThirdOfTheMessagesIsLost)
     {
-        fleet.loss = 0.33;
-        fleet.orderZone("nabua");
+        fleet.lossRate = 0.33;
+        fleet.drainZone("nabua");
         fleet.advance(bound);
-        expectEmptied(true);
+        expectDrained(true);
     }
 
     // Guards against an order or an end that fell into a history which the store has dropped.
-    TEST_P(ZoneOrdersTest, whatFellIntoADroppedHistoryShowsInTheNextListing)
+    TEST_P(ZoneDrainTest, whatFellIntoADroppedHistoryShowsInTheNextListing)
     {
         fleet.isStoreDown = true;
         fleet.advance(1s);
-        fleet.orderZone("nabua");
-        fleet.forgetHistory();
+        fleet.drainZone("nabua");
+        fleet.compactHistory();
         fleet.isStoreDown = false;
         fleet.advance(bound);
-        expectEmptied(true);
+        expectDrained(true);
         fleet.isStoreDown = true;
         fleet.advance(1s);
-        fleet.takeZoneBack("nabua");
-        fleet.forgetHistory();
+        fleet.undrainZone("nabua");
+        fleet.compactHistory();
         fleet.isStoreDown = false;
         fleet.advance(bound);
-        expectEmptied(false);
+        expectDrained(false);
     }
 
     // Guards against balancers that start after the order, alone or all together, and know nothing of it.
-    TEST_P(ZoneOrdersTest, whoStartsAfterTheOrderKeepsIt)
+    TEST_P(ZoneDrainTest, whoStartsAfterTheOrderKeepsIt)
     {
-        fleet.orderZone("nabua");
+        fleet.drainZone("nabua");
         for (std::size_t i = 0; i < fleet.balancers().size(); ++i)
             fleet.start(i);
         fleet.advance(bound / 2);
-        expectEmptied(true);
+        expectDrained(true);
         fleet.start(4);
         fleet.advance(1s);
-        expectEmptied(true);
+        expectDrained(true);
     }
 
     // Guards against a listing that is older than the order being kept for long by a balancer that starts.
-    TEST_P(ZoneOrdersTest, aListingFromBeforeTheOrderIsNotKept)
+    TEST_P(ZoneDrainTest, aListingFromBeforeTheOrderIsNotKept)
     {
-        fleet.keepListings(true);
-        fleet.orderZone("nabua");
+        fleet.serveStaleListings(true);
+        fleet.drainZone("nabua");
         fleet.advance(1s);
         for (std::size_t i = 0; i < fleet.balancers().size(); ++i)
             fleet.start(i);
         fleet.advance(bound / 2);
-        expectEmptied(true);
+        expectDrained(true);
     }
 
     // Guards against balancers that were frozen during an order and its end and go on by one of them.
-    TEST_P(ZoneOrdersTest, orderRemovalAndOrderWithinASecondEndAsTheLastOne)
+    TEST_P(ZoneDrainTest, orderRemovalAndOrderWithinASecondEndAsTheLastOne)
     {
         fleet.balancers()[4].isFrozen = true;
-        fleet.orderZone("nabua");
+        fleet.drainZone("nabua");
         fleet.advance(200ms);
-        fleet.takeZoneBack("nabua");
+        fleet.undrainZone("nabua");
         fleet.advance(200ms);
-        fleet.orderZone("nabua");
+        fleet.drainZone("nabua");
         fleet.balancers()[4].isFrozen = false;
         fleet.start(4);
         fleet.advance(bound / 2);
-        expectEmptied(true);
+        expectDrained(true);
     }
 
-    INSTANTIATE_TEST_SUITE_P(Seeds, ZoneOrdersTest, testing::Range(1U, 21U));
+    INSTANTIATE_TEST_SUITE_P(Seeds, ZoneDrainTest, testing::Range(1U, 21U));
 
 }
 
