--- a/Source/News/CompressedValue.h
+++ b/Source/News/CompressedValue.h
@@ -8,15 +8,14 @@
 
 namespace wisteriadock {
 
-// Values of at least so many bytes travel between balancers packed. Below it there is little to save.
+// Values of at least this many bytes are compressed for other balancers. Smaller ones would save little.
 inline constexpr std::size_t compressionThreshold = 2048;
 
-// Packs the item's value (zstd) if that makes it smaller. A configuration of 1,250 routes goes over the thin links of a
-// zone once for each balancer: as text its 250 KB take 0.2 s each on 10 Mbit/s, and the last of 20 balancers had it
-// after 6 s.
+// Compresses the update's value (zstd) if that makes it smaller. Values below compressionThreshold and values that are
+// compressed already stay unchanged.
 void compressValue(StoreUpdate&);
 
-// The value as the store holds it. Fails with InvalidArgument for bytes that don't unpack, or to more than
+// The value as the store holds it. Fails with InvalidArgument when the bytes can't be decompressed, or to more than
 // maxDeltaBytes.
 Result<std::string> plainValue(const StoreUpdate&);
 
--- a/Source/News/ReplicaSync.h
+++ b/Source/News/ReplicaSync.h
@@ -20,98 +20,101 @@
 namespace wisteriadock {
 
 struct ReplicaSyncSettings {
-    // How long a balancer waits for news to be pushed to it, once it has heard that others have it, before it asks.
+    // Once a balancer knows that others are ahead, how long it waits for a push before it fetches.
     std::chrono::milliseconds pushTimeout { 300 };
-    // How much longer it waits before it asks another zone, since bytes between zones are dear: its zone's watchers ask
-    // first, and tell the others.
+    // How much longer it waits before it fetches from another availability zone, whose traffic is costly. The watchers
+    // of its zone fetch first and push to the others.
     std::chrono::milliseconds otherZoneDelay { 600 };
-    // How long one that knows nothing yet leaves it to the store, which answers everybody at once, before it asks
-    // others for everything.
+    // How long a balancer with an empty replica waits for its listing of the store before it fetches from a peer.
     std::chrono::milliseconds listingTimeout { 1500 };
-    // The same while one is ahead whose link is wider by so many classes (widthClassOf(): 3 are a factor of 4 at
-    // least): with 10,000 routes the store's answer takes 2.3 s on a link of 10 Mbit/s, and a neighbour's packed one
-    // 0.2 s. Longer than the store's answer takes while configurations are small, so that nobody is asked then.
+    // The same while a peer that is ahead has a link faster by fasterPeerClasses bandwidth classes (see Member.h; 3
+    // classes are at least a factor of 4). A small listing arrives within this time, so nobody is asked for it.
     std::chrono::milliseconds fasterPeerListingTimeout { 300 };
     int fasterPeerClasses = 3;
-    // In a zone of more than this many, requests spread over a time, and whoever has been answered tells a few others,
-    // so that not all ask the watchers.
+    // In a zone with at least this many other balancers, each fetch is delayed at random by up to maxJitter, and a
+    // balancer that has fetched announces its revision to announcementFanout others. This spreads the load of the
+    // watchers.
     std::size_t largeZoneSize = 12;
     std::chrono::milliseconds maxJitter { 500 };
     std::size_t announcementFanout = 4;
-    // Who has read everything tells so many that know nothing that its link gives each of them so much of it: a packed
-    // configuration of 10,000 routes, 3 Mbit, then takes 0.6 s. More would ask it at once and wait for each other.
+    // A balancer that has read a snapshot announces it to as many balancers with empty replicas as its link has
+    // multiples of this rate (Mbit/s), but at least to announcementFanout. More would compete for its link.
     std::uint32_t megabitsPerUninformedPeer = 5;
-    // How long nothing of an answer may come, before another balancer is asked. Measured from the last bytes, since all
-    // of a zone fetch a large configuration at once over thin links: when each gave up after 0.8 s and began anew, the
-    // last balancer of a zone had a server's leaving after 5.2 s instead of 1 s (71 balancers, links of 10 Mbit/s).
+    // How long a fetch may go without receiving any bytes before another balancer is asked. Counted from the last
+    // bytes, since large answers over slow links take long and starting over delays them further.
     std::chrono::milliseconds answerTimeout { 800 };
-    // Payload of a push; what does not fit into one is sent in several, and a larger item is fetched by the receiver.
+    // Largest delta that is pushed, in bytes of payload. A larger one is split, and an update larger than this is
+    // fetched by the receiver.
     std::size_t maxPushBytes = 1100;
-    // Datagrams for one piece of news; above it the zone is only told that there is news. 400 keep a link of 10 Mbit/s
-    // busy for 0.35 s.
+    // Most datagrams sent for one delta. Above it only its revision is announced, and receivers fetch the delta.
     std::size_t maxPushes = 400;
 };
 
-// News for one balancer that fits into a datagram.
+// Send the delta to this balancer as one datagram.
 struct PushDelta {
     Endpoint to;
     StoreDelta delta;
 };
 
-// Ask this balancer for everything after the revision; give the answer to handleAnswer(), or call handleFetchFailure().
+// Request all changes after the revision from this balancer. Pass the answer to handleAnswer(), or call
+// handleFetchFailure().
 struct FetchDelta {
     BalancerId from;
     Endpoint address;
     std::uint64_t after = 0;
-    // What the answer may hold.
+    // Which encoding of large values to request.
     StoreReplica::Encoding encoding = StoreReplica::Encoding::Full;
 };
 
-// Something became new: the rest of the process shall act on it.
+// The replica changed. The caller applies the updates.
 struct ReplicaChanged {
     std::vector<StoreUpdate> items;
+    // See StoreDelta::isInDoubt.
     bool isInDoubt = false;
-    // Who told it: the store, or a balancer.
+    // "store", or the name of the balancer that sent the updates.
     std::string source;
-    // How long this balancer had known that others are ahead; zero when it heard the news first.
+    // How long this balancer had known that others were ahead; zero when it received the updates first.
     Duration lag {};
-    // The replica is complete up to here.
+    // The replica is complete up to this revision.
     std::uint64_t revision = 0;
 };
 
 using ReplicaSyncAction = std::variant<PushDelta, FetchDelta, ReplicaChanged>;
 using ReplicaSyncActions = std::vector<ReplicaSyncAction>;
 
-// Spreads the platform's news among balancers. Those that watch the store push what they learn to the others of their
-// availability zone. Membership tells everybody how far everybody is; a balancer that stays behind fetches from one
-// that is ahead, so news gets around also when pushes are lost, when all watchers of a zone are turned away by the
-// store, and when only another zone reaches it. The shell calls it from one thread and does what the actions say.
+// Keeps a balancer's replica of the store in sync with those of the other balancers. Balancers that watch the store
+// push its changes to the others of their availability zone. Membership tells every balancer the revisions of the
+// others, and one that stays behind fetches a delta from one that is ahead. So changes arrive also when pushes are
+// lost, when the store rejects all watchers of a zone, and when only another zone reaches the store. PeerNews calls it
+// from one thread and performs the actions that it returns.
 class ReplicaSync {
 public:
     ReplicaSync(std::string availabilityZone, std::uint64_t seed, ReplicaSyncSettings settings = {});
 
-    // News of the store itself, which this balancer shares with its zone, if it is for others.
+    // A delta that this balancer read from the store. It is pushed to the zone if isForOthers.
     ReplicaSyncActions handleStoreDelta(const StoreDelta&, TimePoint now, bool isForOthers = true);
+    // A delta that another balancer pushed.
     ReplicaSyncActions handlePush(BalancerId sender, const StoreDelta&, TimePoint now);
+    // The outcome of the fetch in progress; sender is the name of the balancer that answered.
     ReplicaSyncActions handleAnswer(const std::string& sender, const StoreDelta&, TimePoint now);
     ReplicaSyncActions handleFetchFailure(TimePoint now);
-    // Bytes of the answer in progress came.
+    // Bytes of the answer to the fetch in progress arrived.
     void noteFetchProgress(TimePoint now);
-    // Whether this balancer watches the store, and whether the store answers it.
+    // Whether this balancer watches the store, and whether the store is unreachable for it.
     void setRole(bool isWatcher, bool isStoreUnreachable);
-    // Whether this balancer, while it knows nothing, asks others without waiting for the store.
+    // Whether this balancer, while its replica is empty, fetches from others without waiting for the store.
     void setFetchesImmediately(bool fetchesImmediately) { fetchesImmediately_ = fetchesImmediately; }
     ReplicaSyncActions handleView(std::shared_ptr<const MembersView>, TimePoint now);
     ReplicaSyncActions tick(TimePoint now);
 
     const StoreReplica& replica() const { return replica_; }
-    // When tick() should be called next, if nothing happens before; none when there is nothing to wait for.
+    // When tick() should be called next if nothing happens before; none when there is nothing to wait for.
     std::optional<TimePoint> nextTick() const;
     // Since when others are known to be ahead of this balancer; none when nobody is.
     std::optional<TimePoint> behindSince() const { return behindSince_; }
-    // When the store last told this balancer or its zone's watcher something that is certain (StoreDelta::isFresh).
+    // When the store last sent this balancer or a watcher of its zone a fresh delta (StoreDelta::isFresh).
     TimePoint lastStoreContact() const { return lastStoreContact_; }
-    // Whether somebody in the zone is known whose link is much wider than this balancer's.
+    // Whether a balancer of the zone has a much faster link than this one (see fasterPeerClasses).
     bool knowsFasterPeer() const;
     // The highest revision that another balancer is known to have; 0 when none is known.
     std::uint64_t newestPeerRevision() const;
@@ -128,7 +131,7 @@
     void fetchIfBehind(TimePoint now, ReplicaSyncActions&);
     std::vector<const Member*> sources(bool isInZone) const;
     const Member* chooseSource(std::vector<const Member*> members);
-    // How far a member is, by what it pushed and by what membership says.
+    // The highest revision that the member is known to have, by its pushes and by membership.
     std::uint64_t revisionOf(const Member&) const;
 
     const std::string availabilityZone_;
@@ -136,20 +139,20 @@
     std::mt19937_64 random_;
     StoreReplica replica_;
     std::shared_ptr<const MembersView> view_;
-    // The revisions of pushes, which are ahead of what membership tells.
+    // The revision up to which each balancer has pushed. Membership learns it later.
     std::map<BalancerId, std::uint64_t> pushedRevisions_;
     std::optional<TimePoint> behindSince_;
     TimePoint lastStoreContact_ = TimePoint::min();
-    // When the fetch in progress is given up.
+    // When the fetch in progress times out.
     std::optional<TimePoint> fetchDeadline_;
     TimePoint fetchStartedAt_;
     std::optional<BalancerId> lastSource_;
-    // Whole after an answer whose patches were for a value that this balancer does not hold.
+    // Full after an answer with patches whose base values this balancer does not hold.
     StoreReplica::Encoding fetchEncoding_ = StoreReplica::Encoding::Patched;
     bool isWatcher_ = false;
     bool isStoreUnreachable_ = false;
     bool fetchesImmediately_ = false;
-    // This balancer's own part of ReplicaSyncSettings::spread, drawn anew for each wait.
+    // This balancer's part of ReplicaSyncSettings::maxJitter, drawn again for each wait.
     Duration jitter_ {};
 };
 
--- a/Source/News/StoreDelta.h
+++ b/Source/News/StoreDelta.h
@@ -11,36 +11,37 @@
 
 namespace wisteriadock {
 
-// One key of the platform's key-value service as it was written last, or the note that it was removed.
+// The newest state of one key of the platform's key-value store: its value, or that the key was removed.
 struct StoreUpdate {
     std::string key;
     std::string value;
+    // Revision of the store that wrote or removed the key.
     std::uint64_t revision = 0;
     bool isRemoved = false;
-    // The value is packed; plainValue() in CompressedValue.h unpacks it.
+    // The value is compressed; plainValue() in CompressedValue.h decompresses it.
     bool isCompressed = false;
-    // How long ago a balancer had it from the store, as its sender knows it; for logs and metrics.
+    // Time since a balancer read the update from the store, as far as the sender knows. For logs and metrics only.
     std::uint32_t ageMilliseconds = 0;
 
     MSGPACK_DEFINE_ARRAY(key, value, revision, isRemoved, isCompressed, ageMilliseconds);
     bool operator==(const StoreUpdate&) const = default;
 };
 
-// What changed after one revision and up to another. Between balancers it travels as a datagram when it is small, and
-// as the answer to a request otherwise.
+// The changes of the store after one revision and up to another. Between balancers a small delta travels as a datagram,
+// and any other as the answer to a request.
 struct StoreDelta {
-    // Complete for a receiver that has everything up to here.
+    // The delta is complete for a receiver that has all changes up to `from`, and brings it to `to`.
     std::uint64_t from = 0;
     std::uint64_t to = 0;
-    // Everything there is: keys that it does not name do not exist.
+    // The delta holds the whole store: keys that it does not name do not exist.
     bool isSnapshot = false;
-    // The sender's contact with the store was troubled lately, so that vanished entries may be back soon.
+    // The sender lost contact with the store recently, so removed entries may be registered again soon.
     bool isInDoubt = false;
     std::vector<StoreUpdate> items;
-    // The store itself said this just now, and has been in contact for longer than vanished entries take to come back.
+    // The store itself answered just now, and has been reachable for longer than entries take to be registered again.
     bool isFresh = false;
     // Changes of large values, in the order of their revisions. With them the delta is complete for a receiver that has
-    // everything up to patchedFrom and can apply them all; `from` says what holds for one that does not know patches.
+    // all changes up to patchedFrom and can apply every patch. Receivers that do not support patches go by `from`.
     std::vector<ValuePatch> patches {};
     std::uint64_t patchedFrom = 0;
 
@@ -49,7 +50,7 @@
     MSGPACK_DEFINE_ARRAY(from, to, isSnapshot, isInDoubt, items, isFresh, patches, patchedFrom);
 };
 
-// The largest answer to a request for news: a large directory and a large configuration.
+// Largest answer to a request for a delta, in bytes. Also limits the size of a decompressed value.
 inline constexpr std::size_t maxDeltaBytes = std::size_t(8) * 1024 * 1024;
 
 }
--- a/Source/News/StoreFeed.h
+++ b/Source/News/StoreFeed.h
@@ -16,73 +16,77 @@
 namespace wisteriadock {
 
 struct StoreFeedSettings {
-    // How long the store holds a watch open. Short enough that a connection which went silent is noticed well before
-    // news is due everywhere; each second of it saves half a call a second in a zone.
+    // How long the store holds a watch open. A shorter time finds a dead connection sooner and costs more calls.
     std::chrono::milliseconds watchDuration { 2500 };
-    // How much longer an answer may take than the store was asked to wait, and how long any other answer may take.
+    // How much longer than its duration the answer to a watch may take.
     std::chrono::milliseconds answerTimeout { 700 };
+    // How long the answer to a listing may take.
     std::chrono::milliseconds listTimeout { 1500 };
-    // Pause after news, so that a series of changes costs one call and not one for each.
+    // Pause after a watch that returned changes, so that a series of changes costs a single call.
     std::chrono::milliseconds batchDelay { 300 };
-    // Between two tries while the store does not answer.
+    // Bounds of the pause between two calls while the store does not answer.
     std::chrono::milliseconds minBackoff { 150 };
     std::chrono::milliseconds maxBackoff { 1000 };
-    // A watch that has not answered this long after others had the news is taken for silent.
+    // A watch that has not answered this long after others received changes counts as unresponsive.
     std::chrono::milliseconds unresponsiveAfter { 700 };
-    // For how long after an outage vanished entries are doubtful.
+    // For how long after an outage of the store removed entries are in doubt.
     std::chrono::milliseconds doubtAfterOutage { 5000 };
-    // How long entries take to come back that vanished with an outage (the store's operators promise two seconds). When
-    // some vanished, the store is asked again after it: only what is missing then is certainly gone.
+    // How long entries that lapsed in an outage take to be registered again. After this time the store is asked once
+    // more, and entries that are still missing then are removed for certain.
     std::chrono::milliseconds reregistrationTime { 2000 };
-    // The shortest wait of that question.
+    // Shortest duration of a watch, including the one that asks for those entries.
     std::chrono::milliseconds minWatchDuration { 50 };
-    // The oldest that a listing is taken to be.
+    // How old a stale listing can be at most.
     std::chrono::milliseconds maxListingAge { 15000 };
-    // A first listing is looked at so long after it was sent. If it comes at less than half the pace of this balancer's
-    // own link, so that the store's link holds it up, and more than leaveWhenLeft is to come at that pace, it is left
-    // to others, and neighbours are asked for what it holds.
+    // The progress of the first listing is checked this long after the request. If it arrives at less than half the
+    // rate of this balancer's own link, because the store's link is the bottleneck, and would take longer than
+    // minRemainingToCancel to complete, it is cancelled and its content fetched from peers.
     std::chrono::milliseconds listingCheckDelay { 150 };
     std::chrono::milliseconds minRemainingToCancel { 500 };
-    // A balancer whose own link would carry the listing within this time stays with it, and where no wider neighbour is
-    // known, one of so many others: the neighbours need somebody to ask.
+    // A balancer whose own link carries the listing within this time completes it. Where no faster peer is known, so
+    // does one balancer in keepListingOneIn, chosen at random: somebody has to have what the peers fetch.
     std::chrono::milliseconds fastLinkListingTime { 250 };
     std::uint32_t keepListingOneIn = 8;
-    // How long neighbours are asked before the store is asked once more, for everything and to the end.
+    // How long peers are asked before the store is listed again, this time to the end.
     std::chrono::milliseconds peersTimeout { 2000 };
-    // What this balancer's link carries; 0 when nothing says so, which counts as wide.
+    // Bandwidth of this balancer's link in Mbit/s; 0 when unknown, which counts as fast.
     std::uint32_t linkMegabits = 0;
-    // So many entries that vanish at once are taken for the work of an outage that this balancer did not see.
+    // When at least this many entries are removed at once, the removals are in doubt: they may result from an outage
+    // that this balancer did not notice.
     std::size_t massRemovalThreshold = 3;
 };
 
-// Read a page of everything; give the outcome to handlePage().
+// Request a page of the listing. Pass the outcome to handlePage().
 struct SendList {
     ListCall call;
     std::chrono::milliseconds timeout { 0 };
 };
 
-// Wait for changes; give the outcome to handleChanges() with the same number.
+// Request the changes after a revision, which the store answers once there are any. Pass the outcome to handleChanges()
+// with the same number.
 struct SendWatch {
     ChangesCall call;
     std::chrono::milliseconds timeout { 0 };
     std::uint64_t number = 0;
 };
 
-// Give the listing in progress up; its outcome does not count.
+// Cancel the listing in progress. Its outcome is ignored.
 struct CancelListing { };
 
-// News for ReplicaSync::handleStoreDelta().
+// The store sent a delta. Pass it to ReplicaSync::handleStoreDelta().
 struct DeltaReceived {
     StoreDelta delta;
-    // False where this balancer asked for itself only: others of its zone do so too, and all telling all would fill
-    // their links.
+    // False for a check that each balancer of a zone may make at the same time; pushing its result from each of them
+    // would fill their links.
     bool isForOthers = true;
 };
 
-// The store stopped answering this balancer, or does so again.
+// The store stopped answering this balancer.
 struct StoreUnreachable {
     Error error;
 };
+
+// The store answers this balancer again.
 struct StoreReachable {
     Duration outage { 0 };
 };
@@ -91,42 +95,45 @@
     = std::variant<SendList, SendWatch, CancelListing, DeltaReceived, StoreUnreachable, StoreReachable>;
 using StoreFeedActions = std::vector<StoreFeedAction>;
 
-// Keeps a balancer informed by the platform's store: one listing at the start, and then watches, if this balancer is
-// among those that watch. Any answer may be lost, late or refused to this balancer only, and any connection may go
-// silent for good, so every call has a time limit and another one follows after a pause.
+// Reads the platform's key-value store: lists it once at the start and then, on balancers that are watchers of their
+// zone, watches it for changes. StoreLink calls it and performs the actions that it returns. Answers may be lost, late
+// or refused to this balancer alone, and connections may stop answering without being closed, so every call has a
+// timeout and is repeated after a pause.
 class StoreFeed {
 public:
     StoreFeed(std::uint64_t seed, StoreFeedSettings settings = {});
 
     StoreFeedActions start(TimePoint now);
+    // The outcome of SendList.
     StoreFeedActions handlePage(const Result<PlatformPage>&, TimePoint now);
-    // Of the page in progress so many bytes have come; somebody is known whose link is much wider, and who stays with
-    // the listing. When all of a fleet start together, they share the store's link, so that a long listing takes
-    // seconds however wide their own links are, and callers wait.
+    // Bytes of the page in progress, and whether a peer with a much faster link is known. Decides whether to cancel a
+    // slow first listing: when many balancers start together, they share the bandwidth of the store's link.
     StoreFeedActions handlePageProgress(
         std::uint64_t received, std::uint64_t total, bool knowsFasterPeer, TimePoint now);
+    // The outcome of the SendWatch with this number.
     StoreFeedActions handleChanges(std::uint64_t number, const Result<PlatformChanges>&, TimePoint now);
-    // What the process knows, from whatever source, and whether it shall watch.
+    // Call it regularly: up to which revision the replica is complete, whether this balancer is to watch the store, and
+    // since when others are known to be ahead.
     StoreFeedActions update(
         std::uint64_t completeTo, bool isWatcher, std::optional<TimePoint> behindSince, TimePoint now);
     StoreFeedActions tick(TimePoint now);
-    // Packets show that the listing of the start, which may be seconds old, lacks something, such as servers that came
-    // back after a cut. Asks the store once what has changed since then. Of no effect when this was done, when this
-    // balancer watches anyway, and when the start is longer ago than listings are old.
+    // Received packets show that the first listing, which may be stale, lacks entries, such as servers that registered
+    // again after a partition. Asks the store once for the changes since then. Has no effect when that was done, when
+    // this balancer watches anyway, and when the listing is older than maxListingAge.
     StoreFeedActions noteContradiction(TimePoint now);
     // When tick() should be called next; none when there is nothing to wait for.
     std::optional<TimePoint> nextTick() const { return pauseUntil_; }
 
     bool isUnreachable() const { return unreachableSince_.has_value(); }
     bool isWatching() const { return state_ == State::Watching; }
-    // The first listing was left to others, and nothing is known yet: neighbours are to be asked at once.
+    // The first listing was cancelled and the replica is still empty, so peers are to be asked at once.
     bool asksPeers() const { return hasCancelledListing_ && completeTo_ == 0; }
-    // Vanished entries may be back soon.
+    // Whether the store is unreachable or was until recently, so removed entries may be registered again soon.
     bool hadRecentOutage(TimePoint now) const;
 
 private:
     enum class State {
-        Idle, // Others watch.
+        Idle, // This balancer does not watch the store.
         Listing,
         Watching,
         PausingBeforeList,
@@ -159,29 +166,30 @@
     std::uint64_t completeTo_ = 0;
     std::uint64_t watchNumber_ = 0;
     TimePoint watchedSince_;
-    // What the watch waits beyond, and since when others are known to have told more than that.
+    // The revision after which the watch waits for changes, and since when the replica is ahead of it by deltas of
+    // other balancers.
     std::uint64_t watchedRevision_ = 0;
     std::optional<TimePoint> supersededSince_;
     std::optional<ReplacedWatch> replacedWatch_;
     std::optional<TimePoint> pauseUntil_;
     std::optional<TimePoint> unreachableSince_;
     TimePoint doubtUntil_ = TimePoint::min();
-    // From when on an answer of the store shows what is certainly gone.
+    // From when on an answer of the store counts as fresh (StoreDelta::isFresh).
     TimePoint freshFrom_ = TimePoint::min();
-    // When the store is to be asked whether entries that vanished in doubt are back; none when none did.
+    // When to ask the store whether entries whose removal is in doubt are registered again; none when there are none.
     std::optional<TimePoint> confirmAt_;
-    // The pages of the listing in progress.
+    // Entries and revision of the listing in progress.
     std::vector<StoreUpdate> listed_;
     std::optional<std::uint64_t> listRevision_;
-    // A first reading may be old, since there is nothing yet that it could take back.
+    // Only the first listing may be stale: it can't replace anything newer.
     bool mayListStale_ = true;
     TimePoint pageSentAt_;
-    // Whether this balancer is among those that stay with a long listing, by chance.
+    // Whether this balancer is one of those chosen at random to complete a slow listing.
     const bool keepsListingByChance_;
     bool hasCancelledListing_ = false;
-    // When the listing that may be old came; none after it was checked.
+    // When a listing that may be stale arrived; none after it was checked.
     std::optional<TimePoint> staleListingAt_;
-    // The watch in progress is the check of that listing.
+    // The watch in progress checks that listing.
     bool isCheckingListing_ = false;
 };
 
--- a/Source/News/StoreReplica.cpp
+++ b/Source/News/StoreReplica.cpp
@@ -12,33 +12,33 @@
 
 namespace {
 
-    // Balancers that were cut off for longer read everything anew.
+    // How long removals are kept. Balancers that were disconnected for longer get a snapshot.
     constexpr std::chrono::seconds removalLifetime { 120 };
 
-    // Ages above it, of some weeks, are told as this one.
-    constexpr std::chrono::milliseconds longestAge { std::numeric_limits<std::uint32_t>::max() };
+    // Ages are sent as 32 bits; longer ones count as this one.
+    constexpr std::chrono::milliseconds maxAge { std::numeric_limits<std::uint32_t>::max() };
 
-    // Who missed more versions than so many, or than patches of the value's size tell, gets the whole value. The users
-    // write configurations in series of about ten within a few seconds, and hardly ever more often.
-    constexpr std::size_t mostPatches = 16;
+    // Patches kept for each value, as long as they are no larger together than the value. Balancers that missed more
+    // revisions get the whole value.
+    constexpr std::size_t maxPatches = 16;
 
     std::uint32_t millisecondsBetween(TimePoint then, TimePoint now)
     {
         const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - then);
-        return static_cast<std::uint32_t>(std::clamp(age, std::chrono::milliseconds(0), longestAge).count());
+        return static_cast<std::uint32_t>(std::clamp(age, std::chrono::milliseconds(0), maxAge).count());
     }
 
-    // The value unpacked, if it can be; otherwise as it came, for its reader to refuse.
+    // Decompresses the value. A value that can't be decompressed stays as it is, and its reader rejects it.
     StoreUpdate decompressed(const StoreUpdate& item)
     {
-        StoreUpdate plain = item;
+        StoreUpdate result = item;
         if (!item.isCompressed)
-            return plain;
+            return result;
         if (Result<std::string> value = plainValue(item)) {
-            plain.value = std::move(value).value();
-            plain.isCompressed = false;
+            result.value = std::move(value).value();
+            result.isCompressed = false;
         }
-        return plain;
+        return result;
     }
 
 }
@@ -57,7 +57,7 @@
 {
     Updates changed;
     lacksPatchBase_ = false;
-    // A whole replica that is older than this one would take this balancer back.
+    // An older snapshot lacks keys that were written since, which would look removed.
     if (delta.isSnapshot && delta.to < completeTo_)
         return changed;
     if (delta.isSnapshot)
@@ -68,22 +68,22 @@
     }
     for (const ValuePatch& patch : delta.patches)
         lacksPatchBase_ |= !mergePatch(patch, now, changed);
-    const bool follows = delta.isSnapshot || delta.completeFrom() <= completeTo_;
-    if (follows && !lacksPatchBase_)
+    const bool isConsecutive = delta.isSnapshot || delta.completeFrom() <= completeTo_;
+    if (isConsecutive && !lacksPatchBase_)
         completeTo_ = std::max(completeTo_, delta.to);
-    // Receivers act in the order in which the store made the changes.
+    // Receivers apply changes in the order in which the store made them.
     std::ranges::stable_sort(changed, {}, &StoreUpdate::revision);
     return changed;
 }
 
 void StoreReplica::removeMissing(const StoreDelta& delta, TimePoint now, Updates& changed)
 {
-    absl::flat_hash_set<std::string> named;
+    absl::flat_hash_set<std::string> present;
     for (const StoreUpdate& item : delta.items)
-        named.insert(item.key);
+        present.insert(item.key);
     for (auto& [key, row] : rows_) {
-        const bool hasVanished = !row.item.isRemoved && row.item.revision <= delta.to && !named.contains(key);
-        if (!hasVanished)
+        const bool isMissing = !row.item.isRemoved && row.item.revision <= delta.to && !present.contains(key);
+        if (!isMissing)
             continue;
         row = { { key, {}, delta.to, true }, now };
         changed.push_back(row.item);
@@ -111,7 +111,7 @@
     return wasKnown || !item.isRemoved;
 }
 
-// False when the value that the patch changes is not here, so that something remains missing.
+// Returns false when the patch can't be applied, so that the replica still lacks its revision.
 bool StoreReplica::mergePatch(const ValuePatch& patch, TimePoint now, Updates& changed)
 {
     const auto found = rows_.find(patch.key);
@@ -128,11 +128,11 @@
     row.item.value = std::move(value).value();
     row.item.revision = patch.revision;
     row.item.ageMilliseconds = patch.ageMilliseconds;
-    row.at = now - std::chrono::milliseconds(patch.ageMilliseconds);
+    row.readAt = now - std::chrono::milliseconds(patch.ageMilliseconds);
     row.isSentCompressed = true;
     row.compressed = {};
     addPatch(row, patch);
-    // Of several patches in a row only what comes out in the end is news.
+    // Several patches of one value count as one update, with the last value.
     std::erase_if(changed, [&](const StoreUpdate& item) { return item.key == patch.key; });
     changed.push_back(row.item);
     return true;
@@ -141,13 +141,13 @@
 void StoreReplica::addPatch(Row& row, ValuePatch patch)
 {
     row.patches.push_back(std::move(patch));
-    const auto isTooMuch = [&row] {
+    const auto isOverLimit = [&row] {
         std::size_t bytes = 0;
         for (const ValuePatch& held : row.patches)
             bytes += held.bytes.size();
-        return row.patches.size() > mostPatches || bytes > row.item.value.size();
+        return row.patches.size() > maxPatches || bytes > row.item.value.size();
     };
-    while (isTooMuch())
+    while (isOverLimit())
         row.patches.erase(row.patches.begin());
 }
 
@@ -171,8 +171,9 @@
     return row.compressed;
 }
 
-// Adds the patches from the value that was in force at the revision, if they are all here. Who is complete up to there
-// holds that value, or a newer one, which the patches also lead on from.
+// Adds the patches that lead from the value at the revision to the current one. Returns false when the first of them is
+// no longer kept. A receiver that has all changes up to the revision holds that value or a newer one; both work as
+// base.
 bool StoreReplica::addPatches(const Row& row, std::uint64_t revision, TimePoint now, StoreDelta& delta)
 {
     const auto first = std::ranges::find_if(
@@ -181,7 +182,7 @@
         return false;
     for (auto patch = first; patch != row.patches.end(); ++patch) {
         delta.patches.push_back(*patch);
-        delta.patches.back().ageMilliseconds = millisecondsBetween(row.at, now);
+        delta.patches.back().ageMilliseconds = millisecondsBetween(row.readAt, now);
     }
     return true;
 }
@@ -189,7 +190,7 @@
 StoreDelta StoreReplica::deltaSince(std::uint64_t revision, TimePoint now, Encoding encoding) const
 {
     StoreDelta delta;
-    delta.isSnapshot = revision == 0 || revision < forgottenTo_;
+    delta.isSnapshot = revision == 0 || revision < droppedRemovalsTo_;
     delta.from = delta.isSnapshot ? 0 : revision;
     delta.to = completeTo_;
     delta.patchedFrom = delta.from;
@@ -200,7 +201,7 @@
         if (encoding == Encoding::Patched && !delta.isSnapshot && addPatches(row, revision, now, delta))
             continue;
         delta.items.push_back(updateToSend(row));
-        delta.items.back().ageMilliseconds = millisecondsBetween(row.at, now);
+        delta.items.back().ageMilliseconds = millisecondsBetween(row.readAt, now);
     }
     std::ranges::sort(delta.patches, {}, &ValuePatch::revision);
     return delta;
@@ -209,9 +210,9 @@
 void StoreReplica::tick(TimePoint now)
 {
     absl::erase_if(rows_, [&](const auto& row) {
-        const bool isOld = row.second.item.isRemoved && now - row.second.at > removalLifetime;
+        const bool isOld = row.second.item.isRemoved && now - row.second.readAt > removalLifetime;
         if (isOld)
-            forgottenTo_ = std::max(forgottenTo_, row.second.item.revision);
+            droppedRemovalsTo_ = std::max(droppedRemovalsTo_, row.second.item.revision);
         return isOld;
     });
 }
--- a/Source/News/StoreReplica.h
+++ b/Source/News/StoreReplica.h
@@ -13,49 +13,50 @@
 
 namespace wisteriadock {
 
-// The keys of the platform's service that a balancer cares about, each at its newest revision, whoever told of it.
-// Revisions come from one counter of the service, so news from the store and from any other balancer can be merged in
-// any order and as often as it comes, and nothing ever goes back.
+// A balancer's replica of the platform's key-value store: the newest known state of each key, whether it came from the
+// store or from another balancer. ReplicaSync owns it. The store counts revisions over all keys, so deltas can be
+// merged in any order and repeatedly, and an older state never replaces a newer one.
 //
-// Of a large value the replica also keeps the last patches that led to it, so that a change of it costs others about
-// what changed, and not the whole value.
+// Of a large value the replica also keeps the last patches that led to it, so that a change of such a value costs other
+// balancers about the size of the change.
 class StoreReplica {
 public:
-    // What became new by an update; each key once, large values unpacked.
+    // The updates of a merge that changed the replica, one for each key, with large values decompressed.
     using Updates = std::vector<StoreUpdate>;
 
-    // What the receiver of a delta can make use of.
+    // How deltaSince() encodes large values that changed.
     enum class Encoding {
-        Full, // Large values as they are.
-        Patched, // Patches of large values that it holds at an earlier revision.
+        Full, // The whole value.
+        Patched, // Patches to the value that the receiver holds, where the replica still has them.
     };
 
-    // Merges what the sender knows. Items count also when something before them is missing; completeTo() then stays.
+    // Merges a delta of another balancer. After a gap its updates are merged as well, but completeTo() stays.
     Updates merge(const StoreDelta&, TimePoint now);
-    // The same for news of the store itself, which always holds whole values: makes the patches for others.
+    // Merges a delta of the store, which holds whole values, and makes patches of large values for other balancers.
     Updates mergeFromStore(const StoreDelta&, TimePoint now);
-    // Whether the last merge had a patch for a value that this replica does not hold.
+    // Whether the last merge had a patch whose base value this replica does not hold.
     bool lacksPatchBase() const { return lacksPatchBase_; }
 
-    // Everything after a revision; the whole replica when removals of that time are forgotten already.
+    // All changes after the revision. A snapshot when the revision is 0, or so old that removals after it have been
+    // dropped.
     StoreDelta deltaSince(std::uint64_t revision, TimePoint now, Encoding = Encoding::Full) const;
-    // The patch that made the key's value what it is at this revision; null when there is none.
+    // The patch that results in the key's value at this revision; null when there is none.
     const ValuePatch* patchTo(const std::string& key, std::uint64_t revision) const;
-    // The replica has all changes up to this revision; 0 before the first listing.
+    // The replica has all changes up to this revision; 0 before the first snapshot.
     std::uint64_t completeTo() const { return completeTo_; }
 
-    // Forgets old removals.
+    // Drops old removals.
     void tick(TimePoint now);
 
 private:
     struct Row {
-        // A value that came packed is held unpacked.
+        // Holds the value decompressed.
         StoreUpdate item;
-        // When a balancer had it from the store, as far as this one knows.
-        TimePoint at;
-        // The patches that led to the value, one behind the other; the last one to its revision.
+        // When the first balancer read the update from the store, as far as this one knows.
+        TimePoint readAt;
+        // Consecutive patches; the last one results in the value.
         std::vector<ValuePatch> patches {};
-        // The value travels packed. Packing it waits until somebody asks for it whole.
+        // The value is sent compressed. It is compressed on the first request for the whole value.
         bool isSentCompressed = false;
         mutable StoreUpdate compressed {};
     };
@@ -71,8 +72,8 @@
 
     absl::flat_hash_map<std::string, Row> rows_;
     std::uint64_t completeTo_ = 0;
-    // The highest revision of a removal that was forgotten.
-    std::uint64_t forgottenTo_ = 0;
+    // The highest revision of a removal that was dropped.
+    std::uint64_t droppedRemovalsTo_ = 0;
     bool lacksPatchBase_ = false;
 };
 
--- a/Source/News/ValuePatch.h
+++ b/Source/News/ValuePatch.h
@@ -10,27 +10,27 @@
 
 namespace wisteriadock {
 
-// What changed in a large value from one revision of its key to another. It is of use only to a balancer that holds the
-// value of the first one.
+// The difference between two revisions of a large value. Only a balancer that holds the value of the base revision can
+// apply it.
 struct ValuePatch {
     std::string key;
-    // The revision of the value that it changes, and of the value that comes out.
+    // Revisions of the value that the patch applies to, and of the value that results.
     std::uint64_t base = 0;
     std::uint64_t revision = 0;
     std::string bytes;
-    // As StoreUpdate::ageMilliseconds.
+    // See StoreUpdate::ageMilliseconds.
     std::uint32_t ageMilliseconds = 0;
 
     MSGPACK_DEFINE_ARRAY(key, base, revision, bytes, ageMilliseconds);
     bool operator==(const ValuePatch&) const = default;
 };
 
-// The bytes that make one value of the other (zstd with the former value as its dictionary). None when they can't be
-// made, or save less than half of the value.
+// Encodes the difference between two values (zstd with the former value as its dictionary). None when that fails or the
+// result is larger than half of the value.
 std::optional<std::string> patchBytes(const std::string& former, const std::string& value);
 
-// The value that the bytes make of the former one. Fails with InvalidArgument for bytes that don't unpack, to more than
-// maxDeltaBytes, or to another value than they were made for: they carry its checksum.
+// Applies a patch to the former value. Fails with InvalidArgument when the bytes can't be decompressed, result in more
+// than maxDeltaBytes, or were made for another former value, which a checksum shows.
 Result<std::string> applyPatch(const std::string& former, const ValuePatch&);
 
 }
