--- a/Source/News/CompressedValue.cpp
+++ b/Source/News/CompressedValue.cpp
@@ -12,10 +12,10 @@
 {
     if (item.isCompressed || item.value.size() < compressionThreshold)
         return;
-    std::string packed = packBytes(item.value);
-    if (packed.empty() || packed.size() >= item.value.size())
+    std::string compressed = packBytes(item.value);
+    if (compressed.empty() || compressed.size() >= item.value.size())
         return;
-    item.value = std::move(packed);
+    item.value = std::move(compressed);
     item.isCompressed = true;
 }
 
@@ -27,7 +27,8 @@
     if (value)
         return value;
     return Error { ErrorCode::InvalidArgument,
-        fmt::format("value of key '{}', packed into {} bytes: {}", item.key, item.value.size(), value.error().detail) };
+        fmt::format(
+            "value of key '{}', compressed to {} bytes: {}", item.key, item.value.size(), value.error().detail) };
 }
 
 }
--- a/Source/News/ReplicaSync.cpp
+++ b/Source/News/ReplicaSync.cpp
@@ -9,7 +9,7 @@
 
     bool isReachable(const Member& member) { return member.state != MemberState::Dead; }
 
-    // The envelope of a delta and of each item, as msgpack writes them at most.
+    // Largest overhead of msgpack, in bytes: for a delta, and for each item.
     constexpr std::size_t deltaOverhead = 32;
     constexpr std::size_t itemOverhead = 24;
 
@@ -25,7 +25,7 @@
         return piece;
     }
 
-    // A part of a delta that travels in one datagram: an item, or the patch that stands for it.
+    // An indivisible part of a delta: an update, or the patch that replaces it.
     struct Part {
         std::uint64_t revision = 0;
         std::size_t size = 0;
@@ -57,30 +57,30 @@
         return parts;
     }
 
-    // The delta in pieces of so many bytes at most, each complete for a receiver that has all before it. A large item
-    // goes as the patch that made it, and is left out where that is too large as well, so that the piece behind it
-    // follows for nobody who lacks the item.
+    // Splits the delta into pieces of at most maxBytes, each complete for a receiver that has all pieces before it. An
+    // item that is too large is replaced by its patch. Where that is too large as well, it is omitted, and the next
+    // piece is complete only for receivers that have the item already.
     std::vector<StoreDelta> piecesOf(const StoreDelta& delta, const StoreReplica& replica, std::size_t maxBytes)
     {
         std::vector<StoreDelta> pieces;
         StoreDelta piece = emptyPiece(delta, delta.from);
         std::size_t size = deltaOverhead;
-        std::optional<std::uint64_t> last;
+        std::optional<std::uint64_t> lastRevision;
         const auto close = [&](std::uint64_t to, std::uint64_t next) {
             piece.to = to;
             pieces.push_back(std::exchange(piece, emptyPiece(delta, next)));
             size = deltaOverhead;
-            last.reset();
+            lastRevision.reset();
         };
         for (const Part& part : partsOf(delta, replica, maxBytes)) {
             const bool isTooLarge = deltaOverhead + part.size > maxBytes;
             const bool isFull = size + part.size > maxBytes;
-            if (last && (isTooLarge || isFull)) {
-                // Half of a revision is not complete up to it, so what is behind such a split follows for nobody.
-                const bool splitsRevision = *last == part.revision;
+            if (lastRevision && (isTooLarge || isFull)) {
+                // A piece with only some of the items of a revision must not make the receiver complete up to it.
+                const bool splitsRevision = *lastRevision == part.revision;
                 close(part.revision - 1, splitsRevision ? part.revision : part.revision - 1);
             }
-            // A receiver that knows no patches lacks the item.
+            // A receiver that does not support patches lacks the item.
             if (isTooLarge || part.patch)
                 piece.from = std::max(piece.from, part.revision);
             if (isTooLarge) {
@@ -88,7 +88,7 @@
                 continue;
             }
             size += part.size;
-            last = part.revision;
+            lastRevision = part.revision;
             if (part.patch)
                 piece.patches.push_back(*part.patch);
             else
@@ -136,7 +136,7 @@
 ReplicaSyncActions ReplicaSync::handleAnswer(const std::string& sender, const StoreDelta& delta, TimePoint now)
 {
     fetchDeadline_.reset();
-    // The answer was put together when the request came; large ones are on their way for seconds.
+    // The ages in the answer are as of the request. Large answers take seconds to arrive.
     StoreDelta aged = delta;
     const auto transferTime = std::chrono::duration_cast<std::chrono::milliseconds>(now - fetchStartedAt_);
     for (StoreUpdate& item : aged.items)
@@ -209,16 +209,16 @@
     return actions;
 }
 
-// A large configuration must not hold up what is small: servers that leave are told at once, in as many datagrams as it
-// takes, and only the large items are left to be fetched. A datagram that got lost, or an item that was left out,
-// leaves a gap that the receiver notices by the revisions.
+// Pushes small updates at once, in as many datagrams as they need, so that they don't wait for a large configuration.
+// Large items are left to be fetched. A lost datagram or an omitted item leaves a gap in the revisions, which the
+// receiver detects.
 void ReplicaSync::push(const StoreDelta& delta, ReplicaSyncActions& actions) const
 {
     if (!view_ || delta.isSnapshot)
         return;
     const std::vector<const Member*> others = othersInZone();
     std::vector<StoreDelta> pieces = piecesOf(delta, replica_, settings_.maxPushBytes);
-    // What is left of so much news is fetched.
+    // Only announces the revision of a delta that needs too many datagrams.
     if (pieces.size() * others.size() > settings_.maxPushes)
         pieces = { StoreDelta { delta.to, delta.to, false, delta.isInDoubt, {}, delta.isFresh } };
     for (const StoreDelta& piece : pieces) {
@@ -227,7 +227,8 @@
     }
 }
 
-// All of a large zone asking its two watchers for a large configuration would keep their links busy for seconds.
+// Tells some balancers of a large zone that they can fetch from this one. Fetches of the whole zone from its watchers
+// would saturate their links.
 void ReplicaSync::announce(ReplicaSyncActions& actions)
 {
     std::vector<const Member*> others = view_ ? othersInZone() : std::vector<const Member*>();
@@ -238,8 +239,7 @@
         actions.emplace_back(PushDelta { others[random_() % others.size()]->peerAddress, announcement });
 }
 
-// Who waits for somebody to ask would otherwise hear by gossip, half a second later, that this balancer knows
-// everything.
+// Tells balancers with empty replicas that they can fetch from this one. Gossip would tell them later.
 void ReplicaSync::announceToUninformed(ReplicaSyncActions& actions)
 {
     const Member* self = view_ ? view_->findSelf() : nullptr;
@@ -294,7 +294,7 @@
 
 Duration ReplicaSync::fetchDelay(bool hasSourceInZone) const
 {
-    // Everything at once is much, and the store gives it to many more quickly than a balancer on a thin link does.
+    // A snapshot is large, and the store usually serves it faster than a balancer with a slow link.
     if (replica_.completeTo() == 0 && (isStoreUnreachable_ || fetchesImmediately_))
         return Duration::zero();
     if (replica_.completeTo() == 0)
@@ -310,9 +310,9 @@
     const Member* self = view_->findSelf();
     if (!self || self->linkMegabits == 0)
         return false;
-    const int wide = widthClassOf(self->linkMegabits) + settings_.fasterPeerClasses;
+    const int minClass = widthClassOf(self->linkMegabits) + settings_.fasterPeerClasses;
     return std::ranges::any_of(
-        members, [&](const Member* member) { return widthClassOf(member->linkMegabits) >= wide; });
+        members, [&](const Member* member) { return widthClassOf(member->linkMegabits) >= minClass; });
 }
 
 std::vector<const Member*> ReplicaSync::sources(bool isInZone) const
@@ -326,16 +326,16 @@
     return found;
 }
 
-// Not the one that was asked last, which may be silent, if there is another; of the rest one with the widest link,
-// since answers may be large and many ask at once.
+// Avoids the source of the last fetch, which may be unresponsive, and prefers fast links, since answers may be large
+// and many balancers fetch at once.
 const Member* ReplicaSync::chooseSource(std::vector<const Member*> members)
 {
     if (members.size() > 1)
         std::erase_if(members, [&](const Member* member) { return member->id == lastSource_; });
-    int widest = 0;
+    int fastestClass = 0;
     for (const Member* member : members)
-        widest = std::max(widest, widthClassOf(member->linkMegabits));
-    std::erase_if(members, [&](const Member* member) { return widthClassOf(member->linkMegabits) < widest; });
+        fastestClass = std::max(fastestClass, widthClassOf(member->linkMegabits));
+    std::erase_if(members, [&](const Member* member) { return widthClassOf(member->linkMegabits) < fastestClass; });
     return members[random_() % members.size()];
 }
 
--- a/Source/News/StoreFeed.cpp
+++ b/Source/News/StoreFeed.cpp
@@ -56,8 +56,8 @@
         return actions;
     }
     noteSuccess(now, actions);
-    // Pages are no snapshot: whatever changes while they are read has a higher revision than the first of them, and the
-    // watch from there tells of it.
+    // The pages are read one after the other. Changes made meanwhile have a higher revision than the first page, and
+    // the watch that starts there returns them.
     if (!listRevision_)
         listRevision_ = page.value().revision;
     for (const PlatformItem& item : page.value().items)
@@ -86,14 +86,14 @@
     std::uint64_t received, std::uint64_t total, bool knowsFasterPeer, TimePoint now)
 {
     StoreFeedActions actions;
-    const Duration taken = now - pageSentAt_;
+    const Duration elapsed = now - pageSentAt_;
     const bool isFirst = state_ == State::Listing && completeTo_ == 0 && !hasCancelledListing_;
-    const bool isSlow = received < linkBytes(taken / 2);
-    if (!isFirst || taken < settings_.listingCheckDelay || !isSlow || keepsListing(total, knowsFasterPeer))
+    const bool isSlow = received < linkBytes(elapsed / 2);
+    if (!isFirst || elapsed < settings_.listingCheckDelay || !isSlow || keepsListing(total, knowsFasterPeer))
         return actions;
-    const double left
+    const double remaining
         = static_cast<double>(total - received) / static_cast<double>(std::max<std::uint64_t>(received, 1));
-    if (left * taken <= Duration(settings_.minRemainingToCancel))
+    if (remaining * elapsed <= Duration(settings_.minRemainingToCancel))
         return actions;
     hasCancelledListing_ = true;
     listRevision_.reset();
@@ -104,11 +104,11 @@
 
 bool StoreFeed::keepsListing(std::uint64_t bytes, bool knowsFasterPeer) const
 {
-    const bool isWide = settings_.linkMegabits == 0 || bytes <= linkBytes(settings_.fastLinkListingTime);
-    return isWide || (keepsListingByChance_ && !knowsFasterPeer);
+    const bool isFast = settings_.linkMegabits == 0 || bytes <= linkBytes(settings_.fastLinkListingTime);
+    return isFast || (keepsListingByChance_ && !knowsFasterPeer);
 }
 
-// The bytes that this balancer's own link carries in a time.
+// How many bytes this balancer's own link carries in this time.
 std::uint64_t StoreFeed::linkBytes(Duration time) const
 {
     constexpr std::uint64_t bytesPerMegabit = 125'000;
@@ -137,8 +137,8 @@
 {
     if (!confirmAt_)
         return settings_.watchDuration;
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(*confirmAt_ - now);
-    return std::clamp(left, settings_.minWatchDuration, settings_.watchDuration);
+    const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(*confirmAt_ - now);
+    return std::clamp(remaining, settings_.minWatchDuration, settings_.watchDuration);
 }
 
 StoreFeedActions StoreFeed::handleChanges(std::uint64_t number, const Result<PlatformChanges>& changes, TimePoint now)
@@ -147,8 +147,8 @@
     if (state_ != State::Watching || number != watchNumber_)
         return handleLateAnswer(number, changes, now);
     if (!changes && changes.error().code == ErrorCode::NotFound) {
-        // The store no longer has the history since then. What vanished meanwhile shows only in a whole listing, which
-        // must not be an old one.
+        // The store no longer has the changes since this revision. Removals show only in a listing, which must not be
+        // stale.
         mayListStale_ = false;
         list(now, actions);
         return actions;
@@ -178,7 +178,7 @@
     return actions;
 }
 
-// What changed after a revision. Has the store asked once more about what vanished in doubt.
+// Makes a delta of the changes. If it holds removals in doubt, has the store asked once more later.
 StoreDelta StoreFeed::deltaOf(const PlatformChanges& changes, std::uint64_t from, TimePoint now)
 {
     const auto removals = static_cast<std::size_t>(
@@ -194,8 +194,8 @@
     return delta;
 }
 
-// A watch that was taken for silent may only have been slow: a large configuration takes seconds on a thin link. Its
-// answer is as good as that of the watch that replaced it, and comes sooner.
+// A watch that counted as unresponsive may only have been slow, with a large answer on a slow link. Its answer is as
+// valid as that of the watch that replaced it, and arrives sooner.
 StoreFeedActions StoreFeed::handleLateAnswer(
     std::uint64_t number, const Result<PlatformChanges>& changes, TimePoint now)
 {
@@ -210,8 +210,8 @@
     return actions;
 }
 
-// Without this, a balancer that had started with an old listing dropped the packets of open flows to servers that the
-// listing lacked until its zone's watcher told of them, a second later.
+// Without this check, a balancer that started from a stale listing drops packets of open flows to servers that the
+// listing lacks until a watcher of its zone pushes them.
 StoreFeedActions StoreFeed::noteContradiction(TimePoint now)
 {
     StoreFeedActions actions;
@@ -234,15 +234,16 @@
     if (completeTo_ > watchedRevision_ && !supersededSince_)
         supersededSince_ = now;
     if (isUnresponsive(behindSince, now)) {
-        noteFailure({ ErrorCode::DeadlineExceeded, "the watch is silent while others have news" }, now, actions);
+        noteFailure({ ErrorCode::DeadlineExceeded, "the watch does not answer, but other balancers received changes" },
+            now, actions);
         replacedWatch_ = ReplacedWatch { watchNumber_, watchedRevision_ };
         watch(now, actions);
     }
     return actions;
 }
 
-// A connection that went silent looks like a store with nothing to say. Others having news that the watch should have
-// told shows the difference, also when this balancer has meanwhile been told it by them.
+// A dead connection looks like a store without changes. The difference shows when other balancers have changes that the
+// watch should have returned, also after this balancer has received them from there.
 bool StoreFeed::isUnresponsive(std::optional<TimePoint> behindSince, TimePoint now) const
 {
     if (state_ != State::Watching)
@@ -258,7 +259,7 @@
     if (!pauseUntil_ || now < *pauseUntil_)
         return actions;
     pauseUntil_.reset();
-    // Others told everything while the store was silent, so nothing is left to list.
+    // Other balancers may have sent everything while the store did not answer, which makes the listing unnecessary.
     const bool needsList = state_ == State::PausingBeforeList && (completeTo_ == 0 || !mayListStale_);
     if (needsList)
         list(now, actions);
--- a/Source/News/ValuePatch.cpp
+++ b/Source/News/ValuePatch.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-    // As for packing whole values. Nearly all of a value is found in the former one at any level.
-    constexpr int patchingLevel = 1;
-    // Powers of two; the library's decoder takes no larger window unless asked to.
-    constexpr int smallestWindow = 10;
-    constexpr int largestWindow = 27;
+    // The fastest level suffices: nearly all of a value is found in the former one.
+    constexpr int compressionLevel = 1;
+    // Binary logarithms of the window's bytes. By default the decoder refuses larger windows.
+    constexpr int minWindowLog = 10;
+    constexpr int maxWindowLog = 27;
 
     struct FreeCompressor {
         void operator()(ZSTD_CCtx* context) const { ZSTD_freeCCtx(context); }
@@ -33,10 +33,10 @@
                 patch.bytes.size(), cause) };
     }
 
-    // Both values must lie in the window, or what is far back in the former one is not found.
-    int windowFor(std::size_t bytes)
+    // The window has to cover both values, or matches at the start of the former one are not found.
+    int windowLogFor(std::size_t bytes)
     {
-        return std::clamp(static_cast<int>(std::bit_width(bytes)), smallestWindow, largestWindow);
+        return std::clamp(static_cast<int>(std::bit_width(bytes)), minWindowLog, maxWindowLog);
     }
 
 }
@@ -46,8 +46,8 @@
     const std::unique_ptr<ZSTD_CCtx, FreeCompressor> context(ZSTD_createCCtx());
     if (!context)
         return std::nullopt;
-    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, patchingLevel);
-    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, windowFor(former.size() + value.size()));
+    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, compressionLevel);
+    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, windowLogFor(former.size() + value.size()));
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_enableLongDistanceMatching, 1);
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_checksumFlag, 1);
     ZSTD_CCtx_refPrefix(context.get(), former.data(), former.size());
@@ -63,20 +63,20 @@
 Result<std::string> applyPatch(const std::string& former, const ValuePatch& patch)
 {
     const unsigned long long size = ZSTD_getFrameContentSize(patch.bytes.data(), patch.bytes.size());
-    // Both marks of the library for an unknown size are larger than any size that is allowed.
+    // The two values by which the library reports an unknown size exceed the limit as well.
     if (size > maxDeltaBytes)
-        return patchError(patch, "no size, or too large");
+        return patchError(patch, "size missing or too large");
     const std::unique_ptr<ZSTD_DCtx, FreeDecompressor> context(ZSTD_createDCtx());
     if (!context)
-        return patchError(patch, "no memory");
+        return patchError(patch, "out of memory");
     ZSTD_DCtx_refPrefix(context.get(), former.data(), former.size());
     std::string value(static_cast<std::size_t>(size), '\0');
-    const std::size_t made
+    const std::size_t written
         = ZSTD_decompressDCtx(context.get(), value.data(), value.size(), patch.bytes.data(), patch.bytes.size());
-    if (ZSTD_isError(made))
-        return patchError(patch, ZSTD_getErrorName(made));
-    if (made != value.size())
-        return patchError(patch, "shorter than it says");
+    if (ZSTD_isError(written))
+        return patchError(patch, ZSTD_getErrorName(written));
+    if (written != value.size())
+        return patchError(patch, "shorter than its stated size");
     return value;
 }
 
