--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -117,7 +117,7 @@
         BOOST_OUTCOME_TRY(socket, PacketSocket::open(settings_.flow));
         BOOST_OUTCOME_TRY(peers,
             PeerNews::open(context_, self(), settings_.seeds, seed_, log_, metrics_,
-                [this](const NewsChanged& news) { handleNews(news); }));
+                [this](const ReplicaChanged& news) { handleNews(news); }));
         peers_ = std::move(peers);
         packets_ = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peers_->exchange(),
             life_, lines_, metrics_, [this](TimePoint now) { store_.noteContradiction(now); });
@@ -153,11 +153,11 @@
         return member;
     }
 
-    void handleNews(const NewsChanged& news)
+    void handleNews(const ReplicaChanged& news)
     {
         const TimePoint now = Clock::now();
         applier_.apply(news, now);
-        const bool isInformed = router_.configurationVersion() > 0 && peers_->exchange().book().completeTo() > 0;
+        const bool isInformed = router_.configurationVersion() > 0 && peers_->exchange().replica().completeTo() > 0;
         if (isInformed && life_.noteInformed()) {
             // Packets that came before wait in the socket's buffer. Nothing could be done with them but drop them, and
             // callers would send them again only after 200 ms.
@@ -184,14 +184,14 @@
     void perform(const StoreFeedAction& action)
     {
         const TimePoint now = Clock::now();
-        if (const auto* news = std::get_if<StoreNews>(&action)) {
+        if (const auto* news = std::get_if<DeltaReceived>(&action)) {
             peers_->handleStore(*news, now);
-        } else if (const auto* lost = std::get_if<StoreLost>(&action)) {
+        } else if (const auto* lost = std::get_if<StoreUnreachable>(&action)) {
             peers_->noteStore(true, now);
             log_.write(LogLevel::Warning, "store", "lost", Event().add("error", lost->error.toString()), now);
-        } else if (const auto* regained = std::get_if<StoreRegained>(&action)) {
+        } else if (const auto* regained = std::get_if<StoreReachable>(&action)) {
             peers_->noteStore(false, now);
-            log_.write(LogLevel::Info, "store", "regained", Event().add("away_ms", regained->away), now);
+            log_.write(LogLevel::Info, "store", "regained", Event().add("away_ms", regained->outage), now);
         }
     }
 
@@ -208,15 +208,15 @@
     void onBeat(TimePoint now)
     {
         meetPeers(now);
-        peers_->noteStore(store_.feed().isLost(), now);
-        peers_->setAsksAtOnce(store_.feed().asksNeighbours());
+        peers_->noteStore(store_.feed().isUnreachable(), now);
+        peers_->setAsksAtOnce(store_.feed().asksPeers());
         peers_->tick(now);
-        store_.update(peers_->exchange().book().completeTo(), peers_->shallWatch(now) && !life_.isStopping(),
+        store_.update(peers_->exchange().replica().completeTo(), peers_->shallWatch(now) && !life_.isStopping(),
             peers_->exchange().behindSince(), now);
-        store_.tick(peers_->exchange().knowsMuchWider(), now);
-        router_.noteStoreContact(peers_->exchange().storeHeardAt());
+        store_.tick(peers_->exchange().knowsFasterPeer(), now);
+        router_.noteStoreContact(peers_->exchange().lastStoreContact());
         router_.setBalancers(balancerIdOf(settings_.vm).value, peers_->balancersOfZone(), peers_->isSettled(now), now);
-        lines_.transitions(router_.tick(now), peers_->exchange().book().completeTo(), "time", now);
+        lines_.transitions(router_.tick(now), peers_->exchange().replica().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
             lines_.failing(change, now);
         for (const ZoneReachabilityChange& change : router_.takeZoneChanges())
--- a/Source/Forwarder/ForwarderAnswers.h
+++ b/Source/Forwarder/ForwarderAnswers.h
@@ -63,13 +63,13 @@
     {
         ForwarderMetrics::Readings readings;
         readings.configurationVersion = router_.configurationVersion();
-        readings.newsRevision = peers_.exchange().book().completeTo();
+        readings.newsRevision = peers_.exchange().replica().completeTo();
         if (const auto since = peers_.exchange().behindSince())
             readings.newsBehind = now - *since;
         readings.flows = router_.flows().size();
         readings.members = peers_.members();
         readings.isReady = life_.isReady();
-        readings.isStoreLost = store_.feed().isLost();
+        readings.isStoreLost = store_.feed().isUnreachable();
         readings.isWatching = store_.feed().isWatching();
         readings.logLines = log_.buffer().lines();
         readings.logDropped = log_.buffer().dropped();
--- a/Source/Forwarder/PeerNews.cpp
+++ b/Source/Forwarder/PeerNews.cpp
@@ -17,7 +17,7 @@
     // Who sends it takes patches of large values; a balancer of an earlier version neither sends it nor looks at it.
     constexpr const char* takesPatchesHeader = "wisteriadock-takes-patches";
     constexpr std::chrono::milliseconds connectWithin { 800 };
-    // The longest that an answer may take, however steadily its bytes come. NewsExchange gives up a silent one sooner.
+    // The longest that an answer may take, however steadily its bytes come. ReplicaSync gives up a silent one sooner.
     constexpr std::chrono::milliseconds fetchWithin { 4000 };
     // Who has been behind others for longer gets a line in the log: a tenth of the time in which the users want a
     // configuration to be in force is usual, a fifth is not.
@@ -30,7 +30,7 @@
     Http2Limits fetchLimits()
     {
         Http2Limits limits;
-        limits.bodyBytes = largestNews;
+        limits.bodyBytes = maxDeltaBytes;
         limits.connectTimeout = connectWithin;
         // All balancers of a large zone may fetch at once after a start.
         limits.connections = 256;
@@ -43,7 +43,7 @@
 
 Result<std::unique_ptr<PeerNews>> PeerNews::open(boost::asio::io_context& context, const Member& self,
     std::vector<Endpoint> seeds, std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler,
-    NewsSettings settings)
+    ReplicaSyncSettings settings)
 {
     std::unique_ptr<PeerNews> news(
         new PeerNews(context, self, std::move(seeds), seed, log, metrics, std::move(handler), settings));
@@ -60,7 +60,7 @@
 }
 
 PeerNews::PeerNews(boost::asio::io_context& context, const Member& self, std::vector<Endpoint> seeds,
-    std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler, NewsSettings settings)
+    std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler, ReplicaSyncSettings settings)
     : context_(context)
     , address_(self.peerAddress)
     , seeds_(std::move(seeds))
@@ -122,8 +122,8 @@
 
 void PeerNews::tick(TimePoint now)
 {
-    if (exchange_.book().completeTo() > toldRevision_) {
-        toldRevision_ = exchange_.book().completeTo();
+    if (exchange_.replica().completeTo() > toldRevision_) {
+        toldRevision_ = exchange_.replica().completeTo();
         perform(membership_.setConfigurationVersion(toldRevision_, now), now);
     }
     perform(membership_.tick(now), now);
@@ -144,8 +144,8 @@
         return;
     log_.write(LogLevel::Warning, "news", "behind",
         Event()
-            .add("revision", exchange_.book().completeTo())
-            .add("newest", exchange_.newestElsewhere())
+            .add("revision", exchange_.replica().completeTo())
+            .add("newest", exchange_.newestPeerRevision())
             .add("behind_ms", now - *since)
             .add("asking", fetchSource_)
             .add("answer_bytes", fetchProgress_),
@@ -156,13 +156,13 @@
 {
     const std::uint64_t bytes = fetcher_ ? fetcher_->bytesTransferred() : 0;
     if (bytes > fetchProgress_)
-        exchange_.noteAnswering(now);
+        exchange_.noteFetchProgress(now);
     fetchProgress_ = bytes;
 }
 
-void PeerNews::handleStore(const StoreNews& news, TimePoint now)
+void PeerNews::handleStore(const DeltaReceived& news, TimePoint now)
 {
-    perform(exchange_.handleStore(news.delta, now, news.isForOthers), now);
+    perform(exchange_.handleStoreDelta(news.delta, now, news.isForOthers), now);
 }
 
 void PeerNews::leave(TimePoint now)
@@ -212,7 +212,7 @@
         perform(membership_.handle(PeerMessageReceived { sender, envelope }, now), now);
         return;
     }
-    if (const auto delta = decodeMessage<NewsDelta>(envelope.payload))
+    if (const auto delta = decodeMessage<StoreDelta>(envelope.payload))
         perform(exchange_.handlePush(envelope.sender, delta.value(), now), now);
 }
 
@@ -229,9 +229,9 @@
         exchange->respond(std::move(response));
         return;
     }
-    const auto form
-        = exchange->request().header(takesPatchesHeader).empty() ? NewsBook::Form::Whole : NewsBook::Form::Patched;
-    const std::vector<std::uint8_t> body = encodeMessage(exchange_.book().since(after, Clock::now(), form));
+    const auto encoding = exchange->request().header(takesPatchesHeader).empty() ? StoreReplica::Encoding::Full
+                                                                                 : StoreReplica::Encoding::Patched;
+    const std::vector<std::uint8_t> body = encodeMessage(exchange_.replica().deltaSince(after, Clock::now(), encoding));
     response.body.assign(body.begin(), body.end());
     ++fetchesServed_;
     exchange->respond(std::move(response));
@@ -250,15 +250,15 @@
     }
 }
 
-void PeerNews::perform(const NewsActions& actions, TimePoint now)
+void PeerNews::perform(const ReplicaSyncActions& actions, TimePoint now)
 {
-    for (const NewsAction& action : actions) {
-        if (const auto* push = std::get_if<PushNews>(&action)) {
+    for (const ReplicaSyncAction& action : actions) {
+        if (const auto* push = std::get_if<PushDelta>(&action)) {
             this->push(*push);
-        } else if (const auto* fetch = std::get_if<FetchNews>(&action)) {
+        } else if (const auto* fetch = std::get_if<FetchDelta>(&action)) {
             this->fetch(*fetch);
         } else {
-            const auto& changed = std::get<NewsChanged>(action);
+            const auto& changed = std::get<ReplicaChanged>(action);
             if (changed.source != "store" && exchange_.behindSince())
                 metrics_.observeNewsLag(now - *exchange_.behindSince());
             handler_(changed);
@@ -266,7 +266,7 @@
     }
 }
 
-void PeerNews::push(const PushNews& push)
+void PeerNews::push(const PushDelta& push)
 {
     link_->send(push.to,
         { .sender = membership_.view()->self,
@@ -275,7 +275,7 @@
             .payload = encodeMessage(push.delta) });
 }
 
-void PeerNews::fetch(const FetchNews& fetch)
+void PeerNews::fetch(const FetchDelta& fetch)
 {
     const Member* member = membership_.view()->find(fetch.from);
     const std::string source = member ? member->name : "unknown";
@@ -300,7 +300,7 @@
     HttpRequest request;
     request.path = fmt::format("{}{}", newsPath, fetch.after);
     request.authority = fetch.address.toString();
-    if (fetch.form == NewsBook::Form::Patched)
+    if (fetch.encoding == StoreReplica::Encoding::Patched)
         request.headers.push_back({ takesPatchesHeader, "1" });
     fetcher_->send(
         std::move(request), now + fetchWithin, [this, source, number = fetchNumber_](const HttpOutcome& outcome) {
@@ -320,17 +320,17 @@
                 .add("source", source)
                 .add("error", outcome ? fmt::format("status {}", outcome.value().status) : outcome.error().detail),
             now);
-        perform(exchange_.handleNoAnswer(now), now);
+        perform(exchange_.handleFetchFailure(now), now);
         return;
     }
     const std::string& body = outcome.value().body;
-    const auto delta = decodeMessage<NewsDelta>(
-        std::span(reinterpret_cast<const std::uint8_t*>(body.data()), body.size()), largestNews);
+    const auto delta = decodeMessage<StoreDelta>(
+        std::span(reinterpret_cast<const std::uint8_t*>(body.data()), body.size()), maxDeltaBytes);
     if (!delta) {
         metrics_.countFetch("unreadable");
         log_.write(LogLevel::Error, "news", "fetch_unreadable",
             Event().add("source", source).add("error", delta.error().toString()), now);
-        perform(exchange_.handleNoAnswer(now), now);
+        perform(exchange_.handleFetchFailure(now), now);
         return;
     }
     metrics_.countFetch("ok");
@@ -343,7 +343,7 @@
             .add("patches", std::uint64_t(delta.value().patches.size()))
             .add("from", delta.value().completeFrom())
             .add("to", delta.value().to)
-            .add("whole", boolName(delta.value().isWhole)),
+            .add("whole", boolName(delta.value().isSnapshot)),
         now);
     perform(exchange_.handleAnswer(source, delta.value(), now), now);
 }
--- /dev/null
+++ b/Source/News/ReplicaSync.cpp
@@ -0,0 +1,361 @@
+#include "News/ReplicaSync.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace wisteriadock {
+
+namespace {
+
+    bool isReachable(const Member& member) { return member.state != MemberState::Dead; }
+
+    // Largest overhead of msgpack, in bytes: for a delta, and for each item.
+    constexpr std::size_t deltaOverhead = 32;
+    constexpr std::size_t itemOverhead = 24;
+
+    std::size_t encodedSize(const StoreUpdate& item) { return item.key.size() + item.value.size() + itemOverhead; }
+
+    StoreDelta emptyPiece(const StoreDelta& delta, std::uint64_t from)
+    {
+        StoreDelta piece;
+        piece.from = from;
+        piece.patchedFrom = from;
+        piece.isInDoubt = delta.isInDoubt;
+        piece.isFresh = delta.isFresh;
+        return piece;
+    }
+
+    // An indivisible part of a delta: an update, or the patch that replaces it.
+    struct Part {
+        std::uint64_t revision = 0;
+        std::size_t size = 0;
+        const StoreUpdate* item = nullptr;
+        const ValuePatch* patch = nullptr;
+    };
+
+    Part partOf(const ValuePatch& patch)
+    {
+        return { patch.revision, patch.key.size() + patch.bytes.size() + itemOverhead, nullptr, &patch };
+    }
+
+    Part partOf(const StoreUpdate& item, const StoreReplica& replica, std::size_t maxBytes)
+    {
+        const Part full { item.revision, encodedSize(item), &item, nullptr };
+        const ValuePatch* patch
+            = deltaOverhead + full.size > maxBytes ? replica.patchTo(item.key, item.revision) : nullptr;
+        return patch ? partOf(*patch) : full;
+    }
+
+    std::vector<Part> partsOf(const StoreDelta& delta, const StoreReplica& replica, std::size_t maxBytes)
+    {
+        std::vector<Part> parts;
+        for (const StoreUpdate& item : delta.items)
+            parts.push_back(partOf(item, replica, maxBytes));
+        for (const ValuePatch& patch : delta.patches)
+            parts.push_back(partOf(patch));
+        std::ranges::sort(parts, {}, &Part::revision);
+        return parts;
+    }
+
+    // Splits the delta into pieces of at most maxBytes, each complete for a receiver that has all pieces before it. An
+    // item that is too large is replaced by its patch. Where that is too large as well, it is omitted, and the next
+    // piece is complete only for receivers that have the item already.
+    std::vector<StoreDelta> piecesOf(const StoreDelta& delta, const StoreReplica& replica, std::size_t maxBytes)
+    {
+        std::vector<StoreDelta> pieces;
+        StoreDelta piece = emptyPiece(delta, delta.from);
+        std::size_t size = deltaOverhead;
+        std::optional<std::uint64_t> lastRevision;
+        const auto close = [&](std::uint64_t to, std::uint64_t next) {
+            piece.to = to;
+            pieces.push_back(std::exchange(piece, emptyPiece(delta, next)));
+            size = deltaOverhead;
+            lastRevision.reset();
+        };
+        for (const Part& part : partsOf(delta, replica, maxBytes)) {
+            const bool isTooLarge = deltaOverhead + part.size > maxBytes;
+            const bool isFull = size + part.size > maxBytes;
+            if (lastRevision && (isTooLarge || isFull)) {
+                // A piece with only some of the items of a revision must not make the receiver complete up to it.
+                const bool splitsRevision = *lastRevision == part.revision;
+                close(part.revision - 1, splitsRevision ? part.revision : part.revision - 1);
+            }
+            // A receiver that does not support patches lacks the item.
+            if (isTooLarge || part.patch)
+                piece.from = std::max(piece.from, part.revision);
+            if (isTooLarge) {
+                piece.patchedFrom = piece.from;
+                continue;
+            }
+            size += part.size;
+            lastRevision = part.revision;
+            if (part.patch)
+                piece.patches.push_back(*part.patch);
+            else
+                piece.items.push_back(*part.item);
+        }
+        close(delta.to, delta.to);
+        return pieces;
+    }
+
+}
+
+ReplicaSync::ReplicaSync(std::string availabilityZone, std::uint64_t seed, ReplicaSyncSettings settings)
+    : availabilityZone_(std::move(availabilityZone))
+    , settings_(settings)
+    , random_(seed)
+{
+}
+
+ReplicaSyncActions ReplicaSync::handleStoreDelta(const StoreDelta& delta, TimePoint now, bool isForOthers)
+{
+    ReplicaSyncActions actions = reportChanges("store", delta, replica_.mergeFromStore(delta, now), now);
+    if (delta.isFresh)
+        lastStoreContact_ = now;
+    if (delta.isSnapshot)
+        announceToUninformed(actions);
+    const bool isConfirmation = delta.isFresh && delta.items.empty() && delta.from == delta.to;
+    if (isForOthers && (!actions.empty() || isConfirmation))
+        push(delta, actions);
+    fetchIfBehind(now, actions);
+    return actions;
+}
+
+ReplicaSyncActions ReplicaSync::handlePush(BalancerId sender, const StoreDelta& delta, TimePoint now)
+{
+    pushedRevisions_[sender] = std::max(pushedRevisions_[sender], delta.to);
+    if (delta.isFresh)
+        lastStoreContact_ = now;
+    const Member* member = view_ ? view_->find(sender) : nullptr;
+    ReplicaSyncActions actions
+        = reportChanges(member ? member->name : "unknown", delta, replica_.merge(delta, now), now);
+    fetchIfBehind(now, actions);
+    return actions;
+}
+
+ReplicaSyncActions ReplicaSync::handleAnswer(const std::string& sender, const StoreDelta& delta, TimePoint now)
+{
+    fetchDeadline_.reset();
+    // The ages in the answer are as of the request. Large answers take seconds to arrive.
+    StoreDelta aged = delta;
+    const auto transferTime = std::chrono::duration_cast<std::chrono::milliseconds>(now - fetchStartedAt_);
+    for (StoreUpdate& item : aged.items)
+        item.ageMilliseconds += static_cast<std::uint32_t>(transferTime.count());
+    for (ValuePatch& patch : aged.patches)
+        patch.ageMilliseconds += static_cast<std::uint32_t>(transferTime.count());
+    ReplicaSyncActions actions = reportChanges(sender, aged, replica_.merge(aged, now), now);
+    fetchEncoding_ = replica_.lacksPatchBase() ? StoreReplica::Encoding::Full : StoreReplica::Encoding::Patched;
+    if (!actions.empty())
+        isWatcher_ ? push(aged, actions) : announce(actions);
+    fetchIfBehind(now, actions);
+    return actions;
+}
+
+void ReplicaSync::setRole(bool isWatcher, bool isStoreUnreachable)
+{
+    isWatcher_ = isWatcher;
+    isStoreUnreachable_ = isStoreUnreachable;
+}
+
+ReplicaSyncActions ReplicaSync::handleFetchFailure(TimePoint now)
+{
+    fetchDeadline_.reset();
+    ReplicaSyncActions actions;
+    fetchIfBehind(now, actions);
+    return actions;
+}
+
+void ReplicaSync::noteFetchProgress(TimePoint now)
+{
+    if (fetchDeadline_)
+        fetchDeadline_ = now + settings_.answerTimeout;
+}
+
+ReplicaSyncActions ReplicaSync::handleView(std::shared_ptr<const MembersView> view, TimePoint now)
+{
+    view_ = std::move(view);
+    std::erase_if(pushedRevisions_, [&](const auto& row) { return !view_->find(row.first); });
+    ReplicaSyncActions actions;
+    fetchIfBehind(now, actions);
+    return actions;
+}
+
+ReplicaSyncActions ReplicaSync::tick(TimePoint now)
+{
+    replica_.tick(now);
+    if (fetchDeadline_ && now >= *fetchDeadline_)
+        fetchDeadline_.reset();
+    ReplicaSyncActions actions;
+    fetchIfBehind(now, actions);
+    return actions;
+}
+
+std::optional<TimePoint> ReplicaSync::nextTick() const
+{
+    if (fetchDeadline_)
+        return fetchDeadline_;
+    if (behindSince_)
+        return *behindSince_ + fetchDelay(true);
+    return std::nullopt;
+}
+
+ReplicaSyncActions ReplicaSync::reportChanges(
+    const std::string& source, const StoreDelta& delta, StoreReplica::Updates changed, TimePoint now) const
+{
+    ReplicaSyncActions actions;
+    if (!changed.empty())
+        actions.emplace_back(ReplicaChanged { std::move(changed), delta.isInDoubt, source,
+            behindSince_ ? now - *behindSince_ : Duration::zero(), replica_.completeTo() });
+    return actions;
+}
+
+// Pushes small updates at once, in as many datagrams as they need, so that they don't wait for a large configuration.
+// Large items are left to be fetched. A lost datagram or an omitted item leaves a gap in the revisions, which the
+// receiver detects.
+void ReplicaSync::push(const StoreDelta& delta, ReplicaSyncActions& actions) const
+{
+    if (!view_ || delta.isSnapshot)
+        return;
+    const std::vector<const Member*> others = othersInZone();
+    std::vector<StoreDelta> pieces = piecesOf(delta, replica_, settings_.maxPushBytes);
+    // Only announces the revision of a delta that needs too many datagrams.
+    if (pieces.size() * others.size() > settings_.maxPushes)
+        pieces = { StoreDelta { delta.to, delta.to, false, delta.isInDoubt, {}, delta.isFresh } };
+    for (const StoreDelta& piece : pieces) {
+        for (const Member* member : others)
+            actions.emplace_back(PushDelta { member->peerAddress, piece });
+    }
+}
+
+// Tells some balancers of a large zone that they can fetch from this one. Fetches of the whole zone from its watchers
+// would saturate their links.
+void ReplicaSync::announce(ReplicaSyncActions& actions)
+{
+    std::vector<const Member*> others = view_ ? othersInZone() : std::vector<const Member*>();
+    if (others.size() < settings_.largeZoneSize)
+        return;
+    const StoreDelta announcement { replica_.completeTo(), replica_.completeTo(), false, false, {} };
+    for (std::size_t i = 0; i < settings_.announcementFanout; ++i)
+        actions.emplace_back(PushDelta { others[random_() % others.size()]->peerAddress, announcement });
+}
+
+// Tells balancers with empty replicas that they can fetch from this one. Gossip would tell them later.
+void ReplicaSync::announceToUninformed(ReplicaSyncActions& actions)
+{
+    const Member* self = view_ ? view_->findSelf() : nullptr;
+    if (!self || replica_.completeTo() == 0)
+        return;
+    std::vector<const Member*> uninformed = othersInZone();
+    std::erase_if(uninformed, [&](const Member* member) { return revisionOf(*member) > 0; });
+    std::ranges::shuffle(uninformed, random_);
+    const std::size_t maxAnnouncements
+        = std::max<std::size_t>(settings_.announcementFanout, self->linkMegabits / settings_.megabitsPerUninformedPeer);
+    uninformed.resize(std::min(uninformed.size(), maxAnnouncements));
+    const StoreDelta announcement { replica_.completeTo(), replica_.completeTo(), false, false, {} };
+    for (const Member* member : uninformed)
+        actions.emplace_back(PushDelta { member->peerAddress, announcement });
+}
+
+std::vector<const Member*> ReplicaSync::othersInZone() const
+{
+    std::vector<const Member*> others;
+    for (const Member& member : view_->members) {
+        const bool isOther = member.id != view_->self && member.availabilityZone == availabilityZone_;
+        if (isOther && isReachable(member))
+            others.push_back(&member);
+    }
+    return others;
+}
+
+void ReplicaSync::fetchIfBehind(TimePoint now, ReplicaSyncActions& actions)
+{
+    if (newestPeerRevision() <= replica_.completeTo()) {
+        behindSince_.reset();
+        return;
+    }
+    if (!behindSince_) {
+        behindSince_ = now;
+        const bool isLarge = othersInZone().size() >= settings_.largeZoneSize;
+        jitter_
+            = isLarge ? random_() % (settings_.maxJitter.count() + 1) * std::chrono::milliseconds(1) : Duration::zero();
+    }
+    std::vector<const Member*> candidates = sources(true);
+    const bool hasSourceInZone = !candidates.empty();
+    if (!hasSourceInZone)
+        candidates = sources(false);
+    if (fetchDeadline_ || candidates.empty() || now - *behindSince_ < fetchDelay(hasSourceInZone))
+        return;
+    const Member* source = chooseSource(std::move(candidates));
+    fetchDeadline_ = now + settings_.answerTimeout;
+    fetchStartedAt_ = now;
+    lastSource_ = source->id;
+    actions.emplace_back(FetchDelta { source->id, source->requestAddress, replica_.completeTo(), fetchEncoding_ });
+}
+
+Duration ReplicaSync::fetchDelay(bool hasSourceInZone) const
+{
+    // A snapshot is large, and the store usually serves it faster than a balancer with a slow link.
+    if (replica_.completeTo() == 0 && (isStoreUnreachable_ || fetchesImmediately_))
+        return Duration::zero();
+    if (replica_.completeTo() == 0)
+        return hasFasterPeer(sources(true)) ? settings_.fasterPeerListingTimeout : settings_.listingTimeout;
+    const bool mayFetchSooner = hasSourceInZone || isWatcher_;
+    return settings_.pushTimeout + jitter_ + (mayFetchSooner ? Duration::zero() : Duration(settings_.otherZoneDelay));
+}
+
+bool ReplicaSync::knowsFasterPeer() const { return view_ && hasFasterPeer(othersInZone()); }
+
+bool ReplicaSync::hasFasterPeer(const std::vector<const Member*>& members) const
+{
+    const Member* self = view_->findSelf();
+    if (!self || self->linkMegabits == 0)
+        return false;
+    const int minClass = widthClassOf(self->linkMegabits) + settings_.fasterPeerClasses;
+    return std::ranges::any_of(
+        members, [&](const Member* member) { return widthClassOf(member->linkMegabits) >= minClass; });
+}
+
+std::vector<const Member*> ReplicaSync::sources(bool isInZone) const
+{
+    std::vector<const Member*> found;
+    for (const Member& member : view_->members) {
+        const bool isAhead = member.id != view_->self && revisionOf(member) > replica_.completeTo();
+        if (isAhead && isReachable(member) && (member.availabilityZone == availabilityZone_) == isInZone)
+            found.push_back(&member);
+    }
+    return found;
+}
+
+// Avoids the source of the last fetch, which may be unresponsive, and prefers fast links, since answers may be large
+// and many balancers fetch at once.
+const Member* ReplicaSync::chooseSource(std::vector<const Member*> members)
+{
+    if (members.size() > 1)
+        std::erase_if(members, [&](const Member* member) { return member->id == lastSource_; });
+    int fastestClass = 0;
+    for (const Member* member : members)
+        fastestClass = std::max(fastestClass, widthClassOf(member->linkMegabits));
+    std::erase_if(members, [&](const Member* member) { return widthClassOf(member->linkMegabits) < fastestClass; });
+    return members[random_() % members.size()];
+}
+
+std::uint64_t ReplicaSync::newestPeerRevision() const
+{
+    std::uint64_t newest = 0;
+    if (!view_)
+        return newest;
+    for (const Member& member : view_->members) {
+        if (member.id != view_->self && isReachable(member))
+            newest = std::max(newest, revisionOf(member));
+    }
+    return newest;
+}
+
+std::uint64_t ReplicaSync::revisionOf(const Member& member) const
+{
+    const auto pushed = pushedRevisions_.find(member.id);
+    return pushed == pushedRevisions_.end() ? member.configurationVersion
+                                            : std::max(pushed->second, member.configurationVersion);
+}
+
+}
--- /dev/null
+++ b/Source/News/StoreReplica.cpp
@@ -0,0 +1,220 @@
+#include "News/StoreReplica.h"
+
+#include "News/CompressedValue.h"
+
+#include <absl/container/flat_hash_set.h>
+
+#include <algorithm>
+#include <limits>
+#include <utility>
+
+namespace wisteriadock {
+
+namespace {
+
+    // How long removals are kept. Balancers that were disconnected for longer get a snapshot.
+    constexpr std::chrono::seconds removalLifetime { 120 };
+
+    // Ages are sent as 32 bits; longer ones count as this one.
+    constexpr std::chrono::milliseconds maxAge { std::numeric_limits<std::uint32_t>::max() };
+
+    // Patches kept for each value, as long as they are no larger together than the value. Balancers that missed more
+    // revisions get the whole value.
+    constexpr std::size_t maxPatches = 16;
+
+    std::uint32_t millisecondsBetween(TimePoint then, TimePoint now)
+    {
+        const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - then);
+        return static_cast<std::uint32_t>(std::clamp(age, std::chrono::milliseconds(0), maxAge).count());
+    }
+
+    // Decompresses the value. A value that can't be decompressed stays as it is, and its reader rejects it.
+    StoreUpdate decompressed(const StoreUpdate& item)
+    {
+        StoreUpdate result = item;
+        if (!item.isCompressed)
+            return result;
+        if (Result<std::string> value = plainValue(item)) {
+            result.value = std::move(value).value();
+            result.isCompressed = false;
+        }
+        return result;
+    }
+
+}
+
+StoreReplica::Updates StoreReplica::merge(const StoreDelta& delta, TimePoint now)
+{
+    return mergeAll(delta, now, PatchCreation::No);
+}
+
+StoreReplica::Updates StoreReplica::mergeFromStore(const StoreDelta& delta, TimePoint now)
+{
+    return mergeAll(delta, now, PatchCreation::Yes);
+}
+
+StoreReplica::Updates StoreReplica::mergeAll(const StoreDelta& delta, TimePoint now, PatchCreation creation)
+{
+    Updates changed;
+    lacksPatchBase_ = false;
+    // An older snapshot lacks keys that were written since, which would look removed.
+    if (delta.isSnapshot && delta.to < completeTo_)
+        return changed;
+    if (delta.isSnapshot)
+        removeMissing(delta, now, changed);
+    for (const StoreUpdate& item : delta.items) {
+        if (mergeItem(item, now, creation))
+            changed.push_back(rows_.at(item.key).item);
+    }
+    for (const ValuePatch& patch : delta.patches)
+        lacksPatchBase_ |= !mergePatch(patch, now, changed);
+    const bool isConsecutive = delta.isSnapshot || delta.completeFrom() <= completeTo_;
+    if (isConsecutive && !lacksPatchBase_)
+        completeTo_ = std::max(completeTo_, delta.to);
+    // Receivers apply changes in the order in which the store made them.
+    std::ranges::stable_sort(changed, {}, &StoreUpdate::revision);
+    return changed;
+}
+
+void StoreReplica::removeMissing(const StoreDelta& delta, TimePoint now, Updates& changed)
+{
+    absl::flat_hash_set<std::string> present;
+    for (const StoreUpdate& item : delta.items)
+        present.insert(item.key);
+    for (auto& [key, row] : rows_) {
+        const bool isMissing = !row.item.isRemoved && row.item.revision <= delta.to && !present.contains(key);
+        if (!isMissing)
+            continue;
+        row = { { key, {}, delta.to, true }, now };
+        changed.push_back(row.item);
+    }
+}
+
+bool StoreReplica::mergeItem(const StoreUpdate& item, TimePoint now, PatchCreation creation)
+{
+    const auto [entry, isNew] = rows_.try_emplace(item.key);
+    Row& row = entry->second;
+    if (!isNew && item.revision <= row.item.revision)
+        return false;
+    const bool wasKnown = !isNew && !row.item.isRemoved;
+    Row former = std::exchange(row, { decompressed(item), now - std::chrono::milliseconds(item.ageMilliseconds) });
+    row.isSentCompressed = item.isCompressed && !row.item.isCompressed;
+    if (row.isSentCompressed)
+        row.compressed = item;
+    if (creation == PatchCreation::Yes && wasKnown && row.isSentCompressed && former.isSentCompressed) {
+        row.patches = std::move(former.patches);
+        if (auto bytes = patchBytes(former.item.value, row.item.value))
+            addPatch(row, { item.key, former.item.revision, item.revision, std::move(*bytes) });
+        else
+            row.patches.clear();
+    }
+    return wasKnown || !item.isRemoved;
+}
+
+// Returns false when the patch can't be applied, so that the replica still lacks its revision.
+bool StoreReplica::mergePatch(const ValuePatch& patch, TimePoint now, Updates& changed)
+{
+    const auto found = rows_.find(patch.key);
+    if (found == rows_.end())
+        return false;
+    Row& row = found->second;
+    if (row.item.revision >= patch.revision)
+        return true;
+    if (row.item.revision != patch.base || row.item.isRemoved)
+        return false;
+    Result<std::string> value = applyPatch(row.item.value, patch);
+    if (!value)
+        return false;
+    row.item.value = std::move(value).value();
+    row.item.revision = patch.revision;
+    row.item.ageMilliseconds = patch.ageMilliseconds;
+    row.readAt = now - std::chrono::milliseconds(patch.ageMilliseconds);
+    row.isSentCompressed = true;
+    row.compressed = {};
+    addPatch(row, patch);
+    // Several patches of one value count as one update, with the last value.
+    std::erase_if(changed, [&](const StoreUpdate& item) { return item.key == patch.key; });
+    changed.push_back(row.item);
+    return true;
+}
+
+void StoreReplica::addPatch(Row& row, ValuePatch patch)
+{
+    row.patches.push_back(std::move(patch));
+    const auto isOverLimit = [&row] {
+        std::size_t bytes = 0;
+        for (const ValuePatch& held : row.patches)
+            bytes += held.bytes.size();
+        return row.patches.size() > maxPatches || bytes > row.item.value.size();
+    };
+    while (isOverLimit())
+        row.patches.erase(row.patches.begin());
+}
+
+const ValuePatch* StoreReplica::patchTo(const std::string& key, std::uint64_t revision) const
+{
+    const auto found = rows_.find(key);
+    if (found == rows_.end())
+        return nullptr;
+    const auto patch = std::ranges::find(found->second.patches, revision, &ValuePatch::revision);
+    return patch == found->second.patches.end() ? nullptr : &*patch;
+}
+
+const StoreUpdate& StoreReplica::updateToSend(const Row& row)
+{
+    if (!row.isSentCompressed)
+        return row.item;
+    if (row.compressed.revision != row.item.revision) {
+        row.compressed = row.item;
+        compressValue(row.compressed);
+    }
+    return row.compressed;
+}
+
+// Adds the patches that lead from the value at the revision to the current one. Returns false when the first of them is
+// no longer kept. A receiver that has all changes up to the revision holds that value or a newer one; both work as
+// base.
+bool StoreReplica::addPatches(const Row& row, std::uint64_t revision, TimePoint now, StoreDelta& delta)
+{
+    const auto first = std::ranges::find_if(
+        row.patches, [&](const ValuePatch& patch) { return patch.base <= revision && patch.revision > revision; });
+    if (first == row.patches.end())
+        return false;
+    for (auto patch = first; patch != row.patches.end(); ++patch) {
+        delta.patches.push_back(*patch);
+        delta.patches.back().ageMilliseconds = millisecondsBetween(row.readAt, now);
+    }
+    return true;
+}
+
+StoreDelta StoreReplica::deltaSince(std::uint64_t revision, TimePoint now, Encoding encoding) const
+{
+    StoreDelta delta;
+    delta.isSnapshot = revision == 0 || revision < droppedRemovalsTo_;
+    delta.from = delta.isSnapshot ? 0 : revision;
+    delta.to = completeTo_;
+    delta.patchedFrom = delta.from;
+    for (const auto& [key, row] : rows_) {
+        const bool isWanted = delta.isSnapshot ? !row.item.isRemoved : row.item.revision > revision;
+        if (!isWanted)
+            continue;
+        if (encoding == Encoding::Patched && !delta.isSnapshot && addPatches(row, revision, now, delta))
+            continue;
+        delta.items.push_back(updateToSend(row));
+        delta.items.back().ageMilliseconds = millisecondsBetween(row.readAt, now);
+    }
+    std::ranges::sort(delta.patches, {}, &ValuePatch::revision);
+    return delta;
+}
+
+void StoreReplica::tick(TimePoint now)
+{
+    absl::erase_if(rows_, [&](const auto& row) {
+        const bool isOld = row.second.item.isRemoved && now - row.second.readAt > removalLifetime;
+        if (isOld)
+            droppedRemovalsTo_ = std::max(droppedRemovalsTo_, row.second.item.revision);
+        return isOld;
+    });
+}
+
+}
--- /dev/null
+++ b/Source/News/StoreReplica.h
@@ -0,0 +1,80 @@
+#pragma once
+
+#include "Core/Clock.h"
+#include "News/StoreDelta.h"
+
+#include <absl/container/flat_hash_map.h>
+
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <vector>
+
+namespace wisteriadock {
+
+// A balancer's replica of the platform's key-value store: the newest known state of each key, whether it came from the
+// store or from another balancer. ReplicaSync owns it. The store counts revisions over all keys, so deltas can be
+// merged in any order and repeatedly, and an older state never replaces a newer one.
+//
+// Of a large value the replica also keeps the last patches that led to it, so that a change of such a value costs other
+// balancers about the size of the change.
+class StoreReplica {
+public:
+    // The updates of a merge that changed the replica, one for each key, with large values decompressed.
+    using Updates = std::vector<StoreUpdate>;
+
+    // How deltaSince() encodes large values that changed.
+    enum class Encoding {
+        Full, // The whole value.
+        Patched, // Patches to the value that the receiver holds, where the replica still has them.
+    };
+
+    // Merges a delta of another balancer. After a gap its updates are merged as well, but completeTo() stays.
+    Updates merge(const StoreDelta&, TimePoint now);
+    // Merges a delta of the store, which holds whole values, and makes patches of large values for other balancers.
+    Updates mergeFromStore(const StoreDelta&, TimePoint now);
+    // Whether the last merge had a patch whose base value this replica does not hold.
+    bool lacksPatchBase() const { return lacksPatchBase_; }
+
+    // All changes after the revision. A snapshot when the revision is 0, or so old that removals after it have been
+    // dropped.
+    StoreDelta deltaSince(std::uint64_t revision, TimePoint now, Encoding = Encoding::Full) const;
+    // The patch that results in the key's value at this revision; null when there is none.
+    const ValuePatch* patchTo(const std::string& key, std::uint64_t revision) const;
+    // The replica has all changes up to this revision; 0 before the first snapshot.
+    std::uint64_t completeTo() const { return completeTo_; }
+
+    // Drops old removals.
+    void tick(TimePoint now);
+
+private:
+    struct Row {
+        // Holds the value decompressed.
+        StoreUpdate item;
+        // When the first balancer read the update from the store, as far as this one knows.
+        TimePoint readAt;
+        // Consecutive patches; the last one results in the value.
+        std::vector<ValuePatch> patches {};
+        // The value is sent compressed. It is compressed on the first request for the whole value.
+        bool isSentCompressed = false;
+        mutable StoreUpdate compressed {};
+    };
+    enum class PatchCreation { No, Yes };
+
+    Updates mergeAll(const StoreDelta&, TimePoint now, PatchCreation);
+    void removeMissing(const StoreDelta&, TimePoint now, Updates&);
+    bool mergeItem(const StoreUpdate&, TimePoint now, PatchCreation);
+    bool mergePatch(const ValuePatch&, TimePoint now, Updates&);
+    static void addPatch(Row&, ValuePatch);
+    static const StoreUpdate& updateToSend(const Row&);
+    static bool addPatches(const Row&, std::uint64_t revision, TimePoint now, StoreDelta&);
+
+    absl::flat_hash_map<std::string, Row> rows_;
+    std::uint64_t completeTo_ = 0;
+    // The highest revision of a removal that was dropped.
+    std::uint64_t droppedRemovalsTo_ = 0;
+    bool lacksPatchBase_ = false;
+};
+
+}
--- a/Tests/Forwarder/PeerNewsTest.cpp
+++ b/Tests/Forwarder/PeerNewsTest.cpp
@@ -36,14 +36,14 @@
         ServerDirectory directory;
         EvacuatedZones emptiedZones;
         std::unique_ptr<PeerNews> news;
-        std::vector<NewsItem> received;
+        std::vector<StoreUpdate> received;
 
         Balancer() = default;
         ~Balancer() { ::close(descriptor); }
         Balancer(const Balancer&) = delete;
         Balancer& operator=(const Balancer&) = delete;
 
-        bool open(std::uint32_t address, std::uint32_t other, std::uint16_t port, NewsSettings settings)
+        bool open(std::uint32_t address, std::uint32_t other, std::uint16_t port, ReplicaSyncSettings settings)
         {
             Member self;
             self.name = Endpoint { address, port }.toString();
@@ -52,7 +52,7 @@
             self.peerAddress = { address, port };
             self.requestAddress = self.peerAddress;
             self.incarnation = 1;
-            const auto handler = [this](const NewsChanged& changed) {
+            const auto handler = [this](const ReplicaChanged& changed) {
                 received.insert(received.end(), changed.items.begin(), changed.items.end());
             };
             auto opened = PeerNews::open(context, self, { { other, port } }, address, log, metrics, handler, settings);
@@ -83,15 +83,15 @@
     };
 
     struct PeerNewsTest : testing::Test {
-        NewsSettings settings;
+        ReplicaSyncSettings settings;
         Balancer asking;
         Balancer other;
 
         PeerNewsTest()
         {
-            settings.patience = 0ms;
-            settings.firstPatience = 0ms;
-            settings.answerWithin = 40ms;
+            settings.pushTimeout = 0ms;
+            settings.listingTimeout = 0ms;
+            settings.answerTimeout = 40ms;
             bool isOpen = false;
             for (int i = 0; i < 20 && !isOpen; ++i) {
                 const std::uint16_t port = freePort();
@@ -117,7 +117,7 @@
         }
 
         // Larger than a datagram, also when packed.
-        static NewsDelta largeNews()
+        static StoreDelta largeNews()
         {
             std::mt19937 random(1);
             std::string noise(20000, ' ');
@@ -138,14 +138,14 @@
         other.news->handleStore({ largeNews() }, began);
         // The other one stands still from here on: connections to it open, but nothing answers.
         waitUntil([&] { return asking.fetches("asked") >= 6; }, [&] { asking.poll(); });
-        const auto givenUp = static_cast<std::uint64_t>((Clock::now() - began) / settings.answerWithin);
+        const auto givenUp = static_cast<std::uint64_t>((Clock::now() - began) / settings.answerTimeout);
         EXPECT_LE(asking.fetches("asked"), 1 + givenUp);
         {
             SCOPED_TRACE("also while the connection has not been opened, as to a VM without power");
             const std::uint64_t before = asking.fetches("asked");
             const TimePoint since = Clock::now();
             waitUntil([&] { return asking.fetches("asked") >= before + 6; }, [&] { asking.news->tick(Clock::now()); });
-            const auto more = static_cast<std::uint64_t>((Clock::now() - since) / settings.answerWithin);
+            const auto more = static_cast<std::uint64_t>((Clock::now() - since) / settings.answerTimeout);
             EXPECT_LE(asking.fetches("asked"), before + 1 + more);
         }
         {
--- a/Tests/News/DecisionFleet.cpp
+++ b/Tests/News/FleetSimulation.cpp
@@ -1,6 +1,6 @@
-#include "News/DecisionFleet.h"
+#include "News/FleetSimulation.h"
 
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
 
 #include <fmt/format.h>
 
@@ -12,14 +12,14 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto messageTime = 2ms;
-    constexpr auto storeTime = 4ms;
-    constexpr auto watchStep = 20ms;
-    constexpr auto beatPeriod = 250ms;
+    constexpr auto messageLatency = 2ms;
+    constexpr auto storeLatency = 4ms;
+    constexpr auto watchPollInterval = 20ms;
+    constexpr auto tickPeriod = 250ms;
 
 }
 
-DecisionFleet::DecisionFleet(std::uint32_t seed)
+FleetSimulation::FleetSimulation(std::uint32_t seed)
     : random_(seed)
 {
     for (std::size_t i = 0; i < zones * balancersPerZone; ++i) {
@@ -28,19 +28,19 @@
         balancer.name = fmt::format("{}-{}", balancer.availabilityZone, i % balancersPerZone);
         balancer.id = balancerIdOf(balancer.name);
         balancers_.push_back(std::move(balancer));
-        lives_.push_back(0);
+        incarnations_.push_back(0);
     }
     for (std::size_t i = 0; i < balancers_.size(); ++i)
         start(i);
-    nextBeat_ = clock_.now();
+    nextTick_ = clock_.now();
 }
 
-void DecisionFleet::start(std::size_t index)
+void FleetSimulation::start(std::size_t index)
 {
     Balancer& balancer = balancers_[index];
-    ++lives_[index];
+    ++incarnations_[index];
     balancer.feed = std::make_unique<StoreFeed>(random_());
-    balancer.exchange = std::make_unique<NewsExchange>(balancer.availabilityZone, random_());
+    balancer.sync = std::make_unique<ReplicaSync>(balancer.availabilityZone, random_());
     RouterSettings settings;
     settings.availabilityZone = balancer.availabilityZone;
     balancer.router = std::make_unique<TokenRouter>(settings);
@@ -48,7 +48,7 @@
     perform(index, balancer.feed->start(clock_.now()));
 }
 
-void DecisionFleet::put(const std::string& key, std::string value, bool isRemoved)
+void FleetSimulation::put(const std::string& key, std::string value, bool isRemoved)
 {
     const PlatformItem item { key, std::move(value), ++revision_, isRemoved };
     history_.push_back(item);
@@ -58,7 +58,7 @@
         items_[key] = item;
 }
 
-void DecisionFleet::writeConfiguration(std::uint64_t version, const std::vector<std::string>& servicesByRoute)
+void FleetSimulation::writeConfiguration(std::uint64_t version, const std::vector<std::string>& servicesByRoute)
 {
     ForwardingConfiguration configuration { version, {}, 15s };
     for (std::size_t i = 0; i < servicesByRoute.size(); ++i) {
@@ -66,39 +66,39 @@
             configuration.routes.push_back({ fmt::format("r{}", i), routeOf(i), { { servicesByRoute[i], 1 } } });
     }
     configurations_[version] = configuration;
-    // Long enough to travel packed, and as patches.
-    put("configuration", fmt::format("{}\n{}", version, std::string(packedFrom, 'r')), false);
+    // Long enough to be sent compressed and as patches.
+    put("configuration", fmt::format("{}\n{}", version, std::string(compressionThreshold, 'r')), false);
 }
 
-void DecisionFleet::writeServer(const RegisteredServer& server)
+void FleetSimulation::writeServer(const RegisteredServer& server)
 {
     servers_[fmt::format("{}@{}", server.id, revision_ + 1)] = server;
     put("server " + server.id, fmt::format("{}@{}", server.id, revision_ + 1), false);
 }
 
-void DecisionFleet::removeServer(const RegisteredServer& server) { put("server " + server.id, {}, true); }
+void FleetSimulation::removeServer(const RegisteredServer& server) { put("server " + server.id, {}, true); }
 
-void DecisionFleet::schedule(Duration delay, std::function<void()> action)
+void FleetSimulation::schedule(Duration delay, std::function<void()> action)
 {
-    events_.push_back({ clock_.now() + delay, nextOrder_++, std::move(action) });
+    events_.push_back({ clock_.now() + delay, nextSequence_++, std::move(action) });
 }
 
-void DecisionFleet::advance(Duration step)
+void FleetSimulation::advance(Duration step)
 {
     const TimePoint end = clock_.now() + step;
     for (;;) {
-        const auto next = std::ranges::min_element(
-            events_, [](const Event& a, const Event& b) { return a.at != b.at ? a.at < b.at : a.order < b.order; });
-        const bool hasEvent = next != events_.end() && next->at <= std::min(end, nextBeat_);
+        const auto next = std::ranges::min_element(events_,
+            [](const Event& a, const Event& b) { return a.at != b.at ? a.at < b.at : a.sequence < b.sequence; });
+        const bool hasEvent = next != events_.end() && next->at <= std::min(end, nextTick_);
         if (hasEvent) {
             const Event event = std::move(*next);
             events_.erase(next);
             clock_.advance(std::max<Duration>(event.at - clock_.now(), Duration::zero()));
             event.action();
-        } else if (nextBeat_ <= end) {
-            clock_.advance(nextBeat_ - clock_.now());
-            nextBeat_ += beatPeriod;
-            beat();
+        } else if (nextTick_ <= end) {
+            clock_.advance(nextTick_ - clock_.now());
+            nextTick_ += tickPeriod;
+            tickBalancers();
         } else {
             clock_.advance(end - clock_.now());
             return;
@@ -106,8 +106,8 @@
     }
 }
 
-// What the daemon does at each beat; the revisions of the others come as membership brings them, unless they get lost.
-void DecisionFleet::beat()
+// Runs the periodic work of the daemon on each balancer. The revisions of the others arrive by membership unless lost.
+void FleetSimulation::tickBalancers()
 {
     for (std::size_t index = 0; index < balancers_.size(); ++index) {
         Balancer& balancer = balancers_[index];
@@ -123,49 +123,49 @@
             member.state = other.isFrozen ? MemberState::Dead : MemberState::Serving;
             member.peerAddress = { other.id.value, 1 };
             member.requestAddress = member.peerAddress;
-            member.configurationVersion = isLost() ? 0 : other.exchange->book().completeTo();
+            member.configurationVersion = isLost() ? 0 : other.sync->replica().completeTo();
             view->members.push_back(member);
         }
         std::ranges::sort(view->members, {}, &Member::id);
-        perform(index, balancer.exchange->handleView(view, now()));
-        perform(index, balancer.exchange->tick(now()));
-        const bool shallWatch = index % balancersPerZone < watchersPerZone;
-        balancer.exchange->setRole(shallWatch, balancer.feed->isLost());
+        perform(index, balancer.sync->handleView(view, now()));
+        perform(index, balancer.sync->tick(now()));
+        const bool isWatcher = index % balancersPerZone < watchersPerZone;
+        balancer.sync->setRole(isWatcher, balancer.feed->isUnreachable());
         perform(index,
             balancer.feed->update(
-                balancer.exchange->book().completeTo(), shallWatch, balancer.exchange->behindSince(), now()));
+                balancer.sync->replica().completeTo(), isWatcher, balancer.sync->behindSince(), now()));
         perform(index, balancer.feed->tick(now()));
-        balancer.router->noteStoreContact(balancer.exchange->storeHeardAt());
+        balancer.router->noteStoreContact(balancer.sync->lastStoreContact());
         balancer.router->tick(now());
     }
 }
 
-void DecisionFleet::perform(std::size_t index, const StoreFeedActions& actions)
+void FleetSimulation::perform(std::size_t index, const StoreFeedActions& actions)
 {
     for (const StoreFeedAction& action : actions) {
-        const std::uint64_t life = lives_[index];
-        const auto whenAlive = [this, index, life](std::function<void()> then) {
-            return [this, index, life, then = std::move(then)] {
-                if (lives_[index] == life && !balancers_[index].isFrozen)
+        const std::uint64_t incarnation = incarnations_[index];
+        const auto ifAlive = [this, index, incarnation](std::function<void()> then) {
+            return [this, index, incarnation, then = std::move(then)] {
+                if (incarnations_[index] == incarnation && !balancers_[index].isFrozen)
                     then();
             };
         };
-        if (const auto* news = std::get_if<StoreNews>(&action)) {
-            perform(index, balancers_[index].exchange->handleStore(news->delta, now()));
+        if (const auto* received = std::get_if<DeltaReceived>(&action)) {
+            perform(index, balancers_[index].sync->handleStoreDelta(received->delta, now()));
         } else if (const auto* list = std::get_if<SendList>(&action)) {
-            const bool mayBeOld = list->call.mayBeStale;
-            schedule(storeTime, whenAlive([this, index, mayBeOld] { answerList(index, mayBeOld); }));
+            const bool mayBeStale = list->call.mayBeStale;
+            schedule(storeLatency, ifAlive([this, index, mayBeStale] { answerList(index, mayBeStale); }));
         } else if (const auto* watch = std::get_if<SendWatch>(&action)) {
-            schedule(storeTime, whenAlive([this, index, watch = *watch, until = now() + watch->call.wait] {
+            schedule(storeLatency, ifAlive([this, index, watch = *watch, until = now() + watch->call.wait] {
                 answerWatch(index, watch, until);
             }));
         }
     }
 }
 
-void DecisionFleet::keepListings(bool keeps) { keptPage_ = keeps ? std::optional(page()) : std::nullopt; }
+void FleetSimulation::serveStaleListings(bool isStale) { stalePage_ = isStale ? std::optional(page()) : std::nullopt; }
 
-PlatformPage DecisionFleet::page() const
+PlatformPage FleetSimulation::page() const
 {
     PlatformPage page;
     page.revision = revision_;
@@ -174,23 +174,23 @@
     return page;
 }
 
-void DecisionFleet::answerList(std::size_t index, bool mayBeOld)
+void FleetSimulation::answerList(std::size_t index, bool mayBeStale)
 {
     Balancer& balancer = balancers_[index];
-    if (isStoreDown || balancer.isTurnedAway)
+    if (isStoreDown || balancer.isRejectedByStore)
         return perform(index, balancer.feed->handlePage(Error { ErrorCode::Unavailable, "status 503" }, now()));
-    perform(index, balancer.feed->handlePage(mayBeOld && keptPage_ ? *keptPage_ : page(), now()));
+    perform(index, balancer.feed->handlePage(mayBeStale && stalePage_ ? *stalePage_ : page(), now()));
 }
 
-void DecisionFleet::answerWatch(std::size_t index, const SendWatch& watch, TimePoint until)
+void FleetSimulation::answerWatch(std::size_t index, const SendWatch& watch, TimePoint until)
 {
     Balancer& balancer = balancers_[index];
     const auto answer = [&](const Result<PlatformChanges>& changes) {
         perform(index, balancer.feed->handleChanges(watch.number, changes, now()));
     };
-    if (isStoreDown || balancer.isTurnedAway)
+    if (isStoreDown || balancer.isRejectedByStore)
         return answer(Error { ErrorCode::Unavailable, "status 503" });
-    if (watch.call.revision < forgottenTo_)
+    if (watch.call.revision < compactedRevision_)
         return answer(Error { ErrorCode::NotFound, "history" });
     PlatformChanges changes { {}, revision_ };
     for (const PlatformItem& item : history_) {
@@ -199,50 +199,50 @@
     }
     if (!changes.items.empty() || now() >= until)
         return answer(changes);
-    const std::uint64_t life = lives_[index];
-    schedule(watchStep, [this, index, watch, until, life] {
-        if (lives_[index] == life && !balancers_[index].isFrozen)
+    const std::uint64_t incarnation = incarnations_[index];
+    schedule(watchPollInterval, [this, index, watch, until, incarnation] {
+        if (incarnations_[index] == incarnation && !balancers_[index].isFrozen)
             answerWatch(index, watch, until);
     });
 }
 
-void DecisionFleet::perform(std::size_t index, const NewsActions& actions)
+void FleetSimulation::perform(std::size_t index, const ReplicaSyncActions& actions)
 {
-    for (const NewsAction& action : actions) {
+    for (const ReplicaSyncAction& action : actions) {
         const BalancerId self = balancers_[index].id;
-        if (const auto* changed = std::get_if<NewsChanged>(&action)) {
+        if (const auto* changed = std::get_if<ReplicaChanged>(&action)) {
             apply(balancers_[index], *changed);
-        } else if (const auto* push = std::get_if<PushNews>(&action)) {
+        } else if (const auto* push = std::get_if<PushDelta>(&action)) {
             if (isLost())
                 continue;
-            schedule(messageTime, [this, self, push = *push] {
+            schedule(messageLatency, [this, self, push = *push] {
                 for (std::size_t to = 0; to < balancers_.size(); ++to) {
                     if (balancers_[to].id.value == push.to.address && !balancers_[to].isFrozen)
-                        perform(to, balancers_[to].exchange->handlePush(self, push.delta, now()));
+                        perform(to, balancers_[to].sync->handlePush(self, push.delta, now()));
                 }
             });
-        } else if (const auto* fetch = std::get_if<FetchNews>(&action)) {
+        } else if (const auto* fetch = std::get_if<FetchDelta>(&action)) {
             const bool isAnswered = !isLost();
-            const std::uint64_t life = lives_[index];
-            schedule(2 * messageTime, [this, index, life, fetch = *fetch, isAnswered] {
+            const std::uint64_t incarnation = incarnations_[index];
+            schedule(2 * messageLatency, [this, index, incarnation, fetch = *fetch, isAnswered] {
                 Balancer& asking = balancers_[index];
-                if (lives_[index] != life || asking.isFrozen)
+                if (incarnations_[index] != incarnation || asking.isFrozen)
                     return;
                 for (const Balancer& other : balancers_) {
                     if (other.id == fetch.from && isAnswered && !other.isFrozen)
                         return perform(index,
-                            asking.exchange->handleAnswer(
-                                other.name, other.exchange->book().since(fetch.after, now(), fetch.form), now()));
+                            asking.sync->handleAnswer(other.name,
+                                other.sync->replica().deltaSince(fetch.after, now(), fetch.encoding), now()));
                 }
-                perform(index, asking.exchange->handleNoAnswer(now()));
+                perform(index, asking.sync->handleFetchFailure(now()));
             });
         }
     }
 }
 
-void DecisionFleet::apply(Balancer& balancer, const NewsChanged& news)
+void FleetSimulation::apply(Balancer& balancer, const ReplicaChanged& change)
 {
-    for (const NewsItem& item : news.items) {
+    for (const StoreUpdate& item : change.items) {
         if (item.key == "configuration") {
             balancer.router->applyConfiguration(configurations_.at(std::stoull(item.value)));
             regressions_ += balancer.router->configurationVersion() < balancer.newestVersion;
@@ -250,7 +250,7 @@
         } else if (item.key.starts_with("empty ")) {
             balancer.router->setZoneEvacuation(item.key.substr(6), !item.isRemoved, item.revision, now());
         } else if (item.isRemoved) {
-            balancer.router->removeServer(item.key.substr(7), news.isInDoubt, now());
+            balancer.router->removeServer(item.key.substr(7), change.isInDoubt, now());
         } else {
             balancer.router->putServer(servers_.at(item.value), item.revision, now());
         }
--- /dev/null
+++ b/Tests/News/ReplicaSyncTest.cpp
@@ -0,0 +1,389 @@
+#include "News/ReplicaSync.h"
+
+#include "News/CompressedValue.h"
+
+#include <gtest/gtest.h>
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <set>
+
+namespace wisteriadock {
+
+namespace {
+
+    using namespace std::chrono_literals;
+
+    struct ReplicaSyncTest : testing::Test {
+        ManualClock clock;
+        ReplicaSync sync { "walu", 1 };
+        std::shared_ptr<MembersView> view = std::make_shared<MembersView>();
+
+        ReplicaSyncTest()
+        {
+            for (const char* name : { "walu-0", "walu-1", "walu-2", "nabua-0" }) {
+                Member member;
+                member.name = name;
+                member.id = balancerIdOf(name);
+                member.availabilityZone = std::string(name).substr(0, std::string(name).find('-'));
+                member.state = MemberState::Serving;
+                member.peerAddress = { static_cast<std::uint32_t>(view->members.size() + 1), 7000 };
+                member.requestAddress = member.peerAddress;
+                view->members.push_back(member);
+            }
+            view->self = balancerIdOf("walu-0");
+            std::ranges::sort(view->members, {}, &Member::id);
+            publish();
+        }
+
+        ReplicaSyncActions publish() { return sync.handleView(std::make_shared<MembersView>(*view), clock.now()); }
+
+        ReplicaSyncActions setRevision(const std::string& name, std::uint64_t revision)
+        {
+            for (Member& member : view->members) {
+                if (member.name == name)
+                    member.configurationVersion = revision;
+            }
+            return publish();
+        }
+
+        static StoreDelta change(std::uint64_t from, std::uint64_t to, std::size_t bytes = 10)
+        {
+            return { from, to, false, false, { { "key", std::string(bytes, 'x'), to, false } } };
+        }
+
+        template <typename Action> static std::vector<Action> all(const ReplicaSyncActions& actions)
+        {
+            std::vector<Action> found;
+            for (const ReplicaSyncAction& action : actions) {
+                if (const auto* match = std::get_if<Action>(&action))
+                    found.push_back(*match);
+            }
+            return found;
+        }
+    };
+
+    TEST_F(ReplicaSyncTest, ContactWithTheStoreIsSharedWithTheZone)
+    {
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        EXPECT_EQ(sync.lastStoreContact(), TimePoint::min());
+        clock.advance(1s);
+        StoreDelta confirmation { 5, 5, false, false, {} };
+        confirmation.isFresh = true;
+        EXPECT_EQ(all<PushDelta>(sync.handleStoreDelta(confirmation, clock.now())).size(), 2U);
+        EXPECT_EQ(sync.lastStoreContact(), clock.now());
+        clock.advance(1s);
+        sync.handlePush(balancerIdOf("walu-1"), confirmation, clock.now());
+        EXPECT_EQ(sync.lastStoreContact(), clock.now());
+    }
+
+    TEST_F(ReplicaSyncTest, StoreUpdatesArePushedToTheOwnZone)
+    {
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const ReplicaSyncActions actions = sync.handleStoreDelta(change(5, 7), clock.now());
+        EXPECT_EQ(all<ReplicaChanged>(actions).size(), 1U);
+        ASSERT_EQ(all<PushDelta>(actions).size(), 2U);
+        for (const PushDelta& push : all<PushDelta>(actions))
+            EXPECT_EQ(push.delta.items.size(), 1U);
+        {
+            SCOPED_TRACE("the same delta again has no effect");
+            EXPECT_TRUE(sync.handleStoreDelta(change(5, 7), clock.now()).empty());
+        }
+    }
+
+    TEST_F(ReplicaSyncTest, LargeUpdateIsAnnouncedAndThenFetched)
+    {
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const auto pushes = all<PushDelta>(sync.handleStoreDelta(change(5, 7, 5000), clock.now()));
+        ASSERT_EQ(pushes.size(), 2U);
+        EXPECT_TRUE(pushes.front().delta.items.empty());
+
+        ReplicaSync receiver("walu", 2);
+        view->self = balancerIdOf("walu-1");
+        receiver.handleView(view, clock.now());
+        receiver.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        EXPECT_TRUE(receiver.handlePush(balancerIdOf("walu-0"), pushes.front().delta, clock.now()).empty());
+        EXPECT_EQ(receiver.replica().completeTo(), 5U);
+        clock.advance(300ms);
+        const auto fetches = all<FetchDelta>(receiver.tick(clock.now()));
+        ASSERT_EQ(fetches.size(), 1U);
+        EXPECT_EQ(fetches.front().from, balancerIdOf("walu-0"));
+        EXPECT_EQ(fetches.front().after, 5U);
+        receiver.handleAnswer("walu-0", sync.replica().deltaSince(5, clock.now()), clock.now());
+        EXPECT_EQ(receiver.replica().completeTo(), 7U);
+        EXPECT_FALSE(receiver.behindSince().has_value());
+    }
+
+    // Guards against servers that keep receiving flows because their removal waits for a large configuration.
+    TEST_F(ReplicaSyncTest, SmallUpdatesDoNotWaitForLargeOnes)
+    {
+        StoreDelta delta { 5, 60, false, false, {} };
+        for (std::uint64_t revision = 6; revision <= 60; ++revision)
+            delta.items.push_back({ fmt::format("servers/{}", revision), std::string(150, 's'), revision, false });
+        delta.items[20] = { "configuration", std::string(250000, 'c'), 26, false };
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const auto pushes = all<PushDelta>(sync.handleStoreDelta(delta, clock.now()));
+
+        ReplicaSync receiver("walu", 2);
+        view->self = balancerIdOf("walu-1");
+        receiver.handleView(view, clock.now());
+        receiver.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        std::size_t received = 0;
+        const auto deliver = [&](ReplicaSync& target, const StoreDelta& piece) {
+            for (const auto& change :
+                all<ReplicaChanged>(target.handlePush(balancerIdOf("walu-0"), piece, clock.now())))
+                received += change.items.size();
+        };
+        std::vector<StoreDelta> pieces;
+        for (const PushDelta& push : pushes) {
+            if (push.to == view->find(balancerIdOf("walu-1"))->peerAddress)
+                pieces.push_back(push.delta);
+        }
+        for (const StoreDelta& piece : pieces)
+            deliver(receiver, piece);
+        {
+            SCOPED_TRACE("all servers arrive at once, and the replica is complete only up to the configuration");
+            EXPECT_EQ(received, 54U);
+            EXPECT_EQ(receiver.replica().completeTo(), 25U);
+        }
+        {
+            SCOPED_TRACE("the missing configuration is fetched");
+            clock.advance(300ms);
+            const auto fetches = all<FetchDelta>(receiver.tick(clock.now()));
+            ASSERT_EQ(fetches.size(), 1U);
+            EXPECT_EQ(fetches.front().after, 25U);
+            receiver.handleAnswer("walu-0", sync.replica().deltaSince(25, clock.now()), clock.now());
+            EXPECT_EQ(receiver.replica().completeTo(), 60U);
+        }
+        {
+            SCOPED_TRACE("in reverse order and with any datagram lost, no revision counts as complete too early");
+            for (std::size_t lost = 0; lost < pieces.size(); ++lost) {
+                ReplicaSync other("walu", 3);
+                other.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+                for (std::size_t i = 0; i < pieces.size(); ++i) {
+                    if (i != lost)
+                        deliver(other, pieces[pieces.size() - 1 - i]);
+                }
+                const std::uint64_t complete = other.replica().completeTo();
+                for (const StoreUpdate& item : delta.items) {
+                    const auto held = other.replica().deltaSince(0, clock.now()).items;
+                    if (item.revision > complete)
+                        continue;
+                    EXPECT_EQ(std::ranges::count(held, item), 1) << item.key;
+                }
+            }
+        }
+    }
+
+    TEST_F(ReplicaSyncTest, RevisionSplitOverDatagramsIsNotCompleteTooEarly)
+    {
+        StoreDelta delta { 5, 7, false, false, {} };
+        for (int i = 0; i < 20; ++i)
+            delta.items.push_back({ fmt::format("key{}", i), std::string(100, 's'), 7, false });
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const auto pushes = all<PushDelta>(sync.handleStoreDelta(delta, clock.now()));
+        ASSERT_GT(pushes.size(), 2U);
+        ReplicaSync receiver("walu", 2);
+        receiver.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        receiver.handlePush(balancerIdOf("walu-0"), pushes.front().delta, clock.now());
+        EXPECT_EQ(receiver.replica().completeTo(), 6U);
+    }
+
+    TEST_F(ReplicaSyncTest, DeltaOfTooManyDatagramsIsOnlyAnnounced)
+    {
+        StoreDelta delta { 5, 2005, false, false, {} };
+        for (std::uint64_t revision = 6; revision <= 2005; ++revision)
+            delta.items.push_back({ fmt::format("servers/{}", revision), std::string(150, 's'), revision, false });
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const auto pushes = all<PushDelta>(sync.handleStoreDelta(delta, clock.now()));
+        ASSERT_EQ(pushes.size(), 2U);
+        EXPECT_TRUE(pushes.front().delta.items.empty());
+        EXPECT_EQ(pushes.front().delta.to, 2005U);
+    }
+
+    // Guards against giving up a fetch by its age while its bytes still arrive.
+    TEST_F(ReplicaSyncTest, FetchWithProgressDoesNotTimeOut)
+    {
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        setRevision("walu-1", 9);
+        clock.advance(300ms);
+        ASSERT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
+        for (int i = 0; i < 8; ++i) {
+            clock.advance(400ms);
+            sync.noteFetchProgress(clock.now());
+            EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
+        }
+        clock.advance(800ms);
+        EXPECT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
+    }
+
+    // Guards against a zone that keeps an old configuration and counts as complete because its watcher pushed a fetched
+    // delta without the patches.
+    TEST_F(ReplicaSyncTest, FetchedPatchIsPushedToTheZone)
+    {
+        const auto configuration = [](std::uint64_t revision, std::size_t lines) {
+            StoreUpdate item { "configuration", {}, revision, false };
+            for (std::size_t line = 0; line < lines; ++line)
+                item.value += fmt::format("route {} of {}\n", line * 7919, line == 50 ? revision : 0);
+            compressValue(item);
+            return item;
+        };
+        // A change of one line, whose patch fits into a datagram, and one of nearly all lines.
+        for (const std::size_t lines : { 1000U, 9000U }) {
+            SCOPED_TRACE(lines);
+            ReplicaSync other("nabua", 2);
+            ReplicaSync watcher("walu", 3);
+            ReplicaSync receiver("walu", 4);
+            watcher.handleView(view, clock.now());
+            watcher.setRole(true, true);
+            for (ReplicaSync* each : { &other, &watcher, &receiver })
+                each->handleStoreDelta({ 0, 5, true, false, { configuration(5, 1000) } }, clock.now());
+            StoreDelta update { 5, 8, false, false, { configuration(7, lines) } };
+            update.items.push_back({ "servers/1", "ready", 8, false });
+            other.handleStoreDelta(update, clock.now());
+            const StoreDelta answer = other.replica().deltaSince(5, clock.now(), StoreReplica::Encoding::Patched);
+            ASSERT_EQ(answer.patches.size(), 1U);
+            for (const PushDelta& push : all<PushDelta>(watcher.handleAnswer("nabua-0", answer, clock.now())))
+                receiver.handlePush(balancerIdOf("walu-0"), push.delta, clock.now());
+            EXPECT_EQ(watcher.replica().completeTo(), 8U);
+            EXPECT_EQ(receiver.replica().completeTo(), lines == 1000 ? 8U : 5U);
+            const auto held = receiver.replica().deltaSince(0, clock.now()).items;
+            const auto configurationOfReceiver = std::ranges::find(held, "configuration", &StoreUpdate::key);
+            ASSERT_NE(configurationOfReceiver, held.end());
+            EXPECT_EQ(configurationOfReceiver->revision, lines == 1000 ? 7U : 5U);
+        }
+    }
+
+    // Guards against a zone that stays at an old configuration while the store rejects all of its watchers.
+    TEST_F(ReplicaSyncTest, BalancerThatIsBehindFetchesFromAnother)
+    {
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        EXPECT_TRUE(all<FetchDelta>(setRevision("nabua-0", 9)).empty());
+        clock.advance(899ms);
+        EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
+        clock.advance(1ms);
+        const auto fetches = all<FetchDelta>(sync.tick(clock.now()));
+        ASSERT_EQ(fetches.size(), 1U);
+        EXPECT_EQ(fetches.front().from, balancerIdOf("nabua-0"));
+        {
+            SCOPED_TRACE("there is one fetch at a time");
+            EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
+        }
+        {
+            SCOPED_TRACE("after a failure it fetches from another balancer, preferably of its own zone");
+            setRevision("walu-1", 9);
+            const auto again = all<FetchDelta>(sync.handleFetchFailure(clock.now()));
+            ASSERT_EQ(again.size(), 1U);
+            EXPECT_EQ(again.front().from, balancerIdOf("walu-1"));
+        }
+        {
+            SCOPED_TRACE("a fetch without an answer times out");
+            clock.advance(800ms);
+            EXPECT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
+        }
+    }
+
+    TEST_F(ReplicaSyncTest, WatcherRejectedByTheStoreFetchesSoonerFromAnotherZoneAndPushes)
+    {
+        sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        sync.setRole(true, true);
+        setRevision("nabua-0", 9);
+        clock.advance(300ms);
+        ASSERT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
+        EXPECT_EQ(all<PushDelta>(sync.handleAnswer("nabua-0", change(5, 9), clock.now())).size(), 2U);
+    }
+
+    // Guards against a slow start of many balancers that all fetch from the first ones to have a snapshot.
+    TEST_F(ReplicaSyncTest, EmptyReplicaWaitsForTheStoreUnlessItIsUnreachable)
+    {
+        EXPECT_TRUE(all<FetchDelta>(setRevision("walu-2", 9)).empty());
+        clock.advance(1499ms);
+        EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
+        sync.setRole(false, true);
+        EXPECT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
+    }
+
+    TEST_F(ReplicaSyncTest, EmptyReplicaFetchesSoonerFromAPeerWithAMuchFasterLink)
+    {
+        for (Member& member : view->members)
+            member.linkMegabits = member.name == "walu-2" || member.name == "nabua-0" ? 200 : 10;
+        {
+            SCOPED_TRACE("not from one with a slow link, or of another zone");
+            setRevision("walu-1", 9);
+            setRevision("nabua-0", 9);
+            clock.advance(1s);
+            EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
+        }
+        {
+            SCOPED_TRACE("from the one with the fast link");
+            const auto fetches = all<FetchDelta>(setRevision("walu-2", 9));
+            ASSERT_EQ(fetches.size(), 1U);
+            EXPECT_EQ(fetches.front().from, balancerIdOf("walu-2"));
+        }
+        {
+            SCOPED_TRACE("after a failure from the one with the slow link");
+            const auto again = all<FetchDelta>(sync.handleFetchFailure(clock.now()));
+            ASSERT_EQ(again.size(), 1U);
+            EXPECT_EQ(again.front().from, balancerIdOf("walu-1"));
+        }
+    }
+
+    TEST_F(ReplicaSyncTest, LargeZoneSpreadsFetchesAndAnnouncesAnswers)
+    {
+        for (int i = 0; i < 20; ++i) {
+            Member member = view->members.front();
+            member.name = fmt::format("walu-more-{}", i);
+            member.id = balancerIdOf(member.name);
+            member.availabilityZone = "walu";
+            member.configurationVersion = 0;
+            view->members.push_back(member);
+        }
+        std::ranges::sort(view->members, {}, &Member::id);
+        std::set<Duration> waits;
+        for (std::uint64_t seed = 1; seed <= 20; ++seed) {
+            ReplicaSync receiver("walu", seed);
+            receiver.handleView(view, clock.now());
+            receiver.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+            receiver.handlePush(balancerIdOf("walu-1"), { 9, 9, false, false, {} }, clock.now());
+            waits.insert(*receiver.nextTick() - clock.now());
+            EXPECT_EQ(all<PushDelta>(receiver.handleAnswer("walu-1", change(5, 9), clock.now())).size(), 4U);
+        }
+        EXPECT_GT(waits.size(), 10U);
+        EXPECT_GE(*waits.begin(), 300ms);
+        EXPECT_LE(*waits.rbegin(), 800ms);
+    }
+
+    TEST_F(ReplicaSyncTest, DeadMembersAreNotAsked)
+    {
+        for (Member& member : view->members)
+            member.state = member.name == "walu-0" ? MemberState::Serving : MemberState::Dead;
+        EXPECT_TRUE(all<FetchDelta>(setRevision("walu-2", 9)).empty());
+    }
+
+    // Guards against balancers that cancelled their listing and learn only by gossip whom to fetch from.
+    TEST_F(ReplicaSyncTest, SnapshotIsAnnouncedToEmptyReplicasOfTheZone)
+    {
+        setRevision("walu-1", 5);
+        const ReplicaSyncActions actions = sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
+        const std::vector<PushDelta> pushes = all<PushDelta>(actions);
+        ASSERT_EQ(pushes.size(), 1U);
+        EXPECT_EQ(pushes.front().to, view->find(balancerIdOf("walu-2"))->peerAddress);
+        EXPECT_TRUE(pushes.front().delta.items.empty());
+        {
+            SCOPED_TRACE("a balancer that cancelled its listing fetches at once");
+            ReplicaSync other("walu", 2);
+            MembersView otherView = *view;
+            otherView.self = balancerIdOf("walu-2");
+            for (Member& member : otherView.members)
+                member.configurationVersion = 0;
+            other.setFetchesImmediately(true);
+            other.handleView(std::make_shared<MembersView>(otherView), clock.now());
+            const ReplicaSyncActions asked = other.handlePush(view->self, pushes.front().delta, clock.now());
+            EXPECT_EQ(all<FetchDelta>(asked).size(), 1U);
+        }
+    }
+
+}
+
+}
--- a/Tests/News/ValuePatchTest.cpp
+++ b/Tests/News/ValuePatchTest.cpp
@@ -1,5 +1,5 @@
-#include "News/NewsBook.h"
-#include "News/PackedValue.h"
+#include "News/CompressedValue.h"
+#include "News/StoreReplica.h"
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 
     using namespace std::chrono_literals;
 
-    // A large value of which each version differs from the one before in a line.
+    // A large value. Each version differs from the one before in a few lines.
     std::string textOf(std::uint64_t version, int lines = 400)
     {
         std::string text = fmt::format("version {}\n", version);
@@ -24,19 +24,19 @@
         return text;
     }
 
-    NewsItem itemOf(std::uint64_t revision, std::string text)
+    StoreUpdate itemOf(std::uint64_t revision, std::string text)
     {
-        NewsItem item { "configuration", std::move(text), revision, false };
-        packValue(item);
+        StoreUpdate item { "configuration", std::move(text), revision, false };
+        compressValue(item);
         return item;
     }
 
-    NewsDelta storeDelta(std::uint64_t from, std::uint64_t to, const std::string& text)
+    StoreDelta storeDelta(std::uint64_t from, std::uint64_t to, const std::string& text)
     {
         return { from, to, from == 0, false, { itemOf(to, text) } };
     }
 
-    TEST(ValuePatchTest, aPatchIsSmallAndGivesTheValueBack)
+    TEST(ValuePatchTest, PatchIsSmallAndRestoresTheValue)
     {
         const std::string former = textOf(1, 10000);
         const std::string value = textOf(2, 10000);
@@ -46,13 +46,13 @@
         const ValuePatch patch { "configuration", 1, 2, *bytes };
         EXPECT_EQ(applyPatch(former, patch).value(), value);
         {
-            SCOPED_TRACE("never of another value: the checksum shows it");
+            SCOPED_TRACE("a patch for another value is rejected by its checksum");
             EXPECT_FALSE(applyPatch(textOf(3, 10000), patch));
             EXPECT_FALSE(applyPatch("", patch));
         }
     }
 
-    TEST(ValuePatchTest, changedBytesAreRefused)
+    TEST(ValuePatchTest, CorruptBytesAreRejected)
     {
         const std::string former = textOf(1);
         const std::string value = textOf(2);
@@ -63,12 +63,12 @@
             patch.bytes[random() % patch.bytes.size()] ^= static_cast<char>(1 + random() % 255);
             if (random() % 4 == 0)
                 patch.bytes.resize(random() % patch.bytes.size());
-            const auto made = applyPatch(former, patch);
-            EXPECT_TRUE(!made || made.value() == value);
+            const auto patched = applyPatch(former, patch);
+            EXPECT_TRUE(!patched || patched.value() == value);
         }
     }
 
-    TEST(ValuePatchTest, whatHasNothingInCommonTravelsWhole)
+    TEST(ValuePatchTest, UnrelatedValuesHaveNoPatch)
     {
         std::mt19937 random(3);
         std::string noise(5000, ' ');
@@ -77,109 +77,108 @@
         EXPECT_FALSE(patchBytes(textOf(1), noise));
     }
 
-    TEST(ValuePatchTest, whoHoldsAnEarlierVersionGetsWhatChanged)
+    TEST(ValuePatchTest, HolderOfAnEarlierVersionGetsPatches)
     {
         const TimePoint now = ManualClock().now();
-        NewsBook sender;
-        NewsBook receiver;
+        StoreReplica sender;
+        StoreReplica receiver;
         sender.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
-        receiver.merge(sender.since(0, now, NewsBook::Form::Patched), now);
+        receiver.merge(sender.deltaSince(0, now, StoreReplica::Encoding::Patched), now);
         for (std::uint64_t revision = 2; revision <= 5; ++revision)
             sender.mergeFromStore(storeDelta(revision - 1, revision, textOf(revision)), now);
-        const NewsDelta delta = sender.since(1, now, NewsBook::Form::Patched);
+        const StoreDelta delta = sender.deltaSince(1, now, StoreReplica::Encoding::Patched);
         EXPECT_TRUE(delta.items.empty());
         EXPECT_EQ(delta.patches.size(), 4U);
         {
-            SCOPED_TRACE("several versions are one piece of news");
+            SCOPED_TRACE("several versions are one update");
             const auto changed = receiver.merge(delta, now);
             ASSERT_EQ(changed.size(), 1U);
             EXPECT_EQ(changed.front().value, textOf(5));
             EXPECT_EQ(receiver.completeTo(), 5U);
         }
         {
-            SCOPED_TRACE("it can pass them on, and whole to one that knows no patches");
-            EXPECT_EQ(receiver.since(3, now, NewsBook::Form::Patched).patches.size(), 2U);
-            const NewsDelta whole = receiver.since(3, now);
-            ASSERT_EQ(whole.items.size(), 1U);
-            EXPECT_EQ(valueOf(whole.items.front()).value(), textOf(5));
+            SCOPED_TRACE("the receiver can send the patches on, or the whole value");
+            EXPECT_EQ(receiver.deltaSince(3, now, StoreReplica::Encoding::Patched).patches.size(), 2U);
+            const StoreDelta full = receiver.deltaSince(3, now);
+            ASSERT_EQ(full.items.size(), 1U);
+            EXPECT_EQ(plainValue(full.items.front()).value(), textOf(5));
         }
         {
-            SCOPED_TRACE("patches of a value that is not here change nothing and complete nothing");
-            NewsBook other;
+            SCOPED_TRACE("patches without their base value change and complete nothing");
+            StoreReplica other;
             other.merge(storeDelta(0, 2, "another text"), now);
             EXPECT_TRUE(other.merge(delta, now).empty());
-            EXPECT_TRUE(other.lacksPatchedValue());
+            EXPECT_TRUE(other.lacksPatchBase());
             EXPECT_EQ(other.completeTo(), 2U);
-            other.merge(sender.since(2, now), now);
-            EXPECT_FALSE(other.lacksPatchedValue());
+            other.merge(sender.deltaSince(2, now), now);
+            EXPECT_FALSE(other.lacksPatchBase());
             EXPECT_EQ(other.completeTo(), 5U);
         }
     }
 
-    // Symptom: in a series of versions a zone was one or two steps behind for 0.8 s, though each step is a small patch.
-    // Sequence: the store's answer holds two versions. Cause: only the patch to the last one was found for pushes.
-    TEST(ValuePatchTest, eachOfSeveralVersionsInOneAnswerHasItsPatch)
+    // Guards against patches missing for all but the last version when one answer of the store holds several.
+    TEST(ValuePatchTest, EachVersionOfOneAnswerHasItsPatch)
     {
         const TimePoint now = ManualClock().now();
-        NewsBook book;
-        book.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
-        NewsDelta answer { 1, 3, false, false, { itemOf(2, textOf(2)), itemOf(3, textOf(3)) } };
-        book.mergeFromStore(answer, now);
+        StoreReplica replica;
+        replica.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
+        StoreDelta answer { 1, 3, false, false, { itemOf(2, textOf(2)), itemOf(3, textOf(3)) } };
+        replica.mergeFromStore(answer, now);
         for (const std::uint64_t revision : { 2U, 3U }) {
-            const ValuePatch* patch = book.patchTo("configuration", revision);
+            const ValuePatch* patch = replica.patchTo("configuration", revision);
             ASSERT_NE(patch, nullptr) << revision;
             EXPECT_EQ(patch->base, revision - 1);
         }
-        EXPECT_EQ(book.patchTo("configuration", 1), nullptr);
-        EXPECT_EQ(book.patchTo("another", 3), nullptr);
+        EXPECT_EQ(replica.patchTo("configuration", 1), nullptr);
+        EXPECT_EQ(replica.patchTo("another", 3), nullptr);
     }
 
-    TEST(ValuePatchTest, patchesTakeNoMoreMemoryThanTheirValue)
+    TEST(ValuePatchTest, PatchesTakeNoMoreMemoryThanTheirValue)
     {
         const TimePoint now = ManualClock().now();
-        NewsBook book;
+        StoreReplica replica;
         std::uint64_t revision = 1;
-        book.mergeFromStore(storeDelta(0, revision, textOf(1)), now);
+        replica.mergeFromStore(storeDelta(0, revision, textOf(1)), now);
         std::mt19937 random(9);
         for (; revision < 40; ++revision) {
-            // A third of it is new each time.
+            // A third of the value changes each time.
             std::string text = textOf(1);
             for (std::size_t at = 0; at < text.size() / 3; ++at)
                 text[at] = static_cast<char>('a' + random() % 26);
-            book.mergeFromStore(storeDelta(revision, revision + 1, text), now);
+            replica.mergeFromStore(storeDelta(revision, revision + 1, text), now);
         }
         std::size_t bytes = 0;
         for (std::uint64_t to = 1; to <= revision; ++to) {
-            if (const ValuePatch* patch = book.patchTo("configuration", to))
+            if (const ValuePatch* patch = replica.patchTo("configuration", to))
                 bytes += patch->bytes.size();
         }
         EXPECT_GT(bytes, 0U);
         EXPECT_LE(bytes, textOf(1).size());
     }
 
-    // Watchers miss versions, deltas come late, twice, in any order or never; nobody may hold a value that the store
-    // never had at its revision, be complete with an older one, or stay behind for good.
-    TEST(ValuePatchTest, whateverIsLostNobodyHoldsAValueThatWasNeverWritten)
+    // Guards against wrong, incomplete or outdated values when deltas are late, repeated, reordered or lost.
+    TEST(ValuePatchTest, NoReplicaHoldsAValueThatWasNeverWritten)
     {
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
             SCOPED_TRACE(seed);
             std::mt19937 random(seed);
             const TimePoint now = ManualClock().now();
             std::map<std::uint64_t, std::string> written { { 1, textOf(1) } };
-            std::vector<NewsBook> books(6);
-            std::vector<NewsDelta> late;
+            std::vector<StoreReplica> replicas(6);
+            std::vector<StoreDelta> late;
             constexpr std::size_t watchers = 2;
-            for (NewsBook& book : books)
-                book.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
-            const auto check = [&](const NewsBook& book) {
-                for (const NewsItem& item : book.since(0, now).items) {
-                    ASSERT_EQ(valueOf(item).value(), written.at(item.revision));
-                    ASSERT_GE(item.revision, std::prev(written.upper_bound(book.completeTo()))->first);
+            for (StoreReplica& replica : replicas)
+                replica.mergeFromStore(storeDelta(0, 1, textOf(1)), now);
+            const auto check = [&](const StoreReplica& replica) {
+                for (const StoreUpdate& item : replica.deltaSince(0, now).items) {
+                    ASSERT_EQ(plainValue(item).value(), written.at(item.revision));
+                    ASSERT_GE(item.revision, std::prev(written.upper_bound(replica.completeTo()))->first);
                 }
             };
-            const auto ask = [&](NewsBook& book, const NewsBook& other) {
-                const auto form = book.lacksPatchedValue() ? NewsBook::Form::Whole : NewsBook::Form::Patched;
-                return other.since(book.completeTo(), now, form);
+            const auto ask = [&](StoreReplica& replica, const StoreReplica& other) {
+                const auto encoding
+                    = replica.lacksPatchBase() ? StoreReplica::Encoding::Full : StoreReplica::Encoding::Patched;
+                return other.deltaSince(replica.completeTo(), now, encoding);
             };
             std::uint64_t revision = 1;
             for (int step = 0; step < 300; ++step) {
@@ -187,27 +186,27 @@
                 if (random() % 2 == 0)
                     written[revision] = textOf(random() % 50);
                 const std::uint64_t newest = written.rbegin()->first;
-                NewsBook& watcher = books[random() % watchers];
-                NewsDelta news { watcher.completeTo(), revision, false, false, {} };
+                StoreReplica& watcher = replicas[random() % watchers];
+                StoreDelta update { watcher.completeTo(), revision, false, false, {} };
                 if (newest > watcher.completeTo())
-                    news.items.push_back(itemOf(newest, written.at(newest)));
-                watcher.mergeFromStore(news, now);
-                NewsBook& asking = books[random() % books.size()];
-                NewsDelta answer = ask(asking, books[random() % books.size()]);
+                    update.items.push_back(itemOf(newest, written.at(newest)));
+                watcher.mergeFromStore(update, now);
+                StoreReplica& asking = replicas[random() % replicas.size()];
+                StoreDelta answer = ask(asking, replicas[random() % replicas.size()]);
                 if (random() % 3 == 0)
                     late.push_back(answer);
                 else if (random() % 3 != 0)
                     asking.merge(answer, now);
                 if (!late.empty() && random() % 2 == 0)
-                    books[random() % books.size()].merge(late[random() % late.size()], now);
-                for (const NewsBook& book : books)
-                    check(book);
+                    replicas[random() % replicas.size()].merge(late[random() % late.size()], now);
+                for (const StoreReplica& replica : replicas)
+                    check(replica);
             }
-            const NewsBook& ahead = books[books[0].completeTo() > books[1].completeTo() ? 0 : 1];
-            for (NewsBook& book : books) {
-                book.merge(ask(book, ahead), now);
-                book.merge(ask(book, ahead), now);
-                EXPECT_EQ(book.completeTo(), ahead.completeTo());
+            const StoreReplica& ahead = replicas[replicas[0].completeTo() > replicas[1].completeTo() ? 0 : 1];
+            for (StoreReplica& replica : replicas) {
+                replica.merge(ask(replica, ahead), now);
+                replica.merge(ask(replica, ahead), now);
+                EXPECT_EQ(replica.completeTo(), ahead.completeTo());
             }
         }
     }
