--- a/Source/Flow/FlowEngine.cpp
+++ b/Source/Flow/FlowEngine.cpp
@@ -5,7 +5,7 @@
 #include "Flow/ServerWeights.h"
 #include "Flow/ServiceChange.h"
 #include "Flow/ServiceIndex.h"
-#include "Flow/TableSource.h"
+#include "Flow/TableDefinition.h"
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
@@ -37,10 +37,10 @@
         absl::flat_hash_set<Endpoint> usedAddresses;
     };
 
-    TableSource tableSourceOf(
+    TableDefinition tableDefinitionOf(
         FlowPolicy policy, const Service& service, const std::vector<const BackendServer*>& servers)
     {
-        TableSource source { policy, service.id, service.evenness, {} };
+        TableDefinition source { policy, service.id, service.evenness, {} };
         for (const BackendServer* server : servers) {
             if (server->state == BackendServerState::Active)
                 source.shares.push_back({ server->id, server->weight });
@@ -56,7 +56,7 @@
     struct ServiceControl {
         std::shared_ptr<ServiceFlows> flows;
         std::unique_ptr<ServiceChange> change;
-        std::shared_ptr<const TableSource> tableSource;
+        std::shared_ptr<const TableDefinition> tableDefinition;
         ServerWeights weights;
         std::shared_ptr<const ServerDirectory> directory;
         std::chrono::seconds flowIdle { 0 };
@@ -265,14 +265,14 @@
     for (const Service& service : configuration.services) {
         const std::vector<const BackendServer*>& servers = grouped.byService[service.id];
         ServiceControl& control = controlOf(service);
-        TableSource source = tableSourceOf(settings.policy, service, servers);
+        TableDefinition source = tableDefinitionOf(settings.policy, service, servers);
         // An equal source stays the same object, by which unchanged services are told.
-        if (!control.tableSource || source != *control.tableSource)
-            control.tableSource = std::make_shared<TableSource>(std::move(source));
+        if (!control.tableDefinition || source != *control.tableDefinition)
+            control.tableDefinition = std::make_shared<TableDefinition>(std::move(source));
         control.directory = directoryOf(servers, grouped.usedAddresses, control.directory, context.now);
         control.flowIdle = std::chrono::seconds(service.flowIdleSeconds);
         control.weights.configure(service, servers, context.now);
-        control.change->setVersion(newVersion, control.tableSource, control.directory, context);
+        control.change->setVersion(newVersion, control.tableDefinition, control.directory, context);
     }
     publishIndex(configuration);
 }
--- a/Source/Flow/ServerWeights.h
+++ b/Source/Flow/ServerWeights.h
@@ -2,7 +2,7 @@
 
 #include "Configuration/Configuration.h"
 #include "Core/Clock.h"
-#include "Flow/TableSource.h"
+#include "Flow/TableDefinition.h"
 
 #include <map>
 #include <span>
--- a/Source/Flow/ServiceChange.cpp
+++ b/Source/Flow/ServiceChange.cpp
@@ -23,25 +23,25 @@
 {
 }
 
-void ServiceChange::setVersion(std::uint64_t version, std::shared_ptr<const TableSource> source,
+void ServiceChange::setVersion(std::uint64_t version, std::shared_ptr<const TableDefinition> source,
     std::shared_ptr<const ServerDirectory> directory, const ChangeContext& context)
 {
     const bool sameDirectory = directory_ == directory;
-    const bool sameSource = source_ == source;
+    const bool sameDefinition = definition_ == source;
     const bool wasSettled = isSettled();
     version_ = version;
-    source_ = std::move(source);
+    definition_ = std::move(source);
     directory_ = std::move(directory);
     target_ = TableGeneration(version_, factorsRevision_).number();
     const auto settledTable = tables_.find(settled_);
-    tables_.add(target_, wasSettled && sameSource ? settledTable : source_->build(factors_), factors_);
+    tables_.add(target_, wasSettled && sameDefinition ? settledTable : definition_->build(factors_), factors_);
     if (!protectsFlows_)
-        settledSource_ = source_;
+        settledDefinition_ = definition_;
     // New factors can wait; under the new version they are tried again.
-    if (lead_ && settledSource_ == source_)
+    if (lead_ && settledDefinition_ == definition_)
         abandonLead(context);
     settleIfUnchanged();
-    if (wasSettled && isSettled() && sameSource && sameDirectory)
+    if (wasSettled && isSettled() && sameDefinition && sameDirectory)
         return;
     publish(context);
 }
@@ -50,7 +50,7 @@
 // table without this balancer's promise, or else it hears of that.
 void ServiceChange::settleIfUnchanged()
 {
-    const bool unchanged = settledSource_ == source_ && (settled_ != 0 || !protectsFlows_);
+    const bool unchanged = settledDefinition_ == definition_ && (settled_ != 0 || !protectsFlows_);
     if (!unchanged || lead_ || promise_ || settled_ >= target_)
         return;
     settled_ = target_;
@@ -325,7 +325,7 @@
     factors_ = tables_.factorsOf(generation);
     factorsRevision_ = TableGeneration(generation).factorsRevision();
     if (TableGeneration(generation).version() == version_)
-        settledSource_ = source_;
+        settledDefinition_ = definition_;
     target_ = TableGeneration(std::max(version_, TableGeneration(generation).version()), factorsRevision_).number();
     if (!tables_.find(target_))
         makeTable(target_, factors_);
@@ -336,7 +336,7 @@
     const std::uint64_t generation = received.targetGeneration;
     if (auto known = tables_.find(generation))
         return known;
-    if (!source_ || TableGeneration(generation).version() != version_)
+    if (!definition_ || TableGeneration(generation).version() != version_)
         return nullptr;
     ServerFactors factors;
     for (const ServerFactorRow& row : received.factors)
@@ -346,7 +346,7 @@
 
 std::shared_ptr<const BucketTable> ServiceChange::makeTable(std::uint64_t generation, const ServerFactors& factors)
 {
-    auto table = source_->build(factors);
+    auto table = definition_->build(factors);
     tables_.add(generation, table, factors);
     return table;
 }
--- a/Source/Flow/ServiceChange.h
+++ b/Source/Flow/ServiceChange.h
@@ -4,9 +4,9 @@
 #include "Flow/ExceptionDeliveries.h"
 #include "Flow/FlowTable.h"
 #include "Flow/ReportCollection.h"
+#include "Flow/TableDefinition.h"
 #include "Flow/TableGeneration.h"
 #include "Flow/TableHistory.h"
-#include "Flow/TableSource.h"
 
 #include <cstdint>
 #include <memory>
@@ -25,8 +25,8 @@
     ServiceChange(ServiceId, FlowTable&, bool protectsFlows);
 
     // A newer version of the configuration came into force, with or without a change for this service.
-    void setVersion(std::uint64_t version, std::shared_ptr<const TableSource>, std::shared_ptr<const ServerDirectory>,
-        const ChangeContext&);
+    void setVersion(std::uint64_t version, std::shared_ptr<const TableDefinition>,
+        std::shared_ptr<const ServerDirectory>, const ChangeContext&);
     // The factors that this balancer would give the servers. They count once it is the service's arbiter.
     void wantFactors(ServerFactors);
     void handleMembers(const ChangeContext&);
@@ -120,9 +120,9 @@
 
     TableHistory tables_;
     std::uint64_t version_ = 0;
-    std::shared_ptr<const TableSource> source_;
+    std::shared_ptr<const TableDefinition> definition_;
     // What the settled table was made from.
-    std::shared_ptr<const TableSource> settledSource_;
+    std::shared_ptr<const TableDefinition> settledDefinition_;
     // Of the settled table, and by which it was numbered.
     ServerFactors factors_;
     std::uint64_t factorsRevision_ = 0;
--- a/Source/Flow/TableSource.cpp
+++ b/Source/Flow/TableDefinition.cpp
@@ -1,10 +1,10 @@
-#include "Flow/TableSource.h"
+#include "Flow/TableDefinition.h"
 
 #include <algorithm>
 
 namespace wisteriadock {
 
-std::shared_ptr<const BucketTable> TableSource::build(const ServerFactors& factors) const
+std::shared_ptr<const BucketTable> TableDefinition::build(const ServerFactors& factors) const
 {
     std::vector<ServerShare> scaled = shares;
     for (ServerShare& share : scaled) {
--- a/Source/Flow/TableSource.h
+++ b/Source/Flow/TableDefinition.h
@@ -19,7 +19,7 @@
 inline constexpr std::size_t mostFactors = 32;
 
 // What a service's table is made from, apart from the factors; it follows from the configuration.
-struct TableSource {
+struct TableDefinition {
     FlowPolicy policy = FlowPolicy::Protected;
     ServiceId service;
     double evenness = 0;
@@ -28,7 +28,7 @@
 
     std::shared_ptr<const BucketTable> build(const ServerFactors&) const;
 
-    bool operator==(const TableSource&) const = default;
+    bool operator==(const TableDefinition&) const = default;
 };
 
 }
--- a/Source/Flow/TableHistory.h
+++ b/Source/Flow/TableHistory.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Flow/BucketTable.h"
-#include "Flow/TableSource.h"
+#include "Flow/TableDefinition.h"
 
 #include <cstdint>
 #include <map>
