--- a/Source/Flow/FlowEngine.cpp
+++ b/Source/Flow/FlowEngine.cpp
@@ -3,9 +3,9 @@
 #include "Flow/BucketTable.h"
 #include "Flow/ChangeContext.h"
 #include "Flow/ServerWeights.h"
-#include "Flow/ServiceChange.h"
 #include "Flow/ServiceIndex.h"
 #include "Flow/TableDefinition.h"
+#include "Flow/TableSynchronizer.h"
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
@@ -55,7 +55,7 @@
 struct FlowEngine::Implementation {
     struct ServiceControl {
         std::shared_ptr<ServiceFlows> flows;
-        std::unique_ptr<ServiceChange> change;
+        std::unique_ptr<TableSynchronizer> synchronizer;
         std::shared_ptr<const TableDefinition> tableDefinition;
         ServerWeights weights;
         std::shared_ptr<const ServerDirectory> directory;
@@ -154,8 +154,8 @@
         engine.synchronized = false;
     for (auto& [id, service] : engine.services) {
         if (isBack && protectsFlows(engine.settings.policy))
-            service.change->desynchronize(context);
-        service.change->handleMembers(context);
+            service.synchronizer->desynchronize(context);
+        service.synchronizer->handleMembers(context);
     }
     // Packet threads are let in last. Earlier, they would decide for some services by the tables from before the
     // silence, which the others may have left since.
@@ -174,7 +174,7 @@
         return actions;
     const auto service = implementation_->services.find(ServiceId { message.service });
     if (service != implementation_->services.end())
-        service->second.change->handle(from, message, context);
+        service->second.synchronizer->handle(from, message, context);
     implementation_->reviewSynchronization();
     return actions;
 }
@@ -191,7 +191,7 @@
     engine.considerBootstrap(context);
     engine.reviewWeights(context);
     for (auto& [id, service] : engine.services)
-        service.change->tick(context);
+        service.synchronizer->tick(context);
     engine.reviewSynchronization();
     engine.sweepIdleFlows(now);
     return actions;
@@ -202,14 +202,14 @@
 void FlowEngine::beginLeave()
 {
     for (auto& [id, service] : implementation_->services)
-        service.change->beginLeave();
+        service.synchronizer->beginLeave();
 }
 
 bool FlowEngine::mayLeave() const
 {
     return !protectsFlows(implementation_->settings.policy)
         || std::all_of(implementation_->services.begin(), implementation_->services.end(),
-            [](const auto& service) { return service.second.change->mayLeave(); });
+            [](const auto& service) { return service.second.synchronizer->mayLeave(); });
 }
 
 void FlowEngine::setHealth(ServiceId id, BackendServerId server, bool isHealthy, TimePoint now)
@@ -231,7 +231,7 @@
     const auto service = implementation_->services.find(id);
     if (service == implementation_->services.end())
         return {};
-    const auto table = service->second.change->settledTable();
+    const auto table = service->second.synchronizer->settledTable();
     return table ? table->at(bucket) : BackendServerId {};
 }
 
@@ -245,10 +245,10 @@
     counters.forwardedPackets = tracking.forwardedPackets;
     counters.exceptions = tracking.exceptions;
     for (const auto& [id, service] : implementation_->services) {
-        counters.transitionsStarted += service.change->startedCount();
-        counters.transitionsSettled += service.change->settledCount();
-        counters.transitionsForced += service.change->forcedCount();
-        counters.unsettledServices += service.change->isSettled() ? 0 : 1;
+        counters.transitionsStarted += service.synchronizer->startedCount();
+        counters.transitionsSettled += service.synchronizer->settledCount();
+        counters.transitionsForced += service.synchronizer->forcedCount();
+        counters.unsettledServices += service.synchronizer->isSettled() ? 0 : 1;
     }
     return counters;
 }
@@ -272,7 +272,7 @@
         control.directory = directoryOf(servers, grouped.usedAddresses, control.directory, context.now);
         control.flowIdle = std::chrono::seconds(service.flowIdleSeconds);
         control.weights.configure(service, servers, context.now);
-        control.change->setVersion(newVersion, control.tableDefinition, control.directory, context);
+        control.synchronizer->setVersion(newVersion, control.tableDefinition, control.directory, context);
     }
     publishIndex(configuration);
 }
@@ -283,7 +283,7 @@
     if (!control.flows) {
         const bool protects = protectsFlows(settings.policy);
         control.flows = std::make_shared<ServiceFlows>(service.id, settings.shardsPerService, tracking, protects);
-        control.change = std::make_unique<ServiceChange>(service.id, control.flows->table, protects);
+        control.synchronizer = std::make_unique<TableSynchronizer>(service.id, control.flows->table, protects);
     }
     return control;
 }
@@ -328,7 +328,7 @@
     if (context.now - *withoutServingSince < settings.bootstrapWait)
         return;
     for (auto& [id, service] : services)
-        service.change->settleAlone(context);
+        service.synchronizer->settleAlone(context);
 }
 
 // Nobody who serves is in sight, and this balancer is the first of those that could begin.
@@ -355,12 +355,12 @@
         return;
     weightsReviewedAt = context.now;
     for (auto& [id, service] : services) {
-        ServiceChange& change = *service.change;
-        if (change.isArbiter(context))
-            change.wantFactors(
-                service.weights.want(change.factors(), service.flows->table.activeFlowsByServer(), context.now));
+        TableSynchronizer& synchronizer = *service.synchronizer;
+        if (synchronizer.isArbiter(context))
+            synchronizer.wantFactors(
+                service.weights.want(synchronizer.factors(), service.flows->table.activeFlowsByServer(), context.now));
         else
-            change.wantFactors(change.factors());
+            synchronizer.wantFactors(synchronizer.factors());
     }
 }
 
@@ -369,8 +369,8 @@
     // Services that come later do not make this balancer a newcomer again.
     if (synchronized || services.empty())
         return;
-    synchronized = std::all_of(
-        services.begin(), services.end(), [](const auto& service) { return service.second.change->isSynchronized(); });
+    synchronized = std::all_of(services.begin(), services.end(),
+        [](const auto& service) { return service.second.synchronizer->isSynchronized(); });
 }
 
 void FlowEngine::Implementation::sweepIdleFlows(TimePoint now)
--- a/Source/Flow/ServiceChange.cpp
+++ b/Source/Flow/TableSynchronizer.cpp
@@ -1,4 +1,4 @@
-#include "Flow/ServiceChange.h"
+#include "Flow/TableSynchronizer.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,14 +16,14 @@
 
 }
 
-ServiceChange::ServiceChange(ServiceId service, FlowTable& flows, bool protectsFlows)
+TableSynchronizer::TableSynchronizer(ServiceId service, FlowTable& flows, bool protectsFlows)
     : service_(service)
     , flows_(flows)
     , protectsFlows_(protectsFlows)
 {
 }
 
-void ServiceChange::setVersion(std::uint64_t version, std::shared_ptr<const TableDefinition> source,
+void TableSynchronizer::setVersion(std::uint64_t version, std::shared_ptr<const TableDefinition> source,
     std::shared_ptr<const ServerDirectory> directory, const ChangeContext& context)
 {
     const bool sameDirectory = directory_ == directory;
@@ -48,7 +48,7 @@
 
 // Most configurations do not touch this service; for them nothing has to be agreed. Nobody can have switched to another
 // table without this balancer's promise, or else it hears of that.
-void ServiceChange::settleIfUnchanged()
+void TableSynchronizer::settleIfUnchanged()
 {
     const bool unchanged = settledDefinition_ == definition_ && (settled_ != 0 || !protectsFlows_);
     if (!unchanged || lead_ || promise_ || settled_ >= target_)
@@ -58,20 +58,20 @@
     tables_.forgetBelow(target_);
 }
 
-void ServiceChange::wantFactors(ServerFactors factors)
+void TableSynchronizer::wantFactors(ServerFactors factors)
 {
     if (factors.size() <= mostFactors)
         wantedFactors_ = std::move(factors);
 }
 
-void ServiceChange::handleMembers(const ChangeContext& context)
+void TableSynchronizer::handleMembers(const ChangeContext& context)
 {
     reviewPromise(context);
     deliveries_.dropDead(context);
     publish(context);
 }
 
-void ServiceChange::handle(BalancerId from, const FlowMessage& received, const ChangeContext& context)
+void TableSynchronizer::handle(BalancerId from, const FlowMessage& received, const ChangeContext& context)
 {
     if (promise_ && promise_->arbiter == from)
         promise_->heardAt = context.now;
@@ -106,7 +106,7 @@
     }
 }
 
-void ServiceChange::tick(const ChangeContext& context)
+void TableSynchronizer::tick(const ChangeContext& context)
 {
     const bool wantsChange = wantedFactors_ != factors_ && isArbiter(context);
     const bool isIdle = isSettled() && !promise_ && !lead_ && deliveries_.isEmpty() && !wantsChange && !leaves_;
@@ -121,13 +121,13 @@
     handOver(context);
 }
 
-void ServiceChange::settleAlone(const ChangeContext& context)
+void TableSynchronizer::settleAlone(const ChangeContext& context)
 {
     if (target_ != 0)
         settleAt(target_, context);
 }
 
-void ServiceChange::desynchronize(const ChangeContext& context)
+void TableSynchronizer::desynchronize(const ChangeContext& context)
 {
     settled_ = 0;
     answer_ = 0;
@@ -138,7 +138,7 @@
     publish(context);
 }
 
-void ServiceChange::handleReportRequest(BalancerId from, const FlowMessage& request, const ChangeContext& context)
+void TableSynchronizer::handleReportRequest(BalancerId from, const FlowMessage& request, const ChangeContext& context)
 {
     const std::uint64_t generation = request.targetGeneration;
     const auto table = learnTable(request);
@@ -170,7 +170,7 @@
     sendReport(context);
 }
 
-void ServiceChange::handleReport(BalancerId from, const FlowMessage& report, const ChangeContext& context)
+void TableSynchronizer::handleReport(BalancerId from, const FlowMessage& report, const ChangeContext& context)
 {
     const bool leadsIt = lead_ && lead_->generation() == report.targetGeneration;
     // A report that comes after a forced switch still teaches this balancer where those flows belong.
@@ -197,14 +197,14 @@
         switchOver(context);
 }
 
-void ServiceChange::handleReportAck(BalancerId from, const FlowMessage& ack)
+void TableSynchronizer::handleReportAck(BalancerId from, const FlowMessage& ack)
 {
     const bool isMine = promise_ && promise_->arbiter == from && promise_->generation == ack.targetGeneration;
     if (isMine && promise_->report)
         promise_->report->acknowledge(ack.list, ack.part);
 }
 
-void ServiceChange::handleSwitch(BalancerId from, const FlowMessage& announced, const ChangeContext& context)
+void TableSynchronizer::handleSwitch(BalancerId from, const FlowMessage& announced, const ChangeContext& context)
 {
     const std::uint64_t generation = announced.targetGeneration;
     if (generation <= settled_)
@@ -224,7 +224,7 @@
         desynchronize(context);
 }
 
-void ServiceChange::handleExceptions(BalancerId from, const FlowMessage& received, const ChangeContext& context)
+void TableSynchronizer::handleExceptions(BalancerId from, const FlowMessage& received, const ChangeContext& context)
 {
     const std::uint64_t generation = received.targetGeneration;
     FlowMessage ack = message(FlowMessageKind::ExceptionsAck, generation);
@@ -250,15 +250,18 @@
         settleAt(generation, context);
 }
 
-void ServiceChange::handleExceptionsAck(BalancerId from, const FlowMessage& ack) { deliveries_.acknowledge(from, ack); }
+void TableSynchronizer::handleExceptionsAck(BalancerId from, const FlowMessage& ack)
+{
+    deliveries_.acknowledge(from, ack);
+}
 
-void ServiceChange::handleBusy(BalancerId from, const FlowMessage& busy, const ChangeContext& context)
+void TableSynchronizer::handleBusy(BalancerId from, const FlowMessage& busy, const ChangeContext& context)
 {
     if (lead_ && lead_->generation() == busy.targetGeneration)
         lead_->noteProgress(from, context.now);
 }
 
-void ServiceChange::handleRelease(BalancerId from, const FlowMessage& released, const ChangeContext& context)
+void TableSynchronizer::handleRelease(BalancerId from, const FlowMessage& released, const ChangeContext& context)
 {
     const bool isMine = promise_ && promise_->arbiter == from && promise_->generation == released.targetGeneration;
     if (!isMine || promise_->switched)
@@ -268,7 +271,7 @@
     publish(context);
 }
 
-void ServiceChange::reviewPromise(const ChangeContext& context)
+void TableSynchronizer::reviewPromise(const ChangeContext& context)
 {
     if (!promise_)
         return;
@@ -289,12 +292,12 @@
 }
 
 // Whoever leaves leads nothing new.
-std::optional<BalancerId> ServiceChange::arbiter(const ChangeContext& context) const
+std::optional<BalancerId> TableSynchronizer::arbiter(const ChangeContext& context) const
 {
     return leaves_ && !lead_ ? context.otherArbiterOf(service_) : context.arbiterOf(service_);
 }
 
-void ServiceChange::settleAt(std::uint64_t generation, const ChangeContext& context)
+void TableSynchronizer::settleAt(std::uint64_t generation, const ChangeContext& context)
 {
     settled_ = generation;
     answer_ = std::max(answer_, generation);
@@ -308,7 +311,7 @@
 }
 
 // The last table that a change under way may lead to.
-std::uint64_t ServiceChange::newestInDoubt() const
+std::uint64_t TableSynchronizer::newestInDoubt() const
 {
     std::uint64_t newest = std::max(settled_, target_);
     if (promise_)
@@ -320,7 +323,7 @@
 
 // The factors are part of what was agreed, so they change only with the settled table. The newest configuration then
 // stands under them.
-void ServiceChange::adoptFactorsOf(std::uint64_t generation)
+void TableSynchronizer::adoptFactorsOf(std::uint64_t generation)
 {
     factors_ = tables_.factorsOf(generation);
     factorsRevision_ = TableGeneration(generation).factorsRevision();
@@ -331,7 +334,7 @@
         makeTable(target_, factors_);
 }
 
-std::shared_ptr<const BucketTable> ServiceChange::learnTable(const FlowMessage& received)
+std::shared_ptr<const BucketTable> TableSynchronizer::learnTable(const FlowMessage& received)
 {
     const std::uint64_t generation = received.targetGeneration;
     if (auto known = tables_.find(generation))
@@ -344,14 +347,14 @@
     return makeTable(generation, factors);
 }
 
-std::shared_ptr<const BucketTable> ServiceChange::makeTable(std::uint64_t generation, const ServerFactors& factors)
+std::shared_ptr<const BucketTable> TableSynchronizer::makeTable(std::uint64_t generation, const ServerFactors& factors)
 {
     auto table = definition_->build(factors);
     tables_.add(generation, table, factors);
     return table;
 }
 
-std::shared_ptr<const RoutingState> ServiceChange::routingFor(const ChangeContext& context) const
+std::shared_ptr<const RoutingState> TableSynchronizer::routingFor(const ChangeContext& context) const
 {
     auto routing = std::make_shared<RoutingState>();
     routing->service = service_;
@@ -376,9 +379,9 @@
     return routing;
 }
 
-void ServiceChange::publish(const ChangeContext& context) { flows_.install(routingFor(context)); }
+void TableSynchronizer::publish(const ChangeContext& context) { flows_.install(routingFor(context)); }
 
-FlowMessage ServiceChange::message(FlowMessageKind kind, std::uint64_t targetGeneration) const
+FlowMessage TableSynchronizer::message(FlowMessageKind kind, std::uint64_t targetGeneration) const
 {
     FlowMessage made;
     made.kind = static_cast<std::uint8_t>(kind);
--- a/Source/Flow/ServiceChange.h
+++ b/Source/Flow/TableSynchronizer.h
@@ -20,9 +20,9 @@
 // for buckets in which a later table differs it hands unknown flows to the service's arbiter. The arbiter collects
 // everybody's flows in those buckets, switches, and gives everybody the exceptions; whoever holds them all is settled
 // at the new generation. docs/design/flows.md has the whole sequence and what each step guards against.
-class ServiceChange {
+class TableSynchronizer {
 public:
-    ServiceChange(ServiceId, FlowTable&, bool protectsFlows);
+    TableSynchronizer(ServiceId, FlowTable&, bool protectsFlows);
 
     // A newer version of the configuration came into force, with or without a change for this service.
     void setVersion(std::uint64_t version, std::shared_ptr<const TableDefinition>,
--- a/Source/Flow/ServiceChangeLead.cpp
+++ b/Source/Flow/TableSynchronizerArbiter.cpp
@@ -1,5 +1,5 @@
 // How a balancer leads the change of a service's table, asks for what it missed, and hands its flows over.
-#include "Flow/ServiceChange.h"
+#include "Flow/TableSynchronizer.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,7 +14,7 @@
 
 }
 
-void ServiceChange::reviewLead(const ChangeContext& context)
+void TableSynchronizer::reviewLead(const ChangeContext& context)
 {
     const bool isArbiter = arbiter(context) == context.view.self;
     if (lead_ && !isArbiter)
@@ -42,7 +42,7 @@
     }
 }
 
-void ServiceChange::startLead(const ChangeContext& context)
+void TableSynchronizer::startLead(const ChangeContext& context)
 {
     ++startedCount_;
     std::uint64_t generation = target_;
@@ -58,7 +58,7 @@
     publish(context);
 }
 
-void ServiceChange::abandonLead(const ChangeContext& context)
+void TableSynchronizer::abandonLead(const ChangeContext& context)
 {
     const FlowMessage release = message(FlowMessageKind::Release, lead_->generation());
     context.forEachOther([&](const Member& member) { context.send(member.id, release); });
@@ -66,7 +66,7 @@
     publish(context);
 }
 
-void ServiceChange::switchOver(const ChangeContext& context)
+void TableSynchronizer::switchOver(const ChangeContext& context)
 {
     const ReportCollection reports = std::move(*lead_);
     lead_.reset();
@@ -82,7 +82,7 @@
     tables_.forgetBelow(settled_);
 }
 
-void ServiceChange::deliverAfterSwitch(const ReportCollection& reports, std::uint64_t previouslySettled,
+void TableSynchronizer::deliverAfterSwitch(const ReportCollection& reports, std::uint64_t previouslySettled,
     const std::vector<KnownFlow>& exceptions, const ChangeContext& context)
 {
     const auto changedParts = cutIntoParts(exceptions);
@@ -98,14 +98,14 @@
     deliveries_.sendDue(message(FlowMessageKind::Exceptions, settled_), context);
 }
 
-void ServiceChange::sendReport(const ChangeContext& context)
+void TableSynchronizer::sendReport(const ChangeContext& context)
 {
     if (!promise_ || !promise_->report)
         return;
     sendParts(*promise_->report, promise_->arbiter, message(FlowMessageKind::Report, promise_->generation), context);
 }
 
-void ServiceChange::sendParts(PartSender& parts, BalancerId to, FlowMessage header, const ChangeContext& context)
+void TableSynchronizer::sendParts(PartSender& parts, BalancerId to, FlowMessage header, const ChangeContext& context)
 {
     while (const auto part = parts.nextDue(context.now, context.settings.retryInterval)) {
         parts.fill(header, *part);
@@ -116,7 +116,7 @@
     }
 }
 
-void ServiceChange::handleSyncRequest(BalancerId from, const FlowMessage& request, const ChangeContext& context)
+void TableSynchronizer::handleSyncRequest(BalancerId from, const FlowMessage& request, const ChangeContext& context)
 {
     // The newcomer knows the configuration, but not yet the factors that go with it.
     const bool sameVersion = TableGeneration(request.targetGeneration).version() == TableGeneration(settled_).version();
@@ -127,7 +127,7 @@
     deliveries_.start(from, settled_, cutIntoParts(flows), context.now);
 }
 
-void ServiceChange::requestSync(const ChangeContext& context)
+void TableSynchronizer::requestSync(const ChangeContext& context)
 {
     if (!protectsFlows_ || target_ == 0 || settled_ == target_ || promise_ || lead_)
         return;
@@ -142,7 +142,7 @@
 
 // Without this, a flow whose few packets all came here would be unknown to the rest, and broken by the next change that
 // moves its bucket.
-void ServiceChange::handOver(const ChangeContext& context)
+void TableSynchronizer::handOver(const ChangeContext& context)
 {
     if (!leaves_ || lead_ || promise_ || owesExceptions() || !isSettled())
         return;
@@ -160,7 +160,7 @@
         sendParts(handover_->parts, handover_->to, message(FlowMessageKind::Handover, settled_), context);
 }
 
-void ServiceChange::handleHandover(BalancerId from, const FlowMessage& handover, const ChangeContext& context)
+void TableSynchronizer::handleHandover(BalancerId from, const FlowMessage& handover, const ChangeContext& context)
 {
     flows_.learn(flowsOf(handover.groups), context.now);
     FlowMessage ack = message(FlowMessageKind::HandoverAck, handover.targetGeneration);
