--- a/Source/Flow/FlowMessage.h
+++ b/Source/Flow/FlowMessage.h
@@ -75,6 +75,6 @@
 // The most flows in one message, so that it fits a datagram of 1200 bytes together with the factors.
 inline constexpr std::size_t flowsPerMessage = 75;
 // The most parts that one list may have; more is refused as garbage.
-inline constexpr std::uint32_t mostParts = 1U << 16;
+inline constexpr std::uint32_t maxParts = 1U << 16;
 
 }
--- a/Source/Flow/FlowParts.cpp
+++ b/Source/Flow/FlowParts.cpp
@@ -114,7 +114,7 @@
 
 bool PartReceiver::accept(const FlowMessage& message)
 {
-    if (message.partCount == 0 || message.partCount > mostParts || message.part >= message.partCount)
+    if (message.partCount == 0 || message.partCount > maxParts || message.part >= message.partCount)
         return false;
     if (message.list < list_)
         return false;
--- a/Source/Flow/FlowTable.cpp
+++ b/Source/Flow/FlowTable.cpp
@@ -8,7 +8,7 @@
 
     // Two balancers that take each other for the arbiter would pass a packet back and forth for ever. One hop reaches
     // the arbiter; a second one serves the moment in which the arbiter's role moves on. Further ones are dropped.
-    constexpr std::uint8_t mostHops = 2;
+    constexpr std::uint8_t maxHops = 2;
 
     // An exception lives this many times longer than other idle flows.
     constexpr std::uint32_t exceptionIdleFactor = 4;
@@ -18,7 +18,7 @@
 
     // A flow of more packets than this has been seen by some other balancer, too, unless there is none.
     constexpr std::uint32_t rarePackets = 8;
-    constexpr std::uint32_t mostPacketsCounted = 255;
+    constexpr std::uint32_t maxPacketCount = 255;
 
     constexpr std::uint32_t secondsMask = (1U << 24) - 1;
 
@@ -34,7 +34,7 @@
     {
         if (!routing.arbiterFlowAddress.isSet())
             return drop(DropReason::NoArbiter, routing.service);
-        if (packet.hops >= mostHops)
+        if (packet.hops >= maxHops)
             return drop(DropReason::TooManyHops, routing.service);
         return { RouteKind::ToBalancer, DropReason::None, routing.arbiterFlowAddress, routing.service, {} };
     }
@@ -83,7 +83,7 @@
         const bool isOldFlow = packet.startsFlow && present && server->second.state != BackendServerState::Active;
         if (present && !isOldFlow) {
             known->second.lastSeenSeconds = secondsOf(now);
-            if (known->second.packets < mostPacketsCounted)
+            if (known->second.packets < maxPacketCount)
                 ++known->second.packets;
             return { RouteKind::ToBackendServer, DropReason::None, server->second.flowAddress, routing.service,
                 known->second.server };
--- a/Source/Flow/ServerWeights.cpp
+++ b/Source/Flow/ServerWeights.cpp
@@ -14,14 +14,14 @@
     constexpr int startSteps = 4;
 
     // Below so many flows a server, differences are chance.
-    constexpr double fewestFlowsPerServer = 20;
+    constexpr double minFlowsPerServer = 20;
     // At evenness 1, a server that carries half of its share gets this much more of the new flows, as a part of one.
-    constexpr double evenGain = 1.0;
-    constexpr double lowestEvenFactor = 0.5;
-    constexpr double highestEvenFactor = 2.0;
+    constexpr double balancingGain = 1.0;
+    constexpr double minBalancingFactor = 0.5;
+    constexpr double maxBalancingFactor = 2.0;
     // Smaller changes are not worth moving buckets for. The load follows a change only as flows end, so that a finer
     // correction would chase chance.
-    constexpr int smallestChange = 150;
+    constexpr int minFactorChange = 150;
 
     std::uint16_t toPermille(double factor) { return static_cast<std::uint16_t>(std::lround(factor * fullFactor)); }
 
@@ -102,12 +102,12 @@
     });
     const double weights = std::accumulate(
         servers_.begin(), servers_.end(), 0.0, [](double sum, const auto& other) { return sum + other.second.weight; });
-    if (flows < fewestFlowsPerServer * double(servers_.size()) || weights == 0 || server.weight == 0)
+    if (flows < minFlowsPerServer * double(servers_.size()) || weights == 0 || server.weight == 0)
         return 1;
     const double share = flows * server.weight / weights;
     const auto load = loads.find(id);
     const double ratio = (load == loads.end() ? 0 : double(load->second)) / share;
-    return std::clamp(1 + evenGain * evenness_ * 2 * (1 - ratio), lowestEvenFactor, highestEvenFactor);
+    return std::clamp(1 + balancingGain * evenness_ * 2 * (1 - ratio), minBalancingFactor, maxBalancingFactor);
 }
 
 WeightFactors ServerWeights::computeFactors(const WeightFactors& inForce, const ServerLoads& loads, TimePoint now) const
@@ -122,7 +122,7 @@
         int factor = ejected ? 0 : toPermille(started * balancingFactor(id, server, loads));
         // Steps of a slow start and ejections are taken as they are; corrections of the load only if they are worth it.
         const bool onlyEvens = !ejected && started == 1 && current != 0;
-        if (onlyEvens && std::abs(factor - current) < smallestChange)
+        if (onlyEvens && std::abs(factor - current) < minFactorChange)
             factor = current;
         if (factor != fullFactor)
             wanted.emplace(id, static_cast<std::uint16_t>(factor));
--- a/Source/Flow/TablePolicies.cpp
+++ b/Source/Flow/TablePolicies.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-    constexpr double widestMargin = 0.25;
+    constexpr double maxMargin = 0.25;
     constexpr std::uint32_t virtualNodesPerServer = 100;
 
     double totalWeight(const TableInput& input)
@@ -95,7 +95,7 @@
 std::vector<BackendServerId> EvenRendezvous::assign(const TableInput& input)
 {
     const bool capped = input.evenness > 0;
-    const double margin = (1 - input.evenness) * widestMargin;
+    const double margin = (1 - input.evenness) * maxMargin;
     std::vector<std::size_t> room
         = capped ? bucketCaps(input, margin) : std::vector<std::size_t>(input.shares.size(), bucketCount);
     std::vector<BackendServerId> servers(bucketCount);
@@ -133,7 +133,7 @@
 
 std::vector<BackendServerId> BoundedRingAssignment::assign(const TableInput& input)
 {
-    return assignFromRing(input, bucketCaps(input, widestMargin));
+    return assignFromRing(input, bucketCaps(input, maxMargin));
 }
 
 }
