--- a/Source/Balancer/BalancerSettings.cpp
+++ b/Source/Balancer/BalancerSettings.cpp
@@ -88,7 +88,7 @@
         section.integer<std::uint32_t>(
             "transition_bytes_per_second", flow.transitionBytesPerSecond, 1024, mostTransitionBytes);
         section.milliseconds("bootstrap_wait_milliseconds", flow.bootstrapWait, 0ms, longestTime);
-        section.milliseconds("report_patience_milliseconds", flow.reportPatience, 10ms, longestTime);
+        section.milliseconds("report_patience_milliseconds", flow.reportTimeout, 10ms, longestTime);
         section.milliseconds("retry_interval_milliseconds", flow.retryInterval, 10ms, longestTime);
         section.milliseconds("pause_threshold_milliseconds", flow.pauseThreshold, 100ms, longestTime);
         std::int64_t retention = flow.retiredServerRetention.count();
--- a/Source/Flow/FlowSettings.h
+++ b/Source/Flow/FlowSettings.h
@@ -18,7 +18,7 @@
     // A joining balancer that sees no serving one for this long takes the tables as settled (a cold start).
     std::chrono::milliseconds bootstrapWait { 1500 };
     // An arbiter waits this long for the reports of balancers that count as alive, then goes on without them.
-    std::chrono::milliseconds reportPatience { 3000 };
+    std::chrono::milliseconds reportTimeout { 3000 };
     // Unanswered control messages are sent again after this time.
     std::chrono::milliseconds retryInterval { 200 };
     // Control bytes a second that one balancer may send while tables change, over all services.
--- a/Source/Flow/ReportCollection.cpp
+++ b/Source/Flow/ReportCollection.cpp
@@ -35,14 +35,14 @@
     return complete;
 }
 
-bool ReportCollection::patienceIsOver(const ChangeContext& context) const
+bool ReportCollection::hasTimedOut(const ChangeContext& context) const
 {
     bool isOver = true;
     context.forEachOther([&](const Member& member) {
         const auto report = reports_.find(member.id);
         const bool isMissing = report == reports_.end() || !report->second.parts.isComplete();
         const bool isSilent = report != reports_.end() && report->second.silentSince
-            && context.now - *report->second.silentSince >= context.settings.reportPatience;
+            && context.now - *report->second.silentSince >= context.settings.reportTimeout;
         isOver = isOver && (!isMissing || isSilent);
     });
     return isOver;
--- a/Source/Flow/ReportCollection.h
+++ b/Source/Flow/ReportCollection.h
@@ -33,7 +33,7 @@
     bool isComplete(const ChangeContext&) const;
     // Whether everybody whose report is missing has been silent for too long. Each is given the whole time, also one
     // that has just joined.
-    bool patienceIsOver(const ChangeContext&) const;
+    bool hasTimedOut(const ChangeContext&) const;
 
     // The generation by which the member decided when it reported; none if it has not reported whole.
     std::optional<std::uint64_t> settledGenerationOf(BalancerId) const;
--- a/Source/Flow/TableSynchronizerArbiter.cpp
+++ b/Source/Flow/TableSynchronizerArbiter.cpp
@@ -30,7 +30,7 @@
     lead_->sendRequests(message(FlowMessageKind::ReportRequest, lead_->generation()), context);
     if (lead_->isComplete(context)) {
         switchOver(context);
-    } else if (lead_->patienceIsOver(context)) {
+    } else if (lead_->hasTimedOut(context)) {
         // Other factors can wait until everybody answers again; the operators' word cannot.
         const bool onlyFactors = TableGeneration(lead_->generation()).version() == TableGeneration(settled_).version();
         if (onlyFactors) {
--- a/Tests/Balancer/BalancerSettingsTest.cpp
+++ b/Tests/Balancer/BalancerSettingsTest.cpp
@@ -82,7 +82,7 @@
         EXPECT_EQ(settings.availabilityZones, (std::vector<std::string> { "nabua", "walu" }));
         EXPECT_EQ(settings.flow.policy, FlowPolicy::Modulo);
         EXPECT_EQ(settings.flow.trackedFlows, 5000U);
-        EXPECT_EQ(settings.flow.reportPatience, 700ms);
+        EXPECT_EQ(settings.flow.reportTimeout, 700ms);
         EXPECT_EQ(settings.packetThreads, 4U);
         EXPECT_EQ(settings.requestLimits.bodyBytes, 1000U);
         EXPECT_EQ(settings.defaultDeadline, 250ms);
