--- a/Source/Flow/ReportCollection.cpp
+++ b/Source/Flow/ReportCollection.cpp
@@ -9,8 +9,8 @@
         if (report.requestedAt && context.now - *report.requestedAt < context.settings.retryInterval)
             return;
         report.requestedAt = context.now;
-        if (!report.silentSince)
-            report.silentSince = context.now;
+        if (!report.waitingSince)
+            report.waitingSince = context.now;
         FlowMessage message = request;
         if (report.parts.isComplete())
             message.kind = static_cast<std::uint8_t>(FlowMessageKind::Hold);
@@ -41,8 +41,8 @@
     context.forEachOther([&](const Member& member) {
         const auto report = reports_.find(member.id);
         const bool isMissing = report == reports_.end() || !report->second.parts.isComplete();
-        const bool isSilent = report != reports_.end() && report->second.silentSince
-            && context.now - *report->second.silentSince >= context.settings.reportTimeout;
+        const bool isSilent = report != reports_.end() && report->second.waitingSince
+            && context.now - *report->second.waitingSince >= context.settings.reportTimeout;
         isOver = isOver && (!isMissing || isSilent);
     });
     return isOver;
--- a/Source/Flow/ReportCollection.h
+++ b/Source/Flow/ReportCollection.h
@@ -28,7 +28,7 @@
 
     // The member is up but bound to an earlier change, or still sending its report. Going on without the whole report
     // would break the flows that only it knows, so that patience with it starts anew.
-    void noteProgress(BalancerId from, TimePoint now) { reports_[from].silentSince = now; }
+    void recordProgress(BalancerId from, TimePoint now) { reports_[from].waitingSince = now; }
 
     bool isComplete(const ChangeContext&) const;
     // Whether everybody whose report is missing has been silent for too long. Each is given the whole time, also one
@@ -43,7 +43,7 @@
         PartReceiver parts;
         std::uint64_t settledGeneration = 0;
         std::optional<TimePoint> requestedAt;
-        std::optional<TimePoint> silentSince;
+        std::optional<TimePoint> waitingSince;
     };
 
     const std::uint64_t generation_;
--- a/Source/Flow/TableSynchronizer.cpp
+++ b/Source/Flow/TableSynchronizer.cpp
@@ -188,7 +188,7 @@
     if (isLate)
         return;
     if (lead_->accept(from, report))
-        lead_->noteProgress(from, context.now);
+        lead_->recordProgress(from, context.now);
     if (report.answerGeneration > answer_) {
         answer_ = report.answerGeneration;
         publish(context);
@@ -258,7 +258,7 @@
 void TableSynchronizer::handleBusy(BalancerId from, const FlowMessage& busy, const ChangeContext& context)
 {
     if (lead_ && lead_->generation() == busy.targetGeneration)
-        lead_->noteProgress(from, context.now);
+        lead_->recordProgress(from, context.now);
 }
 
 void TableSynchronizer::handleRelease(BalancerId from, const FlowMessage& released, const ChangeContext& context)
