--- a/Source/Flow/FlowMessage.h
+++ b/Source/Flow/FlowMessage.h
@@ -54,7 +54,7 @@
     // The table by which the sender decides on its own, 0 if it holds none.
     std::uint64_t settledGeneration = 0;
     // The newest table that, as far as the sender knows, an arbiter has switched to.
-    std::uint64_t answerGeneration = 0;
+    std::uint64_t switchedGeneration = 0;
     // The table that the change leads to, and the factors that belong to it.
     std::uint64_t targetGeneration = 0;
     std::vector<WeightFactorEntry> factors;
@@ -69,7 +69,7 @@
     FlowMessageKind messageKind() const { return static_cast<FlowMessageKind>(kind); }
     bool operator==(const FlowMessage&) const = default;
     MSGPACK_DEFINE_ARRAY(
-        kind, service, settledGeneration, answerGeneration, targetGeneration, factors, list, part, partCount, groups)
+        kind, service, settledGeneration, switchedGeneration, targetGeneration, factors, list, part, partCount, groups)
 };
 
 // The most flows in one message, so that it fits a datagram of 1200 bytes together with the factors.
--- a/Source/Flow/FlowTable.cpp
+++ b/Source/Flow/FlowTable.cpp
@@ -42,9 +42,9 @@
     // The table by which this balancer itself may decide for an unknown flow of the bucket, or null.
     const BucketTable* tableFor(const RoutingState& routing, BucketIndex bucket)
     {
-        if (!routing.arbitrated.test(bucket))
-            return routing.settled.get();
-        return routing.isArbiter ? routing.answer.get() : nullptr;
+        if (!routing.arbitratedBuckets.test(bucket))
+            return routing.settledTable.get();
+        return routing.isArbiter ? routing.arbiterTable.get() : nullptr;
     }
 
 }
@@ -202,7 +202,7 @@
         return difference > secondsMask / 2 ? 0 : difference;
     };
     const auto idleSeconds = static_cast<std::uint32_t>(idle.count());
-    const BucketTable* settled = shard.routing->settled.get();
+    const BucketTable* settled = shard.routing->settledTable.get();
     shard.activeFlows.clear();
     std::size_t exceptions = 0;
     budget_->tracked -= absl::erase_if(shard.flows, [&](const auto& flow) {
--- a/Source/Flow/RoutingState.h
+++ b/Source/Flow/RoutingState.h
@@ -30,11 +30,11 @@
     ServiceId service;
     std::shared_ptr<const ServerDirectory> directory;
     // Decides for unknown flows, except in arbitrated buckets. Null while nothing was learned yet.
-    std::shared_ptr<const BucketTable> settled;
+    std::shared_ptr<const BucketTable> settledTable;
     // Buckets whose unknown flows only the arbiter may decide, since balancers may disagree on them.
-    BucketSet arbitrated;
+    BucketSet arbitratedBuckets;
     // Set on the arbiter: its answer for unknown flows in arbitrated buckets. Null while it must not answer.
-    std::shared_ptr<const BucketTable> answer;
+    std::shared_ptr<const BucketTable> arbiterTable;
     bool isArbiter = false;
     // Where other balancers hand unknown flows in arbitrated buckets; not set when no arbiter is known.
     Endpoint arbiterFlowAddress;
--- a/Source/Flow/TableHistory.cpp
+++ b/Source/Flow/TableHistory.cpp
@@ -28,7 +28,7 @@
     return table == tables_.end() ? none : table->second.factors;
 }
 
-BucketSet TableHistory::doubtfulBuckets(std::uint64_t first, std::uint64_t last) const
+BucketSet TableHistory::differingBuckets(std::uint64_t first, std::uint64_t last) const
 {
     BucketSet buckets;
     const auto begin = tables_.find(first);
--- a/Source/Flow/TableHistory.h
+++ b/Source/Flow/TableHistory.h
@@ -21,7 +21,7 @@
 
     // The buckets whose server is not the same in all known tables from one generation to the other. All buckets when
     // the first generation is not known, since then nothing can be said.
-    BucketSet doubtfulBuckets(std::uint64_t first, std::uint64_t last) const;
+    BucketSet differingBuckets(std::uint64_t first, std::uint64_t last) const;
 
     // Forgets generations below the given one, but keeps the latest few for balancers that lag behind.
     void forgetBelow(std::uint64_t generation);
--- a/Source/Flow/TableSynchronizer.cpp
+++ b/Source/Flow/TableSynchronizer.cpp
@@ -32,9 +32,10 @@
     version_ = version;
     definition_ = std::move(source);
     directory_ = std::move(directory);
-    target_ = TableGeneration(version_, factorsRevision_).number();
-    const auto settledTable = tables_.find(settled_);
-    tables_.add(target_, wasSettled && sameDefinition ? settledTable : definition_->build(factors_), factors_);
+    targetGeneration_ = TableGeneration(version_, factorsRevision_).number();
+    const auto settledTable = tables_.find(settledGeneration_);
+    tables_.add(
+        targetGeneration_, wasSettled && sameDefinition ? settledTable : definition_->build(factors_), factors_);
     if (!protectsFlows_)
         settledDefinition_ = definition_;
     // New factors can wait; under the new version they are tried again.
@@ -50,12 +51,12 @@
 // table without this balancer's promise, or else it hears of that.
 void TableSynchronizer::settleIfUnchanged()
 {
-    const bool unchanged = settledDefinition_ == definition_ && (settled_ != 0 || !protectsFlows_);
-    if (!unchanged || lead_ || promise_ || settled_ >= target_)
+    const bool unchanged = settledDefinition_ == definition_ && (settledGeneration_ != 0 || !protectsFlows_);
+    if (!unchanged || lead_ || promise_ || settledGeneration_ >= targetGeneration_)
         return;
-    settled_ = target_;
-    answer_ = std::max(answer_, target_);
-    tables_.forgetBelow(target_);
+    settledGeneration_ = targetGeneration_;
+    switchedGeneration_ = std::max(switchedGeneration_, targetGeneration_);
+    tables_.forgetBelow(targetGeneration_);
 }
 
 void TableSynchronizer::setDesiredFactors(WeightFactors factors)
@@ -116,21 +117,21 @@
     reviewLead(context);
     sendReport(context);
     deliveries_.dropDead(context);
-    deliveries_.sendDue(message(FlowMessageKind::Exceptions, settled_), context);
+    deliveries_.sendDue(message(FlowMessageKind::Exceptions, settledGeneration_), context);
     requestSync(context);
     handOver(context);
 }
 
 void TableSynchronizer::settleAlone(const ChangeContext& context)
 {
-    if (target_ != 0)
-        settleAt(target_, context);
+    if (targetGeneration_ != 0)
+        settleAt(targetGeneration_, context);
 }
 
 void TableSynchronizer::desynchronize(const ChangeContext& context)
 {
-    settled_ = 0;
-    answer_ = 0;
+    settledGeneration_ = 0;
+    switchedGeneration_ = 0;
     promise_.reset();
     intake_.reset();
     lead_.reset();
@@ -146,7 +147,7 @@
     if (!table)
         return;
     const bool leadsItself = lead_ && arbiter(context) != from;
-    const bool followsAnother = promise_ && promise_->arbiter != from && promise_->generation > settled_;
+    const bool followsAnother = promise_ && promise_->arbiter != from && promise_->generation > settledGeneration_;
     // Others may wait for exceptions that this balancer alone holds; the next change begins after that.
     if (leadsItself || followsAnother || owesExceptions()) {
         context.send(from, message(FlowMessageKind::Busy, generation));
@@ -164,8 +165,8 @@
 
     promise_ = Promise { from, generation, std::nullopt, context.now, false };
     // The arbiter may be settled at an older generation than this balancer, and then lacks older exceptions too.
-    const std::uint64_t first = std::min(settled_, request.settledGeneration);
-    const BucketSet buckets = first == 0 ? allBuckets() : tables_.doubtfulBuckets(first, generation);
+    const std::uint64_t first = std::min(settledGeneration_, request.settledGeneration);
+    const BucketSet buckets = first == 0 ? allBuckets() : tables_.differingBuckets(first, generation);
     promise_->report.emplace(cutIntoParts(flows_.installAndCollect(routingFor(context), buckets, *table)), context.now);
     sendReport(context);
 }
@@ -174,7 +175,7 @@
 {
     const bool leadsIt = lead_ && lead_->generation() == report.targetGeneration;
     // A report that comes after a forced switch still teaches this balancer where those flows belong.
-    const bool isLate = !lead_ && settled_ == report.targetGeneration;
+    const bool isLate = !lead_ && settledGeneration_ == report.targetGeneration;
     if (!leadsIt && !isLate) {
         if (!lead_)
             context.send(from, message(FlowMessageKind::Release, report.targetGeneration));
@@ -189,8 +190,8 @@
         return;
     if (lead_->accept(from, report))
         lead_->recordProgress(from, context.now);
-    if (report.answerGeneration > answer_) {
-        answer_ = report.answerGeneration;
+    if (report.switchedGeneration > switchedGeneration_) {
+        switchedGeneration_ = report.switchedGeneration;
         publish(context);
     }
     if (lead_->isComplete(context))
@@ -207,10 +208,10 @@
 void TableSynchronizer::handleSwitch(BalancerId from, const FlowMessage& announced, const ChangeContext& context)
 {
     const std::uint64_t generation = announced.targetGeneration;
-    if (generation <= settled_)
+    if (generation <= settledGeneration_)
         return;
     learnTable(announced);
-    answer_ = std::max(answer_, generation);
+    switchedGeneration_ = std::max(switchedGeneration_, generation);
     if (promise_ && promise_->arbiter == from && promise_->generation == generation) {
         promise_->switched = true;
         publish(context);
@@ -220,7 +221,7 @@
     // exceptions, its own answers could contradict theirs and break flows.
     if (lead_)
         abandonLead(context);
-    if (settled_ != 0)
+    if (settledGeneration_ != 0)
         desynchronize(context);
 }
 
@@ -230,12 +231,12 @@
     FlowMessage ack = message(FlowMessageKind::ExceptionsAck, generation);
     ack.list = received.list;
     ack.part = received.part;
-    if (generation <= settled_) {
+    if (generation <= settledGeneration_) {
         context.send(from, ack);
         return;
     }
     const bool fromPromised = promise_ && promise_->arbiter == from && promise_->generation == generation;
-    if (!fromPromised && settled_ != 0) {
+    if (!fromPromised && settledGeneration_ != 0) {
         // A list without the promise may be cut to buckets that do not cover this balancer's doubts.
         handleSwitch(from, received, context);
         return;
@@ -245,7 +246,7 @@
     flows_.learn(flowsOf(received.groups), context.now);
     intake_->parts.accept(received);
     context.send(from, ack);
-    answer_ = std::max(answer_, generation);
+    switchedGeneration_ = std::max(switchedGeneration_, generation);
     if (intake_->parts.isComplete() && learnTable(received))
         settleAt(generation, context);
 }
@@ -275,14 +276,14 @@
 {
     if (!promise_)
         return;
-    const bool fulfilled = promise_->generation <= settled_ && promise_->report->isComplete();
+    const bool fulfilled = promise_->generation <= settledGeneration_ && promise_->report->isComplete();
     const bool arbiterIsAlive = context.isAlive(promise_->arbiter);
     const Duration limit = promise_->switched ? silenceAfterSwitch : silenceBeforeSwitch;
     const bool isSilent = context.now - promise_->heardAt >= limit;
     if (!fulfilled && arbiterIsAlive && !isSilent)
         return;
     // An arbiter that is up but not heard may switch, or have switched, without this balancer's hearing of it.
-    if (!fulfilled && arbiterIsAlive && promise_->generation > settled_) {
+    if (!fulfilled && arbiterIsAlive && promise_->generation > settledGeneration_) {
         desynchronize(context);
         return;
     }
@@ -299,8 +300,8 @@
 
 void TableSynchronizer::settleAt(std::uint64_t generation, const ChangeContext& context)
 {
-    settled_ = generation;
-    answer_ = std::max(answer_, generation);
+    settledGeneration_ = generation;
+    switchedGeneration_ = std::max(switchedGeneration_, generation);
     ++settledCount_;
     adoptFactorsOf(generation);
     intake_.reset();
@@ -311,9 +312,9 @@
 }
 
 // The last table that a change under way may lead to.
-std::uint64_t TableSynchronizer::newestInDoubt() const
+std::uint64_t TableSynchronizer::newestPendingGeneration() const
 {
-    std::uint64_t newest = std::max(settled_, target_);
+    std::uint64_t newest = std::max(settledGeneration_, targetGeneration_);
     if (promise_)
         newest = std::max(newest, promise_->generation);
     if (lead_)
@@ -329,9 +330,10 @@
     factorsRevision_ = TableGeneration(generation).factorsRevision();
     if (TableGeneration(generation).version() == version_)
         settledDefinition_ = definition_;
-    target_ = TableGeneration(std::max(version_, TableGeneration(generation).version()), factorsRevision_).number();
-    if (!tables_.find(target_))
-        makeTable(target_, factors_);
+    targetGeneration_
+        = TableGeneration(std::max(version_, TableGeneration(generation).version()), factorsRevision_).number();
+    if (!tables_.find(targetGeneration_))
+        makeTable(targetGeneration_, factors_);
 }
 
 std::shared_ptr<const BucketTable> TableSynchronizer::learnTable(const FlowMessage& received)
@@ -359,19 +361,19 @@
     auto routing = std::make_shared<RoutingState>();
     routing->service = service_;
     routing->directory = directory_;
-    routing->settled = tables_.find(settled_);
-    if (settled_ == 0 || handover_)
-        routing->arbitrated.set();
+    routing->settledTable = tables_.find(settledGeneration_);
+    if (settledGeneration_ == 0 || handover_)
+        routing->arbitratedBuckets.set();
     else
-        routing->arbitrated = tables_.doubtfulBuckets(settled_, newestInDoubt());
+        routing->arbitratedBuckets = tables_.differingBuckets(settledGeneration_, newestPendingGeneration());
 
     const auto decider = promise_ ? std::optional(promise_->arbiter) : arbiter(context);
     routing->isArbiter = lead_ || decider == context.view.self;
     if (routing->isArbiter) {
         // An arbiter that took over after a switch lacks the exceptions until all have reported. A lost packet is made
         // good by the caller, a wrong answer breaks the flow.
-        if (settled_ != 0 && answer_ == settled_)
-            routing->answer = tables_.find(settled_);
+        if (settledGeneration_ != 0 && switchedGeneration_ == settledGeneration_)
+            routing->arbiterTable = tables_.find(settledGeneration_);
     } else if (decider) {
         if (const Member* member = context.view.find(*decider))
             routing->arbiterFlowAddress = member->flowAddress;
@@ -386,8 +388,8 @@
     FlowMessage made;
     made.kind = static_cast<std::uint8_t>(kind);
     made.service = service_.value;
-    made.settledGeneration = settled_;
-    made.answerGeneration = answer_;
+    made.settledGeneration = settledGeneration_;
+    made.switchedGeneration = switchedGeneration_;
     made.targetGeneration = targetGeneration;
     for (const auto& [server, permille] : tables_.factorsOf(targetGeneration))
         made.factors.push_back({ server.value, permille });
--- a/Source/Flow/TableSynchronizer.h
+++ b/Source/Flow/TableSynchronizer.h
@@ -44,15 +44,15 @@
     // Forgets what was agreed, as after a pause in which the others may have moved on; known flows stay.
     void desynchronize(const ChangeContext&);
 
-    bool isSynchronized() const { return settled_ != 0; }
-    bool isSettled() const { return settled_ != 0 && settled_ == target_; }
+    bool isSynchronized() const { return settledGeneration_ != 0; }
+    bool isSettled() const { return settledGeneration_ != 0 && settledGeneration_ == targetGeneration_; }
     // Whether others still wait for exceptions that this balancer holds for them.
     bool owesExceptions() const { return !deliveries_.isEmpty(); }
 
     std::uint64_t startedCount() const { return startedCount_; }
     std::uint64_t settledCount() const { return settledCount_; }
     std::uint64_t forcedCount() const { return forcedCount_; }
-    std::shared_ptr<const BucketTable> settledTable() const { return tables_.find(settled_); }
+    std::shared_ptr<const BucketTable> settledTable() const { return tables_.find(settledGeneration_); }
     // The factors of the settled table.
     const WeightFactors& factors() const { return factors_; }
     bool isArbiter(const ChangeContext& context) const { return arbiter(context) == context.view.self; }
@@ -104,7 +104,7 @@
     void settleAt(std::uint64_t generation, const ChangeContext&);
     void settleIfUnchanged();
     void adoptFactorsOf(std::uint64_t generation);
-    std::uint64_t newestInDoubt() const;
+    std::uint64_t newestPendingGeneration() const;
 
     // The table of a generation that another balancer names, built if its configuration is known; else null.
     std::shared_ptr<const BucketTable> learnTable(const FlowMessage&);
@@ -131,11 +131,11 @@
     std::uint64_t numberedRevision_ = 0;
     std::shared_ptr<const ServerDirectory> directory_;
     // By which this balancer decides on its own; 0 while it does not know the exceptions of any table.
-    std::uint64_t settled_ = 0;
+    std::uint64_t settledGeneration_ = 0;
     // The newest table that some arbiter is known to have switched to.
-    std::uint64_t answer_ = 0;
+    std::uint64_t switchedGeneration_ = 0;
     // The table of the newest configuration under the factors of the settled one.
-    std::uint64_t target_ = 0;
+    std::uint64_t targetGeneration_ = 0;
 
     std::optional<Promise> promise_;
     std::optional<Intake> intake_;
--- a/Source/Flow/TableSynchronizerArbiter.cpp
+++ b/Source/Flow/TableSynchronizerArbiter.cpp
@@ -19,10 +19,10 @@
     const bool isArbiter = arbiter(context) == context.view.self;
     if (lead_ && !isArbiter)
         abandonLead(context);
-    if (lead_ && lead_->generation() < target_)
+    if (lead_ && lead_->generation() < targetGeneration_)
         lead_.reset();
-    const bool hasReason = settled_ != target_ || desiredFactors_ != factors_;
-    const bool mayLead = isArbiter && !promise_ && deliveries_.isEmpty() && target_ != 0 && hasReason;
+    const bool hasReason = settledGeneration_ != targetGeneration_ || desiredFactors_ != factors_;
+    const bool mayLead = isArbiter && !promise_ && deliveries_.isEmpty() && targetGeneration_ != 0 && hasReason;
     if (!lead_ && mayLead)
         startLead(context);
     if (!lead_)
@@ -32,7 +32,8 @@
         switchOver(context);
     } else if (lead_->hasTimedOut(context)) {
         // Other factors can wait until everybody answers again; the operators' word cannot.
-        const bool onlyFactors = TableGeneration(lead_->generation()).version() == TableGeneration(settled_).version();
+        const bool onlyFactors
+            = TableGeneration(lead_->generation()).version() == TableGeneration(settledGeneration_).version();
         if (onlyFactors) {
             abandonLead(context);
             return;
@@ -45,10 +46,11 @@
 void TableSynchronizer::startLead(const ChangeContext& context)
 {
     ++startedCount_;
-    std::uint64_t generation = target_;
+    std::uint64_t generation = targetGeneration_;
     if (desiredFactors_ != factors_) {
         // A number that an abandoned change had is never given again: others may still know it by other factors.
-        const std::uint64_t switched = TableGeneration(std::max(answer_, target_)).factorsRevision();
+        const std::uint64_t switched
+            = TableGeneration(std::max(switchedGeneration_, targetGeneration_)).factorsRevision();
         const std::uint64_t highest = std::max({ switched, factorsRevision_, numberedRevision_ });
         numberedRevision_ = TableGeneration::nextRevision(highest, context.view.self);
         generation = TableGeneration(version_, numberedRevision_).number();
@@ -70,16 +72,16 @@
 {
     const ReportCollection reports = std::move(*lead_);
     lead_.reset();
-    const std::uint64_t previouslySettled = settled_;
+    const std::uint64_t previouslySettled = settledGeneration_;
     const BucketSet buckets
-        = previouslySettled == 0 ? allBuckets() : tables_.doubtfulBuckets(previouslySettled, reports.generation());
-    settled_ = reports.generation();
-    answer_ = settled_;
+        = previouslySettled == 0 ? allBuckets() : tables_.differingBuckets(previouslySettled, reports.generation());
+    settledGeneration_ = reports.generation();
+    switchedGeneration_ = settledGeneration_;
     ++settledCount_;
-    adoptFactorsOf(settled_);
-    const auto exceptions = flows_.installAndCollect(routingFor(context), buckets, *tables_.find(settled_));
+    adoptFactorsOf(settledGeneration_);
+    const auto exceptions = flows_.installAndCollect(routingFor(context), buckets, *tables_.find(settledGeneration_));
     deliverAfterSwitch(reports, previouslySettled, exceptions, context);
-    tables_.forgetBelow(settled_);
+    tables_.forgetBelow(settledGeneration_);
 }
 
 void TableSynchronizer::deliverAfterSwitch(const ReportCollection& reports, std::uint64_t previouslySettled,
@@ -88,14 +90,14 @@
     const auto changedParts = cutIntoParts(exceptions);
     std::shared_ptr<const FlowParts> allParts;
     context.forEachOther([&](const Member& member) {
-        context.send(member.id, message(FlowMessageKind::Switch, settled_));
+        context.send(member.id, message(FlowMessageKind::Switch, settledGeneration_));
         // Whoever decided by the same table holds all older exceptions; anybody else needs them too.
         const bool heldTheSame = previouslySettled != 0 && reports.settledGenerationOf(member.id) == previouslySettled;
         if (!heldTheSame && !allParts)
-            allParts = cutIntoParts(flows_.collect(allBuckets(), *tables_.find(settled_)));
-        deliveries_.start(member.id, settled_, heldTheSame ? changedParts : allParts, context.now);
+            allParts = cutIntoParts(flows_.collect(allBuckets(), *tables_.find(settledGeneration_)));
+        deliveries_.start(member.id, settledGeneration_, heldTheSame ? changedParts : allParts, context.now);
     });
-    deliveries_.sendDue(message(FlowMessageKind::Exceptions, settled_), context);
+    deliveries_.sendDue(message(FlowMessageKind::Exceptions, settledGeneration_), context);
 }
 
 void TableSynchronizer::sendReport(const ChangeContext& context)
@@ -119,17 +121,18 @@
 void TableSynchronizer::handleSyncRequest(BalancerId from, const FlowMessage& request, const ChangeContext& context)
 {
     // The newcomer knows the configuration, but not yet the factors that go with it.
-    const bool sameVersion = TableGeneration(request.targetGeneration).version() == TableGeneration(settled_).version();
+    const bool sameVersion
+        = TableGeneration(request.targetGeneration).version() == TableGeneration(settledGeneration_).version();
     const bool canHelp = isSettled() && !lead_ && sameVersion;
     if (!canHelp)
         return;
-    const auto flows = flows_.collect(allBuckets(), *tables_.find(settled_));
-    deliveries_.start(from, settled_, cutIntoParts(flows), context.now);
+    const auto flows = flows_.collect(allBuckets(), *tables_.find(settledGeneration_));
+    deliveries_.start(from, settledGeneration_, cutIntoParts(flows), context.now);
 }
 
 void TableSynchronizer::requestSync(const ChangeContext& context)
 {
-    if (!protectsFlows_ || target_ == 0 || settled_ == target_ || promise_ || lead_)
+    if (!protectsFlows_ || targetGeneration_ == 0 || settledGeneration_ == targetGeneration_ || promise_ || lead_)
         return;
     const auto helper = arbiter(context);
     if (!helper || *helper == context.view.self)
@@ -137,7 +140,7 @@
     if (syncRequestedAt_ && context.now - *syncRequestedAt_ < syncRequestRetries * context.settings.retryInterval)
         return;
     syncRequestedAt_ = context.now;
-    context.send(*helper, message(FlowMessageKind::SyncRequest, target_));
+    context.send(*helper, message(FlowMessageKind::SyncRequest, targetGeneration_));
 }
 
 // Without this, a flow whose few packets all came here would be unknown to the rest, and broken by the next change that
@@ -157,7 +160,7 @@
             handover_->parts.acknowledgeAll();
     }
     if (receiver)
-        sendParts(handover_->parts, handover_->to, message(FlowMessageKind::Handover, settled_), context);
+        sendParts(handover_->parts, handover_->to, message(FlowMessageKind::Handover, settledGeneration_), context);
 }
 
 void TableSynchronizer::handleHandover(BalancerId from, const FlowMessage& handover, const ChangeContext& context)
