--- a/Source/Flow/TableSynchronizer.cpp
+++ b/Source/Flow/TableSynchronizer.cpp
@@ -39,8 +39,8 @@
     if (!protectsFlows_)
         settledDefinition_ = definition_;
     // New factors can wait; under the new version they are tried again.
-    if (lead_ && settledDefinition_ == definition_)
-        abandonLead(context);
+    if (reportCollection_ && settledDefinition_ == definition_)
+        abortChange(context);
     settleIfUnchanged();
     if (wasSettled && isSettled() && sameDefinition && sameDirectory)
         return;
@@ -52,7 +52,7 @@
 void TableSynchronizer::settleIfUnchanged()
 {
     const bool unchanged = settledDefinition_ == definition_ && (settledGeneration_ != 0 || !protectsFlows_);
-    if (!unchanged || lead_ || promise_ || settledGeneration_ >= targetGeneration_)
+    if (!unchanged || reportCollection_ || promise_ || settledGeneration_ >= targetGeneration_)
         return;
     settledGeneration_ = targetGeneration_;
     switchedGeneration_ = std::max(switchedGeneration_, targetGeneration_);
@@ -110,11 +110,12 @@
 void TableSynchronizer::tick(const ChangeContext& context)
 {
     const bool wantsChange = desiredFactors_ != factors_ && isArbiter(context);
-    const bool isIdle = isSettled() && !promise_ && !lead_ && deliveries_.isEmpty() && !wantsChange && !leaves_;
+    const bool isIdle
+        = isSettled() && !promise_ && !reportCollection_ && deliveries_.isEmpty() && !wantsChange && !leaves_;
     if (isIdle)
         return;
     reviewPromise(context);
-    reviewLead(context);
+    advanceChange(context);
     sendReport(context);
     deliveries_.dropDead(context);
     deliveries_.sendDue(message(FlowMessageKind::Exceptions, settledGeneration_), context);
@@ -134,7 +135,7 @@
     switchedGeneration_ = 0;
     promise_.reset();
     intake_.reset();
-    lead_.reset();
+    reportCollection_.reset();
     deliveries_.clear();
     publish(context);
 }
@@ -146,15 +147,15 @@
     // Unknown here yet: the arbiter asks again, and the configuration is on its way.
     if (!table)
         return;
-    const bool leadsItself = lead_ && arbiter(context) != from;
+    const bool isLeading = reportCollection_ && arbiter(context) != from;
     const bool followsAnother = promise_ && promise_->arbiter != from && promise_->generation > settledGeneration_;
     // Others may wait for exceptions that this balancer alone holds; the next change begins after that.
-    if (leadsItself || followsAnother || owesExceptions()) {
+    if (isLeading || followsAnother || owesExceptions()) {
         context.send(from, message(FlowMessageKind::Busy, generation));
         return;
     }
-    if (lead_)
-        abandonLead(context);
+    if (reportCollection_)
+        abortChange(context);
     const bool reporting = promise_ && promise_->arbiter == from && promise_->generation == generation
         && promise_->report && !promise_->report->isComplete();
     if (reporting) {
@@ -173,11 +174,11 @@
 
 void TableSynchronizer::handleReport(BalancerId from, const FlowMessage& report, const ChangeContext& context)
 {
-    const bool leadsIt = lead_ && lead_->generation() == report.targetGeneration;
+    const bool isCollecting = reportCollection_ && reportCollection_->generation() == report.targetGeneration;
     // A report that comes after a forced switch still teaches this balancer where those flows belong.
-    const bool isLate = !lead_ && settledGeneration_ == report.targetGeneration;
-    if (!leadsIt && !isLate) {
-        if (!lead_)
+    const bool isLate = !reportCollection_ && settledGeneration_ == report.targetGeneration;
+    if (!isCollecting && !isLate) {
+        if (!reportCollection_)
             context.send(from, message(FlowMessageKind::Release, report.targetGeneration));
         return;
     }
@@ -188,13 +189,13 @@
     context.send(from, ack);
     if (isLate)
         return;
-    if (lead_->accept(from, report))
-        lead_->recordProgress(from, context.now);
+    if (reportCollection_->accept(from, report))
+        reportCollection_->recordProgress(from, context.now);
     if (report.switchedGeneration > switchedGeneration_) {
         switchedGeneration_ = report.switchedGeneration;
         publish(context);
     }
-    if (lead_->isComplete(context))
+    if (reportCollection_->isComplete(context))
         switchOver(context);
 }
 
@@ -219,8 +220,8 @@
     }
     // The others went on without this balancer, which they took for dead or which answered too late. Until it holds the
     // exceptions, its own answers could contradict theirs and break flows.
-    if (lead_)
-        abandonLead(context);
+    if (reportCollection_)
+        abortChange(context);
     if (settledGeneration_ != 0)
         desynchronize(context);
 }
@@ -258,8 +259,8 @@
 
 void TableSynchronizer::handleBusy(BalancerId from, const FlowMessage& busy, const ChangeContext& context)
 {
-    if (lead_ && lead_->generation() == busy.targetGeneration)
-        lead_->recordProgress(from, context.now);
+    if (reportCollection_ && reportCollection_->generation() == busy.targetGeneration)
+        reportCollection_->recordProgress(from, context.now);
 }
 
 void TableSynchronizer::handleRelease(BalancerId from, const FlowMessage& released, const ChangeContext& context)
@@ -295,7 +296,7 @@
 // Whoever leaves leads nothing new.
 std::optional<BalancerId> TableSynchronizer::arbiter(const ChangeContext& context) const
 {
-    return leaves_ && !lead_ ? context.otherArbiterOf(service_) : context.arbiterOf(service_);
+    return leaves_ && !reportCollection_ ? context.otherArbiterOf(service_) : context.arbiterOf(service_);
 }
 
 void TableSynchronizer::settleAt(std::uint64_t generation, const ChangeContext& context)
@@ -317,8 +318,8 @@
     std::uint64_t newest = std::max(settledGeneration_, targetGeneration_);
     if (promise_)
         newest = std::max(newest, promise_->generation);
-    if (lead_)
-        newest = std::max(newest, lead_->generation());
+    if (reportCollection_)
+        newest = std::max(newest, reportCollection_->generation());
     return newest;
 }
 
@@ -368,7 +369,7 @@
         routing->arbitratedBuckets = tables_.differingBuckets(settledGeneration_, newestPendingGeneration());
 
     const auto decider = promise_ ? std::optional(promise_->arbiter) : arbiter(context);
-    routing->isArbiter = lead_ || decider == context.view.self;
+    routing->isArbiter = reportCollection_ || decider == context.view.self;
     if (routing->isArbiter) {
         // An arbiter that took over after a switch lacks the exceptions until all have reported. A lost packet is made
         // good by the caller, a wrong answer breaks the flow.
--- a/Source/Flow/TableSynchronizer.h
+++ b/Source/Flow/TableSynchronizer.h
@@ -90,9 +90,9 @@
     void handleSyncRequest(BalancerId from, const FlowMessage&, const ChangeContext&);
 
     void reviewPromise(const ChangeContext&);
-    void reviewLead(const ChangeContext&);
-    void startLead(const ChangeContext&);
-    void abandonLead(const ChangeContext&);
+    void advanceChange(const ChangeContext&);
+    void startChange(const ChangeContext&);
+    void abortChange(const ChangeContext&);
     void switchOver(const ChangeContext&);
     void deliverAfterSwitch(
         const ReportCollection&, std::uint64_t previouslySettled, const std::vector<KnownFlow>&, const ChangeContext&);
@@ -140,7 +140,7 @@
     std::optional<Promise> promise_;
     std::optional<Intake> intake_;
     // Set on the arbiter from the start of a change to its switch.
-    std::optional<ReportCollection> lead_;
+    std::optional<ReportCollection> reportCollection_;
     ExceptionDeliveries deliveries_;
     bool leaves_ = false;
     std::optional<Handover> handover_;
--- a/Source/Flow/TableSynchronizerArbiter.cpp
+++ b/Source/Flow/TableSynchronizerArbiter.cpp
@@ -14,28 +14,28 @@
 
 }
 
-void TableSynchronizer::reviewLead(const ChangeContext& context)
+void TableSynchronizer::advanceChange(const ChangeContext& context)
 {
     const bool isArbiter = arbiter(context) == context.view.self;
-    if (lead_ && !isArbiter)
-        abandonLead(context);
-    if (lead_ && lead_->generation() < targetGeneration_)
-        lead_.reset();
+    if (reportCollection_ && !isArbiter)
+        abortChange(context);
+    if (reportCollection_ && reportCollection_->generation() < targetGeneration_)
+        reportCollection_.reset();
     const bool hasReason = settledGeneration_ != targetGeneration_ || desiredFactors_ != factors_;
     const bool mayLead = isArbiter && !promise_ && deliveries_.isEmpty() && targetGeneration_ != 0 && hasReason;
-    if (!lead_ && mayLead)
-        startLead(context);
-    if (!lead_)
+    if (!reportCollection_ && mayLead)
+        startChange(context);
+    if (!reportCollection_)
         return;
-    lead_->sendRequests(message(FlowMessageKind::ReportRequest, lead_->generation()), context);
-    if (lead_->isComplete(context)) {
+    reportCollection_->sendRequests(message(FlowMessageKind::ReportRequest, reportCollection_->generation()), context);
+    if (reportCollection_->isComplete(context)) {
         switchOver(context);
-    } else if (lead_->hasTimedOut(context)) {
+    } else if (reportCollection_->hasTimedOut(context)) {
         // Other factors can wait until everybody answers again; the operators' word cannot.
-        const bool onlyFactors
-            = TableGeneration(lead_->generation()).version() == TableGeneration(settledGeneration_).version();
+        const bool onlyFactors = TableGeneration(reportCollection_->generation()).version()
+            == TableGeneration(settledGeneration_).version();
         if (onlyFactors) {
-            abandonLead(context);
+            abortChange(context);
             return;
         }
         ++forcedCount_;
@@ -43,7 +43,7 @@
     }
 }
 
-void TableSynchronizer::startLead(const ChangeContext& context)
+void TableSynchronizer::startChange(const ChangeContext& context)
 {
     ++startedCount_;
     std::uint64_t generation = targetGeneration_;
@@ -56,22 +56,22 @@
         generation = TableGeneration(version_, numberedRevision_).number();
         makeTable(generation, desiredFactors_);
     }
-    lead_.emplace(generation);
+    reportCollection_.emplace(generation);
     publish(context);
 }
 
-void TableSynchronizer::abandonLead(const ChangeContext& context)
+void TableSynchronizer::abortChange(const ChangeContext& context)
 {
-    const FlowMessage release = message(FlowMessageKind::Release, lead_->generation());
+    const FlowMessage release = message(FlowMessageKind::Release, reportCollection_->generation());
     context.forEachOther([&](const Member& member) { context.send(member.id, release); });
-    lead_.reset();
+    reportCollection_.reset();
     publish(context);
 }
 
 void TableSynchronizer::switchOver(const ChangeContext& context)
 {
-    const ReportCollection reports = std::move(*lead_);
-    lead_.reset();
+    const ReportCollection reports = std::move(*reportCollection_);
+    reportCollection_.reset();
     const std::uint64_t previouslySettled = settledGeneration_;
     const BucketSet buckets
         = previouslySettled == 0 ? allBuckets() : tables_.differingBuckets(previouslySettled, reports.generation());
@@ -123,7 +123,7 @@
     // The newcomer knows the configuration, but not yet the factors that go with it.
     const bool sameVersion
         = TableGeneration(request.targetGeneration).version() == TableGeneration(settledGeneration_).version();
-    const bool canHelp = isSettled() && !lead_ && sameVersion;
+    const bool canHelp = isSettled() && !reportCollection_ && sameVersion;
     if (!canHelp)
         return;
     const auto flows = flows_.collect(allBuckets(), *tables_.find(settledGeneration_));
@@ -132,7 +132,8 @@
 
 void TableSynchronizer::requestSync(const ChangeContext& context)
 {
-    if (!protectsFlows_ || targetGeneration_ == 0 || settledGeneration_ == targetGeneration_ || promise_ || lead_)
+    if (!protectsFlows_ || targetGeneration_ == 0 || settledGeneration_ == targetGeneration_ || promise_
+        || reportCollection_)
         return;
     const auto helper = arbiter(context);
     if (!helper || *helper == context.view.self)
@@ -147,7 +148,7 @@
 // moves its bucket.
 void TableSynchronizer::handOver(const ChangeContext& context)
 {
-    if (!leaves_ || lead_ || promise_ || owesExceptions() || !isSettled())
+    if (!leaves_ || reportCollection_ || promise_ || owesExceptions() || !isSettled())
         return;
     const auto receiver = context.otherArbiterOf(service_);
     const bool lost = handover_ && !handover_->parts.isComplete() && handover_->to != receiver;
