--- a/Source/Flow/ExceptionDeliveries.cpp
+++ b/Source/Flow/ExceptionDeliveries.cpp
@@ -56,7 +56,7 @@
     }
 }
 
-void ExceptionDeliveries::dropDead(const ChangeContext& context)
+void ExceptionDeliveries::removeDead(const ChangeContext& context)
 {
     std::erase_if(deliveries_, [&](const auto& delivery) { return !context.isAlive(delivery.first); });
 }
--- a/Source/Flow/ExceptionDeliveries.h
+++ b/Source/Flow/ExceptionDeliveries.h
@@ -23,7 +23,7 @@
     void sendDue(const FlowMessage& header, const ChangeContext&);
 
     // Gives up on balancers that are no longer up.
-    void dropDead(const ChangeContext&);
+    void removeDead(const ChangeContext&);
 
     bool isEmpty() const { return deliveries_.empty(); }
     void clear() { deliveries_.clear(); }
--- a/Source/Flow/TableSynchronizer.cpp
+++ b/Source/Flow/TableSynchronizer.cpp
@@ -67,15 +67,15 @@
 
 void TableSynchronizer::handleMembers(const ChangeContext& context)
 {
-    reviewPromise(context);
-    deliveries_.dropDead(context);
+    checkPromise(context);
+    deliveries_.removeDead(context);
     publish(context);
 }
 
 void TableSynchronizer::handle(BalancerId from, const FlowMessage& received, const ChangeContext& context)
 {
     if (promise_ && promise_->arbiter == from)
-        promise_->heardAt = context.now;
+        promise_->lastMessageAt = context.now;
     switch (received.messageKind()) {
     case FlowMessageKind::ReportRequest:
         return handleReportRequest(from, received, context);
@@ -111,13 +111,13 @@
 {
     const bool wantsChange = desiredFactors_ != factors_ && isArbiter(context);
     const bool isIdle
-        = isSettled() && !promise_ && !reportCollection_ && deliveries_.isEmpty() && !wantsChange && !leaves_;
+        = isSettled() && !promise_ && !reportCollection_ && deliveries_.isEmpty() && !wantsChange && !isLeaving_;
     if (isIdle)
         return;
-    reviewPromise(context);
+    checkPromise(context);
     advanceChange(context);
     sendReport(context);
-    deliveries_.dropDead(context);
+    deliveries_.removeDead(context);
     deliveries_.sendDue(message(FlowMessageKind::Exceptions, settledGeneration_), context);
     requestSync(context);
     handOver(context);
@@ -134,7 +134,7 @@
     settledGeneration_ = 0;
     switchedGeneration_ = 0;
     promise_.reset();
-    intake_.reset();
+    incomingExceptions_.reset();
     reportCollection_.reset();
     deliveries_.clear();
     publish(context);
@@ -150,7 +150,7 @@
     const bool isLeading = reportCollection_ && arbiter(context) != from;
     const bool followsAnother = promise_ && promise_->arbiter != from && promise_->generation > settledGeneration_;
     // Others may wait for exceptions that this balancer alone holds; the next change begins after that.
-    if (isLeading || followsAnother || owesExceptions()) {
+    if (isLeading || followsAnother || hasPendingDeliveries()) {
         context.send(from, message(FlowMessageKind::Busy, generation));
         return;
     }
@@ -242,13 +242,13 @@
         handleSwitch(from, received, context);
         return;
     }
-    if (!intake_ || intake_->from != from || intake_->generation != generation)
-        intake_ = Intake { from, generation, {} };
+    if (!incomingExceptions_ || incomingExceptions_->from != from || incomingExceptions_->generation != generation)
+        incomingExceptions_ = IncomingExceptions { from, generation, {} };
     flows_.learn(flowsOf(received.groups), context.now);
-    intake_->parts.accept(received);
+    incomingExceptions_->parts.accept(received);
     context.send(from, ack);
     switchedGeneration_ = std::max(switchedGeneration_, generation);
-    if (intake_->parts.isComplete() && learnTable(received))
+    if (incomingExceptions_->parts.isComplete() && learnTable(received))
         settleAt(generation, context);
 }
 
@@ -273,14 +273,14 @@
     publish(context);
 }
 
-void TableSynchronizer::reviewPromise(const ChangeContext& context)
+void TableSynchronizer::checkPromise(const ChangeContext& context)
 {
     if (!promise_)
         return;
     const bool fulfilled = promise_->generation <= settledGeneration_ && promise_->report->isComplete();
     const bool arbiterIsAlive = context.isAlive(promise_->arbiter);
     const Duration limit = promise_->switched ? silenceAfterSwitch : silenceBeforeSwitch;
-    const bool isSilent = context.now - promise_->heardAt >= limit;
+    const bool isSilent = context.now - promise_->lastMessageAt >= limit;
     if (!fulfilled && arbiterIsAlive && !isSilent)
         return;
     // An arbiter that is up but not heard may switch, or have switched, without this balancer's hearing of it.
@@ -296,7 +296,7 @@
 // Whoever leaves leads nothing new.
 std::optional<BalancerId> TableSynchronizer::arbiter(const ChangeContext& context) const
 {
-    return leaves_ && !reportCollection_ ? context.otherArbiterOf(service_) : context.arbiterOf(service_);
+    return isLeaving_ && !reportCollection_ ? context.otherArbiterOf(service_) : context.arbiterOf(service_);
 }
 
 void TableSynchronizer::settleAt(std::uint64_t generation, const ChangeContext& context)
@@ -305,7 +305,7 @@
     switchedGeneration_ = std::max(switchedGeneration_, generation);
     ++settledCount_;
     adoptFactorsOf(generation);
-    intake_.reset();
+    incomingExceptions_.reset();
     if (promise_ && promise_->generation <= generation)
         promise_.reset();
     tables_.forgetBelow(generation);
--- a/Source/Flow/TableSynchronizer.h
+++ b/Source/Flow/TableSynchronizer.h
@@ -35,9 +35,9 @@
 
     // A planned stop: as soon as no change depends on this balancer, it decides nothing new any more and hands over the
     // flows that perhaps only it has seen. Until others know of the stop, they may still ask it; it passes that on.
-    void beginLeave() { leaves_ = true; }
+    void beginLeave() { isLeaving_ = true; }
     // Whether nothing is left that only this balancer knows.
-    bool mayLeave() const { return leaves_ && handover_ && handover_->parts.isComplete(); }
+    bool mayLeave() const { return isLeaving_ && handover_ && handover_->parts.isComplete(); }
 
     // Takes the target table as settled: there is nobody whose flows it could contradict.
     void settleAlone(const ChangeContext&);
@@ -47,7 +47,7 @@
     bool isSynchronized() const { return settledGeneration_ != 0; }
     bool isSettled() const { return settledGeneration_ != 0 && settledGeneration_ == targetGeneration_; }
     // Whether others still wait for exceptions that this balancer holds for them.
-    bool owesExceptions() const { return !deliveries_.isEmpty(); }
+    bool hasPendingDeliveries() const { return !deliveries_.isEmpty(); }
 
     std::uint64_t startedCount() const { return startedCount_; }
     std::uint64_t settledCount() const { return settledCount_; }
@@ -63,10 +63,10 @@
         BalancerId arbiter;
         std::uint64_t generation = 0;
         std::optional<PartSender> report;
-        TimePoint heardAt;
+        TimePoint lastMessageAt;
         bool switched = false;
     };
-    struct Intake {
+    struct IncomingExceptions {
         BalancerId from;
         std::uint64_t generation = 0;
         PartReceiver parts;
@@ -89,7 +89,7 @@
     void handleRelease(BalancerId from, const FlowMessage&, const ChangeContext&);
     void handleSyncRequest(BalancerId from, const FlowMessage&, const ChangeContext&);
 
-    void reviewPromise(const ChangeContext&);
+    void checkPromise(const ChangeContext&);
     void advanceChange(const ChangeContext&);
     void startChange(const ChangeContext&);
     void abortChange(const ChangeContext&);
@@ -128,7 +128,7 @@
     std::uint64_t factorsRevision_ = 0;
     WeightFactors desiredFactors_;
     // The last one that this balancer gave, also for a change that came to nothing.
-    std::uint64_t numberedRevision_ = 0;
+    std::uint64_t lastIssuedRevision_ = 0;
     std::shared_ptr<const ServerDirectory> directory_;
     // By which this balancer decides on its own; 0 while it does not know the exceptions of any table.
     std::uint64_t settledGeneration_ = 0;
@@ -138,11 +138,11 @@
     std::uint64_t targetGeneration_ = 0;
 
     std::optional<Promise> promise_;
-    std::optional<Intake> intake_;
+    std::optional<IncomingExceptions> incomingExceptions_;
     // Set on the arbiter from the start of a change to its switch.
     std::optional<ReportCollection> reportCollection_;
     ExceptionDeliveries deliveries_;
-    bool leaves_ = false;
+    bool isLeaving_ = false;
     std::optional<Handover> handover_;
     std::optional<TimePoint> syncRequestedAt_;
 
--- a/Source/Flow/TableSynchronizerArbiter.cpp
+++ b/Source/Flow/TableSynchronizerArbiter.cpp
@@ -51,9 +51,9 @@
         // A number that an abandoned change had is never given again: others may still know it by other factors.
         const std::uint64_t switched
             = TableGeneration(std::max(switchedGeneration_, targetGeneration_)).factorsRevision();
-        const std::uint64_t highest = std::max({ switched, factorsRevision_, numberedRevision_ });
-        numberedRevision_ = TableGeneration::nextRevision(highest, context.view.self);
-        generation = TableGeneration(version_, numberedRevision_).number();
+        const std::uint64_t highest = std::max({ switched, factorsRevision_, lastIssuedRevision_ });
+        lastIssuedRevision_ = TableGeneration::nextRevision(highest, context.view.self);
+        generation = TableGeneration(version_, lastIssuedRevision_).number();
         makeTable(generation, desiredFactors_);
     }
     reportCollection_.emplace(generation);
@@ -148,7 +148,7 @@
 // moves its bucket.
 void TableSynchronizer::handOver(const ChangeContext& context)
 {
-    if (!leaves_ || reportCollection_ || promise_ || owesExceptions() || !isSettled())
+    if (!isLeaving_ || reportCollection_ || promise_ || hasPendingDeliveries() || !isSettled())
         return;
     const auto receiver = context.otherArbiterOf(service_);
     const bool lost = handover_ && !handover_->parts.isComplete() && handover_->to != receiver;
