--- a/Source/Flow/ExceptionDeliveries.cpp
+++ b/Source/Flow/ExceptionDeliveries.cpp
@@ -18,7 +18,7 @@
     const auto delivery = deliveries_.find(from);
     if (delivery == deliveries_.end() || delivery->second.generation != ack.targetGeneration)
         return false;
-    delivery->second.parts.acknowledge(ack.list, ack.part);
+    delivery->second.parts.acknowledge(ack.listId, ack.part);
     if (!delivery->second.parts.isComplete())
         return false;
     deliveries_.erase(delivery);
--- a/Source/Flow/FlowMessage.h
+++ b/Source/Flow/FlowMessage.h
@@ -60,7 +60,7 @@
     std::vector<WeightFactorEntry> factors;
     // Tells apart the lists that one sender cut at different times; it rises. Parts of two lists must never be mixed,
     // since each list is cut at other places.
-    std::uint64_t list = 0;
+    std::uint64_t listId = 0;
     // Parts are numbered from 0; an empty list is one empty part.
     std::uint32_t part = 0;
     std::uint32_t partCount = 0;
@@ -68,8 +68,8 @@
 
     FlowMessageKind messageKind() const { return static_cast<FlowMessageKind>(kind); }
     bool operator==(const FlowMessage&) const = default;
-    MSGPACK_DEFINE_ARRAY(
-        kind, service, settledGeneration, switchedGeneration, targetGeneration, factors, list, part, partCount, groups)
+    MSGPACK_DEFINE_ARRAY(kind, service, settledGeneration, switchedGeneration, targetGeneration, factors, listId, part,
+        partCount, groups)
 };
 
 // The most flows in one message, so that it fits a datagram of 1200 bytes together with the factors.
--- a/Source/Flow/FlowParts.cpp
+++ b/Source/Flow/FlowParts.cpp
@@ -13,7 +13,7 @@
 
 }
 
-std::shared_ptr<const FlowParts> cutIntoParts(const std::vector<KnownFlow>& flows)
+std::shared_ptr<const FlowParts> splitIntoParts(const std::vector<KnownFlow>& flows)
 {
     std::vector<KnownFlow> sorted = flows;
     std::sort(sorted.begin(), sorted.end(),
@@ -76,7 +76,7 @@
 
 PartSender::PartSender(std::shared_ptr<const FlowParts> parts, TimePoint now)
     : parts_(std::move(parts))
-    , list_(static_cast<std::uint64_t>(now.time_since_epoch().count()))
+    , listId_(static_cast<std::uint64_t>(now.time_since_epoch().count()))
     , progress_(parts_->size())
     , unacknowledged_(parts_->size())
 {
@@ -98,7 +98,7 @@
 
 void PartSender::fill(FlowMessage& message, std::uint32_t part) const
 {
-    message.list = list_;
+    message.listId = listId_;
     message.part = part;
     message.partCount = static_cast<std::uint32_t>(parts_->size());
     message.groups = (*parts_)[part];
@@ -106,7 +106,7 @@
 
 void PartSender::acknowledge(std::uint64_t list, std::uint32_t part)
 {
-    if (list != list_ || part >= progress_.size() || progress_[part].acknowledged)
+    if (list != listId_ || part >= progress_.size() || progress_[part].acknowledged)
         return;
     progress_[part].acknowledged = true;
     --unacknowledged_;
@@ -116,10 +116,10 @@
 {
     if (message.partCount == 0 || message.partCount > maxParts || message.part >= message.partCount)
         return false;
-    if (message.list < list_)
+    if (message.listId < listId_)
         return false;
-    if (seen_.empty() || message.list > list_) {
-        list_ = message.list;
+    if (seen_.empty() || message.listId > listId_) {
+        listId_ = message.listId;
         seen_.assign(message.partCount, false);
         missing_ = message.partCount;
     }
--- a/Source/Flow/FlowParts.h
+++ b/Source/Flow/FlowParts.h
@@ -14,7 +14,7 @@
 // learns that it is complete.
 using FlowParts = std::vector<std::vector<FlowGroup>>;
 
-std::shared_ptr<const FlowParts> cutIntoParts(const std::vector<KnownFlow>&);
+std::shared_ptr<const FlowParts> splitIntoParts(const std::vector<KnownFlow>&);
 std::vector<KnownFlow> flowsOf(const std::vector<FlowGroup>&);
 
 // Bounds the control bytes of a balancer while tables change: a token bucket that holds at most one second's worth.
@@ -61,7 +61,7 @@
     };
 
     std::shared_ptr<const FlowParts> parts_;
-    std::uint64_t list_;
+    std::uint64_t listId_;
     std::vector<Progress> progress_;
     std::size_t unacknowledged_;
 };
@@ -75,7 +75,7 @@
     bool isComplete() const { return !seen_.empty() && missing_ == 0; }
 
 private:
-    std::uint64_t list_ = 0;
+    std::uint64_t listId_ = 0;
     std::vector<bool> seen_;
     std::size_t missing_ = 0;
 };
--- a/Source/Flow/TableSynchronizer.cpp
+++ b/Source/Flow/TableSynchronizer.cpp
@@ -100,7 +100,7 @@
         return handleHandover(from, received, context);
     case FlowMessageKind::HandoverAck:
         if (handover_ && handover_->to == from)
-            handover_->parts.acknowledge(received.list, received.part);
+            handover_->parts.acknowledge(received.listId, received.part);
         return;
     case FlowMessageKind::SyncRequest:
         return handleSyncRequest(from, received, context);
@@ -168,7 +168,8 @@
     // The arbiter may be settled at an older generation than this balancer, and then lacks older exceptions too.
     const std::uint64_t first = std::min(settledGeneration_, request.settledGeneration);
     const BucketSet buckets = first == 0 ? allBuckets() : tables_.differingBuckets(first, generation);
-    promise_->report.emplace(cutIntoParts(flows_.installAndCollect(routingFor(context), buckets, *table)), context.now);
+    promise_->report.emplace(
+        splitIntoParts(flows_.installAndCollect(routingFor(context), buckets, *table)), context.now);
     sendReport(context);
 }
 
@@ -184,7 +185,7 @@
     }
     flows_.learn(flowsOf(report.groups), context.now);
     FlowMessage ack = message(FlowMessageKind::ReportAck, report.targetGeneration);
-    ack.list = report.list;
+    ack.listId = report.listId;
     ack.part = report.part;
     context.send(from, ack);
     if (isLate)
@@ -203,7 +204,7 @@
 {
     const bool isMine = promise_ && promise_->arbiter == from && promise_->generation == ack.targetGeneration;
     if (isMine && promise_->report)
-        promise_->report->acknowledge(ack.list, ack.part);
+        promise_->report->acknowledge(ack.listId, ack.part);
 }
 
 void TableSynchronizer::handleSwitch(BalancerId from, const FlowMessage& announced, const ChangeContext& context)
@@ -230,7 +231,7 @@
 {
     const std::uint64_t generation = received.targetGeneration;
     FlowMessage ack = message(FlowMessageKind::ExceptionsAck, generation);
-    ack.list = received.list;
+    ack.listId = received.listId;
     ack.part = received.part;
     if (generation <= settledGeneration_) {
         context.send(from, ack);
--- a/Source/Flow/TableSynchronizerArbiter.cpp
+++ b/Source/Flow/TableSynchronizerArbiter.cpp
@@ -87,14 +87,14 @@
 void TableSynchronizer::deliverAfterSwitch(const ReportCollection& reports, std::uint64_t previouslySettled,
     const std::vector<KnownFlow>& exceptions, const ChangeContext& context)
 {
-    const auto changedParts = cutIntoParts(exceptions);
+    const auto changedParts = splitIntoParts(exceptions);
     std::shared_ptr<const FlowParts> allParts;
     context.forEachOther([&](const Member& member) {
         context.send(member.id, message(FlowMessageKind::Switch, settledGeneration_));
         // Whoever decided by the same table holds all older exceptions; anybody else needs them too.
         const bool heldTheSame = previouslySettled != 0 && reports.settledGenerationOf(member.id) == previouslySettled;
         if (!heldTheSame && !allParts)
-            allParts = cutIntoParts(flows_.collect(allBuckets(), *tables_.find(settledGeneration_)));
+            allParts = splitIntoParts(flows_.collect(allBuckets(), *tables_.find(settledGeneration_)));
         deliveries_.start(member.id, settledGeneration_, heldTheSame ? changedParts : allParts, context.now);
     });
     deliveries_.sendDue(message(FlowMessageKind::Exceptions, settledGeneration_), context);
@@ -127,7 +127,7 @@
     if (!canHelp)
         return;
     const auto flows = flows_.collect(allBuckets(), *tables_.find(settledGeneration_));
-    deliveries_.start(from, settledGeneration_, cutIntoParts(flows), context.now);
+    deliveries_.start(from, settledGeneration_, splitIntoParts(flows), context.now);
 }
 
 void TableSynchronizer::requestSync(const ChangeContext& context)
@@ -153,10 +153,10 @@
     const auto receiver = context.otherArbiterOf(service_);
     const bool lost = handover_ && !handover_->parts.isComplete() && handover_->to != receiver;
     if (!handover_ || lost) {
-        handover_.emplace(Handover { receiver.value_or(BalancerId {}), PartSender(cutIntoParts({}), context.now) });
+        handover_.emplace(Handover { receiver.value_or(BalancerId {}), PartSender(splitIntoParts({}), context.now) });
         const auto flows = flows_.installAndCollectRare(routingFor(context));
         if (receiver)
-            handover_->parts = PartSender(cutIntoParts(flows), context.now);
+            handover_->parts = PartSender(splitIntoParts(flows), context.now);
         else
             handover_->parts.acknowledgeAll();
     }
@@ -168,7 +168,7 @@
 {
     flows_.learn(flowsOf(handover.groups), context.now);
     FlowMessage ack = message(FlowMessageKind::HandoverAck, handover.targetGeneration);
-    ack.list = handover.list;
+    ack.listId = handover.listId;
     ack.part = handover.part;
     context.send(from, ack);
 }
