--- a/Source/Flow/FlowEngine.cpp
+++ b/Source/Flow/FlowEngine.cpp
@@ -65,7 +65,7 @@
     Implementation(FlowSettings settingsToUse, BalancerId selfId)
         : settings(settingsToUse)
         , view(std::make_shared<MembersView>())
-        , tracking(std::make_shared<TrackingBudget>(settingsToUse.trackedFlows))
+        , tracking(std::make_shared<FlowTrackingCounters>(settingsToUse.trackedFlows))
         , budget(settingsToUse.transitionBytesPerSecond, TimePoint())
     {
         auto alone = std::make_shared<MembersView>();
@@ -89,7 +89,7 @@
 
     const FlowSettings settings;
     std::shared_ptr<const MembersView> view;
-    std::shared_ptr<TrackingBudget> tracking;
+    std::shared_ptr<FlowTrackingCounters> tracking;
     SendBudget budget;
     FlowActions noActions;
     ServiceIndex index;
@@ -237,7 +237,7 @@
 
 FlowCounters FlowEngine::counters() const
 {
-    const TrackingBudget& tracking = *implementation_->tracking;
+    const FlowTrackingCounters& tracking = *implementation_->tracking;
     FlowCounters counters;
     counters.trackedFlows = tracking.tracked;
     counters.newFlows = tracking.newFlows;
--- a/Source/Flow/FlowTable.cpp
+++ b/Source/Flow/FlowTable.cpp
@@ -49,8 +49,8 @@
 
 }
 
-FlowTable::FlowTable(std::uint32_t shardCount, std::shared_ptr<TrackingBudget> budget, bool tracksFlows)
-    : budget_(std::move(budget))
+FlowTable::FlowTable(std::uint32_t shardCount, std::shared_ptr<FlowTrackingCounters> budget, bool tracksFlows)
+    : counters_(std::move(budget))
     , tracksFlows_(tracksFlows)
 {
     for (std::uint32_t i = 0; i < shardCount; ++i) {
@@ -61,9 +61,9 @@
 
 FlowTable::~FlowTable()
 {
-    budget_->tracked -= size();
+    counters_->tracked -= size();
     for (const auto& shard : shards_)
-        budget_->exceptions -= shard->exceptions;
+        counters_->exceptions -= shard->exceptions;
 }
 
 RouteDecision FlowTable::route(FlowKey key, const FlowPacket& packet, TimePoint now)
@@ -89,7 +89,7 @@
                 known->second.server };
         }
         shard.flows.erase(known);
-        --budget_->tracked;
+        --counters_->tracked;
     }
 
     const BucketIndex bucket = bucketOf(key);
@@ -98,7 +98,7 @@
         const RouteDecision decision
             = routing.isArbiter ? drop(DropReason::NoArbiter, routing.service) : handToArbiter(routing, packet);
         if (decision.kind == RouteKind::ToBalancer)
-            budget_->forwardedPackets.fetch_add(1, std::memory_order_relaxed);
+            counters_->forwardedPackets.fetch_add(1, std::memory_order_relaxed);
         return decision;
     }
     const auto server = routing.directory->find(table->at(bucket));
@@ -112,14 +112,14 @@
 {
     if (!tracksFlows_)
         return;
-    budget_->newFlows.fetch_add(1, std::memory_order_relaxed);
+    counters_->newFlows.fetch_add(1, std::memory_order_relaxed);
     // Memory is bounded: a flow beyond the limit is served by the table alone. It breaks only if its bucket changes
     // while it lives; the counter tells operators that this may happen.
-    if (budget_->tracked.load(std::memory_order_relaxed) >= budget_->capacity) {
-        budget_->untrackedNewFlows.fetch_add(1, std::memory_order_relaxed);
+    if (counters_->tracked.load(std::memory_order_relaxed) >= counters_->capacity) {
+        counters_->untrackedNewFlows.fetch_add(1, std::memory_order_relaxed);
         return;
     }
-    budget_->tracked.fetch_add(1, std::memory_order_relaxed);
+    counters_->tracked.fetch_add(1, std::memory_order_relaxed);
     shard.flows.emplace(key, Entry { server, secondsOf(now), 1 });
 }
 
@@ -185,7 +185,7 @@
         // Learned flows are exceptions, which no table finds again: they are kept even when the budget is spent.
         const bool isNew = shard.flows.try_emplace(flow.key, Entry { flow.server, secondsOf(now), 0 }).second;
         if (isNew)
-            ++budget_->tracked;
+            ++counters_->tracked;
     }
 }
 
@@ -205,7 +205,7 @@
     const BucketTable* settled = shard.routing->settledTable.get();
     shard.activeFlows.clear();
     std::size_t exceptions = 0;
-    budget_->tracked -= absl::erase_if(shard.flows, [&](const auto& flow) {
+    counters_->tracked -= absl::erase_if(shard.flows, [&](const auto& flow) {
         const bool isException = settled && settled->at(bucketOf(flow.first)) != flow.second.server;
         const std::uint32_t limit = isException ? idleSeconds * exceptionIdleFactor : idleSeconds;
         const bool isIdle = idleSince(flow.second.lastSeenSeconds) > limit;
@@ -214,7 +214,7 @@
         exceptions += isException && !isIdle;
         return isIdle;
     });
-    budget_->exceptions += exceptions - shard.exceptions;
+    counters_->exceptions += exceptions - shard.exceptions;
     shard.exceptions = exceptions;
     return looked;
 }
--- a/Source/Flow/FlowTable.h
+++ b/Source/Flow/FlowTable.h
@@ -17,8 +17,8 @@
 namespace wisteriadock {
 
 // How many flows all services together may track, and how many they do. Shared by the tables of all services.
-struct TrackingBudget {
-    explicit TrackingBudget(std::size_t capacityToUse)
+struct FlowTrackingCounters {
+    explicit FlowTrackingCounters(std::size_t capacityToUse)
         : capacity(capacityToUse)
     {
     }
@@ -41,7 +41,7 @@
 // rules by which unknown flows are decided. Packet threads call route(); the control thread calls the rest.
 class FlowTable {
 public:
-    FlowTable(std::uint32_t shardCount, std::shared_ptr<TrackingBudget>, bool tracksFlows);
+    FlowTable(std::uint32_t shardCount, std::shared_ptr<FlowTrackingCounters>, bool tracksFlows);
     ~FlowTable();
 
     RouteDecision route(FlowKey, const FlowPacket&, TimePoint now);
@@ -96,7 +96,7 @@
     static void collectFrom(const Shard&, const BucketSet&, const BucketTable&, std::vector<KnownFlow>&);
 
     std::vector<std::unique_ptr<Shard>> shards_;
-    std::shared_ptr<TrackingBudget> budget_;
+    std::shared_ptr<FlowTrackingCounters> counters_;
     const bool tracksFlows_;
 };
 
--- a/Source/Flow/ServiceIndex.h
+++ b/Source/Flow/ServiceIndex.h
@@ -14,7 +14,8 @@
 
 // The flows of one service, as the packet path finds them.
 struct ServiceFlows {
-    ServiceFlows(ServiceId serviceId, std::uint32_t shardCount, std::shared_ptr<TrackingBudget> budget, bool tracks)
+    ServiceFlows(
+        ServiceId serviceId, std::uint32_t shardCount, std::shared_ptr<FlowTrackingCounters> budget, bool tracks)
         : id(serviceId)
         , table(shardCount, std::move(budget), tracks)
     {
