--- a/Source/Flow/BucketTable.cpp
+++ b/Source/Flow/BucketTable.cpp
@@ -21,7 +21,7 @@
         case FlowPolicy::Protected:
             break;
         }
-        return EvenRendezvous::assign(input);
+        return BoundedRendezvousAssignment::assign(input);
     }
 
 }
--- a/Source/Flow/TablePolicies.cpp
+++ b/Source/Flow/TablePolicies.cpp
@@ -12,7 +12,7 @@
 
 static_assert(
     TablePolicy<
-        EvenRendezvous> && TablePolicy<ModuloAssignment> && TablePolicy<RingAssignment> && TablePolicy<BoundedRingAssignment>);
+        BoundedRendezvousAssignment> && TablePolicy<ModuloAssignment> && TablePolicy<RingAssignment> && TablePolicy<BoundedRingAssignment>);
 
 namespace {
 
@@ -92,7 +92,7 @@
 
 }
 
-std::vector<BackendServerId> EvenRendezvous::assign(const TableInput& input)
+std::vector<BackendServerId> BoundedRendezvousAssignment::assign(const TableInput& input)
 {
     const bool capped = input.evenness > 0;
     const double margin = (1 - input.evenness) * maxMargin;
--- a/Source/Flow/TablePolicies.h
+++ b/Source/Flow/TablePolicies.h
@@ -25,7 +25,7 @@
 
 // Rendezvous hashing in which no server gets more than its share of the buckets plus a margin. The evenness sets the
 // margin: 1 leaves none, so that shares are equal to within a bucket; 0 sets no cap, so that the fewest buckets move.
-struct EvenRendezvous {
+struct BoundedRendezvousAssignment {
     static std::vector<BackendServerId> assign(const TableInput&);
 };
 
