--- a/Source/Flow/FlowTable.cpp
+++ b/Source/Flow/FlowTable.cpp
@@ -17,7 +17,7 @@
     constexpr std::uint32_t activeSeconds = 10;
 
     // A flow of more packets than this has been seen by some other balancer, too, unless there is none.
-    constexpr std::uint32_t rarePackets = 8;
+    constexpr std::uint32_t rarelySeenPackets = 8;
     constexpr std::uint32_t maxPacketCount = 255;
 
     constexpr std::uint32_t secondsMask = (1U << 24) - 1;
@@ -143,14 +143,14 @@
     return flows;
 }
 
-std::vector<KnownFlow> FlowTable::installAndCollectRare(const std::shared_ptr<const RoutingState>& routing)
+std::vector<KnownFlow> FlowTable::installAndCollectRarelySeen(const std::shared_ptr<const RoutingState>& routing)
 {
     std::vector<KnownFlow> flows;
     for (const auto& shard : shards_) {
         const std::lock_guard lock(shard->mutex);
         shard->routing = routing;
         for (const auto& [key, entry] : shard->flows) {
-            if (entry.packets <= rarePackets)
+            if (entry.packets <= rarelySeenPackets)
                 flows.push_back({ key, entry.server });
         }
     }
--- a/Source/Flow/FlowTable.h
+++ b/Source/Flow/FlowTable.h
@@ -58,7 +58,7 @@
 
     // Puts new rules in force and collects the flows of which so few packets came here that perhaps no other balancer
     // has seen one.
-    std::vector<KnownFlow> installAndCollectRare(const std::shared_ptr<const RoutingState>&);
+    std::vector<KnownFlow> installAndCollectRarelySeen(const std::shared_ptr<const RoutingState>&);
 
     // Learns flows from another balancer. What is known already stays.
     void learn(const std::vector<KnownFlow>&, TimePoint now);
--- a/Source/Flow/TableSynchronizerArbiter.cpp
+++ b/Source/Flow/TableSynchronizerArbiter.cpp
@@ -154,7 +154,7 @@
     const bool lost = handover_ && !handover_->parts.isComplete() && handover_->to != receiver;
     if (!handover_ || lost) {
         handover_.emplace(Handover { receiver.value_or(BalancerId {}), PartSender(splitIntoParts({}), context.now) });
-        const auto flows = flows_.installAndCollectRare(routingFor(context));
+        const auto flows = flows_.installAndCollectRarelySeen(routingFor(context));
         if (receiver)
             handover_->parts = PartSender(splitIntoParts(flows), context.now);
         else
