--- a/Source/Flow/FlowEngine.cpp
+++ b/Source/Flow/FlowEngine.cpp
@@ -81,11 +81,11 @@
         const absl::flat_hash_set<Endpoint>& usedAddresses, const std::shared_ptr<const ServerDirectory>& previous,
         TimePoint now) const;
     void publishIndex(const Configuration&);
-    void considerBootstrap(const ChangeContext&);
-    bool mayBootstrap() const;
-    void reviewSynchronization();
+    void bootstrapIfDue(const ChangeContext&);
+    bool canBootstrap() const;
+    void updateSynchronized();
     void sweepIdleFlows(TimePoint now);
-    void reviewWeights(const ChangeContext&);
+    void updateWeightFactors(const ChangeContext&);
 
     const FlowSettings settings;
     std::shared_ptr<const MembersView> view;
@@ -96,8 +96,8 @@
     std::map<ServiceId, ServiceControl> services;
     std::uint64_t version = 0;
     bool synchronized = false;
-    std::optional<TimePoint> withoutServingSince;
-    std::optional<TimePoint> weightsReviewedAt;
+    std::optional<TimePoint> noServingMemberSince;
+    std::optional<TimePoint> weightFactorsUpdatedAt;
     std::atomic<TimePoint> lastTick { TimePoint() };
     std::atomic<bool> awaitsContact { false };
     // The shard that the search for idle flows comes to next.
@@ -136,7 +136,7 @@
         return actions;
     implementation_->version = version;
     implementation_->applyConfiguration(*configuration, version, implementation_->context(now, actions));
-    implementation_->reviewSynchronization();
+    implementation_->updateSynchronized();
     return actions;
 }
 
@@ -149,11 +149,11 @@
     if (engine.view->isolated)
         engine.awaitsContact.store(true, std::memory_order_relaxed);
     const ChangeContext context = engine.context(now, actions);
-    const bool isBack = wasIsolated && !engine.view->isolated;
-    if (isBack && protectsFlows(engine.settings.policy))
+    const bool hasContactAgain = wasIsolated && !engine.view->isolated;
+    if (hasContactAgain && protectsFlows(engine.settings.policy))
         engine.synchronized = false;
     for (auto& [id, service] : engine.services) {
-        if (isBack && protectsFlows(engine.settings.policy))
+        if (hasContactAgain && protectsFlows(engine.settings.policy))
             service.synchronizer->desynchronize(context);
         service.synchronizer->handleMembers(context);
     }
@@ -175,7 +175,7 @@
     const auto service = implementation_->services.find(ServiceId { message.service });
     if (service != implementation_->services.end())
         service->second.synchronizer->handle(from, message, context);
-    implementation_->reviewSynchronization();
+    implementation_->updateSynchronized();
     return actions;
 }
 
@@ -188,11 +188,11 @@
         return actions;
     engine.budget.refill(now);
     const ChangeContext context = engine.context(now, actions);
-    engine.considerBootstrap(context);
-    engine.reviewWeights(context);
+    engine.bootstrapIfDue(context);
+    engine.updateWeightFactors(context);
     for (auto& [id, service] : engine.services)
         service.synchronizer->tick(context);
-    engine.reviewSynchronization();
+    engine.updateSynchronized();
     engine.sweepIdleFlows(now);
     return actions;
 }
@@ -317,22 +317,22 @@
     index.publish(std::move(map));
 }
 
-void FlowEngine::Implementation::considerBootstrap(const ChangeContext& context)
+void FlowEngine::Implementation::bootstrapIfDue(const ChangeContext& context)
 {
-    if (synchronized || services.empty() || !mayBootstrap()) {
-        withoutServingSince.reset();
+    if (synchronized || services.empty() || !canBootstrap()) {
+        noServingMemberSince.reset();
         return;
     }
-    if (!withoutServingSince)
-        withoutServingSince = context.now;
-    if (context.now - *withoutServingSince < settings.bootstrapWait)
+    if (!noServingMemberSince)
+        noServingMemberSince = context.now;
+    if (context.now - *noServingMemberSince < settings.bootstrapWait)
         return;
     for (auto& [id, service] : services)
         service.synchronizer->settleAlone(context);
 }
 
 // Nobody who serves is in sight, and this balancer is the first of those that could begin.
-bool FlowEngine::Implementation::mayBootstrap() const
+bool FlowEngine::Implementation::canBootstrap() const
 {
     // Before the first view nothing is known about the others; taking silence for solitude would contradict them.
     if (!protectsFlows(settings.policy) || !view->findSelf())
@@ -348,12 +348,12 @@
 
 // The arbiter of a service says what its servers should get; all others stand by what was agreed, so that one of them
 // that becomes the arbiter does not begin by undoing it.
-void FlowEngine::Implementation::reviewWeights(const ChangeContext& context)
+void FlowEngine::Implementation::updateWeightFactors(const ChangeContext& context)
 {
-    const bool isDue = !weightsReviewedAt || context.now - *weightsReviewedAt >= settings.weightsInterval;
+    const bool isDue = !weightFactorsUpdatedAt || context.now - *weightFactorsUpdatedAt >= settings.weightsInterval;
     if (!isDue || !protectsFlows(settings.policy))
         return;
-    weightsReviewedAt = context.now;
+    weightFactorsUpdatedAt = context.now;
     for (auto& [id, service] : services) {
         TableSynchronizer& synchronizer = *service.synchronizer;
         if (synchronizer.isArbiter(context))
@@ -364,7 +364,7 @@
     }
 }
 
-void FlowEngine::Implementation::reviewSynchronization()
+void FlowEngine::Implementation::updateSynchronized()
 {
     // Services that come later do not make this balancer a newcomer again.
     if (synchronized || services.empty())
