--- a/Source/Flow/BucketTable.h
+++ b/Source/Flow/BucketTable.h
@@ -15,7 +15,8 @@
 // A set of buckets of one service.
 using BucketSet = std::bitset<bucketCount>;
 
-// A backend server's claim on new flows: its weight relative to the other candidates. Zero means none.
+// A backend server and its weight for new flows, relative to the other servers of the service. A server of weight zero
+// gets no buckets.
 struct ServerShare {
     BackendServerId server;
     std::uint32_t weight = 0;
@@ -23,18 +24,20 @@
     bool operator==(const ServerShare&) const = default;
 };
 
-// Names the backend server of each bucket of one service. It depends on nothing but the policy, the evenness and the
-// shares, so that balancers that know the same configuration hold the same table without talking. Immutable.
+// Maps each bucket of one service to a backend server. TableDefinition builds it. The result depends only on the
+// arguments of build(), so balancers with the same configuration compute the same table without exchanging it.
+// Immutable.
 class BucketTable {
 public:
-    // The shares may be in any order; those without weight are left out.
+    // The shares may be in any order; those of weight zero are skipped. The evenness is from 0 (fewest buckets move
+    // when servers change) to 1 (equal shares of the buckets).
     static std::shared_ptr<const BucketTable> build(
         FlowPolicy, double evenness, ServiceId, std::span<const ServerShare>);
 
-    // The server of a bucket; an id of zero when the service has no server that takes flows.
+    // The server of a bucket; an id of zero when no server of the service takes new flows.
     BackendServerId at(BucketIndex bucket) const { return servers_[bucket]; }
 
-    // Adds the buckets in which the two tables differ.
+    // Sets the buckets in which the two tables differ; buckets that are already set stay set.
     static void addDifference(const BucketTable&, const BucketTable&, BucketSet&);
 
 private:
--- a/Source/Flow/ChangeContext.h
+++ b/Source/Flow/ChangeContext.h
@@ -9,7 +9,8 @@
 
 namespace wisteriadock {
 
-// What the control side of one service sees of its surroundings during one call.
+// The state of the engine that a TableSynchronizer uses during one call: membership, settings, send budget and time.
+// The messages to send are appended to the actions.
 struct ChangeContext {
     const MembersView& view;
     const FlowSettings& settings;
@@ -18,9 +19,9 @@
     FlowActions& actions;
 
     void send(BalancerId to, FlowMessage message) const { actions.push_back({ to, std::move(message) }); }
-    // Whether the balancer counts as up, as far as this one knows.
+    // Whether the membership view lists the balancer in any state other than dead.
     bool isAlive(BalancerId) const;
-    // Calls the function with each other balancer that counts as up.
+    // Calls the function with each member other than this balancer that is not dead.
     template <typename Function> void forEachOther(Function function) const
     {
         for (const Member& member : view.members) {
@@ -28,9 +29,10 @@
                 function(member);
         }
     }
-    // The balancer that should lead changes of the service: the first by rendezvous hashing among the serving ones.
+    // The arbiter of the service, the balancer that coordinates changes of its table: the serving member with the
+    // highest rendezvous hash for the service. None when no member serves.
     std::optional<BalancerId> arbiterOf(ServiceId) const;
-    // The same among the others.
+    // The arbiter of the service if this balancer is not considered.
     std::optional<BalancerId> otherArbiterOf(ServiceId) const;
 };
 
--- a/Source/Flow/ExceptionDeliveries.h
+++ b/Source/Flow/ExceptionDeliveries.h
@@ -8,21 +8,23 @@
 
 namespace wisteriadock {
 
-// Brings the exceptions of one service's table to other balancers, each with retries of its own, within the budget.
-// The arbiter uses it after a switch and to bring a newcomer up to date.
+// Sends the exceptions of one service's table (the flows that stay on a server other than the table's) to other
+// balancers, with retries per balancer and within the send budget. The arbiter uses it after it has switched to a new
+// table, and to synchronize a balancer that asks for it.
 class ExceptionDeliveries {
 public:
-    // Starts a delivery unless one of the same generation runs already.
+    // Starts a delivery to the balancer, unless one of the same generation is in progress. A delivery of another
+    // generation is replaced.
     void start(BalancerId to, std::uint64_t generation, std::shared_ptr<const FlowParts>, TimePoint now);
 
-    // Counts an acknowledgement. Returns whether it was the last one of its delivery.
+    // Processes an acknowledgement. Returns whether it completed the delivery.
     bool acknowledge(BalancerId from, const FlowMessage& ack);
 
-    // Sends what is due. The header gives service and generations. The switch is announced again and again, since an
-    // arbiter that dies must leave no one in doubt whether it had switched.
+    // Sends the parts that are due. The header supplies the service and the generations. The switch is announced again
+    // at each retry interval, so that the other balancers know of it if the arbiter dies before all parts have arrived.
     void sendDue(const FlowMessage& header, const ChangeContext&);
 
-    // Gives up on balancers that are no longer up.
+    // Cancels the deliveries to balancers that are dead.
     void removeDead(const ChangeContext&);
 
     bool isEmpty() const { return deliveries_.empty(); }
--- a/Source/Flow/FlowEngine.h
+++ b/Source/Flow/FlowEngine.h
@@ -14,7 +14,7 @@
 
 namespace wisteriadock {
 
-// A message for the flow engine of another balancer. It may be lost; the engine sends again what matters.
+// A message for the flow engine of another balancer. The transport may lose it; the engine retransmits where needed.
 struct SendFlowMessage {
     BalancerId to;
     FlowMessage message;
@@ -22,7 +22,7 @@
 
 using FlowActions = std::vector<SendFlowMessage>;
 
-// Counters of one engine since its start.
+// Counters of one engine since its start; trackedFlows, exceptions and unsettledServices are current numbers.
 struct FlowCounters {
     std::uint64_t trackedFlows = 0;
     std::uint64_t untrackedNewFlows = 0;
@@ -31,16 +31,17 @@
     std::uint64_t transitionsStarted = 0;
     std::uint64_t transitionsSettled = 0;
     std::uint64_t transitionsForced = 0;
-    // Flows that stay on a server other than the one their bucket names, over all services, as of the last sweep.
+    // Flows that stay on a server other than the one of their bucket, over all services, as of the last idle sweep.
     std::uint64_t exceptions = 0;
     std::uint64_t unsettledServices = 0;
 };
 
-// Decides for each packet of a flow where it goes, and agrees with the engines of the other balancers on every change
-// of that answer, so that a flow's packets reach one backend server whichever balancer they arrive at.
-// docs/design/flows.md tells why it works. It does no I/O: packets and events go in, decisions and actions come out.
+// Selects the backend server for each packet, and coordinates every change of the bucket tables with the engines of the
+// other balancers, so that all packets of a flow reach the same backend server whichever balancer receives them.
+// docs/design/flows.md describes the protocol. The engine does no I/O: the caller passes packets and events in, and
+// carries out the decisions and actions that are returned.
 //
-// route() may be called from many threads at once. The other calls belong to one control thread.
+// route() may be called from many threads concurrently. All other functions must be called from one control thread.
 class FlowEngine {
 public:
     FlowEngine(FlowSettings, BalancerId self, std::uint64_t seed);
@@ -48,27 +49,28 @@
 
     RouteDecision route(const FlowPacket&, TimePoint now);
 
-    // A configuration came into force. Versions that are not above the present one are ignored.
+    // Applies a configuration. A version that is not above the current one is ignored.
     FlowActions applyConfiguration(const std::shared_ptr<const Configuration>&, std::uint64_t version, TimePoint now);
-    // The first view must not be applied before the seeds have answered or been silent for a lease: a balancer that
-    // takes itself for the only one begins by its own tables.
+    // Applies a membership view. The first view must not be applied before the seeds have answered or have not answered
+    // for the duration of a lease: a balancer that sees no other member starts to serve by its own tables.
     FlowActions applyMembers(std::shared_ptr<const MembersView>, TimePoint now);
     FlowActions handle(BalancerId from, const FlowMessage&, TimePoint now);
-    // Call it every 50 to 100 ms.
+    // Sends what is due and runs the timeouts. Must be called every 50 to 100 ms.
     FlowActions tick(TimePoint now);
 
-    // What a health check says of a backend server. Only the service's arbiter acts on it, so only it need check.
+    // Reports the result of a health check of a backend server. Only the service's arbiter uses it, so only the arbiter
+    // needs to run checks.
     void setHealth(ServiceId, BackendServerId, bool isHealthy, TimePoint now);
     bool isArbiterOf(ServiceId) const;
 
-    // Whether this balancer holds what it needs to decide for all services; it may then call itself Serving.
+    // Whether this balancer has a settled table and its exceptions for all services, and so may announce itself as
+    // Serving. Stays true when services are added later.
     bool isSynchronized() const;
-    // Begins a planned stop: what only this balancer knows goes to others. Keep ticking.
+    // Begins a planned stop: flows that no other balancer may have seen are handed over. tick() must still be called.
     void beginLeave();
-    // Whether the planned stop that has begun may be announced: no flow and no change of a table depends on this
-    // balancer.
+    // Whether the planned stop may be announced, because no flow and no table change depends on this balancer any more.
     bool mayLeave() const;
-    // The server that new flows of a bucket get now, for reports and tests.
+    // The server of a bucket in the settled table, for reports and tests; an id of zero if there is none.
     BackendServerId serverOfBucket(ServiceId, std::uint32_t bucket) const;
     FlowCounters counters() const;
 
--- a/Source/Flow/FlowKey.h
+++ b/Source/Flow/FlowKey.h
@@ -8,13 +8,14 @@
 
 namespace wisteriadock {
 
-// The hash of a flow: of its service, the service's address and the client's. All balancers compute the same value.
-// The service is part of it, so that flows of two services that once used the same address never share an entry.
+// The hash of a flow over its service id, service address and client address. All balancers compute the same value.
+// The service id is included so that flows of two services that use the same address at different times never share a
+// flow table entry.
 using FlowKey = std::uint64_t;
 
 FlowKey flowKeyOf(ServiceId, Endpoint client, Endpoint serviceAddress);
 
-// Each service's flows fall into this many buckets by the top bits of their keys.
+// The number of buckets of each service. The top bits of a flow's key give its bucket.
 inline constexpr std::size_t bucketCountLog2 = 12;
 inline constexpr std::size_t bucketCount = std::size_t(1) << bucketCountLog2;
 
--- a/Source/Flow/FlowMessage.h
+++ b/Source/Flow/FlowMessage.h
@@ -11,25 +11,26 @@
 
 namespace wisteriadock {
 
-// What flow engines say to each other while the table of a service changes (docs/design/flows.md has the sequence).
+// Messages between flow engines during a change of a service's table; docs/design/flows.md describes the sequence. The
+// arbiter is the balancer that coordinates the change, the members are the other balancers.
 enum class FlowMessageKind : std::uint8_t {
-    ReportRequest = 1, // Arbiter to member: stop deciding for the buckets that change, and tell me your flows in them.
-    Report, // Member to arbiter: a part of those flows.
-    ReportAck, // Arbiter to member: that part arrived.
-    Hold, // Arbiter to member: I still wait for the reports of others; keep your promise.
-    Switch, // Arbiter to member: from now on unknown flows get the new table's answer.
-    Exceptions, // Arbiter to member: a part of the flows that stay where they are. Whoever holds all parts is settled.
-    ExceptionsAck, // Member to arbiter: that part arrived.
-    Busy, // Member to arbiter: I am bound to an earlier change, or others wait for exceptions that I hold; keep asking.
-    Release, // Arbiter to member: I no longer lead this change; ask your view again.
-    Handover, // A balancer that stops to the arbiter: a part of the flows that perhaps nobody else has seen.
-    HandoverAck, // Arbiter to that balancer: that part arrived.
-    SyncRequest, // Member to arbiter: I lack the exceptions of this service's newest table; send them.
+    ReportRequest = 1, // Arbiter to member: forward unknown flows of the changed buckets, and report known ones.
+    Report, // Member to arbiter: one part of the flows in the changed buckets.
+    ReportAck, // Arbiter to member: acknowledges one part of a report.
+    Hold, // Arbiter to member: other reports are still missing; the promise stays in effect.
+    Switch, // Arbiter to member: unknown flows are now routed by the new table.
+    Exceptions, // Arbiter to member: one part of the exceptions. A member that has all parts is settled.
+    ExceptionsAck, // Member to arbiter: acknowledges one part of the exceptions.
+    Busy, // Member to arbiter: an earlier change, report or delivery of exceptions is in progress; ask again.
+    Release, // Arbiter to member: the change is cancelled, and with it the promise.
+    Handover, // Stopping balancer to arbiter: one part of the flows that no other balancer may have seen.
+    HandoverAck, // Arbiter to stopping balancer: acknowledges one part of a handover.
+    SyncRequest, // Member to arbiter: requests the exceptions of the newest table.
 };
 
 std::string_view nameOf(FlowMessageKind);
 
-// Flows that share a backend server.
+// Flows of one backend server.
 struct FlowGroup {
     std::uint32_t backendServer = 0;
     std::vector<FlowKey> flows;
@@ -38,7 +39,7 @@
     MSGPACK_DEFINE_ARRAY(backendServer, flows)
 };
 
-// How much of its weight a backend server gets, in thousandths.
+// The weight factor of a backend server, in thousandths of its configured weight.
 struct WeightFactorEntry {
     std::uint32_t backendServer = 0;
     std::uint16_t permille = 0;
@@ -47,21 +48,21 @@
     MSGPACK_DEFINE_ARRAY(backendServer, permille)
 };
 
-// One message; the parts that a kind does not use stay empty. Bounded by flowsPerMessage.
+// One message. Fields that a kind does not use stay empty. At most flowsPerMessage flows.
 struct FlowMessage {
     std::uint8_t kind = 0;
     std::uint32_t service = 0;
-    // The table by which the sender decides on its own, 0 if it holds none.
+    // The generation of the table by which the sender routes unknown flows itself; 0 if it has none.
     std::uint64_t settledGeneration = 0;
-    // The newest table that, as far as the sender knows, an arbiter has switched to.
+    // The newest generation that an arbiter has switched to, as far as the sender knows.
     std::uint64_t switchedGeneration = 0;
-    // The table that the change leads to, and the factors that belong to it.
+    // The generation that this message is about, and the weight factors of its table.
     std::uint64_t targetGeneration = 0;
     std::vector<WeightFactorEntry> factors;
-    // Tells apart the lists that one sender cut at different times; it rises. Parts of two lists must never be mixed,
-    // since each list is cut at other places.
+    // Identifies the list of flows that the part belongs to; increases with each list of a sender. Parts of different
+    // lists must never be combined, since each list is split at other flows.
     std::uint64_t listId = 0;
-    // Parts are numbered from 0; an empty list is one empty part.
+    // The index of the part, from 0, and the number of parts. An empty list has one empty part.
     std::uint32_t part = 0;
     std::uint32_t partCount = 0;
     std::vector<FlowGroup> groups;
@@ -72,9 +73,9 @@
         partCount, groups)
 };
 
-// The most flows in one message, so that it fits a datagram of 1200 bytes together with the factors.
+// Maximum number of flows per message, so that with the factors it fits into a datagram of 1200 bytes.
 inline constexpr std::size_t flowsPerMessage = 75;
-// The most parts that one list may have; more is refused as garbage.
+// Maximum number of parts per list. Messages that state more are rejected.
 inline constexpr std::uint32_t maxParts = 1U << 16;
 
 }
--- a/Source/Flow/FlowParts.h
+++ b/Source/Flow/FlowParts.h
@@ -10,20 +10,21 @@
 
 namespace wisteriadock {
 
-// A list of flows cut into parts that each fit one message. An empty list has one empty part, so that the receiver
-// learns that it is complete.
+// A list of flows, split into parts that each fit into one message. An empty list has one empty part, so that the
+// receiver can tell that it is complete.
 using FlowParts = std::vector<std::vector<FlowGroup>>;
 
 std::shared_ptr<const FlowParts> splitIntoParts(const std::vector<KnownFlow>&);
 std::vector<KnownFlow> flowsOf(const std::vector<FlowGroup>&);
 
-// Bounds the control bytes of a balancer while tables change: a token bucket that holds at most one second's worth.
+// A token bucket, in bytes, that limits the flow lists that a balancer sends during table changes. It holds at most one
+// second's worth. FlowEngine refills it once per tick.
 class SendBudget {
 public:
     SendBudget(std::uint32_t bytesPerSecond, TimePoint now);
 
     void refill(TimePoint now);
-    // Takes the bytes if any budget is left; a message may overdraw it once.
+    // Takes the bytes and returns true if the budget is above zero; the budget may become negative.
     bool take(std::size_t bytes);
 
 private:
@@ -32,26 +33,27 @@
     TimePoint refilledAt_;
 };
 
-// The size of a message of so many flows on the wire, in bytes, rounded up.
+// An upper estimate of the size on the wire of a message with these flows, in bytes.
 std::size_t estimatedBytes(const std::vector<FlowGroup>&);
 
-// Sends a list part by part until each part is acknowledged.
+// Tracks the sending of one list to one receiver: which parts are due and which are acknowledged. The caller sends
+// them.
 class PartSender {
 public:
-    // The time gives the list its number.
+    // The id of the list is made from the time.
     PartSender(std::shared_ptr<const FlowParts>, TimePoint now);
 
-    // The next part that is due, or none: never sent, or unanswered for the retry interval.
+    // The first part that was never sent, or was sent at least the retry interval ago and is not acknowledged.
     std::optional<std::uint32_t> nextDue(TimePoint now, Duration retryInterval) const;
     void markSent(std::uint32_t part, TimePoint now);
-    // Acknowledgements of other lists are ignored.
-    void acknowledge(std::uint64_t list, std::uint32_t part);
-    // There is nobody to send to.
+    // Ignores acknowledgements of other lists.
+    void acknowledge(std::uint64_t listId, std::uint32_t part);
+    // Marks the list as complete when there is no receiver.
     void acknowledgeAll() { unacknowledged_ = 0; }
 
     bool isComplete() const { return unacknowledged_ == 0; }
     bool anyAcknowledged() const { return unacknowledged_ < parts_->size(); }
-    // Writes the list's number, the part's place and its flows into a message.
+    // Writes the list id, the index of the part, the number of parts and the flows into a message.
     void fill(FlowMessage&, std::uint32_t part) const;
 
 private:
@@ -66,11 +68,11 @@
     std::size_t unacknowledged_;
 };
 
-// Keeps count of the parts that arrived; they may come twice and in any order.
+// Tracks which parts of a list have arrived. Parts may arrive more than once and in any order.
 class PartReceiver {
 public:
-    // Whether the part was new. A part that contradicts earlier ones, is out of range or of an older list is not; a
-    // part of a newer list starts the count anew.
+    // Returns whether the part is new. Parts that are out of range, of an older list or with another number of parts
+    // are rejected. The first part of a newer list discards the state of the older list.
     bool accept(const FlowMessage&);
     bool isComplete() const { return !seen_.empty() && missing_ == 0; }
 
--- a/Source/Flow/FlowSettings.h
+++ b/Source/Flow/FlowSettings.h
@@ -8,26 +8,28 @@
 
 namespace wisteriadock {
 
-// Limits and times of the flow engine; the daemon reads them from [flow] in its settings.
+// Limits and durations of the flow engine. The daemon reads them from section [flow] of its settings.
 struct FlowSettings {
     FlowPolicy policy = FlowPolicy::Protected;
-    // Locks per service; more of them let more threads run side by side.
+    // Flow table shards per service, each with its own lock; more shards reduce contention between packet threads.
     std::uint32_t shardsPerService = 32;
-    // Flows tracked over all services. When full, new flows are served by the table without being tracked.
+    // Maximum number of tracked flows over all services. At the limit, new flows are routed by the table but not
+    // tracked.
     std::size_t trackedFlows = 2'000'000;
-    // A joining balancer that sees no serving one for this long takes the tables as settled (a cold start).
+    // A joining balancer that sees no serving balancer for this long takes its own tables as settled (cold start).
     std::chrono::milliseconds bootstrapWait { 1500 };
-    // An arbiter waits this long for the reports of balancers that count as alive, then goes on without them.
+    // An arbiter waits this long without progress for the reports of balancers that are not dead, then switches without
+    // them.
     std::chrono::milliseconds reportTimeout { 3000 };
-    // Unanswered control messages are sent again after this time.
+    // Unacknowledged messages are sent again after this time.
     std::chrono::milliseconds retryInterval { 200 };
-    // Control bytes a second that one balancer may send while tables change, over all services.
+    // Limit on the flow lists that this balancer sends during table changes, over all services, in bytes per second.
     std::uint32_t transitionBytesPerSecond = 128 * 1024;
-    // How often the arbiter of a service reviews what its servers should get.
+    // Interval at which the arbiter of a service recomputes the weight factors of its backend servers.
     std::chrono::milliseconds weightsInterval { 2000 };
-    // A gap between two ticks above this is taken as a pause of the whole process.
+    // If the last tick is longer ago than this, the process is considered paused and drops packets.
     std::chrono::milliseconds pauseThreshold { 1000 };
-    // How long the address of a server that was removed from the configuration is kept for its remaining flows.
+    // How long a server that was removed from the configuration keeps its remaining flows.
     std::chrono::seconds retiredServerRetention { 3600 };
 };
 
--- a/Source/Flow/FlowTable.h
+++ b/Source/Flow/FlowTable.h
@@ -16,13 +16,14 @@
 
 namespace wisteriadock {
 
-// How many flows all services together may track, and how many they do. Shared by the tables of all services.
+// The limit on tracked flows and the counters that the flow tables of all services share.
 struct FlowTrackingCounters {
     explicit FlowTrackingCounters(std::size_t capacityToUse)
         : capacity(capacityToUse)
     {
     }
 
+    // Maximum number of tracked flows.
     const std::size_t capacity;
     std::atomic<std::size_t> tracked { 0 };
     std::atomic<std::uint64_t> newFlows { 0 };
@@ -31,14 +32,15 @@
     std::atomic<std::size_t> exceptions { 0 };
 };
 
-// One known flow and its server.
+// A flow and its backend server.
 struct KnownFlow {
     FlowKey key = 0;
     BackendServerId server;
 };
 
-// The flows of one service that this balancer has seen, in shards that each have a lock of their own, together with the
-// rules by which unknown flows are decided. Packet threads call route(); the control thread calls the rest.
+// The known flows of one service, and the routing state by which unknown flows are routed. Known flows are those that
+// this balancer routed or learned from other balancers. The table is split into shards with a lock each. Packet threads
+// call route(); the control thread calls all other functions.
 class FlowTable {
 public:
     FlowTable(std::uint32_t shardCount, std::shared_ptr<FlowTrackingCounters>, bool tracksFlows);
@@ -46,28 +48,29 @@
 
     RouteDecision route(FlowKey, const FlowPacket&, TimePoint now);
 
-    // Puts new rules in force shard by shard.
+    // Replaces the routing state, shard by shard.
     void install(const std::shared_ptr<const RoutingState>&);
 
-    // Puts new rules in force and collects, under the same locks, the known flows in the given buckets that the table
-    // would not send where they are. No flow can slip in between: whoever decides after it goes by the new rules.
+    // Replaces the routing state and collects, under the same locks, the known flows of the given buckets whose server
+    // differs from the table's. Every flow is either collected or routed by the new state, so none is missed.
     std::vector<KnownFlow> installAndCollect(
         const std::shared_ptr<const RoutingState>&, const BucketSet&, const BucketTable& table);
 
+    // Collects the known flows of the given buckets whose server differs from the table's.
     std::vector<KnownFlow> collect(const BucketSet&, const BucketTable& table);
 
-    // Puts new rules in force and collects the flows of which so few packets came here that perhaps no other balancer
-    // has seen one.
+    // Replaces the routing state and collects the flows of which this balancer received so few packets that no other
+    // balancer may have seen them.
     std::vector<KnownFlow> installAndCollectRarelySeen(const std::shared_ptr<const RoutingState>&);
 
-    // Learns flows from another balancer. What is known already stays.
+    // Adds flows that another balancer sent. Flows that are known already keep their server.
     void learn(const std::vector<KnownFlow>&, TimePoint now);
 
-    // Forgets flows that were idle for longer than the limit, in one shard. Flows that are exceptions to the settled
-    // table get four times that, since the table would not find their server again. Returns the entries looked at.
+    // Removes the flows of one shard that were idle for longer than the limit. Exceptions to the settled table are kept
+    // four times as long, since the table does not give their server. Returns the number of entries scanned.
     std::size_t expire(std::size_t shard, std::chrono::seconds idle, TimePoint now);
 
-    // Flows per server that sent a packet here lately, as of the last look for idle flows.
+    // The number of flows per server with a packet in the last ten seconds, as of the last call of expire() per shard.
     std::map<BackendServerId, std::size_t> activeFlowsByServer() const;
 
     std::size_t shardCount() const { return shards_.size(); }
@@ -76,18 +79,18 @@
 private:
     struct Entry {
         BackendServerId server;
-        // Both fit one word, so that an entry stays at eight bytes. The seconds wrap after 194 days.
+        // Bit fields, so that an entry takes eight bytes. The seconds wrap around after 194 days.
         std::uint32_t lastSeenSeconds : 24;
-        // Packets seen here, up to the most that is counted.
+        // Packets received by this balancer, up to maxPacketCount.
         std::uint32_t packets : 8;
     };
     struct alignas(64) Shard {
         mutable std::mutex mutex;
         std::shared_ptr<const RoutingState> routing;
         absl::flat_hash_map<FlowKey, Entry> flows;
-        // Exceptions among them, as of the last look for idle flows.
+        // Flows that are exceptions to the settled table, as of the last expire().
         std::size_t exceptions = 0;
-        // Flows with a packet in the last seconds by server, counted at the same time.
+        // Flows with a recent packet by server, as of the last expire().
         absl::flat_hash_map<BackendServerId, std::size_t> activeFlows;
     };
 
--- a/Source/Flow/ReportCollection.h
+++ b/Source/Flow/ReportCollection.h
@@ -8,8 +8,9 @@
 
 namespace wisteriadock {
 
-// The arbiter's side of a change before the switch: asks every other balancer to stop deciding for the buckets that
-// change and to report its flows in them, until all that are up have done so.
+// The arbiter's state of a table change before the switch: requests a report of flows from every other balancer until
+// all that are not dead have sent one. A balancer that gets the request forwards unknown flows of the changed buckets
+// to the arbiter. TableSynchronizer owns the collection.
 class ReportCollection {
 public:
     explicit ReportCollection(std::uint64_t generation)
@@ -19,23 +20,23 @@
 
     std::uint64_t generation() const { return generation_; }
 
-    // Sends requests to those that have not reported yet, and asks the others to hold on: a member that hears nothing
-    // takes the change for given up and decides on its own again. The message names the service and generations.
+    // Sends the request to members whose report is incomplete and a Hold message to the others, at most once per retry
+    // interval. A member that gets no message from the arbiter for some seconds gives up its promise and its table.
     void sendRequests(const FlowMessage& request, const ChangeContext&);
 
-    // Counts a part. Returns whether the part was new.
+    // Records a part of a report. Returns whether the part is new.
     bool accept(BalancerId from, const FlowMessage& report);
 
-    // The member is up but bound to an earlier change, or still sending its report. Going on without the whole report
-    // would break the flows that only it knows, so that patience with it starts anew.
+    // Restarts the timeout of a member that is busy with an earlier change or still sends its report. Switching without
+    // its complete report would break the flows that only this member knows.
     void recordProgress(BalancerId from, TimePoint now) { reports_[from].waitingSince = now; }
 
     bool isComplete(const ChangeContext&) const;
-    // Whether everybody whose report is missing has been silent for too long. Each is given the whole time, also one
-    // that has just joined.
+    // Whether the report timeout has elapsed for every member whose report is incomplete. The timeout runs per member
+    // from the first request to it, so a member that joins late gets the full time.
     bool hasTimedOut(const ChangeContext&) const;
 
-    // The generation by which the member decided when it reported; none if it has not reported whole.
+    // The member's settled generation at the time of its report; none if the report is incomplete.
     std::optional<std::uint64_t> settledGenerationOf(BalancerId) const;
 
 private:
@@ -43,6 +44,7 @@
         PartReceiver parts;
         std::uint64_t settledGeneration = 0;
         std::optional<TimePoint> requestedAt;
+        // Time of the first request or of the latest progress.
         std::optional<TimePoint> waitingSince;
     };
 
--- a/Source/Flow/RoutingState.h
+++ b/Source/Flow/RoutingState.h
@@ -13,11 +13,12 @@
 
 namespace wisteriadock {
 
-// Where a backend server takes flow packets, and whether new flows may go there.
+// The address of a backend server for flow packets, and its state.
 struct ServerRecord {
     Endpoint flowAddress;
     BackendServerState state = BackendServerState::Active;
-    // Set when the server is gone from the configuration; it is kept for the flows that it still has.
+    // When the server was removed from the configuration; unset while it is configured. A removed server is kept for
+    // its remaining flows.
     std::optional<TimePoint> retiredAt;
 
     bool operator==(const ServerRecord&) const = default;
@@ -25,18 +26,19 @@
 
 using ServerDirectory = absl::flat_hash_map<BackendServerId, ServerRecord>;
 
-// What the packet path of one service goes by. Immutable; a change installs a new one in every shard.
+// The data by which FlowTable::route() selects the destination of a packet of one service. TableSynchronizer creates it
+// and installs it in every shard of the flow table. Immutable.
 struct RoutingState {
     ServiceId service;
     std::shared_ptr<const ServerDirectory> directory;
-    // Decides for unknown flows, except in arbitrated buckets. Null while nothing was learned yet.
+    // Routes unknown flows outside of the arbitrated buckets. Null until a table is settled.
     std::shared_ptr<const BucketTable> settledTable;
-    // Buckets whose unknown flows only the arbiter may decide, since balancers may disagree on them.
+    // Buckets in which the tables of the balancers may differ, so that only the arbiter may route unknown flows.
     BucketSet arbitratedBuckets;
-    // Set on the arbiter: its answer for unknown flows in arbitrated buckets. Null while it must not answer.
+    // On the arbiter, routes unknown flows of the arbitrated buckets. Null while the arbiter must drop them.
     std::shared_ptr<const BucketTable> arbiterTable;
     bool isArbiter = false;
-    // Where other balancers hand unknown flows in arbitrated buckets; not set when no arbiter is known.
+    // On other balancers, where to forward unknown flows of the arbitrated buckets; unset if no arbiter is known.
     Endpoint arbiterFlowAddress;
 };
 
--- a/Source/Flow/ServerWeights.cpp
+++ b/Source/Flow/ServerWeights.cpp
@@ -110,13 +110,14 @@
     return std::clamp(1 + balancingGain * evenness_ * 2 * (1 - ratio), minBalancingFactor, maxBalancingFactor);
 }
 
-WeightFactors ServerWeights::computeFactors(const WeightFactors& inForce, const ServerLoads& loads, TimePoint now) const
+WeightFactors ServerWeights::computeFactors(
+    const WeightFactors& currentFactors, const ServerLoads& loads, TimePoint now) const
 {
     const bool ejects = ejectsUnhealthy();
     WeightFactors wanted;
     for (const auto& [id, server] : servers_) {
-        const auto present = inForce.find(id);
-        const int current = present == inForce.end() ? fullFactor : present->second;
+        const auto present = currentFactors.find(id);
+        const int current = present == currentFactors.end() ? fullFactor : present->second;
         const bool ejected = ejects && !server.isHealthy;
         const double started = slowStartFactor(server, now);
         int factor = ejected ? 0 : toPermille(started * balancingFactor(id, server, loads));
--- a/Source/Flow/ServerWeights.h
+++ b/Source/Flow/ServerWeights.h
@@ -9,26 +9,28 @@
 
 namespace wisteriadock {
 
-// How many flows of a service each backend server carries, as one balancer sees them. Packets are sprayed, so one
-// balancer's flows are a fair sample of all.
+// The number of active flows of a service per backend server, as this balancer sees them. Packets are sprayed over all
+// balancers, so the flows of one balancer are a representative sample.
 using ServerLoads = std::map<BackendServerId, std::size_t>;
 
-// Decides how much of its configured weight each backend server of one service should get. Every balancer keeps one per
-// service; only the arbiter's word counts, so that many balancers never act on one stale signal at the same time.
+// Computes the weight factors of the backend servers of one service. FlowEngine keeps one per service. Only the factors
+// that the arbiter computes take effect, so that balancers do not react to the same signal independently.
 //
-// Three things lower or raise a server's factor: it has just started (slow start), it is reported unhealthy, or it
-// carries more or fewer flows than its share. The load is that of the balancer's own traffic; what a server says of its
-// load is not asked for, since it lags or misleads.
+// A factor differs from 1 while the server is in slow start, is unhealthy, or carries more or fewer flows than its
+// share. The load is the number of flows that this balancer sees; load reports from servers are not used, since they
+// may be outdated or wrong.
 class ServerWeights {
 public:
-    // A configuration came into force. Servers that were not active before start slowly, except in the first one.
+    // Applies a configuration. Servers that were not active in the previous one begin a slow start; the servers of the
+    // first configuration do not.
     void configure(const Service&, std::span<const BackendServer* const> servers, TimePoint now);
 
-    // What a health check, or requests that could not reach the server, say of it.
+    // Records the health of a server, from health checks or failed requests. A server that recovers begins a slow
+    // start.
     void setHealth(BackendServerId, bool isHealthy, TimePoint now);
 
-    // The factors that the servers should have, given the ones that are in force and the load.
-    WeightFactors computeFactors(const WeightFactors& inForce, const ServerLoads&, TimePoint now) const;
+    // The factors that the servers should have, given the current factors and the load.
+    WeightFactors computeFactors(const WeightFactors& currentFactors, const ServerLoads&, TimePoint now) const;
 
 private:
     struct Server {
@@ -45,7 +47,7 @@
     bool configured_ = false;
     double evenness_ = 0;
     double panicThreshold_ = 0;
-    // The active ones.
+    // The active servers.
     std::map<BackendServerId, Server> servers_;
 };
 
--- a/Source/Flow/ServiceIndex.h
+++ b/Source/Flow/ServiceIndex.h
@@ -12,12 +12,12 @@
 
 namespace wisteriadock {
 
-// The flows of one service, as the packet path finds them.
+// The flow table of one service. Packet threads find it by address in the ServiceIndex.
 struct ServiceFlows {
     ServiceFlows(
-        ServiceId serviceId, std::uint32_t shardCount, std::shared_ptr<FlowTrackingCounters> budget, bool tracks)
+        ServiceId serviceId, std::uint32_t shardCount, std::shared_ptr<FlowTrackingCounters> counters, bool tracks)
         : id(serviceId)
-        , table(shardCount, std::move(budget), tracks)
+        , table(shardCount, std::move(counters), tracks)
     {
     }
 
@@ -25,8 +25,8 @@
     FlowTable table;
 };
 
-// Finds a service by its address. It is read for every packet and written once per configuration, so each thread reads
-// a copy of its own under a lock that only the writer contends for.
+// Maps service addresses to services. It is read for every packet and written once per configuration. Threads are
+// spread over stripes with a lock and a map pointer each, so that packet threads rarely contend.
 class ServiceIndex {
 public:
     using Map = absl::flat_hash_map<Endpoint, std::shared_ptr<ServiceFlows>>;
@@ -35,7 +35,8 @@
 
     void publish(const std::shared_ptr<const Map>&);
 
-    // Calls the function with the service of the address, or null, and returns what it returns.
+    // Calls the function with the service of the address, or null, under the lock of the calling thread's stripe, and
+    // returns its result.
     template <typename Function> auto withService(Endpoint address, Function function)
     {
         Stripe& stripe = stripes_[stripeOfThisThread()];
--- a/Source/Flow/TableDefinition.h
+++ b/Source/Flow/TableDefinition.h
@@ -10,20 +10,22 @@
 
 namespace wisteriadock {
 
-// How much of its configured weight each backend server gets, in thousandths; servers that are not named get all of it.
-// The arbiter of a service sets them (ServerWeights), and every table that it leads to carries them.
+// The factor by which each backend server's configured weight is multiplied, in thousandths. Servers without an entry
+// have fullFactor. The arbiter of a service computes the factors (ServerWeights); they are part of each table.
 using WeightFactors = std::map<BackendServerId, std::uint16_t>;
 
 inline constexpr std::uint16_t fullFactor = 1000;
-// So many servers may be named, so that the factors fit the messages beside the flows.
+// Maximum number of entries, so that the factors fit into a message together with the flows.
 inline constexpr std::size_t maxFactors = 32;
 
-// What a service's table is made from, apart from the factors; it follows from the configuration.
+// The part of the configuration that determines a service's bucket table, together with the weight factors. FlowEngine
+// makes one per service from each configuration; TableSynchronizer builds the tables.
 struct TableDefinition {
     FlowPolicy policy = FlowPolicy::Protected;
     ServiceId service;
+    // From 0 (fewest buckets move when servers change) to 1 (equal shares of the buckets).
     double evenness = 0;
-    // The servers that take new flows, sorted by id.
+    // The servers that take new flows, sorted by server id.
     std::vector<ServerShare> shares;
 
     std::shared_ptr<const BucketTable> build(const WeightFactors&) const;
--- a/Source/Flow/TableGeneration.h
+++ b/Source/Flow/TableGeneration.h
@@ -6,8 +6,9 @@
 
 namespace wisteriadock {
 
-// Numbers the tables of one service. It rises with the version of the configuration and, within one version, with each
-// change of the server factors. The author's bits keep two arbiters from giving one number to two tables.
+// The generation number of a bucket table of one service. The upper 28 bits are the version of the configuration, the
+// lower 36 bits the revision of the weight factors, so that a later table has a higher number. The lowest bits of the
+// revision identify the issuing balancer, so that two arbiters never give the same number to different tables.
 class TableGeneration {
 public:
     constexpr TableGeneration() = default;
@@ -24,19 +25,19 @@
     constexpr std::uint64_t version() const { return number_ >> revisionBits; }
     constexpr std::uint64_t factorsRevision() const { return number_ & revisionMask; }
 
-    // A revision above the given one that no other balancer gives.
-    static constexpr std::uint64_t nextRevision(std::uint64_t revision, BalancerId author)
+    // A revision above the given one that no other balancer issues.
+    static constexpr std::uint64_t nextRevision(std::uint64_t revision, BalancerId issuer)
     {
-        const std::uint64_t counter = (revision >> authorBits) + 1;
-        return ((counter << authorBits) | (author.value & authorMask)) & revisionMask;
+        const std::uint64_t counter = (revision >> issuerBits) + 1;
+        return ((counter << issuerBits) | (issuer.value & issuerMask)) & revisionMask;
     }
 
 private:
-    // Enough for a change of factors every two seconds during a year.
+    // Lasts for one change of the factors every two seconds during a year.
     static constexpr unsigned revisionBits = 36;
-    static constexpr unsigned authorBits = 12;
+    static constexpr unsigned issuerBits = 12;
     static constexpr std::uint64_t revisionMask = (std::uint64_t(1) << revisionBits) - 1;
-    static constexpr std::uint64_t authorMask = (std::uint64_t(1) << authorBits) - 1;
+    static constexpr std::uint64_t issuerMask = (std::uint64_t(1) << issuerBits) - 1;
 
     std::uint64_t number_ = 0;
 };
--- a/Source/Flow/TableHistory.cpp
+++ b/Source/Flow/TableHistory.cpp
@@ -12,7 +12,7 @@
 
 void TableHistory::add(std::uint64_t generation, std::shared_ptr<const BucketTable> table, const WeightFactors& factors)
 {
-    tables_.insert_or_assign(generation, Known { std::move(table), factors });
+    tables_.insert_or_assign(generation, Entry { std::move(table), factors });
 }
 
 std::shared_ptr<const BucketTable> TableHistory::find(std::uint64_t generation) const
--- a/Source/Flow/TableHistory.h
+++ b/Source/Flow/TableHistory.h
@@ -9,30 +9,30 @@
 
 namespace wisteriadock {
 
-// The tables of one service that this balancer has known lately, by generation. Bounded.
+// The most recent bucket tables of one service, by generation. TableSynchronizer keeps one.
 class TableHistory {
 public:
     void add(std::uint64_t generation, std::shared_ptr<const BucketTable>, const WeightFactors& = {});
 
-    // Null when the generation is not known (any more).
+    // The table of the generation; null if it was never added or has been removed.
     std::shared_ptr<const BucketTable> find(std::uint64_t generation) const;
-    // The factors by which that table was built; empty when the generation is not known.
+    // The weight factors of that table; empty if the generation is unknown.
     const WeightFactors& factorsOf(std::uint64_t generation) const;
 
-    // The buckets whose server is not the same in all known tables from one generation to the other. All buckets when
-    // the first generation is not known, since then nothing can be said.
+    // The buckets whose server differs between any of the known tables of the generations from first to last. All
+    // buckets if the first generation is unknown.
     BucketSet differingBuckets(std::uint64_t first, std::uint64_t last) const;
 
-    // Forgets generations below the given one, but keeps the latest few for balancers that lag behind.
+    // Removes generations below the given one, but keeps the eight most recent for balancers that are behind.
     void forgetBelow(std::uint64_t generation);
 
 private:
-    struct Known {
+    struct Entry {
         std::shared_ptr<const BucketTable> table;
         WeightFactors factors;
     };
 
-    std::map<std::uint64_t, Known> tables_;
+    std::map<std::uint64_t, Entry> tables_;
 };
 
 }
--- a/Source/Flow/TablePolicies.h
+++ b/Source/Flow/TablePolicies.h
@@ -7,14 +7,14 @@
 
 namespace wisteriadock {
 
-// The candidates of a service, sorted by id, each with a weight above zero; never empty.
+// The input of a table policy. The shares are sorted by server id, never empty, and each weight is above zero.
 struct TableInput {
     ServiceId service;
     double evenness = 0.5;
     std::vector<ServerShare> shares;
 };
 
-// A way to give each of a service's buckets a server. BucketTable::build picks one by FlowPolicy.
+// A type with a function that assigns a server to each bucket. BucketTable::build selects it by FlowPolicy.
 template <typename T>
 concept TablePolicy = requires(const TableInput& input)
 {
@@ -23,23 +23,25 @@
         } -> std::same_as<std::vector<BackendServerId>>;
 };
 
-// Rendezvous hashing in which no server gets more than its share of the buckets plus a margin. The evenness sets the
-// margin: 1 leaves none, so that shares are equal to within a bucket; 0 sets no cap, so that the fewest buckets move.
+// Weighted rendezvous hashing with a cap on each server's buckets: its share plus a margin. At evenness 1 the margin is
+// zero, so the buckets match the weights to within one bucket. At evenness 0 there is no cap, so the fewest buckets
+// move when servers change.
 struct BoundedRendezvousAssignment {
     static std::vector<BackendServerId> assign(const TableInput&);
 };
 
-// Bucket number modulo the number of servers; nearly every bucket moves when a server comes or goes.
+// Bucket number modulo the number of servers. Nearly every bucket moves when a server is added or removed.
 struct ModuloAssignment {
     static std::vector<BackendServerId> assign(const TableInput&);
 };
 
-// A hash ring with virtual nodes in proportion to the weights.
+// Consistent hashing on a ring with virtual nodes in proportion to the weights.
 struct RingAssignment {
     static std::vector<BackendServerId> assign(const TableInput&);
 };
 
-// The same ring; a server whose share of the buckets is a quarter above the mean passes further ones on.
+// RingAssignment with bounded loads: a server takes at most its share of the buckets plus a quarter; further buckets go
+// to the next server on the ring.
 struct BoundedRingAssignment {
     static std::vector<BackendServerId> assign(const TableInput&);
 };
--- a/Source/Flow/TableSynchronizer.h
+++ b/Source/Flow/TableSynchronizer.h
@@ -14,51 +14,64 @@
 
 namespace wisteriadock {
 
-// Carries one service's table from generation to generation, together with the other balancers.
+// Changes the bucket table of one service in agreement with the other balancers. FlowEngine keeps one per service.
 //
-// A generation is the version of the configuration that brought the table. Each balancer decides by its settled table;
-// for buckets in which a later table differs it hands unknown flows to the service's arbiter. The arbiter collects
-// everybody's flows in those buckets, switches, and gives everybody the exceptions; whoever holds them all is settled
-// at the new generation. docs/design/flows.md has the whole sequence and what each step guards against.
+// Each table has a generation (TableGeneration). A balancer routes unknown flows by its settled table. Unknown flows of
+// the buckets in which a later table differs are forwarded to the arbiter, the balancer that coordinates the change.
+// The arbiter collects the known flows of these buckets from all balancers, switches to the new table, and sends the
+// exceptions (flows that stay on a server other than the table's) to all balancers. A balancer that has received all
+// exceptions is settled at the new generation. docs/design/flows.md describes the sequence and the failures that each
+// step guards against.
 class TableSynchronizer {
 public:
     TableSynchronizer(ServiceId, FlowTable&, bool protectsFlows);
 
-    // A newer version of the configuration came into force, with or without a change for this service.
+    // Applies a newer version of the configuration, whether or not this service has changed in it. An unchanged
+    // definition or directory must be the same object as before.
     void setVersion(std::uint64_t version, std::shared_ptr<const TableDefinition>,
         std::shared_ptr<const ServerDirectory>, const ChangeContext&);
-    // The factors that this balancer would give the servers. They count once it is the service's arbiter.
+    // Sets the weight factors that the next change should lead to. They take effect if this balancer is the arbiter.
     void setDesiredFactors(WeightFactors);
+    // Reacts to a new membership view.
     void handleMembers(const ChangeContext&);
+    // Processes a message from another balancer.
     void handle(BalancerId from, const FlowMessage&, const ChangeContext&);
+    // Sends what is due and checks the timeouts.
     void tick(const ChangeContext&);
 
-    // A planned stop: as soon as no change depends on this balancer, it decides nothing new any more and hands over the
-    // flows that perhaps only it has seen. Until others know of the stop, they may still ask it; it passes that on.
+    // Begins a planned stop. Once no change depends on this balancer, it forwards all unknown flows to the arbiter and
+    // hands over the flows that no other balancer may have seen.
     void beginLeave() { isLeaving_ = true; }
-    // Whether nothing is left that only this balancer knows.
+    // Whether the handover of a planned stop is complete.
     bool mayLeave() const { return isLeaving_ && handover_ && handover_->parts.isComplete(); }
 
-    // Takes the target table as settled: there is nobody whose flows it could contradict.
+    // Settles at the target table without agreement. Safe only if no other balancer serves.
     void settleAlone(const ChangeContext&);
-    // Forgets what was agreed, as after a pause in which the others may have moved on; known flows stay.
+    // Drops the settled table and all changes in progress, because other balancers may have switched to another table.
+    // Known flows are kept. The balancer then synchronizes with the arbiter.
     void desynchronize(const ChangeContext&);
 
+    // Whether a table is settled, of any generation.
     bool isSynchronized() const { return settledGeneration_ != 0; }
+    // Whether the target table is settled.
     bool isSettled() const { return settledGeneration_ != 0 && settledGeneration_ == targetGeneration_; }
-    // Whether others still wait for exceptions that this balancer holds for them.
+    // Whether other balancers have yet to acknowledge exceptions from this balancer.
     bool hasPendingDeliveries() const { return !deliveries_.isEmpty(); }
 
+    // Changes that this balancer started as the arbiter.
     std::uint64_t startedCount() const { return startedCount_; }
+    // Tables at which this balancer settled after a change.
     std::uint64_t settledCount() const { return settledCount_; }
+    // Switches of this balancer as the arbiter without all reports, after the report timeout.
     std::uint64_t forcedCount() const { return forcedCount_; }
+    // Null if no table is settled.
     std::shared_ptr<const BucketTable> settledTable() const { return tables_.find(settledGeneration_); }
-    // The factors of the settled table.
+    // The weight factors of the settled table.
     const WeightFactors& factors() const { return factors_; }
     bool isArbiter(const ChangeContext& context) const { return arbiter(context) == context.view.self; }
 
 private:
-    // This balancer's word to follow one arbiter through one change. It keeps two arbiters from both switching.
+    // The commitment of this balancer to one arbiter for one change. It prevents two arbiters from both switching.
     struct Promise {
         BalancerId arbiter;
         std::uint64_t generation = 0;
@@ -66,13 +79,14 @@
         TimePoint lastMessageAt;
         bool switched = false;
     };
+    // The parts of the exceptions that have arrived from one arbiter.
     struct IncomingExceptions {
         BalancerId from;
         std::uint64_t generation = 0;
         PartReceiver parts;
     };
 
-    // A planned stop's list on its way to another balancer.
+    // The flows that a planned stop sends to another balancer.
     struct Handover {
         BalancerId to;
         PartSender parts;
@@ -89,6 +103,7 @@
     void handleRelease(BalancerId from, const FlowMessage&, const ChangeContext&);
     void handleSyncRequest(BalancerId from, const FlowMessage&, const ChangeContext&);
 
+    // Ends the promise when it is fulfilled, its arbiter is dead, or no message came from the arbiter for too long.
     void checkPromise(const ChangeContext&);
     void advanceChange(const ChangeContext&);
     void startChange(const ChangeContext&);
@@ -106,7 +121,7 @@
     void adoptFactorsOf(std::uint64_t generation);
     std::uint64_t newestPendingGeneration() const;
 
-    // The table of a generation that another balancer names, built if its configuration is known; else null.
+    // The table of the message's target generation, built if necessary. Null while its configuration is unknown.
     std::shared_ptr<const BucketTable> learnTable(const FlowMessage&);
     std::shared_ptr<const BucketTable> makeTable(std::uint64_t generation, const WeightFactors&);
 
@@ -121,25 +136,25 @@
     TableHistory tables_;
     std::uint64_t version_ = 0;
     std::shared_ptr<const TableDefinition> definition_;
-    // What the settled table was made from.
+    // The definition of the settled table.
     std::shared_ptr<const TableDefinition> settledDefinition_;
-    // Of the settled table, and by which it was numbered.
+    // The weight factors of the settled table, and their revision.
     WeightFactors factors_;
     std::uint64_t factorsRevision_ = 0;
     WeightFactors desiredFactors_;
-    // The last one that this balancer gave, also for a change that came to nothing.
+    // The last factors revision that this balancer issued, including those of cancelled changes.
     std::uint64_t lastIssuedRevision_ = 0;
     std::shared_ptr<const ServerDirectory> directory_;
-    // By which this balancer decides on its own; 0 while it does not know the exceptions of any table.
+    // The table by which this balancer routes unknown flows itself; 0 while it has the exceptions of no table.
     std::uint64_t settledGeneration_ = 0;
-    // The newest table that some arbiter is known to have switched to.
+    // The newest table that an arbiter is known to have switched to.
     std::uint64_t switchedGeneration_ = 0;
-    // The table of the newest configuration under the factors of the settled one.
+    // The table of the newest configuration with the weight factors of the settled table.
     std::uint64_t targetGeneration_ = 0;
 
     std::optional<Promise> promise_;
     std::optional<IncomingExceptions> incomingExceptions_;
-    // Set on the arbiter from the start of a change to its switch.
+    // Set on the arbiter from the start of a change until the switch.
     std::optional<ReportCollection> reportCollection_;
     ExceptionDeliveries deliveries_;
     bool isLeaving_ = false;
--- a/Tests/Flow/ServerWeightsTest.cpp
+++ b/Tests/Flow/ServerWeightsTest.cpp
@@ -29,7 +29,7 @@
 
         WeightFactors computeFactors(const ServerLoads& loads = {})
         {
-            return weights_.computeFactors(inForce_, loads, clock_.now());
+            return weights_.computeFactors(currentFactors_, loads, clock_.now());
         }
 
         std::uint16_t factorOf(std::size_t index, const ServerLoads& loads = {})
@@ -42,7 +42,7 @@
         ManualClock clock_;
         Configuration configuration_;
         ServerWeights weights_;
-        WeightFactors inForce_;
+        WeightFactors currentFactors_;
     };
 
     TEST_F(ServerWeightsTest, givesEverybodyTheWholeWeightAtRest) { EXPECT_TRUE(computeFactors().empty()); }
