--- a/Source/Flow/BucketTable.cpp
+++ b/Source/Flow/BucketTable.cpp
@@ -34,7 +34,7 @@
         if (share.weight > 0)
             input.shares.push_back(share);
     }
-    // The order of the file must not matter, since two balancers may have read it in different versions of the code.
+    // The result must not depend on the order of the shares, which may differ between versions of the software.
     std::sort(input.shares.begin(), input.shares.end(),
         [](const ServerShare& a, const ServerShare& b) { return a.server < b.server; });
     std::vector<BackendServerId> servers
--- a/Source/Flow/ChangeContext.cpp
+++ b/Source/Flow/ChangeContext.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    // The first by rendezvous hashing among the serving members that the condition holds for.
+    // The serving member with the highest rendezvous hash for the service, among those that meet the condition.
     template <typename Condition>
-    std::optional<BalancerId> firstServing(const MembersView& view, ServiceId service, Condition condition)
+    std::optional<BalancerId> highestRanked(const MembersView& view, ServiceId service, Condition condition)
     {
         std::optional<BalancerId> best;
         std::uint64_t bestScore = 0;
@@ -34,12 +34,12 @@
 
 std::optional<BalancerId> ChangeContext::arbiterOf(ServiceId service) const
 {
-    return firstServing(view, service, [](const Member&) { return true; });
+    return highestRanked(view, service, [](const Member&) { return true; });
 }
 
 std::optional<BalancerId> ChangeContext::otherArbiterOf(ServiceId service) const
 {
-    return firstServing(view, service, [this](const Member& member) { return member.id != view.self; });
+    return highestRanked(view, service, [this](const Member& member) { return member.id != view.self; });
 }
 
 }
--- a/Source/Flow/ExceptionDeliveries.cpp
+++ b/Source/Flow/ExceptionDeliveries.cpp
@@ -7,8 +7,8 @@
 void ExceptionDeliveries::start(
     BalancerId to, std::uint64_t generation, std::shared_ptr<const FlowParts> parts, TimePoint now)
 {
-    const auto running = deliveries_.find(to);
-    if (running != deliveries_.end() && running->second.generation == generation)
+    const auto current = deliveries_.find(to);
+    if (current != deliveries_.end() && current->second.generation == generation)
         return;
     deliveries_.insert_or_assign(to, Delivery { generation, PartSender(std::move(parts), now), now });
 }
@@ -42,7 +42,7 @@
     }
 }
 
-// Small, and outside of the budget: a receiver whose parts have to wait must not take the silence for an end.
+// Announcements are small and not charged to the budget, so that they also reach a receiver whose parts are delayed.
 void ExceptionDeliveries::announceSwitches(const FlowMessage& header, const ChangeContext& context)
 {
     for (auto& [to, delivery] : deliveries_) {
--- a/Source/Flow/FlowEngine.cpp
+++ b/Source/Flow/FlowEngine.cpp
@@ -19,11 +19,11 @@
 
 namespace {
 
-    // Bounds of the search for idle flows in one tick, so that a tick stays short whatever the number of flows.
-    constexpr std::size_t entriesSweptPerTick = 8192;
-    constexpr std::size_t shardsSweptPerTick = 64;
+    // Limits of the sweep for idle flows per tick, so that the duration of a tick does not grow with the flows.
+    constexpr std::size_t maxEntriesSweptPerTick = 8192;
+    constexpr std::size_t maxShardsSweptPerTick = 64;
 
-    // A configuration grouped for a look at one service after the other.
+    // The backend servers of a configuration, grouped by service.
     struct GroupedServers {
         explicit GroupedServers(const Configuration& configuration)
         {
@@ -40,14 +40,14 @@
     TableDefinition tableDefinitionOf(
         FlowPolicy policy, const Service& service, const std::vector<const BackendServer*>& servers)
     {
-        TableDefinition source { policy, service.id, service.evenness, {} };
+        TableDefinition definition { policy, service.id, service.evenness, {} };
         for (const BackendServer* server : servers) {
             if (server->state == BackendServerState::Active)
-                source.shares.push_back({ server->id, server->weight });
+                definition.shares.push_back({ server->id, server->weight });
         }
-        std::sort(source.shares.begin(), source.shares.end(),
+        std::sort(definition.shares.begin(), definition.shares.end(),
             [](const ServerShare& a, const ServerShare& b) { return a.server < b.server; });
-        return source;
+        return definition;
     }
 
 }
@@ -68,9 +68,9 @@
         , tracking(std::make_shared<FlowTrackingCounters>(settingsToUse.trackedFlows))
         , budget(settingsToUse.transitionBytesPerSecond, TimePoint())
     {
-        auto alone = std::make_shared<MembersView>();
-        alone->self = selfId;
-        view = std::move(alone);
+        auto emptyView = std::make_shared<MembersView>();
+        emptyView->self = selfId;
+        view = std::move(emptyView);
     }
 
     ChangeContext context(TimePoint now, FlowActions& actions) { return { *view, settings, budget, now, actions }; }
@@ -100,7 +100,7 @@
     std::optional<TimePoint> weightFactorsUpdatedAt;
     std::atomic<TimePoint> lastTick { TimePoint() };
     std::atomic<bool> awaitsContact { false };
-    // The shard that the search for idle flows comes to next.
+    // The next shard of the sweep for idle flows.
     ServiceId sweptService;
     std::size_t sweptShard = 0;
 };
@@ -115,8 +115,9 @@
 RouteDecision FlowEngine::route(const FlowPacket& packet, TimePoint now)
 {
     Implementation& engine = *implementation_;
-    // A process that was stopped for a while wakes with packets in its socket and an old view of everything. Deciding
-    // by that view could send a flow to a server that the others have moved it from, or that was given away.
+    // A process that resumes after a pause has packets in its socket and may have outdated tables and addresses.
+    // Routing by them could send a flow to another server than the other balancers do, or to an address that was
+    // reassigned.
     const bool wasPaused = now - engine.lastTick.load(std::memory_order_relaxed) > engine.settings.pauseThreshold;
     if (wasPaused || engine.awaitsContact.load(std::memory_order_acquire))
         return { RouteKind::Drop, DropReason::AwaitingContact, {}, {}, {} };
@@ -157,8 +158,8 @@
             service.synchronizer->desynchronize(context);
         service.synchronizer->handleMembers(context);
     }
-    // Packet threads are let in last. Earlier, they would decide for some services by the tables from before the
-    // silence, which the others may have left since.
+    // Packets are admitted only after all services have dropped their tables from before the isolation, since the other
+    // balancers may have switched to other tables meanwhile.
     if (!engine.view->isolated)
         engine.awaitsContact.store(false, std::memory_order_release);
     return actions;
@@ -168,8 +169,8 @@
 {
     FlowActions actions;
     const ChangeContext context = implementation_->context(now, actions);
-    // A promise to somebody whom the view does not show would be taken for one to a dead arbiter, and dropped. The
-    // sender repeats what matters until the view has caught up.
+    // A promise to a balancer that the view does not list would be dropped as one to a dead arbiter. The sender
+    // retransmits until the view lists it.
     if (!context.isAlive(from))
         return actions;
     const auto service = implementation_->services.find(ServiceId { message.service });
@@ -265,10 +266,10 @@
     for (const Service& service : configuration.services) {
         const std::vector<const BackendServer*>& servers = grouped.byService[service.id];
         ServiceControl& control = controlOf(service);
-        TableDefinition source = tableDefinitionOf(settings.policy, service, servers);
-        // An equal source stays the same object, by which unchanged services are told.
-        if (!control.tableDefinition || source != *control.tableDefinition)
-            control.tableDefinition = std::make_shared<TableDefinition>(std::move(source));
+        TableDefinition definition = tableDefinitionOf(settings.policy, service, servers);
+        // An equal definition must stay the same object: TableSynchronizer detects changes by comparing pointers.
+        if (!control.tableDefinition || definition != *control.tableDefinition)
+            control.tableDefinition = std::make_shared<TableDefinition>(std::move(definition));
         control.directory = directoryOf(servers, grouped.usedAddresses, control.directory, context.now);
         control.flowIdle = std::chrono::seconds(service.flowIdleSeconds);
         control.weights.configure(service, servers, context.now);
@@ -299,8 +300,8 @@
         return directory;
     for (const auto& [id, record] : *previous) {
         const TimePoint retiredAt = record.retiredAt.value_or(now);
-        // A removed server keeps its established flows, unless its address now belongs to another: then its old flows
-        // would reach a server, perhaps of another service, that knows nothing of them.
+        // A removed server keeps its established flows, unless its address is now used by another server, which may
+        // even belong to another service.
         const bool keep = !directory->contains(id) && !usedAddresses.contains(record.flowAddress)
             && now - retiredAt < settings.retiredServerRetention;
         if (keep)
@@ -331,10 +332,10 @@
         service.synchronizer->settleAlone(context);
 }
 
-// Nobody who serves is in sight, and this balancer is the first of those that could begin.
+// Whether no other member serves and this balancer has the lowest id of the joining members.
 bool FlowEngine::Implementation::canBootstrap() const
 {
-    // Before the first view nothing is known about the others; taking silence for solitude would contradict them.
+    // Before the first view, other balancers may be serving with other tables.
     if (!protectsFlows(settings.policy) || !view->findSelf())
         return false;
     for (const Member& member : view->members) {
@@ -346,8 +347,8 @@
     return true;
 }
 
-// The arbiter of a service says what its servers should get; all others stand by what was agreed, so that one of them
-// that becomes the arbiter does not begin by undoing it.
+// Only the arbiter of a service computes new weight factors. The other balancers keep those of the settled table, so
+// that a new arbiter does not start with a change of the factors.
 void FlowEngine::Implementation::updateWeightFactors(const ChangeContext& context)
 {
     const bool isDue = !weightFactorsUpdatedAt || context.now - *weightFactorsUpdatedAt >= settings.weightsInterval;
@@ -366,7 +367,7 @@
 
 void FlowEngine::Implementation::updateSynchronized()
 {
-    // Services that come later do not make this balancer a newcomer again.
+    // Services that are added later do not reset the flag.
     if (synchronized || services.empty())
         return;
     synchronized = std::all_of(services.begin(), services.end(),
@@ -378,7 +379,7 @@
     if (services.empty())
         return;
     std::size_t entries = 0;
-    for (std::size_t step = 0; step < shardsSweptPerTick && entries < entriesSweptPerTick; ++step) {
+    for (std::size_t step = 0; step < maxShardsSweptPerTick && entries < maxEntriesSweptPerTick; ++step) {
         auto service = services.lower_bound(sweptService);
         if (service == services.end() || service->first != sweptService)
             sweptShard = 0;
--- a/Source/Flow/FlowParts.cpp
+++ b/Source/Flow/FlowParts.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    constexpr std::size_t bytesPerMessage = 90; // Envelope, header fields and UDP/IP headers.
+    constexpr std::size_t overheadBytes = 90; // Envelope, header fields and UDP/IP headers.
     constexpr std::size_t bytesPerGroup = 9;
     constexpr std::size_t bytesPerFlow = 9;
 
@@ -46,7 +46,7 @@
 
 std::size_t estimatedBytes(const std::vector<FlowGroup>& groups)
 {
-    std::size_t bytes = bytesPerMessage;
+    std::size_t bytes = overheadBytes;
     for (const FlowGroup& group : groups)
         bytes += bytesPerGroup + group.flows.size() * bytesPerFlow;
     return bytes;
@@ -104,9 +104,9 @@
     message.groups = (*parts_)[part];
 }
 
-void PartSender::acknowledge(std::uint64_t list, std::uint32_t part)
+void PartSender::acknowledge(std::uint64_t listId, std::uint32_t part)
 {
-    if (list != listId_ || part >= progress_.size() || progress_[part].acknowledged)
+    if (listId != listId_ || part >= progress_.size() || progress_[part].acknowledged)
         return;
     progress_[part].acknowledged = true;
     --unacknowledged_;
--- a/Source/Flow/FlowTable.cpp
+++ b/Source/Flow/FlowTable.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-    // Two balancers that take each other for the arbiter would pass a packet back and forth for ever. One hop reaches
-    // the arbiter; a second one serves the moment in which the arbiter's role moves on. Further ones are dropped.
+    // Prevents a forwarding loop between balancers that consider each other the arbiter. One hop reaches the arbiter, a
+    // second one its successor.
     constexpr std::uint8_t maxHops = 2;
 
-    // An exception lives this many times longer than other idle flows.
+    // Exceptions expire after this multiple of the idle limit of other flows.
     constexpr std::uint32_t exceptionIdleFactor = 4;
 
-    // A flow counts as load while its last packet here is not older than this.
+    // A flow counts as active for this long after its last packet.
     constexpr std::uint32_t activeSeconds = 10;
 
-    // A flow of more packets than this has been seen by some other balancer, too, unless there is none.
+    // Packets are sprayed over all balancers, so a flow with more packets than this is known to another balancer.
     constexpr std::uint32_t rarelySeenPackets = 8;
     constexpr std::uint32_t maxPacketCount = 255;
 
@@ -30,7 +30,7 @@
 
     RouteDecision drop(DropReason reason, ServiceId service) { return { RouteKind::Drop, reason, {}, service, {} }; }
 
-    RouteDecision handToArbiter(const RoutingState& routing, const FlowPacket& packet)
+    RouteDecision forwardToArbiter(const RoutingState& routing, const FlowPacket& packet)
     {
         if (!routing.arbiterFlowAddress.isSet())
             return drop(DropReason::NoArbiter, routing.service);
@@ -39,7 +39,7 @@
         return { RouteKind::ToBalancer, DropReason::None, routing.arbiterFlowAddress, routing.service, {} };
     }
 
-    // The table by which this balancer itself may decide for an unknown flow of the bucket, or null.
+    // The table by which this balancer routes an unknown flow of the bucket; null if it must not route it itself.
     const BucketTable* tableFor(const RoutingState& routing, BucketIndex bucket)
     {
         if (!routing.arbitratedBuckets.test(bucket))
@@ -49,8 +49,8 @@
 
 }
 
-FlowTable::FlowTable(std::uint32_t shardCount, std::shared_ptr<FlowTrackingCounters> budget, bool tracksFlows)
-    : counters_(std::move(budget))
+FlowTable::FlowTable(std::uint32_t shardCount, std::shared_ptr<FlowTrackingCounters> counters, bool tracksFlows)
+    : counters_(std::move(counters))
     , tracksFlows_(tracksFlows)
 {
     for (std::uint32_t i = 0; i < shardCount; ++i) {
@@ -78,8 +78,8 @@
     if (known != shard.flows.end()) {
         const auto server = routing.directory->find(known->second.server);
         const bool present = server != routing.directory->end();
-        // A client port may be used again soon. Where the packet itself says that a flow starts, an entry that leads to
-        // a server without new work is the old flow's; following it would give a draining server new flows.
+        // A client may reuse a port. If the packet starts a flow, an entry with a server that is not active belongs to
+        // an earlier flow; following it would send new flows to a draining server.
         const bool isOldFlow = packet.startsFlow && present && server->second.state != BackendServerState::Active;
         if (present && !isOldFlow) {
             known->second.lastSeenSeconds = secondsOf(now);
@@ -96,7 +96,7 @@
     const BucketTable* table = tableFor(routing, bucket);
     if (!table) {
         const RouteDecision decision
-            = routing.isArbiter ? drop(DropReason::NoArbiter, routing.service) : handToArbiter(routing, packet);
+            = routing.isArbiter ? drop(DropReason::NoArbiter, routing.service) : forwardToArbiter(routing, packet);
         if (decision.kind == RouteKind::ToBalancer)
             counters_->forwardedPackets.fetch_add(1, std::memory_order_relaxed);
         return decision;
@@ -113,8 +113,8 @@
     if (!tracksFlows_)
         return;
     counters_->newFlows.fetch_add(1, std::memory_order_relaxed);
-    // Memory is bounded: a flow beyond the limit is served by the table alone. It breaks only if its bucket changes
-    // while it lives; the counter tells operators that this may happen.
+    // At the limit, a new flow is routed by the table without an entry, and breaks if its bucket moves to another
+    // server. The counter shows operators the number of such flows.
     if (counters_->tracked.load(std::memory_order_relaxed) >= counters_->capacity) {
         counters_->untrackedNewFlows.fetch_add(1, std::memory_order_relaxed);
         return;
@@ -182,7 +182,7 @@
     for (const KnownFlow& flow : flows) {
         Shard& shard = shardOf(flow.key);
         const std::lock_guard lock(shard.mutex);
-        // Learned flows are exceptions, which no table finds again: they are kept even when the budget is spent.
+        // Learned flows may be exceptions, for which no table gives the server, so the limit does not apply to them.
         const bool isNew = shard.flows.try_emplace(flow.key, Entry { flow.server, secondsOf(now), 0 }).second;
         if (isNew)
             ++counters_->tracked;
@@ -193,11 +193,11 @@
 {
     Shard& shard = *shards_[shardIndex];
     const std::lock_guard lock(shard.mutex);
-    const std::size_t looked = shard.flows.size();
+    const std::size_t scanned = shard.flows.size();
     const std::uint32_t nowSeconds = secondsOf(now);
-    // A packet thread may have marked a flow as seen in a later second than the tick's own time. The difference would
-    // wrap around then, and a busy flow would count as idle for months.
-    const auto idleSince = [nowSeconds](std::uint32_t lastSeen) {
+    // A packet thread may have set a later second than the time of this tick. The difference would then wrap around,
+    // and an active flow would count as idle for months.
+    const auto idleFor = [nowSeconds](std::uint32_t lastSeen) {
         const std::uint32_t difference = (nowSeconds - lastSeen) & secondsMask;
         return difference > secondsMask / 2 ? 0 : difference;
     };
@@ -208,15 +208,15 @@
     counters_->tracked -= absl::erase_if(shard.flows, [&](const auto& flow) {
         const bool isException = settled && settled->at(bucketOf(flow.first)) != flow.second.server;
         const std::uint32_t limit = isException ? idleSeconds * exceptionIdleFactor : idleSeconds;
-        const bool isIdle = idleSince(flow.second.lastSeenSeconds) > limit;
-        if (idleSince(flow.second.lastSeenSeconds) <= activeSeconds)
+        const bool isIdle = idleFor(flow.second.lastSeenSeconds) > limit;
+        if (idleFor(flow.second.lastSeenSeconds) <= activeSeconds)
             ++shard.activeFlows[flow.second.server];
         exceptions += isException && !isIdle;
         return isIdle;
     });
     counters_->exceptions += exceptions - shard.exceptions;
     shard.exceptions = exceptions;
-    return looked;
+    return scanned;
 }
 
 std::map<BackendServerId, std::size_t> FlowTable::activeFlowsByServer() const
--- a/Source/Flow/ServerWeights.cpp
+++ b/Source/Flow/ServerWeights.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-    // A starting server rises to its whole weight in equal steps. More steps would move more buckets for little.
-    constexpr int startSteps = 4;
+    // Number of equal steps in which a slow start reaches the full weight. Each step moves buckets.
+    constexpr int slowStartSteps = 4;
 
-    // Below so many flows a server, differences are chance.
+    // With fewer flows per server on average, the differences of load are considered random.
     constexpr double minFlowsPerServer = 20;
-    // At evenness 1, a server that carries half of its share gets this much more of the new flows, as a part of one.
+    // At evenness 1, a server with half of its share of the flows gets 1 + balancingGain times its weight.
     constexpr double balancingGain = 1.0;
     constexpr double minBalancingFactor = 0.5;
     constexpr double maxBalancingFactor = 2.0;
-    // Smaller changes are not worth moving buckets for. The load follows a change only as flows end, so that a finer
-    // correction would chase chance.
+    // Corrections of the load that are smaller than this, in thousandths, are not applied. Each one moves buckets, and
+    // the load changes only slowly, as flows end.
     constexpr int minFactorChange = 150;
 
     std::uint16_t toPermille(double factor) { return static_cast<std::uint16_t>(std::lround(factor * fullFactor)); }
 
-    // Names only so many servers as messages have room for, those farthest from their whole weight first.
-    WeightFactors mostImportant(const WeightFactors& factors)
+    // Keeps at most maxFactors entries, those farthest from the full factor.
+    WeightFactors largestDeviations(const WeightFactors& factors)
     {
         if (factors.size() <= maxFactors)
             return factors;
@@ -69,14 +69,14 @@
     const auto server = servers_.find(id);
     if (server == servers_.end())
         return;
-    // One that comes back is as cold as a new one.
+    // A server that recovers needs a slow start like a new one.
     if (isHealthy && !server->second.isHealthy)
         server->second.startedAt = now;
     server->second.isHealthy = isHealthy;
 }
 
-// When too many look unhealthy, the checks are likelier to be wrong than the servers; and even if they are right, the
-// rest would fall over under the whole load.
+// If too many servers are reported unhealthy, none is ejected: the health checks are probably wrong, and the remaining
+// servers could not carry the load.
 bool ServerWeights::ejectsUnhealthy() const
 {
     const auto healthy
@@ -89,9 +89,9 @@
     if (!server.startedAt || server.slowStart.count() == 0)
         return 1;
     const double elapsed = std::chrono::duration<double>(now - *server.startedAt).count();
-    const double part = elapsed / double(server.slowStart.count());
-    const int step = std::clamp(1 + int(part * startSteps), 1, startSteps);
-    return double(step) / startSteps;
+    const double progress = elapsed / double(server.slowStart.count());
+    const int step = std::clamp(1 + int(progress * slowStartSteps), 1, slowStartSteps);
+    return double(step) / slowStartSteps;
 }
 
 double ServerWeights::balancingFactor(BackendServerId id, const Server& server, const ServerLoads& loads) const
@@ -114,21 +114,21 @@
     const WeightFactors& currentFactors, const ServerLoads& loads, TimePoint now) const
 {
     const bool ejects = ejectsUnhealthy();
-    WeightFactors wanted;
+    WeightFactors desired;
     for (const auto& [id, server] : servers_) {
         const auto present = currentFactors.find(id);
         const int current = present == currentFactors.end() ? fullFactor : present->second;
         const bool ejected = ejects && !server.isHealthy;
-        const double started = slowStartFactor(server, now);
-        int factor = ejected ? 0 : toPermille(started * balancingFactor(id, server, loads));
-        // Steps of a slow start and ejections are taken as they are; corrections of the load only if they are worth it.
-        const bool onlyEvens = !ejected && started == 1 && current != 0;
-        if (onlyEvens && std::abs(factor - current) < minFactorChange)
+        const double slowStart = slowStartFactor(server, now);
+        int factor = ejected ? 0 : toPermille(slowStart * balancingFactor(id, server, loads));
+        // Slow starts and ejections always apply; corrections of the load only from minFactorChange on.
+        const bool onlyBalances = !ejected && slowStart == 1 && current != 0;
+        if (onlyBalances && std::abs(factor - current) < minFactorChange)
             factor = current;
         if (factor != fullFactor)
-            wanted.emplace(id, static_cast<std::uint16_t>(factor));
+            desired.emplace(id, static_cast<std::uint16_t>(factor));
     }
-    return mostImportant(wanted);
+    return largestDeviations(desired);
 }
 
 }
--- a/Source/Flow/TableDefinition.cpp
+++ b/Source/Flow/TableDefinition.cpp
@@ -12,7 +12,7 @@
         if (factor == factors.end())
             continue;
         const std::uint64_t weight = std::uint64_t(share.weight) * factor->second / fullFactor;
-        // A server that keeps any factor keeps some buckets.
+        // A factor above zero never reduces the weight to zero.
         share.weight = factor->second == 0 ? 0 : std::max<std::uint32_t>(1, static_cast<std::uint32_t>(weight));
     }
     return BucketTable::build(policy, evenness, service, scaled);
--- a/Source/Flow/TablePolicies.cpp
+++ b/Source/Flow/TablePolicies.cpp
@@ -25,19 +25,20 @@
             [](double sum, const ServerShare& share) { return sum + share.weight; });
     }
 
-    // How many buckets each server may take at most; together they always suffice for all buckets.
+    // The maximum number of buckets per server. Rounded up, so that the sum is at least the number of buckets.
     std::vector<std::size_t> bucketCaps(const TableInput& input, double margin)
     {
         const double total = totalWeight(input);
         std::vector<std::size_t> caps;
         for (const ServerShare& share : input.shares) {
-            const double fair = double(bucketCount) * share.weight / total;
-            caps.push_back(static_cast<std::size_t>(std::ceil(fair * (1 + margin))));
+            const double fairShare = double(bucketCount) * share.weight / total;
+            caps.push_back(static_cast<std::size_t>(std::ceil(fairShare * (1 + margin))));
         }
         return caps;
     }
 
-    // Weighted rendezvous score: the server with the highest one wins the bucket in proportion to its weight.
+    // Weighted rendezvous score. The server with the highest score gets the bucket; on average, servers get buckets in
+    // proportion to their weights.
     double rendezvousScore(std::uint64_t bucketHash, const ServerShare& share)
     {
         const std::uint64_t hash = hashPair(bucketHash, share.server.value);
@@ -70,7 +71,7 @@
     std::vector<BackendServerId> assignFromRing(const TableInput& input, const std::vector<std::size_t>& caps)
     {
         const std::vector<RingNode> ring = buildRing(input);
-        std::vector<std::size_t> taken(input.shares.size(), 0);
+        std::vector<std::size_t> assigned(input.shares.size(), 0);
         std::vector<BackendServerId> servers(bucketCount);
         for (std::size_t bucket = 0; bucket < bucketCount; ++bucket) {
             const std::uint64_t position = hashPair(input.service.value, bucket);
@@ -79,12 +80,12 @@
             for (std::size_t step = 0; step < ring.size(); ++step, ++node) {
                 if (node == ring.end())
                     node = ring.begin();
-                if (taken[node->server] < caps[node->server])
+                if (assigned[node->server] < caps[node->server])
                     break;
             }
             if (node == ring.end())
                 node = ring.begin();
-            ++taken[node->server];
+            ++assigned[node->server];
             servers[bucket] = input.shares[node->server].server;
         }
         return servers;
@@ -96,7 +97,7 @@
 {
     const bool capped = input.evenness > 0;
     const double margin = (1 - input.evenness) * maxMargin;
-    std::vector<std::size_t> room
+    std::vector<std::size_t> remaining
         = capped ? bucketCaps(input, margin) : std::vector<std::size_t>(input.shares.size(), bucketCount);
     std::vector<BackendServerId> servers(bucketCount);
     for (std::size_t bucket = 0; bucket < bucketCount; ++bucket) {
@@ -104,7 +105,7 @@
         double bestScore = -1;
         std::size_t best = 0;
         for (std::size_t server = 0; server < input.shares.size(); ++server) {
-            if (room[server] == 0)
+            if (remaining[server] == 0)
                 continue;
             const double score = rendezvousScore(bucketHash, input.shares[server]);
             if (score > bestScore) {
@@ -112,7 +113,7 @@
                 best = server;
             }
         }
-        --room[best];
+        --remaining[best];
         servers[bucket] = input.shares[best].server;
     }
     return servers;
--- a/Source/Flow/TableSynchronizer.cpp
+++ b/Source/Flow/TableSynchronizer.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-    // An arbiter repeats what it waits for, so one that says nothing for this long has given the change up.
-    constexpr Duration silenceBeforeSwitch = std::chrono::seconds(2);
-    // After the switch the exceptions may queue behind other services' in the sender's budget.
-    constexpr Duration silenceAfterSwitch = std::chrono::seconds(10);
+    // Time without a message from the arbiter after which a promise ends. Before the switch, the arbiter sends a
+    // message at each retry interval.
+    constexpr Duration timeoutBeforeSwitch = std::chrono::seconds(2);
+    // After the switch, the exceptions may be delayed by the arbiter's send budget.
+    constexpr Duration timeoutAfterSwitch = std::chrono::seconds(10);
 
     BucketSet allBuckets() { return BucketSet().set(); }
 
@@ -23,14 +24,14 @@
 {
 }
 
-void TableSynchronizer::setVersion(std::uint64_t version, std::shared_ptr<const TableDefinition> source,
+void TableSynchronizer::setVersion(std::uint64_t version, std::shared_ptr<const TableDefinition> definition,
     std::shared_ptr<const ServerDirectory> directory, const ChangeContext& context)
 {
     const bool sameDirectory = directory_ == directory;
-    const bool sameDefinition = definition_ == source;
+    const bool sameDefinition = definition_ == definition;
     const bool wasSettled = isSettled();
     version_ = version;
-    definition_ = std::move(source);
+    definition_ = std::move(definition);
     directory_ = std::move(directory);
     targetGeneration_ = TableGeneration(version_, factorsRevision_).number();
     const auto settledTable = tables_.find(settledGeneration_);
@@ -38,7 +39,7 @@
         targetGeneration_, wasSettled && sameDefinition ? settledTable : definition_->build(factors_), factors_);
     if (!protectsFlows_)
         settledDefinition_ = definition_;
-    // New factors can wait; under the new version they are tried again.
+    // A change of the factors alone is cancelled; it starts again with the new version.
     if (reportCollection_ && settledDefinition_ == definition_)
         abortChange(context);
     settleIfUnchanged();
@@ -47,8 +48,8 @@
     publish(context);
 }
 
-// Most configurations do not touch this service; for them nothing has to be agreed. Nobody can have switched to another
-// table without this balancer's promise, or else it hears of that.
+// Settles at the target generation without agreement if its table is the settled one. This is safe: an arbiter that
+// switches to another table either has this balancer's promise or announces the switch to it.
 void TableSynchronizer::settleIfUnchanged()
 {
     const bool unchanged = settledDefinition_ == definition_ && (settledGeneration_ != 0 || !protectsFlows_);
@@ -84,7 +85,7 @@
     case FlowMessageKind::ReportAck:
         return handleReportAck(from, received);
     case FlowMessageKind::Hold:
-        // Having heard from the arbiter is all that it is for.
+        // Only restarts the timeout of the promise, above.
         return;
     case FlowMessageKind::Switch:
         return handleSwitch(from, received, context);
@@ -143,13 +144,13 @@
 void TableSynchronizer::handleReportRequest(BalancerId from, const FlowMessage& request, const ChangeContext& context)
 {
     const std::uint64_t generation = request.targetGeneration;
-    const auto table = learnTable(request);
-    // Unknown here yet: the arbiter asks again, and the configuration is on its way.
+    const auto table = findOrBuildTable(request);
+    // The configuration has not arrived yet. The arbiter repeats the request.
     if (!table)
         return;
     const bool isLeading = reportCollection_ && arbiter(context) != from;
     const bool followsAnother = promise_ && promise_->arbiter != from && promise_->generation > settledGeneration_;
-    // Others may wait for exceptions that this balancer alone holds; the next change begins after that.
+    // Other balancers may need exceptions that only this balancer has, so they are delivered before the next change.
     if (isLeading || followsAnother || hasPendingDeliveries()) {
         context.send(from, message(FlowMessageKind::Busy, generation));
         return;
@@ -159,13 +160,13 @@
     const bool reporting = promise_ && promise_->arbiter == from && promise_->generation == generation
         && promise_->report && !promise_->report->isComplete();
     if (reporting) {
-        // Parts may wait for the budget, so that the arbiter hears nothing for long.
+        // The send budget may delay the parts of the report; Busy keeps the arbiter from timing out.
         context.send(from, message(FlowMessageKind::Busy, generation));
         return;
     }
 
     promise_ = Promise { from, generation, std::nullopt, context.now, false };
-    // The arbiter may be settled at an older generation than this balancer, and then lacks older exceptions too.
+    // If the arbiter is settled at an older generation than this balancer, it lacks the exceptions since then.
     const std::uint64_t first = std::min(settledGeneration_, request.settledGeneration);
     const BucketSet buckets = first == 0 ? allBuckets() : tables_.differingBuckets(first, generation);
     promise_->report.emplace(
@@ -176,7 +177,7 @@
 void TableSynchronizer::handleReport(BalancerId from, const FlowMessage& report, const ChangeContext& context)
 {
     const bool isCollecting = reportCollection_ && reportCollection_->generation() == report.targetGeneration;
-    // A report that comes after a forced switch still teaches this balancer where those flows belong.
+    // Flows of a report that arrives after a forced switch are still added.
     const bool isLate = !reportCollection_ && settledGeneration_ == report.targetGeneration;
     if (!isCollecting && !isLate) {
         if (!reportCollection_)
@@ -202,8 +203,8 @@
 
 void TableSynchronizer::handleReportAck(BalancerId from, const FlowMessage& ack)
 {
-    const bool isMine = promise_ && promise_->arbiter == from && promise_->generation == ack.targetGeneration;
-    if (isMine && promise_->report)
+    const bool matchesPromise = promise_ && promise_->arbiter == from && promise_->generation == ack.targetGeneration;
+    if (matchesPromise && promise_->report)
         promise_->report->acknowledge(ack.listId, ack.part);
 }
 
@@ -212,15 +213,15 @@
     const std::uint64_t generation = announced.targetGeneration;
     if (generation <= settledGeneration_)
         return;
-    learnTable(announced);
+    findOrBuildTable(announced);
     switchedGeneration_ = std::max(switchedGeneration_, generation);
     if (promise_ && promise_->arbiter == from && promise_->generation == generation) {
         promise_->switched = true;
         publish(context);
         return;
     }
-    // The others went on without this balancer, which they took for dead or which answered too late. Until it holds the
-    // exceptions, its own answers could contradict theirs and break flows.
+    // The arbiter switched without this balancer's report, because it considered this balancer dead or the report timed
+    // out. Routing by the old table without the exceptions could break flows.
     if (reportCollection_)
         abortChange(context);
     if (settledGeneration_ != 0)
@@ -239,7 +240,7 @@
     }
     const bool fromPromised = promise_ && promise_->arbiter == from && promise_->generation == generation;
     if (!fromPromised && settledGeneration_ != 0) {
-        // A list without the promise may be cut to buckets that do not cover this balancer's doubts.
+        // Without a promise, the list may not cover all buckets in which this balancer's table differs.
         handleSwitch(from, received, context);
         return;
     }
@@ -249,7 +250,7 @@
     incomingExceptions_->parts.accept(received);
     context.send(from, ack);
     switchedGeneration_ = std::max(switchedGeneration_, generation);
-    if (incomingExceptions_->parts.isComplete() && learnTable(received))
+    if (incomingExceptions_->parts.isComplete() && findOrBuildTable(received))
         settleAt(generation, context);
 }
 
@@ -266,8 +267,9 @@
 
 void TableSynchronizer::handleRelease(BalancerId from, const FlowMessage& released, const ChangeContext& context)
 {
-    const bool isMine = promise_ && promise_->arbiter == from && promise_->generation == released.targetGeneration;
-    if (!isMine || promise_->switched)
+    const bool matchesPromise
+        = promise_ && promise_->arbiter == from && promise_->generation == released.targetGeneration;
+    if (!matchesPromise || promise_->switched)
         return;
     promise_.reset();
     settleIfUnchanged();
@@ -280,11 +282,11 @@
         return;
     const bool fulfilled = promise_->generation <= settledGeneration_ && promise_->report->isComplete();
     const bool arbiterIsAlive = context.isAlive(promise_->arbiter);
-    const Duration limit = promise_->switched ? silenceAfterSwitch : silenceBeforeSwitch;
-    const bool isSilent = context.now - promise_->lastMessageAt >= limit;
-    if (!fulfilled && arbiterIsAlive && !isSilent)
+    const Duration timeout = promise_->switched ? timeoutAfterSwitch : timeoutBeforeSwitch;
+    const bool hasTimedOut = context.now - promise_->lastMessageAt >= timeout;
+    if (!fulfilled && arbiterIsAlive && !hasTimedOut)
         return;
-    // An arbiter that is up but not heard may switch, or have switched, without this balancer's hearing of it.
+    // An arbiter that is not dead may have switched although its messages do not arrive.
     if (!fulfilled && arbiterIsAlive && promise_->generation > settledGeneration_) {
         desynchronize(context);
         return;
@@ -294,7 +296,7 @@
     publish(context);
 }
 
-// Whoever leaves leads nothing new.
+// A leaving balancer starts no change, but remains the arbiter of one that is in progress.
 std::optional<BalancerId> TableSynchronizer::arbiter(const ChangeContext& context) const
 {
     return isLeaving_ && !reportCollection_ ? context.otherArbiterOf(service_) : context.arbiterOf(service_);
@@ -313,7 +315,7 @@
     publish(context);
 }
 
-// The last table that a change under way may lead to.
+// The highest generation that a change in progress may switch to.
 std::uint64_t TableSynchronizer::newestPendingGeneration() const
 {
     std::uint64_t newest = std::max(settledGeneration_, targetGeneration_);
@@ -324,8 +326,8 @@
     return newest;
 }
 
-// The factors are part of what was agreed, so they change only with the settled table. The newest configuration then
-// stands under them.
+// The factors change only with the settled table, since they are part of it. The target table is the one of the newest
+// configuration with these factors.
 void TableSynchronizer::adoptFactorsOf(std::uint64_t generation)
 {
     factors_ = tables_.factorsOf(generation);
@@ -335,10 +337,10 @@
     targetGeneration_
         = TableGeneration(std::max(version_, TableGeneration(generation).version()), factorsRevision_).number();
     if (!tables_.find(targetGeneration_))
-        makeTable(targetGeneration_, factors_);
+        buildTable(targetGeneration_, factors_);
 }
 
-std::shared_ptr<const BucketTable> TableSynchronizer::learnTable(const FlowMessage& received)
+std::shared_ptr<const BucketTable> TableSynchronizer::findOrBuildTable(const FlowMessage& received)
 {
     const std::uint64_t generation = received.targetGeneration;
     if (auto known = tables_.find(generation))
@@ -346,12 +348,12 @@
     if (!definition_ || TableGeneration(generation).version() != version_)
         return nullptr;
     WeightFactors factors;
-    for (const WeightFactorEntry& row : received.factors)
-        factors.emplace(BackendServerId { row.backendServer }, row.permille);
-    return makeTable(generation, factors);
+    for (const WeightFactorEntry& entry : received.factors)
+        factors.emplace(BackendServerId { entry.backendServer }, entry.permille);
+    return buildTable(generation, factors);
 }
 
-std::shared_ptr<const BucketTable> TableSynchronizer::makeTable(std::uint64_t generation, const WeightFactors& factors)
+std::shared_ptr<const BucketTable> TableSynchronizer::buildTable(std::uint64_t generation, const WeightFactors& factors)
 {
     auto table = definition_->build(factors);
     tables_.add(generation, table, factors);
@@ -369,15 +371,15 @@
     else
         routing->arbitratedBuckets = tables_.differingBuckets(settledGeneration_, newestPendingGeneration());
 
-    const auto decider = promise_ ? std::optional(promise_->arbiter) : arbiter(context);
-    routing->isArbiter = reportCollection_ || decider == context.view.self;
+    const auto arbiterId = promise_ ? std::optional(promise_->arbiter) : arbiter(context);
+    routing->isArbiter = reportCollection_ || arbiterId == context.view.self;
     if (routing->isArbiter) {
-        // An arbiter that took over after a switch lacks the exceptions until all have reported. A lost packet is made
-        // good by the caller, a wrong answer breaks the flow.
+        // An arbiter that took over after a switch lacks the exceptions until all members have reported. Until then it
+        // drops unknown flows: the client retransmits a lost packet, but a wrong server breaks the flow.
         if (settledGeneration_ != 0 && switchedGeneration_ == settledGeneration_)
             routing->arbiterTable = tables_.find(settledGeneration_);
-    } else if (decider) {
-        if (const Member* member = context.view.find(*decider))
+    } else if (arbiterId) {
+        if (const Member* member = context.view.find(*arbiterId))
             routing->arbiterFlowAddress = member->flowAddress;
     }
     return routing;
@@ -387,15 +389,15 @@
 
 FlowMessage TableSynchronizer::message(FlowMessageKind kind, std::uint64_t targetGeneration) const
 {
-    FlowMessage made;
-    made.kind = static_cast<std::uint8_t>(kind);
-    made.service = service_.value;
-    made.settledGeneration = settledGeneration_;
-    made.switchedGeneration = switchedGeneration_;
-    made.targetGeneration = targetGeneration;
+    FlowMessage result;
+    result.kind = static_cast<std::uint8_t>(kind);
+    result.service = service_.value;
+    result.settledGeneration = settledGeneration_;
+    result.switchedGeneration = switchedGeneration_;
+    result.targetGeneration = targetGeneration;
     for (const auto& [server, permille] : tables_.factorsOf(targetGeneration))
-        made.factors.push_back({ server.value, permille });
-    return made;
+        result.factors.push_back({ server.value, permille });
+    return result;
 }
 
 }
--- a/Source/Flow/TableSynchronizer.h
+++ b/Source/Flow/TableSynchronizer.h
@@ -122,8 +122,8 @@
     std::uint64_t newestPendingGeneration() const;
 
     // The table of the message's target generation, built if necessary. Null while its configuration is unknown.
-    std::shared_ptr<const BucketTable> learnTable(const FlowMessage&);
-    std::shared_ptr<const BucketTable> makeTable(std::uint64_t generation, const WeightFactors&);
+    std::shared_ptr<const BucketTable> findOrBuildTable(const FlowMessage&);
+    std::shared_ptr<const BucketTable> buildTable(std::uint64_t generation, const WeightFactors&);
 
     std::shared_ptr<const RoutingState> routingFor(const ChangeContext&) const;
     void publish(const ChangeContext&);
--- a/Source/Flow/TableSynchronizerArbiter.cpp
+++ b/Source/Flow/TableSynchronizerArbiter.cpp
@@ -1,4 +1,5 @@
-// How a balancer leads the change of a service's table, asks for what it missed, and hands its flows over.
+// The part of TableSynchronizer that coordinates a change as the arbiter, requests synchronization, and hands flows
+// over at a planned stop.
 #include "Flow/TableSynchronizer.h"
 
 #include <algorithm>
@@ -8,7 +9,8 @@
 
 namespace {
 
-    constexpr int syncRequestRetries = 2;
+    // Retry intervals between two sync requests.
+    constexpr int syncRequestIntervals = 2;
 
     BucketSet allBuckets() { return BucketSet().set(); }
 
@@ -22,8 +24,8 @@
     if (reportCollection_ && reportCollection_->generation() < targetGeneration_)
         reportCollection_.reset();
     const bool hasReason = settledGeneration_ != targetGeneration_ || desiredFactors_ != factors_;
-    const bool mayLead = isArbiter && !promise_ && deliveries_.isEmpty() && targetGeneration_ != 0 && hasReason;
-    if (!reportCollection_ && mayLead)
+    const bool canStart = isArbiter && !promise_ && deliveries_.isEmpty() && targetGeneration_ != 0 && hasReason;
+    if (!reportCollection_ && canStart)
         startChange(context);
     if (!reportCollection_)
         return;
@@ -31,7 +33,7 @@
     if (reportCollection_->isComplete(context)) {
         switchOver(context);
     } else if (reportCollection_->hasTimedOut(context)) {
-        // Other factors can wait until everybody answers again; the operators' word cannot.
+        // A change of the factors alone waits until all members answer; a configuration change does not.
         const bool onlyFactors = TableGeneration(reportCollection_->generation()).version()
             == TableGeneration(settledGeneration_).version();
         if (onlyFactors) {
@@ -48,13 +50,13 @@
     ++startedCount_;
     std::uint64_t generation = targetGeneration_;
     if (desiredFactors_ != factors_) {
-        // A number that an abandoned change had is never given again: others may still know it by other factors.
+        // The generation of a cancelled change is never reused, since other balancers may know it with other factors.
         const std::uint64_t switched
             = TableGeneration(std::max(switchedGeneration_, targetGeneration_)).factorsRevision();
         const std::uint64_t highest = std::max({ switched, factorsRevision_, lastIssuedRevision_ });
         lastIssuedRevision_ = TableGeneration::nextRevision(highest, context.view.self);
         generation = TableGeneration(version_, lastIssuedRevision_).number();
-        makeTable(generation, desiredFactors_);
+        buildTable(generation, desiredFactors_);
     }
     reportCollection_.emplace(generation);
     publish(context);
@@ -87,15 +89,15 @@
 void TableSynchronizer::deliverAfterSwitch(const ReportCollection& reports, std::uint64_t previouslySettled,
     const std::vector<KnownFlow>& exceptions, const ChangeContext& context)
 {
-    const auto changedParts = splitIntoParts(exceptions);
+    const auto newParts = splitIntoParts(exceptions);
     std::shared_ptr<const FlowParts> allParts;
     context.forEachOther([&](const Member& member) {
         context.send(member.id, message(FlowMessageKind::Switch, settledGeneration_));
-        // Whoever decided by the same table holds all older exceptions; anybody else needs them too.
-        const bool heldTheSame = previouslySettled != 0 && reports.settledGenerationOf(member.id) == previouslySettled;
-        if (!heldTheSame && !allParts)
+        // A member that was settled at the same table has all older exceptions; the others need them too.
+        const bool hadSameTable = previouslySettled != 0 && reports.settledGenerationOf(member.id) == previouslySettled;
+        if (!hadSameTable && !allParts)
             allParts = splitIntoParts(flows_.collect(allBuckets(), *tables_.find(settledGeneration_)));
-        deliveries_.start(member.id, settledGeneration_, heldTheSame ? changedParts : allParts, context.now);
+        deliveries_.start(member.id, settledGeneration_, hadSameTable ? newParts : allParts, context.now);
     });
     deliveries_.sendDue(message(FlowMessageKind::Exceptions, settledGeneration_), context);
 }
@@ -120,11 +122,11 @@
 
 void TableSynchronizer::handleSyncRequest(BalancerId from, const FlowMessage& request, const ChangeContext& context)
 {
-    // The newcomer knows the configuration, but not yet the factors that go with it.
+    // The factors may differ, since the requesting balancer does not know them yet.
     const bool sameVersion
         = TableGeneration(request.targetGeneration).version() == TableGeneration(settledGeneration_).version();
-    const bool canHelp = isSettled() && !reportCollection_ && sameVersion;
-    if (!canHelp)
+    const bool canAnswer = isSettled() && !reportCollection_ && sameVersion;
+    if (!canAnswer)
         return;
     const auto flows = flows_.collect(allBuckets(), *tables_.find(settledGeneration_));
     deliveries_.start(from, settledGeneration_, splitIntoParts(flows), context.now);
@@ -135,24 +137,24 @@
     if (!protectsFlows_ || targetGeneration_ == 0 || settledGeneration_ == targetGeneration_ || promise_
         || reportCollection_)
         return;
-    const auto helper = arbiter(context);
-    if (!helper || *helper == context.view.self)
+    const auto arbiterId = arbiter(context);
+    if (!arbiterId || *arbiterId == context.view.self)
         return;
-    if (syncRequestedAt_ && context.now - *syncRequestedAt_ < syncRequestRetries * context.settings.retryInterval)
+    if (syncRequestedAt_ && context.now - *syncRequestedAt_ < syncRequestIntervals * context.settings.retryInterval)
         return;
     syncRequestedAt_ = context.now;
-    context.send(*helper, message(FlowMessageKind::SyncRequest, targetGeneration_));
+    context.send(*arbiterId, message(FlowMessageKind::SyncRequest, targetGeneration_));
 }
 
-// Without this, a flow whose few packets all came here would be unknown to the rest, and broken by the next change that
-// moves its bucket.
+// Without the handover, a flow whose few packets all arrived at this balancer would be unknown to the others, and would
+// break with the next change that moves its bucket.
 void TableSynchronizer::handOver(const ChangeContext& context)
 {
     if (!isLeaving_ || reportCollection_ || promise_ || hasPendingDeliveries() || !isSettled())
         return;
     const auto receiver = context.otherArbiterOf(service_);
-    const bool lost = handover_ && !handover_->parts.isComplete() && handover_->to != receiver;
-    if (!handover_ || lost) {
+    const bool receiverChanged = handover_ && !handover_->parts.isComplete() && handover_->to != receiver;
+    if (!handover_ || receiverChanged) {
         handover_.emplace(Handover { receiver.value_or(BalancerId {}), PartSender(splitIntoParts({}), context.now) });
         const auto flows = flows_.installAndCollectRarelySeen(routingFor(context));
         if (receiver)
