--- a/Tests/Flow/BaselineTest.cpp
+++ b/Tests/Flow/BaselinePolicyTest.cpp
@@ -7,8 +7,9 @@
 
     using namespace std::chrono_literals;
 
-    // A schedule that breaks nobody proves nothing: the baselines must break flows where the default does not.
-    TEST(BaselineTest, breaksFlowsWhereTheDefaultDoesNot)
+    // Guards against a simulation in which a drain breaks no flows under any policy, so that tests of the default
+    // policy would pass without protection.
+    TEST(BaselinePolicyTest, BaselinePoliciesBreakFlowsOnDrain)
     {
         for (const FlowPolicy policy : { FlowPolicy::Modulo, FlowPolicy::ConsistentHash, FlowPolicy::BoundedLoads }) {
             SCOPED_TRACE(nameOf(policy));
--- a/Tests/Flow/FlowChangeTest.cpp
+++ b/Tests/Flow/FlowChangeTest.cpp
@@ -7,7 +7,7 @@
 
     using namespace std::chrono_literals;
 
-    // Flows through a fleet of seven balancers while things change by plan. Nothing may break.
+    // Flows through seven simulated balancers during planned changes. No flow may break.
     class FlowChangeTest : public testing::TestWithParam<std::uint64_t> {
     protected:
         static constexpr double newFlowsPerSecond = 200;
@@ -17,7 +17,7 @@
             , configuration_(makeConfiguration({ { "tryon", 15 }, { "scanintake", 4 } }))
         {
             fleet_.apply(configuration_);
-            EXPECT_TRUE(fleet_.runUntilSettled(10s)) << "a fleet that starts cold settles by itself";
+            EXPECT_TRUE(fleet_.runUntilSettled(10s)) << "balancers did not settle after a cold start";
             fleet_.run(2s, newFlowsPerSecond);
         }
 
@@ -29,16 +29,16 @@
             return options;
         }
 
-        void drain(const std::string& name, BackendServerState state = BackendServerState::Draining)
+        void setState(const std::string& name, BackendServerState state)
         {
             serverNamed(configuration_, name).state = state;
             fleet_.apply(configuration_);
         }
 
-        void expectNothingBroke(const char* after)
+        void expectNoBrokenFlows(const char* step)
         {
-            SCOPED_TRACE(after);
-            EXPECT_TRUE(fleet_.runUntilSettled(20s, newFlowsPerSecond)) << "the change ends";
+            SCOPED_TRACE(step);
+            EXPECT_TRUE(fleet_.runUntilSettled(20s, newFlowsPerSecond)) << "the change did not complete";
             fleet_.run(6s, newFlowsPerSecond);
             EXPECT_EQ(fleet_.outcome().brokenFlows, 0);
             EXPECT_EQ(fleet_.outcome().wrongServicePackets, 0);
@@ -49,67 +49,67 @@
         Configuration configuration_;
     };
 
-    TEST_P(FlowChangeTest, survivesADrainAndAReturn)
+    TEST_P(FlowChangeTest, DrainAndReactivation)
     {
-        drain("tryon-3");
-        expectNothingBroke("after the drain");
-        drain("tryon-3", BackendServerState::Active);
-        expectNothingBroke("after the return");
+        setState("tryon-3", BackendServerState::Draining);
+        expectNoBrokenFlows("after the drain");
+        setState("tryon-3", BackendServerState::Active);
+        expectNoBrokenFlows("after the reactivation");
     }
 
-    TEST_P(FlowChangeTest, survivesTwoDrainsAtOnce)
+    TEST_P(FlowChangeTest, ConcurrentDrains)
     {
-        drain("tryon-3");
-        drain("tryon-4");
-        expectNothingBroke("after both");
+        setState("tryon-3", BackendServerState::Draining);
+        setState("tryon-4", BackendServerState::Draining);
+        expectNoBrokenFlows("after both drains");
     }
 
-    TEST_P(FlowChangeTest, survivesADrainThatIsTakenBackAtOnce)
+    TEST_P(FlowChangeTest, DrainRevertedAtOnce)
     {
-        drain("tryon-3");
+        setState("tryon-3", BackendServerState::Draining);
         fleet_.run(300ms, newFlowsPerSecond);
-        drain("tryon-3", BackendServerState::Active);
-        expectNothingBroke("after both");
+        setState("tryon-3", BackendServerState::Active);
+        expectNoBrokenFlows("after the reverted drain");
     }
 
-    TEST_P(FlowChangeTest, survivesAWeightChangeAndANewServer)
+    TEST_P(FlowChangeTest, WeightChangeAndNewServers)
     {
         serverNamed(configuration_, "tryon-1").weight = 300;
         fleet_.apply(configuration_);
-        expectNothingBroke("after the weight change");
+        expectNoBrokenFlows("after the weight change");
         Configuration larger = makeConfiguration({ { "tryon", 16 }, { "scanintake", 5 } });
         fleet_.apply(larger);
-        expectNothingBroke("after the new servers");
+        expectNoBrokenFlows("after the new servers");
     }
 
-    TEST_P(FlowChangeTest, survivesARemovalWithoutADrain)
+    TEST_P(FlowChangeTest, RemovalWithoutDrain)
     {
         std::erase_if(
             configuration_.backendServers, [](const BackendServer& server) { return server.name == "tryon-5"; });
         fleet_.apply(configuration_);
-        expectNothingBroke("after the removal");
+        expectNoBrokenFlows("after the removal");
     }
 
-    TEST_P(FlowChangeTest, survivesABalancerThatJoinsDuringADrain)
+    TEST_P(FlowChangeTest, BalancerJoinsDuringDrain)
     {
-        drain("tryon-3");
+        setState("tryon-3", BackendServerState::Draining);
         fleet_.addBalancer();
-        expectNothingBroke("after both");
+        expectNoBrokenFlows("after the drain and the join");
     }
 
-    TEST_P(FlowChangeTest, survivesAPlannedStopOfABalancerDuringADrain)
+    TEST_P(FlowChangeTest, PlannedStopOfBalancerDuringDrain)
     {
-        drain("tryon-3");
+        setState("tryon-3", BackendServerState::Draining);
         fleet_.beginLeave(2);
         for (int step = 0; step < 1000 && !fleet_.mayLeave(2); ++step)
             fleet_.run(10ms, newFlowsPerSecond);
         EXPECT_TRUE(fleet_.mayLeave(2));
         fleet_.announceLeaving(2);
         fleet_.run(1s, newFlowsPerSecond);
-        drain("tryon-7");
-        expectNothingBroke("after the drains");
+        setState("tryon-7", BackendServerState::Draining);
+        expectNoBrokenFlows("after the drains");
         fleet_.kill(2);
-        expectNothingBroke("after the balancer is gone");
+        expectNoBrokenFlows("after the balancer has terminated");
     }
 
     INSTANTIATE_TEST_SUITE_P(Seeds, FlowChangeTest, testing::Range<std::uint64_t>(1, 11));
--- a/Tests/Flow/FlowFailureTest.cpp
+++ b/Tests/Flow/FlowFailureTest.cpp
@@ -7,8 +7,8 @@
 
     using namespace std::chrono_literals;
 
-    // What happens by accident while a table changes. Flows may break then, as few as can be; packets never cross
-    // services, leaving servers get no new flows, and the fleet always settles again.
+    // Failures of balancers and connections during a table change. A few flows may break. No packet may reach another
+    // service, draining servers must get no new flows, and the balancers must settle again.
     class FlowFailureTest : public testing::TestWithParam<std::uint64_t> {
     protected:
         FlowFailureTest()
@@ -33,8 +33,8 @@
             fleet_.apply(configuration_);
         }
 
-        // Runs until a balancer leads a change, and returns it.
-        std::size_t awaitLeader()
+        // Runs until a balancer has started a change as the arbiter, and returns its index.
+        std::size_t awaitArbiter()
         {
             for (int step = 0; step < 1000; ++step) {
                 for (std::size_t i = 0; i < fleet_.size(); ++i) {
@@ -43,13 +43,13 @@
                 }
                 fleet_.run(10ms, newFlowsPerSecond);
             }
-            ADD_FAILURE() << "nobody leads the change";
+            ADD_FAILURE() << "no balancer started a change";
             return 0;
         }
 
         void expectRecovery()
         {
-            EXPECT_TRUE(fleet_.runUntilSettled(30s, newFlowsPerSecond)) << "the fleet settles again";
+            EXPECT_TRUE(fleet_.runUntilSettled(30s, newFlowsPerSecond)) << "balancers did not settle";
             fleet_.run(8s, newFlowsPerSecond);
             EXPECT_EQ(fleet_.outcome().wrongServicePackets, 0);
             EXPECT_EQ(fleet_.outcome().newFlowsToLeaving, 0);
@@ -60,25 +60,22 @@
         Configuration configuration_;
     };
 
-    // Symptom: flows of a draining server stall after a balancer died, although their server is well.
-    // Sequence: the arbiter of the change collects reports, then dies, before or after its switch.
-    // Cause: a successor that answers without the others' reports does not know which flows are exceptions.
-    TEST_P(FlowFailureTest, anArbiterDiesInTheMiddleOfAChange)
+    // Guards against a new arbiter that routes flows without the reports of the others, after the previous arbiter died
+    // before or after its switch: it would not know the exceptions.
+    TEST_P(FlowFailureTest, ArbiterDiesDuringChange)
     {
         drain("tryon-3");
-        const std::size_t leader = awaitLeader();
+        const std::size_t arbiter = awaitArbiter();
         fleet_.run(std::chrono::milliseconds(80 * GetParam()), newFlowsPerSecond);
-        fleet_.kill(leader);
+        fleet_.kill(arbiter);
         expectRecovery();
-        // Flows that only the dead arbiter had decided, in the moment of the change, may be lost.
+        // Flows that only the dead arbiter had routed during the change may break.
         EXPECT_LE(fleet_.outcome().brokenFlows, 2);
     }
 
-    // Symptom: after a balancer was paused, flows that pass through it reach other servers than through the rest.
-    // Sequence: a balancer is paused; a server drains meanwhile and the others switch without the paused one; it
-    // wakes with the old table in force and packets in its socket.
-    // Cause: deciding by an old table. On waking, it must not decide until it holds what the others agreed.
-    TEST_P(FlowFailureTest, aPausedBalancerWakesAfterAChange)
+    // Guards against a paused balancer that resumes after the others have switched, and routes the packets in its
+    // socket by its old table.
+    TEST_P(FlowFailureTest, PausedBalancerResumesAfterChange)
     {
         fleet_.pause(GetParam() % fleet_.size(), 12s);
         drain("tryon-3");
@@ -87,11 +84,9 @@
         EXPECT_EQ(fleet_.outcome().brokenFlows, 0);
     }
 
-    // Symptom: one balancer keeps sending new flows to a server that drains; their later packets go elsewhere.
-    // Sequence: a one-way cut keeps the arbiter's messages from one balancer that all take for up; the arbiter's
-    // patience ends and it switches without that balancer's report.
-    // Cause: a balancer that was left behind must notice it when it hears of the switch, and ask before deciding on.
-    TEST_P(FlowFailureTest, aBalancerIsLeftBehindByAOneWayCut)
+    // Guards against a balancer that keeps routing new flows to a draining server, after a one-way partition has kept
+    // the arbiter's messages from it and the arbiter has switched without its report.
+    TEST_P(FlowFailureTest, OneWayPartitionDuringChange)
     {
         for (std::size_t from = 0; from < fleet_.size(); ++from)
             fleet_.cut(from, 6);
--- a/Tests/Flow/FlowRandomTest.cpp
+++ b/Tests/Flow/FlowRandomTest.cpp
@@ -7,8 +7,8 @@
 
     using namespace std::chrono_literals;
 
-    // Planned changes drawn from a seed, close enough to each other to overlap, while views arrive up to two seconds
-    // late, messages get lost and exceptions trickle. Whatever the order, no flow may break.
+    // Random planned changes that overlap, with delayed membership views, lost messages and a low send budget. No flow
+    // may break.
     class FlowRandomTest : public testing::TestWithParam<std::uint64_t> {
     protected:
         FlowRandomTest()
@@ -38,7 +38,7 @@
             return std::uniform_int_distribution<std::uint64_t>(0, below - 1)(random_);
         }
 
-        void changeSomething()
+        void applyRandomChange()
         {
             BackendServer& server = configuration_.backendServers[pick(configuration_.backendServers.size())];
             switch (pick(5)) {
@@ -66,7 +66,8 @@
                 });
         }
 
-        // As the daemon does: announce once the engine allows it, serve on, and end well after the announcement.
+        // Stops a balancer as the daemon does: announces the stop once the engine allows it, and keeps serving until
+        // the end of the test.
         void stopOneBalancer()
         {
             const std::size_t balancer = nextToStop_++;
@@ -85,11 +86,11 @@
         std::vector<std::size_t> leaving_;
     };
 
-    TEST_P(FlowRandomTest, breaksNoFlowByPlan)
+    TEST_P(FlowRandomTest, PlannedChangesBreakNoFlows)
     {
         constexpr int changes = 8;
         for (int change = 0; change < changes; ++change) {
-            changeSomething();
+            applyRandomChange();
             fleet_.run(std::chrono::milliseconds(pick(1500)), newFlowsPerSecond);
         }
         EXPECT_TRUE(fleet_.runUntilSettled(60s, newFlowsPerSecond));
@@ -103,9 +104,9 @@
 
     INSTANTIATE_TEST_SUITE_P(Seeds, FlowRandomTest, testing::Range<std::uint64_t>(1, 41));
 
-    // Found among 300 further seeds. 219: a newcomer without a view promised to somebody whom it then took for dead.
-    // 396: an arbiter's patience ended while a balancer had only just joined.
-    INSTANTIATE_TEST_SUITE_P(SeedsThatBrokeFlows, FlowRandomTest, testing::Values<std::uint64_t>(219, 396));
+    // Seed 219 guards against a joining balancer that promises to an arbiter which its view does not list yet; seed 396
+    // against a report timeout that ends right after a balancer has joined.
+    INSTANTIATE_TEST_SUITE_P(RegressionSeeds, FlowRandomTest, testing::Values<std::uint64_t>(219, 396));
 
 }
 }
--- a/Tests/Flow/FlowThreadsTest.cpp
+++ b/Tests/Flow/FlowThreadsTest.cpp
@@ -17,11 +17,11 @@
     constexpr auto tickLength = 50ms;
     constexpr std::uint32_t loopback = 0x7F000001;
     constexpr std::uint16_t firstFlowPort = 1000;
-    // So many routed packets, over all threads, lie between two steps of the control thread.
+    // Packets that all threads together route at least between two steps of the control thread.
     constexpr std::uint64_t packetsPerStep = 200;
 
-    // Engines of real threads: packet threads route on all of them while the test's own thread is the control thread of
-    // each. Messages between them arrive with the next step. The clock is the only thing that both sides share here.
+    // Engines with real threads: packet threads route on all engines, while the thread of the test is the control
+    // thread of each engine. Messages between engines arrive with the next step. The clock is simulated.
     class FlowThreadsTest : public testing::Test {
     protected:
         ~FlowThreadsTest() override { stopPackets(); }
@@ -88,39 +88,40 @@
                 applyView(i);
         }
 
-        // One tick of every engine, after the messages of the step before.
+        // Delivers the messages of the previous step and ticks every engine.
         void step()
         {
-            // As in a daemon, the control thread has read its time a little before the packet threads read theirs.
-            const TimePoint ticked = now();
-            now_ = ticked + tickLength;
-            for (std::size_t left = messages_.size(); left > 0; --left) {
+            // As in the daemon, the time of the control thread is slightly behind that of the packet threads.
+            const TimePoint tickTime = now();
+            now_ = tickTime + tickLength;
+            for (std::size_t remaining = messages_.size(); remaining > 0; --remaining) {
                 const auto message = std::move(messages_.front());
                 messages_.pop_front();
                 const auto to = std::find_if(members_.begin(), members_.end(),
                     [&](const Member& member) { return member.id == message.second.to; });
                 const auto receiver = static_cast<std::size_t>(to - members_.begin());
-                send(receiver, engines_[receiver]->handle(members_[message.first].id, message.second.message, ticked));
+                send(
+                    receiver, engines_[receiver]->handle(members_[message.first].id, message.second.message, tickTime));
             }
             bool changed = false;
             for (std::size_t i = 0; i < engines_.size(); ++i) {
-                send(i, engines_[i]->tick(ticked));
-                const bool isNew = members_[i].state == MemberState::Joining && engines_[i]->isSynchronized();
-                if (isNew)
+                send(i, engines_[i]->tick(tickTime));
+                const bool startsServing = members_[i].state == MemberState::Joining && engines_[i]->isSynchronized();
+                if (startsServing)
                     members_[i].state = MemberState::Serving;
-                changed = changed || isNew;
+                changed = changed || startsServing;
             }
             if (changed)
                 applyViews();
             awaitPackets(packetsPerStep);
         }
 
-        bool stepUntilSettled(int mostSteps)
+        bool stepUntilSettled(int maxSteps)
         {
             const auto isSettled = [](const auto& engine) {
                 return engine->isSynchronized() && engine->counters().unsettledServices == 0;
             };
-            for (int i = 0; i < mostSteps; ++i) {
+            for (int i = 0; i < maxSteps; ++i) {
                 step();
                 if (std::all_of(engines_.begin(), engines_.end(), isSettled))
                     return true;
@@ -134,11 +135,11 @@
                 messages_.emplace_back(from, action);
         }
 
-        // Routes one packet as the balancers pass it on; returns the server's id, or 0 for a dropped packet.
-        std::uint32_t follow(std::size_t engine, FlowPacket packet)
+        // Routes one packet and forwards it between balancers; returns the server's id, or 0 for a dropped packet.
+        std::uint32_t routeAndForward(std::size_t engine, FlowPacket packet)
         {
-            constexpr int mostAttempts = 4;
-            for (int attempt = 0; attempt < mostAttempts; ++attempt) {
+            constexpr int maxAttempts = 4;
+            for (int attempt = 0; attempt < maxAttempts; ++attempt) {
                 const RouteDecision decision = engines_[engine]->route(packet, now());
                 if (decision.kind == RouteKind::ToBackendServer)
                     return decision.backendServer.value;
@@ -158,7 +159,8 @@
             return { firstClient + static_cast<std::uint32_t>(flow), clientPort };
         }
 
-        // A packet of an open flow through any engine; half of the packets belong to the flows opened last.
+        // Routes a packet of a random open flow through a random engine; half of the packets belong to the newest
+        // flows.
         void routeOpenFlow(std::mt19937_64& random)
         {
             constexpr std::size_t newestFlows = 64;
@@ -166,28 +168,29 @@
             const std::size_t first = random() % 2 == 0 && opened > newestFlows ? opened - newestFlows : 0;
             const std::size_t flow = first + random() % (opened - first);
             const Endpoint address = addresses_[flow % addresses_.size()];
-            const std::uint32_t server = follow(random() % engines_.size(), { clientOf(flow), address, {}, 0, false });
+            const std::uint32_t server
+                = routeAndForward(random() % engines_.size(), { clientOf(flow), address, {}, 0, false });
             if (server == 0) {
                 ++dropped_;
                 return;
             }
-            std::uint32_t held = 0;
-            const bool isFirst = servers_[flow].compare_exchange_strong(held, server);
-            if (!isFirst && held != server)
+            std::uint32_t expected = 0;
+            const bool isFirst = servers_[flow].compare_exchange_strong(expected, server);
+            if (!isFirst && expected != server)
                 ++broken_;
         }
 
-        // The first packet of a flow that nobody knows.
-        void routeFreshFlow(std::mt19937_64& random)
+        // Routes the first packet of a new flow.
+        void routeNewFlow(std::mt19937_64& random)
         {
             const std::size_t flow = openedFlows_++;
             const std::uint64_t phase = phase_;
             const FlowPacket packet { clientOf(flow), addresses_[random() % addresses_.size()], {}, 0, false };
-            const bool decided = engines_.front()->route(packet, now()).kind == RouteKind::ToBackendServer;
-            decided_ += decided;
-            // Odd phases last from the beginning of a silence until the engine has learned anew.
-            if (decided && phase % 2 == 1 && phase_ == phase)
-                ++decidedUnknowing_;
+            const bool routed = engines_.front()->route(packet, now()).kind == RouteKind::ToBackendServer;
+            routed_ += routed;
+            // Odd phases last from the start of an isolation until the engine has synchronized again.
+            if (routed && phase % 2 == 1 && phase_ == phase)
+                ++routedUnsynchronized_;
         }
 
         void setAddresses(const Configuration& configuration)
@@ -211,13 +214,14 @@
         std::atomic<std::uint64_t> dropped_ = 0;
         std::atomic<std::uint64_t> broken_ = 0;
         std::atomic<std::uint64_t> phase_ = 0;
-        std::atomic<std::uint64_t> decided_ = 0;
-        std::atomic<std::uint64_t> decidedUnknowing_ = 0;
+        std::atomic<std::uint64_t> routed_ = 0;
+        std::atomic<std::uint64_t> routedUnsynchronized_ = 0;
         std::atomic<bool> stopping_ = false;
         std::vector<std::thread> threads_;
     };
 
-    // Drains and returns, weights and a removal, one after the other, told to each engine at another step.
+    // Drains, reactivations, weight changes and a removal in sequence. Each engine applies a change at a different
+    // step.
     class FlowThreadsChangeTest : public FlowThreadsTest, public testing::WithParamInterface<std::size_t> {
     protected:
         void change(Configuration& configuration, int round) const
@@ -240,10 +244,10 @@
         }
     };
 
-    TEST_P(FlowThreadsChangeTest, keepsEachFlowOnItsServer)
+    TEST_P(FlowThreadsChangeTest, FlowsStayOnTheirServers)
     {
         constexpr int rounds = 24;
-        constexpr int mostSteps = 400;
+        constexpr int maxSteps = 400;
         constexpr std::size_t newFlowsPerStep = 16;
 
         addEngines(GetParam());
@@ -253,7 +257,7 @@
             apply(i, configuration);
         applyViews();
         startPackets([this](std::mt19937_64& random) { routeOpenFlow(random); });
-        ASSERT_TRUE(stepUntilSettled(mostSteps)) << "the engines begin";
+        ASSERT_TRUE(stepUntilSettled(maxSteps)) << "engines did not settle after the start";
 
         for (int round = 0; round < rounds; ++round) {
             SCOPED_TRACE(round);
@@ -264,26 +268,25 @@
                 openedFlows_ += newFlowsPerStep;
                 step();
             }
-            ASSERT_TRUE(stepUntilSettled(mostSteps)) << "the change ends";
+            ASSERT_TRUE(stepUntilSettled(maxSteps)) << "the change did not complete";
             openedFlows_ += newFlowsPerStep;
             step();
         }
         stopPackets();
         EXPECT_EQ(broken_, 0);
-        EXPECT_LT(dropped_, packets_) << "some packets must reach a server";
+        EXPECT_LT(dropped_, packets_) << "no packet reached a server";
         FlowCounters counters = engines_.front()->counters();
-        EXPECT_GT(counters.exceptions, 0) << "the changes moved buckets of open flows";
+        EXPECT_GT(counters.exceptions, 0) << "the changes moved no bucket of an open flow";
     }
 
     INSTANTIATE_TEST_SUITE_P(Engines, FlowThreadsChangeTest, testing::Values(1, 3));
 
-    // Symptom: after a pause a new flow went to a server that the others had moved its bucket from.
-    // Sequence: the engine heard from others again; a packet thread decided by the tables from before the pause.
-    // Cause: the packet threads were let in before the engine had forgotten those tables.
-    TEST_F(FlowThreadsTest, decidesNothingBetweenAPauseAndWhatTheOthersSay)
+    // Guards against packet threads that route by the tables from before an isolation, because packets are admitted
+    // again before the engine has dropped those tables.
+    TEST_F(FlowThreadsTest, NoRoutingBetweenIsolationAndSynchronization)
     {
         constexpr int rounds = 40;
-        constexpr int mostSteps = 100;
+        constexpr int maxSteps = 100;
 
         constexpr std::size_t serviceCount = 30;
         std::vector<std::pair<std::string, std::size_t>> services;
@@ -301,7 +304,7 @@
         members_.push_back(other);
         apply(0, configuration);
         applyView(0);
-        startPackets([this](std::mt19937_64& random) { routeFreshFlow(random); });
+        startPackets([this](std::mt19937_64& random) { routeNewFlow(random); });
 
         for (int round = 0; round < rounds; ++round) {
             SCOPED_TRACE(round);
@@ -309,10 +312,10 @@
             members_.front().state = MemberState::Joining;
             applyView(0);
             messages_.clear();
-            ASSERT_TRUE(stepUntilSettled(mostSteps)) << "alone, it begins by itself";
-            const std::uint64_t decided = decided_;
+            ASSERT_TRUE(stepUntilSettled(maxSteps)) << "a single engine did not settle by itself";
+            const std::uint64_t routed = routed_;
             awaitPackets(packetsPerStep);
-            EXPECT_GT(decided_, decided);
+            EXPECT_GT(routed_, routed);
 
             applyView(0, true);
             ++phase_;
@@ -324,24 +327,22 @@
             ++phase_;
         }
         stopPackets();
-        EXPECT_EQ(decidedUnknowing_, 0);
+        EXPECT_EQ(routedUnsynchronized_, 0);
     }
 
-    // Symptom: flows that had packets all the time were forgotten, and exceptions among them broke.
-    // Sequence: the control thread read its time and searched for idle flows; meanwhile a packet thread, whose time lay
-    // beyond the next full second, noted a flow as seen.
-    // Cause: the idle time was negative, and came out as a huge number of seconds.
-    TEST_F(FlowThreadsTest, keepsAFlowThatIsSeenWhileATickLooksForIdleOnes)
+    // Guards against a wraparound of the idle time that expires an active flow, when a packet thread sets a later
+    // second than the time of the tick that sweeps idle flows.
+    TEST_F(FlowThreadsTest, FlowWithPacketDuringIdleSweepIsKept)
     {
         constexpr std::size_t flows = 200;
-        constexpr int mostSteps = 100;
+        constexpr int maxSteps = 100;
 
         addEngines(1);
         Configuration configuration = makeConfiguration({ { "tryon", 2 } });
         setAddresses(configuration);
         apply(0, configuration);
         applyView(0);
-        ASSERT_TRUE(stepUntilSettled(mostSteps));
+        ASSERT_TRUE(stepUntilSettled(maxSteps));
 
         const auto serverOf = [&](std::size_t flow, TimePoint when) {
             return engines_.front()->route({ clientOf(flow), addresses_.front(), {}, 0, false }, when).backendServer;
@@ -352,18 +353,18 @@
         serverNamed(configuration, "tryon-0").state = BackendServerState::Draining;
         ++version_;
         apply(0, configuration);
-        ASSERT_TRUE(stepUntilSettled(mostSteps));
+        ASSERT_TRUE(stepUntilSettled(maxSteps));
 
         while (now().time_since_epoch() % 1s != 1s - tickLength)
             step();
-        const TimePoint ticked = now();
-        const TimePoint seen = ticked + tickLength;
+        const TimePoint tickTime = now();
+        const TimePoint packetTime = tickTime + tickLength;
         for (std::size_t flow = 0; flow < flows; ++flow)
-            EXPECT_EQ(serverOf(flow, seen), servers[flow]);
-        engines_.front()->tick(ticked);
+            EXPECT_EQ(serverOf(flow, packetTime), servers[flow]);
+        engines_.front()->tick(tickTime);
         EXPECT_EQ(engines_.front()->counters().trackedFlows, flows);
         for (std::size_t flow = 0; flow < flows; ++flow)
-            EXPECT_EQ(serverOf(flow, seen), servers[flow]);
+            EXPECT_EQ(serverOf(flow, packetTime), servers[flow]);
     }
 
 }
--- a/Tests/Flow/ServerWeightsTest.cpp
+++ b/Tests/Flow/ServerWeightsTest.cpp
@@ -45,9 +45,9 @@
         WeightFactors currentFactors_;
     };
 
-    TEST_F(ServerWeightsTest, givesEverybodyTheWholeWeightAtRest) { EXPECT_TRUE(computeFactors().empty()); }
+    TEST_F(ServerWeightsTest, FullWeightsByDefault) { EXPECT_TRUE(computeFactors().empty()); }
 
-    TEST_F(ServerWeightsTest, startsANewServerSlowly)
+    TEST_F(ServerWeightsTest, SlowStartOfNewServer)
     {
         BackendServer added = configuration_.backendServers.front();
         added.name = "tryon-new";
@@ -62,7 +62,7 @@
         EXPECT_EQ(factorOf(4), fullFactor);
     }
 
-    TEST_F(ServerWeightsTest, takesNewFlowsFromAnUnhealthyServer)
+    TEST_F(ServerWeightsTest, UnhealthyServerGetsNoNewFlows)
     {
         weights_.setHealth(idOf(1), false, clock_.now());
         EXPECT_EQ(factorOf(1), 0);
@@ -70,19 +70,17 @@
         EXPECT_EQ(factorOf(1), fullFactor);
     }
 
-    // Symptom: the last healthy servers fall over, one after the other.
-    // Sequence: the check of most servers fails at one moment, for a reason that lies in the check.
-    // Cause: ejecting all that look unhealthy gives the whole load to the few that do not.
-    TEST_F(ServerWeightsTest, ejectsNobodyWhenTooManyLookUnhealthy)
+    // Guards against an overload of the remaining servers when the health checks of most servers fail.
+    TEST_F(ServerWeightsTest, NoEjectionBelowPanicThreshold)
     {
         weights_.setHealth(idOf(0), false, clock_.now());
         weights_.setHealth(idOf(1), false, clock_.now());
-        EXPECT_EQ(factorOf(0), 0) << "half is the threshold";
+        EXPECT_EQ(factorOf(0), 0) << "half of the servers healthy is not below the threshold";
         weights_.setHealth(idOf(2), false, clock_.now());
         EXPECT_TRUE(computeFactors().empty());
     }
 
-    TEST_F(ServerWeightsTest, givesMoreToWhoCarriesLess)
+    TEST_F(ServerWeightsTest, LessLoadedServerGetsHigherFactor)
     {
         const ServerLoads loads { { idOf(0), 50 }, { idOf(1), 100 }, { idOf(2), 100 }, { idOf(3), 150 } };
         EXPECT_GT(factorOf(0, loads), fullFactor);
@@ -90,24 +88,23 @@
         EXPECT_LT(factorOf(3, loads), fullFactor);
     }
 
-    TEST_F(ServerWeightsTest, takesSmallNumbersAndSmallDifferencesForChance)
+    TEST_F(ServerWeightsTest, SmallLoadsAndDifferencesAreIgnored)
     {
         EXPECT_TRUE(computeFactors({ { idOf(0), 1 }, { idOf(1), 9 } }).empty());
         EXPECT_TRUE(computeFactors({ { idOf(0), 95 }, { idOf(1), 105 }, { idOf(2), 100 }, { idOf(3), 100 } }).empty());
     }
 
-    TEST_F(ServerWeightsTest, keepsFlowsWhereTheyAreAtEvennessZero)
+    TEST_F(ServerWeightsTest, NoLoadCorrectionAtEvennessZero)
     {
         configuration_.services.front().evenness = 0;
         configure();
         EXPECT_TRUE(computeFactors({ { idOf(0), 10 }, { idOf(1), 300 }, { idOf(2), 10 }, { idOf(3), 10 } }).empty());
     }
 
-    // The setting that operators have: a server that returned empty fills up sooner at evenness 1, and no flow breaks
-    // at either end.
-    TEST(BalanceTest, evennessFillsAReturnedServerSooner)
+    // A server that becomes active again gets more new flows at evenness 1 than at 0, and no flow breaks at either.
+    TEST(EvennessTest, HigherEvennessFillsReactivatedServerSooner)
     {
-        const auto flowsOfReturned = [](double evenness) {
+        const auto newFlowsOfReactivated = [](double evenness) {
             FlowFleet fleet({});
             Configuration configuration = makeConfiguration({ { "tryon", 6 } });
             configuration.services.front().evenness = evenness;
@@ -122,7 +119,7 @@
             EXPECT_EQ(fleet.outcome().brokenFlows, 0);
             return fleet.newFlowsByServer()[server.id];
         };
-        EXPECT_GT(flowsOfReturned(1), flowsOfReturned(0));
+        EXPECT_GT(newFlowsOfReactivated(1), newFlowsOfReactivated(0));
     }
 
 }
