--- a/Source/Flow/TableHistory.cpp
+++ b/Source/Flow/TableHistory.cpp
@@ -41,7 +41,7 @@
     return buckets;
 }
 
-void TableHistory::forgetBelow(std::uint64_t generation)
+void TableHistory::removeBelow(std::uint64_t generation)
 {
     while (tables_.size() > keptGenerations && tables_.begin()->first < generation)
         tables_.erase(tables_.begin());
--- a/Source/Flow/TableHistory.h
+++ b/Source/Flow/TableHistory.h
@@ -24,7 +24,7 @@
     BucketSet differingBuckets(std::uint64_t first, std::uint64_t last) const;
 
     // Removes generations below the given one, but keeps the eight most recent for balancers that are behind.
-    void forgetBelow(std::uint64_t generation);
+    void removeBelow(std::uint64_t generation);
 
 private:
     struct Entry {
--- a/Source/Flow/TableSynchronizer.cpp
+++ b/Source/Flow/TableSynchronizer.cpp
@@ -57,7 +57,7 @@
         return;
     settledGeneration_ = targetGeneration_;
     switchedGeneration_ = std::max(switchedGeneration_, targetGeneration_);
-    tables_.forgetBelow(targetGeneration_);
+    tables_.removeBelow(targetGeneration_);
 }
 
 void TableSynchronizer::setDesiredFactors(WeightFactors factors)
@@ -311,7 +311,7 @@
     incomingExceptions_.reset();
     if (promise_ && promise_->generation <= generation)
         promise_.reset();
-    tables_.forgetBelow(generation);
+    tables_.removeBelow(generation);
     publish(context);
 }
 
--- a/Source/Flow/TableSynchronizerArbiter.cpp
+++ b/Source/Flow/TableSynchronizerArbiter.cpp
@@ -83,7 +83,7 @@
     adoptFactorsOf(settledGeneration_);
     const auto exceptions = flows_.installAndCollect(routingFor(context), buckets, *tables_.find(settledGeneration_));
     deliverAfterSwitch(reports, previouslySettled, exceptions, context);
-    tables_.forgetBelow(settledGeneration_);
+    tables_.removeBelow(settledGeneration_);
 }
 
 void TableSynchronizer::deliverAfterSwitch(const ReportCollection& reports, std::uint64_t previouslySettled,
