--- a/Source/Flow/ReportCollection.cpp
+++ b/Source/Flow/ReportCollection.cpp
@@ -37,15 +37,15 @@
 
 bool ReportCollection::hasTimedOut(const ChangeContext& context) const
 {
-    bool isOver = true;
+    bool allTimedOut = true;
     context.forEachOther([&](const Member& member) {
         const auto report = reports_.find(member.id);
         const bool isMissing = report == reports_.end() || !report->second.parts.isComplete();
-        const bool isSilent = report != reports_.end() && report->second.waitingSince
+        const bool timedOut = report != reports_.end() && report->second.waitingSince
             && context.now - *report->second.waitingSince >= context.settings.reportTimeout;
-        isOver = isOver && (!isMissing || isSilent);
+        allTimedOut = allTimedOut && (!isMissing || timedOut);
     });
-    return isOver;
+    return allTimedOut;
 }
 
 std::optional<std::uint64_t> ReportCollection::settledGenerationOf(BalancerId id) const
--- a/Source/Flow/TableSynchronizer.cpp
+++ b/Source/Flow/TableSynchronizer.cpp
@@ -238,8 +238,8 @@
         context.send(from, ack);
         return;
     }
-    const bool fromPromised = promise_ && promise_->arbiter == from && promise_->generation == generation;
-    if (!fromPromised && settledGeneration_ != 0) {
+    const bool matchesPromise = promise_ && promise_->arbiter == from && promise_->generation == generation;
+    if (!matchesPromise && settledGeneration_ != 0) {
         // Without a promise, the list may not cover all buckets in which this balancer's table differs.
         handleSwitch(from, received, context);
         return;
