--- a/Source/Flow/FlowEngine.cpp
+++ b/Source/Flow/FlowEngine.cpp
@@ -3,9 +3,9 @@
 #include "Flow/BucketTable.h"
 #include "Flow/ChangeContext.h"
 #include "Flow/ServerWeights.h"
-#include "Flow/ServiceChange.h"
 #include "Flow/ServiceIndex.h"
-#include "Flow/TableSource.h"
+#include "Flow/TableDefinition.h"
+#include "Flow/TableSynchronizer.h"
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
@@ -19,11 +19,11 @@
 
 namespace {
 
-    // Bounds of the search for idle flows in one tick, so that a tick stays short whatever the number of flows.
-    constexpr std::size_t entriesSweptPerTick = 8192;
-    constexpr std::size_t shardsSweptPerTick = 64;
+    // Limits of the sweep for idle flows per tick, so that the duration of a tick does not grow with the flows.
+    constexpr std::size_t maxEntriesSweptPerTick = 8192;
+    constexpr std::size_t maxShardsSweptPerTick = 64;
 
-    // A configuration grouped for a look at one service after the other.
+    // The backend servers of a configuration, grouped by service.
     struct GroupedServers {
         explicit GroupedServers(const Configuration& configuration)
         {
@@ -37,17 +37,17 @@
         absl::flat_hash_set<Endpoint> usedAddresses;
     };
 
-    TableSource tableSourceOf(
+    TableDefinition tableDefinitionOf(
         FlowPolicy policy, const Service& service, const std::vector<const BackendServer*>& servers)
     {
-        TableSource source { policy, service.id, service.evenness, {} };
+        TableDefinition definition { policy, service.id, service.evenness, {} };
         for (const BackendServer* server : servers) {
             if (server->state == BackendServerState::Active)
-                source.shares.push_back({ server->id, server->weight });
+                definition.shares.push_back({ server->id, server->weight });
         }
-        std::sort(source.shares.begin(), source.shares.end(),
+        std::sort(definition.shares.begin(), definition.shares.end(),
             [](const ServerShare& a, const ServerShare& b) { return a.server < b.server; });
-        return source;
+        return definition;
     }
 
 }
@@ -55,8 +55,8 @@
 struct FlowEngine::Implementation {
     struct ServiceControl {
         std::shared_ptr<ServiceFlows> flows;
-        std::unique_ptr<ServiceChange> change;
-        std::shared_ptr<const TableSource> tableSource;
+        std::unique_ptr<TableSynchronizer> synchronizer;
+        std::shared_ptr<const TableDefinition> tableDefinition;
         ServerWeights weights;
         std::shared_ptr<const ServerDirectory> directory;
         std::chrono::seconds flowIdle { 0 };
@@ -65,12 +65,12 @@
     Implementation(FlowSettings settingsToUse, BalancerId selfId)
         : settings(settingsToUse)
         , view(std::make_shared<MembersView>())
-        , tracking(std::make_shared<TrackingBudget>(settingsToUse.trackedFlows))
+        , tracking(std::make_shared<FlowTrackingCounters>(settingsToUse.trackedFlows))
         , budget(settingsToUse.transitionBytesPerSecond, TimePoint())
     {
-        auto alone = std::make_shared<MembersView>();
-        alone->self = selfId;
-        view = std::move(alone);
+        auto emptyView = std::make_shared<MembersView>();
+        emptyView->self = selfId;
+        view = std::move(emptyView);
     }
 
     ChangeContext context(TimePoint now, FlowActions& actions) { return { *view, settings, budget, now, actions }; }
@@ -81,26 +81,26 @@
         const absl::flat_hash_set<Endpoint>& usedAddresses, const std::shared_ptr<const ServerDirectory>& previous,
         TimePoint now) const;
     void publishIndex(const Configuration&);
-    void considerBootstrap(const ChangeContext&);
-    bool mayBootstrap() const;
-    void reviewSynchronization();
+    void bootstrapIfDue(const ChangeContext&);
+    bool canBootstrap() const;
+    void updateSynchronized();
     void sweepIdleFlows(TimePoint now);
-    void reviewWeights(const ChangeContext&);
+    void updateWeightFactors(const ChangeContext&);
 
     const FlowSettings settings;
     std::shared_ptr<const MembersView> view;
-    std::shared_ptr<TrackingBudget> tracking;
+    std::shared_ptr<FlowTrackingCounters> tracking;
     SendBudget budget;
     FlowActions noActions;
     ServiceIndex index;
     std::map<ServiceId, ServiceControl> services;
     std::uint64_t version = 0;
     bool synchronized = false;
-    std::optional<TimePoint> withoutServingSince;
-    std::optional<TimePoint> weightsReviewedAt;
+    std::optional<TimePoint> noServingMemberSince;
+    std::optional<TimePoint> weightFactorsUpdatedAt;
     std::atomic<TimePoint> lastTick { TimePoint() };
     std::atomic<bool> awaitsContact { false };
-    // The shard that the search for idle flows comes to next.
+    // The next shard of the sweep for idle flows.
     ServiceId sweptService;
     std::size_t sweptShard = 0;
 };
@@ -115,8 +115,9 @@
 RouteDecision FlowEngine::route(const FlowPacket& packet, TimePoint now)
 {
     Implementation& engine = *implementation_;
-    // A process that was stopped for a while wakes with packets in its socket and an old view of everything. Deciding
-    // by that view could send a flow to a server that the others have moved it from, or that was given away.
+    // A process that resumes after a pause has packets in its socket and may have outdated tables and addresses.
+    // Routing by them could send a flow to another server than the other balancers do, or to an address that was
+    // reassigned.
     const bool wasPaused = now - engine.lastTick.load(std::memory_order_relaxed) > engine.settings.pauseThreshold;
     if (wasPaused || engine.awaitsContact.load(std::memory_order_acquire))
         return { RouteKind::Drop, DropReason::AwaitingContact, {}, {}, {} };
@@ -136,7 +137,7 @@
         return actions;
     implementation_->version = version;
     implementation_->applyConfiguration(*configuration, version, implementation_->context(now, actions));
-    implementation_->reviewSynchronization();
+    implementation_->updateSynchronized();
     return actions;
 }
 
@@ -149,16 +150,16 @@
     if (engine.view->isolated)
         engine.awaitsContact.store(true, std::memory_order_relaxed);
     const ChangeContext context = engine.context(now, actions);
-    const bool isBack = wasIsolated && !engine.view->isolated;
-    if (isBack && protectsFlows(engine.settings.policy))
+    const bool hasContactAgain = wasIsolated && !engine.view->isolated;
+    if (hasContactAgain && protectsFlows(engine.settings.policy))
         engine.synchronized = false;
     for (auto& [id, service] : engine.services) {
-        if (isBack && protectsFlows(engine.settings.policy))
-            service.change->desynchronize(context);
-        service.change->handleMembers(context);
+        if (hasContactAgain && protectsFlows(engine.settings.policy))
+            service.synchronizer->desynchronize(context);
+        service.synchronizer->handleMembers(context);
     }
-    // Packet threads are let in last. Earlier, they would decide for some services by the tables from before the
-    // silence, which the others may have left since.
+    // Packets are admitted only after all services have dropped their tables from before the isolation, since the other
+    // balancers may have switched to other tables meanwhile.
     if (!engine.view->isolated)
         engine.awaitsContact.store(false, std::memory_order_release);
     return actions;
@@ -168,14 +169,14 @@
 {
     FlowActions actions;
     const ChangeContext context = implementation_->context(now, actions);
-    // A promise to somebody whom the view does not show would be taken for one to a dead arbiter, and dropped. The
-    // sender repeats what matters until the view has caught up.
+    // A promise to a balancer that the view does not list would be dropped as one to a dead arbiter. The sender
+    // retransmits until the view lists it.
     if (!context.isAlive(from))
         return actions;
     const auto service = implementation_->services.find(ServiceId { message.service });
     if (service != implementation_->services.end())
-        service->second.change->handle(from, message, context);
-    implementation_->reviewSynchronization();
+        service->second.synchronizer->handle(from, message, context);
+    implementation_->updateSynchronized();
     return actions;
 }
 
@@ -188,11 +189,11 @@
         return actions;
     engine.budget.refill(now);
     const ChangeContext context = engine.context(now, actions);
-    engine.considerBootstrap(context);
-    engine.reviewWeights(context);
+    engine.bootstrapIfDue(context);
+    engine.updateWeightFactors(context);
     for (auto& [id, service] : engine.services)
-        service.change->tick(context);
-    engine.reviewSynchronization();
+        service.synchronizer->tick(context);
+    engine.updateSynchronized();
     engine.sweepIdleFlows(now);
     return actions;
 }
@@ -202,14 +203,14 @@
 void FlowEngine::beginLeave()
 {
     for (auto& [id, service] : implementation_->services)
-        service.change->beginLeave();
+        service.synchronizer->beginLeave();
 }
 
 bool FlowEngine::mayLeave() const
 {
     return !protectsFlows(implementation_->settings.policy)
         || std::all_of(implementation_->services.begin(), implementation_->services.end(),
-            [](const auto& service) { return service.second.change->mayLeave(); });
+            [](const auto& service) { return service.second.synchronizer->mayLeave(); });
 }
 
 void FlowEngine::setHealth(ServiceId id, BackendServerId server, bool isHealthy, TimePoint now)
@@ -231,13 +232,13 @@
     const auto service = implementation_->services.find(id);
     if (service == implementation_->services.end())
         return {};
-    const auto table = service->second.change->settledTable();
+    const auto table = service->second.synchronizer->settledTable();
     return table ? table->at(bucket) : BackendServerId {};
 }
 
 FlowCounters FlowEngine::counters() const
 {
-    const TrackingBudget& tracking = *implementation_->tracking;
+    const FlowTrackingCounters& tracking = *implementation_->tracking;
     FlowCounters counters;
     counters.trackedFlows = tracking.tracked;
     counters.newFlows = tracking.newFlows;
@@ -245,10 +246,10 @@
     counters.forwardedPackets = tracking.forwardedPackets;
     counters.exceptions = tracking.exceptions;
     for (const auto& [id, service] : implementation_->services) {
-        counters.transitionsStarted += service.change->startedCount();
-        counters.transitionsSettled += service.change->settledCount();
-        counters.transitionsForced += service.change->forcedCount();
-        counters.unsettledServices += service.change->isSettled() ? 0 : 1;
+        counters.transitionsStarted += service.synchronizer->startedCount();
+        counters.transitionsSettled += service.synchronizer->settledCount();
+        counters.transitionsForced += service.synchronizer->forcedCount();
+        counters.unsettledServices += service.synchronizer->isSettled() ? 0 : 1;
     }
     return counters;
 }
@@ -265,14 +266,14 @@
     for (const Service& service : configuration.services) {
         const std::vector<const BackendServer*>& servers = grouped.byService[service.id];
         ServiceControl& control = controlOf(service);
-        TableSource source = tableSourceOf(settings.policy, service, servers);
-        // An equal source stays the same object, by which unchanged services are told.
-        if (!control.tableSource || source != *control.tableSource)
-            control.tableSource = std::make_shared<TableSource>(std::move(source));
+        TableDefinition definition = tableDefinitionOf(settings.policy, service, servers);
+        // An equal definition must stay the same object: TableSynchronizer detects changes by comparing pointers.
+        if (!control.tableDefinition || definition != *control.tableDefinition)
+            control.tableDefinition = std::make_shared<TableDefinition>(std::move(definition));
         control.directory = directoryOf(servers, grouped.usedAddresses, control.directory, context.now);
         control.flowIdle = std::chrono::seconds(service.flowIdleSeconds);
         control.weights.configure(service, servers, context.now);
-        control.change->setVersion(newVersion, control.tableSource, control.directory, context);
+        control.synchronizer->setVersion(newVersion, control.tableDefinition, control.directory, context);
     }
     publishIndex(configuration);
 }
@@ -283,7 +284,7 @@
     if (!control.flows) {
         const bool protects = protectsFlows(settings.policy);
         control.flows = std::make_shared<ServiceFlows>(service.id, settings.shardsPerService, tracking, protects);
-        control.change = std::make_unique<ServiceChange>(service.id, control.flows->table, protects);
+        control.synchronizer = std::make_unique<TableSynchronizer>(service.id, control.flows->table, protects);
     }
     return control;
 }
@@ -299,8 +300,8 @@
         return directory;
     for (const auto& [id, record] : *previous) {
         const TimePoint retiredAt = record.retiredAt.value_or(now);
-        // A removed server keeps its established flows, unless its address now belongs to another: then its old flows
-        // would reach a server, perhaps of another service, that knows nothing of them.
+        // A removed server keeps its established flows, unless its address is now used by another server, which may
+        // even belong to another service.
         const bool keep = !directory->contains(id) && !usedAddresses.contains(record.flowAddress)
             && now - retiredAt < settings.retiredServerRetention;
         if (keep)
@@ -317,24 +318,24 @@
     index.publish(std::move(map));
 }
 
-void FlowEngine::Implementation::considerBootstrap(const ChangeContext& context)
+void FlowEngine::Implementation::bootstrapIfDue(const ChangeContext& context)
 {
-    if (synchronized || services.empty() || !mayBootstrap()) {
-        withoutServingSince.reset();
+    if (synchronized || services.empty() || !canBootstrap()) {
+        noServingMemberSince.reset();
         return;
     }
-    if (!withoutServingSince)
-        withoutServingSince = context.now;
-    if (context.now - *withoutServingSince < settings.bootstrapWait)
+    if (!noServingMemberSince)
+        noServingMemberSince = context.now;
+    if (context.now - *noServingMemberSince < settings.bootstrapWait)
         return;
     for (auto& [id, service] : services)
-        service.change->settleAlone(context);
+        service.synchronizer->settleAlone(context);
 }
 
-// Nobody who serves is in sight, and this balancer is the first of those that could begin.
-bool FlowEngine::Implementation::mayBootstrap() const
+// Whether no other member serves and this balancer has the lowest id of the joining members.
+bool FlowEngine::Implementation::canBootstrap() const
 {
-    // Before the first view nothing is known about the others; taking silence for solitude would contradict them.
+    // Before the first view, other balancers may be serving with other tables.
     if (!protectsFlows(settings.policy) || !view->findSelf())
         return false;
     for (const Member& member : view->members) {
@@ -346,31 +347,31 @@
     return true;
 }
 
-// The arbiter of a service says what its servers should get; all others stand by what was agreed, so that one of them
-// that becomes the arbiter does not begin by undoing it.
-void FlowEngine::Implementation::reviewWeights(const ChangeContext& context)
+// Only the arbiter of a service computes new weight factors. The other balancers keep those of the settled table, so
+// that a new arbiter does not start with a change of the factors.
+void FlowEngine::Implementation::updateWeightFactors(const ChangeContext& context)
 {
-    const bool isDue = !weightsReviewedAt || context.now - *weightsReviewedAt >= settings.weightsInterval;
+    const bool isDue = !weightFactorsUpdatedAt || context.now - *weightFactorsUpdatedAt >= settings.weightsInterval;
     if (!isDue || !protectsFlows(settings.policy))
         return;
-    weightsReviewedAt = context.now;
+    weightFactorsUpdatedAt = context.now;
     for (auto& [id, service] : services) {
-        ServiceChange& change = *service.change;
-        if (change.isArbiter(context))
-            change.wantFactors(
-                service.weights.want(change.factors(), service.flows->table.activeFlowsByServer(), context.now));
+        TableSynchronizer& synchronizer = *service.synchronizer;
+        if (synchronizer.isArbiter(context))
+            synchronizer.setDesiredFactors(service.weights.computeFactors(
+                synchronizer.factors(), service.flows->table.activeFlowsByServer(), context.now));
         else
-            change.wantFactors(change.factors());
+            synchronizer.setDesiredFactors(synchronizer.factors());
     }
 }
 
-void FlowEngine::Implementation::reviewSynchronization()
+void FlowEngine::Implementation::updateSynchronized()
 {
-    // Services that come later do not make this balancer a newcomer again.
+    // Services that are added later do not reset the flag.
     if (synchronized || services.empty())
         return;
-    synchronized = std::all_of(
-        services.begin(), services.end(), [](const auto& service) { return service.second.change->isSynchronized(); });
+    synchronized = std::all_of(services.begin(), services.end(),
+        [](const auto& service) { return service.second.synchronizer->isSynchronized(); });
 }
 
 void FlowEngine::Implementation::sweepIdleFlows(TimePoint now)
@@ -378,7 +379,7 @@
     if (services.empty())
         return;
     std::size_t entries = 0;
-    for (std::size_t step = 0; step < shardsSweptPerTick && entries < entriesSweptPerTick; ++step) {
+    for (std::size_t step = 0; step < maxShardsSweptPerTick && entries < maxEntriesSweptPerTick; ++step) {
         auto service = services.lower_bound(sweptService);
         if (service == services.end() || service->first != sweptService)
             sweptShard = 0;
--- a/Source/Flow/ServerWeights.cpp
+++ b/Source/Flow/ServerWeights.cpp
@@ -10,32 +10,32 @@
 
 namespace {
 
-    // A starting server rises to its whole weight in equal steps. More steps would move more buckets for little.
-    constexpr int startSteps = 4;
+    // Number of equal steps in which a slow start reaches the full weight. Each step moves buckets.
+    constexpr int slowStartSteps = 4;
 
-    // Below so many flows a server, differences are chance.
-    constexpr double fewestFlowsPerServer = 20;
-    // At evenness 1, a server that carries half of its share gets this much more of the new flows, as a part of one.
-    constexpr double evenGain = 1.0;
-    constexpr double lowestEvenFactor = 0.5;
-    constexpr double highestEvenFactor = 2.0;
-    // Smaller changes are not worth moving buckets for. The load follows a change only as flows end, so that a finer
-    // correction would chase chance.
-    constexpr int smallestChange = 150;
+    // With fewer flows per server on average, the differences of load are considered random.
+    constexpr double minFlowsPerServer = 20;
+    // At evenness 1, a server with half of its share of the flows gets 1 + balancingGain times its weight.
+    constexpr double balancingGain = 1.0;
+    constexpr double minBalancingFactor = 0.5;
+    constexpr double maxBalancingFactor = 2.0;
+    // Corrections of the load that are smaller than this, in thousandths, are not applied. Each one moves buckets, and
+    // the load changes only slowly, as flows end.
+    constexpr int minFactorChange = 150;
 
-    std::uint16_t toPermille(double factor) { return static_cast<std::uint16_t>(std::lround(factor * wholeFactor)); }
+    std::uint16_t toPermille(double factor) { return static_cast<std::uint16_t>(std::lround(factor * fullFactor)); }
 
-    // Names only so many servers as messages have room for, those farthest from their whole weight first.
-    ServerFactors mostImportant(const ServerFactors& factors)
+    // Keeps at most maxFactors entries, those farthest from the full factor.
+    WeightFactors largestDeviations(const WeightFactors& factors)
     {
-        if (factors.size() <= mostFactors)
+        if (factors.size() <= maxFactors)
             return factors;
         std::vector<std::pair<int, BackendServerId>> byDistance;
         for (const auto& [server, factor] : factors)
-            byDistance.emplace_back(-std::abs(int(factor) - int(wholeFactor)), server);
+            byDistance.emplace_back(-std::abs(int(factor) - int(fullFactor)), server);
         std::sort(byDistance.begin(), byDistance.end());
-        ServerFactors kept;
-        for (std::size_t i = 0; i < mostFactors; ++i)
+        WeightFactors kept;
+        for (std::size_t i = 0; i < maxFactors; ++i)
             kept.emplace(byDistance[i].second, factors.at(byDistance[i].second));
         return kept;
     }
@@ -69,14 +69,14 @@
     const auto server = servers_.find(id);
     if (server == servers_.end())
         return;
-    // One that comes back is as cold as a new one.
+    // A server that recovers needs a slow start like a new one.
     if (isHealthy && !server->second.isHealthy)
         server->second.startedAt = now;
     server->second.isHealthy = isHealthy;
 }
 
-// When too many look unhealthy, the checks are likelier to be wrong than the servers; and even if they are right, the
-// rest would fall over under the whole load.
+// If too many servers are reported unhealthy, none is ejected: the health checks are probably wrong, and the remaining
+// servers could not carry the load.
 bool ServerWeights::ejectsUnhealthy() const
 {
     const auto healthy
@@ -84,17 +84,17 @@
     return healthy > 0 && double(healthy) >= panicThreshold_ * double(servers_.size());
 }
 
-double ServerWeights::startFactor(const Server& server, TimePoint now) const
+double ServerWeights::slowStartFactor(const Server& server, TimePoint now) const
 {
     if (!server.startedAt || server.slowStart.count() == 0)
         return 1;
     const double elapsed = std::chrono::duration<double>(now - *server.startedAt).count();
-    const double part = elapsed / double(server.slowStart.count());
-    const int step = std::clamp(1 + int(part * startSteps), 1, startSteps);
-    return double(step) / startSteps;
+    const double progress = elapsed / double(server.slowStart.count());
+    const int step = std::clamp(1 + int(progress * slowStartSteps), 1, slowStartSteps);
+    return double(step) / slowStartSteps;
 }
 
-double ServerWeights::evenFactor(BackendServerId id, const Server& server, const ServerLoads& loads) const
+double ServerWeights::balancingFactor(BackendServerId id, const Server& server, const ServerLoads& loads) const
 {
     const double flows = std::accumulate(servers_.begin(), servers_.end(), 0.0, [&](double sum, const auto& other) {
         const auto load = loads.find(other.first);
@@ -102,32 +102,33 @@
     });
     const double weights = std::accumulate(
         servers_.begin(), servers_.end(), 0.0, [](double sum, const auto& other) { return sum + other.second.weight; });
-    if (flows < fewestFlowsPerServer * double(servers_.size()) || weights == 0 || server.weight == 0)
+    if (flows < minFlowsPerServer * double(servers_.size()) || weights == 0 || server.weight == 0)
         return 1;
     const double share = flows * server.weight / weights;
     const auto load = loads.find(id);
     const double ratio = (load == loads.end() ? 0 : double(load->second)) / share;
-    return std::clamp(1 + evenGain * evenness_ * 2 * (1 - ratio), lowestEvenFactor, highestEvenFactor);
+    return std::clamp(1 + balancingGain * evenness_ * 2 * (1 - ratio), minBalancingFactor, maxBalancingFactor);
 }
 
-ServerFactors ServerWeights::want(const ServerFactors& inForce, const ServerLoads& loads, TimePoint now) const
+WeightFactors ServerWeights::computeFactors(
+    const WeightFactors& currentFactors, const ServerLoads& loads, TimePoint now) const
 {
     const bool ejects = ejectsUnhealthy();
-    ServerFactors wanted;
+    WeightFactors desired;
     for (const auto& [id, server] : servers_) {
-        const auto present = inForce.find(id);
-        const int current = present == inForce.end() ? wholeFactor : present->second;
+        const auto present = currentFactors.find(id);
+        const int current = present == currentFactors.end() ? fullFactor : present->second;
         const bool ejected = ejects && !server.isHealthy;
-        const double started = startFactor(server, now);
-        int factor = ejected ? 0 : toPermille(started * evenFactor(id, server, loads));
-        // Steps of a slow start and ejections are taken as they are; corrections of the load only if they are worth it.
-        const bool onlyEvens = !ejected && started == 1 && current != 0;
-        if (onlyEvens && std::abs(factor - current) < smallestChange)
+        const double slowStart = slowStartFactor(server, now);
+        int factor = ejected ? 0 : toPermille(slowStart * balancingFactor(id, server, loads));
+        // Slow starts and ejections always apply; corrections of the load only from minFactorChange on.
+        const bool onlyBalances = !ejected && slowStart == 1 && current != 0;
+        if (onlyBalances && std::abs(factor - current) < minFactorChange)
             factor = current;
-        if (factor != wholeFactor)
-            wanted.emplace(id, static_cast<std::uint16_t>(factor));
+        if (factor != fullFactor)
+            desired.emplace(id, static_cast<std::uint16_t>(factor));
     }
-    return mostImportant(wanted);
+    return largestDeviations(desired);
 }
 
 }
--- a/Source/Flow/TableHistory.cpp
+++ b/Source/Flow/TableHistory.cpp
@@ -10,9 +10,9 @@
 
 }
 
-void TableHistory::add(std::uint64_t generation, std::shared_ptr<const BucketTable> table, const ServerFactors& factors)
+void TableHistory::add(std::uint64_t generation, std::shared_ptr<const BucketTable> table, const WeightFactors& factors)
 {
-    tables_.insert_or_assign(generation, Known { std::move(table), factors });
+    tables_.insert_or_assign(generation, Entry { std::move(table), factors });
 }
 
 std::shared_ptr<const BucketTable> TableHistory::find(std::uint64_t generation) const
@@ -21,14 +21,14 @@
     return table == tables_.end() ? nullptr : table->second.table;
 }
 
-const ServerFactors& TableHistory::factorsOf(std::uint64_t generation) const
+const WeightFactors& TableHistory::factorsOf(std::uint64_t generation) const
 {
-    static const ServerFactors none;
+    static const WeightFactors none;
     const auto table = tables_.find(generation);
     return table == tables_.end() ? none : table->second.factors;
 }
 
-BucketSet TableHistory::doubtfulBuckets(std::uint64_t first, std::uint64_t last) const
+BucketSet TableHistory::differingBuckets(std::uint64_t first, std::uint64_t last) const
 {
     BucketSet buckets;
     const auto begin = tables_.find(first);
@@ -41,7 +41,7 @@
     return buckets;
 }
 
-void TableHistory::forgetBelow(std::uint64_t generation)
+void TableHistory::removeBelow(std::uint64_t generation)
 {
     while (tables_.size() > keptGenerations && tables_.begin()->first < generation)
         tables_.erase(tables_.begin());
