--- a/Source/Flow/FlowEngine.cpp
+++ b/Source/Flow/FlowEngine.cpp
@@ -115,9 +115,8 @@
 RouteDecision FlowEngine::route(const FlowPacket& packet, TimePoint now)
 {
     Implementation& engine = *implementation_;
-    // A process that resumes after a pause has packets in its socket and may have outdated tables and addresses.
-    // Routing by them could send a flow to another server than the other balancers do, or to an address that was
-    // reassigned.
+    // A process that resumes after a pause has packets in its socket but may have outdated tables and addresses, which
+    // could send a flow to a server that other balancers no longer use for it, or to a reassigned address.
     const bool wasPaused = now - engine.lastTick.load(std::memory_order_relaxed) > engine.settings.pauseThreshold;
     if (wasPaused || engine.awaitsContact.load(std::memory_order_acquire))
         return { RouteKind::Drop, DropReason::AwaitingContact, {}, {}, {} };
--- a/Source/Flow/FlowEngine.h
+++ b/Source/Flow/FlowEngine.h
@@ -27,7 +27,9 @@
     std::uint64_t trackedFlows = 0;
     std::uint64_t untrackedNewFlows = 0;
     std::uint64_t newFlows = 0;
+    // Packets forwarded to an arbiter.
     std::uint64_t forwardedPackets = 0;
+    // Table changes that this balancer started as the arbiter, settled at, and switched without all reports.
     std::uint64_t transitionsStarted = 0;
     std::uint64_t transitionsSettled = 0;
     std::uint64_t transitionsForced = 0;
@@ -47,6 +49,7 @@
     FlowEngine(FlowSettings, BalancerId self, std::uint64_t seed);
     ~FlowEngine();
 
+    // Selects the destination of one packet.
     RouteDecision route(const FlowPacket&, TimePoint now);
 
     // Applies a configuration. A version that is not above the current one is ignored.
@@ -54,6 +57,7 @@
     // Applies a membership view. The first view must not be applied before the seeds have answered or have not answered
     // for the duration of a lease: a balancer that sees no other member starts to serve by its own tables.
     FlowActions applyMembers(std::shared_ptr<const MembersView>, TimePoint now);
+    // Processes a message from the engine of another balancer.
     FlowActions handle(BalancerId from, const FlowMessage&, TimePoint now);
     // Sends what is due and runs the timeouts. Must be called every 50 to 100 ms.
     FlowActions tick(TimePoint now);
@@ -61,6 +65,7 @@
     // Reports the result of a health check of a backend server. Only the service's arbiter uses it, so only the arbiter
     // needs to run checks.
     void setHealth(ServiceId, BackendServerId, bool isHealthy, TimePoint now);
+    // Whether this balancer coordinates the table changes of the service.
     bool isArbiterOf(ServiceId) const;
 
     // Whether this balancer has a settled table and its exceptions for all services, and so may announce itself as
--- a/Source/Flow/FlowMessage.h
+++ b/Source/Flow/FlowMessage.h
@@ -14,8 +14,8 @@
 // Messages between flow engines during a change of a service's table; docs/design/flows.md describes the sequence. The
 // arbiter is the balancer that coordinates the change, the members are the other balancers.
 enum class FlowMessageKind : std::uint8_t {
-    ReportRequest = 1, // Arbiter to member: forward unknown flows of the changed buckets, and report known ones.
-    Report, // Member to arbiter: one part of the flows in the changed buckets.
+    ReportRequest = 1, // Arbiter to member: forward unknown flows of changed buckets, report flows that would move.
+    Report, // Member to arbiter: one part of the known flows that the new table would move.
     ReportAck, // Arbiter to member: acknowledges one part of a report.
     Hold, // Arbiter to member: other reports are still missing; the promise stays in effect.
     Switch, // Arbiter to member: unknown flows are now routed by the new table.
--- a/Source/Flow/FlowParts.h
+++ b/Source/Flow/FlowParts.h
@@ -36,8 +36,7 @@
 // An upper estimate of the size on the wire of a message with these flows, in bytes.
 std::size_t estimatedBytes(const std::vector<FlowGroup>&);
 
-// Tracks the sending of one list to one receiver: which parts are due and which are acknowledged. The caller sends
-// them.
+// Tracks which parts of one list are due and which are acknowledged by its one receiver. The caller sends the parts.
 class PartSender {
 public:
     // The id of the list is made from the time.
--- a/Source/Flow/FlowSettings.h
+++ b/Source/Flow/FlowSettings.h
@@ -13,13 +13,12 @@
     FlowPolicy policy = FlowPolicy::Protected;
     // Flow table shards per service, each with its own lock; more shards reduce contention between packet threads.
     std::uint32_t shardsPerService = 32;
-    // Maximum number of tracked flows over all services. At the limit, new flows are routed by the table but not
-    // tracked.
+    // Maximum number of tracked flows over all services. At the limit, new flows are routed but not tracked.
     std::size_t trackedFlows = 2'000'000;
     // A joining balancer that sees no serving balancer for this long takes its own tables as settled (cold start).
     std::chrono::milliseconds bootstrapWait { 1500 };
-    // An arbiter waits this long without progress for the reports of balancers that are not dead, then switches without
-    // them.
+    // An arbiter waits this long without progress for missing reports. Then it switches without them, or cancels the
+    // change if only weight factors change.
     std::chrono::milliseconds reportTimeout { 3000 };
     // Unacknowledged messages are sent again after this time.
     std::chrono::milliseconds retryInterval { 200 };
--- a/Source/Flow/ServerWeights.h
+++ b/Source/Flow/ServerWeights.h
@@ -25,8 +25,7 @@
     // first configuration do not.
     void configure(const Service&, std::span<const BackendServer* const> servers, TimePoint now);
 
-    // Records the health of a server, from health checks or failed requests. A server that recovers begins a slow
-    // start.
+    // Records the health of a server, from health checks or failed requests. Recovery begins a slow start.
     void setHealth(BackendServerId, bool isHealthy, TimePoint now);
 
     // The factors that the servers should have, given the current factors and the load.
--- a/Source/Flow/TableSynchronizer.h
+++ b/Source/Flow/TableSynchronizer.h
@@ -105,6 +105,7 @@
 
     // Ends the promise when it is fulfilled, its arbiter is dead, or no message came from the arbiter for too long.
     void checkPromise(const ChangeContext&);
+    // As the arbiter, starts a change if one is due, requests reports, and switches when all have arrived.
     void advanceChange(const ChangeContext&);
     void startChange(const ChangeContext&);
     void abortChange(const ChangeContext&);
@@ -116,6 +117,7 @@
     void handOver(const ChangeContext&);
     void sendParts(PartSender&, BalancerId to, FlowMessage header, const ChangeContext&);
     std::optional<BalancerId> arbiter(const ChangeContext&) const;
+    // Makes the generation the settled one, after all exceptions have arrived.
     void settleAt(std::uint64_t generation, const ChangeContext&);
     void settleIfUnchanged();
     void adoptFactorsOf(std::uint64_t generation);
--- a/Tests/Flow/FlowThreadsTest.cpp
+++ b/Tests/Flow/FlowThreadsTest.cpp
@@ -159,7 +159,7 @@
             return { firstClient + static_cast<std::uint32_t>(flow), clientPort };
         }
 
-        // Routes a packet of a random open flow through a random engine; half of the packets belong to the newest
+        // Routes a packet of a random open flow through a random engine; half of the time it is one of the newest
         // flows.
         void routeOpenFlow(std::mt19937_64& random)
         {
@@ -220,8 +220,7 @@
         std::vector<std::thread> threads_;
     };
 
-    // Drains, reactivations, weight changes and a removal in sequence. Each engine applies a change at a different
-    // step.
+    // Drains, reactivations, weight changes and a removal in sequence. Engines apply each change at different steps.
     class FlowThreadsChangeTest : public FlowThreadsTest, public testing::WithParamInterface<std::size_t> {
     protected:
         void change(Configuration& configuration, int round) const
