--- a/Source/Membership/FailureDetector.cpp
+++ b/Source/Membership/FailureDetector.cpp
@@ -7,7 +7,7 @@
 namespace {
 
     // A suspicion that others raised and nobody settled is looked into after so many times its usual length.
-    constexpr int forgottenAfter = 3;
+    constexpr int staleSuspicionFactor = 3;
 
 }
 
@@ -17,81 +17,81 @@
 {
 }
 
-void FailureDetector::probed(MemberRecord& record, TimePoint now)
+void FailureDetector::probeSent(MemberRecord& record, TimePoint now)
 {
     // The dead are only tried; their silence is no news.
-    if (record.awaitingSince || !record.isAlive())
+    if (record.unansweredSince || !record.isAlive())
         return;
-    record.awaitingSince = now;
-    record.askedOthers = false;
-    table_.watched().insert(record.member.id);
+    record.unansweredSince = now;
+    record.indirectProbesSent = false;
+    table_.unconfirmed().insert(record.member.id);
 }
 
-void FailureDetector::answered(MemberRecord& record, TimePoint nonceSentAt)
+void FailureDetector::answerReceived(MemberRecord& record, TimePoint nonceSentAt)
 {
-    record.lastProof = std::max(record.lastProof, nonceSentAt);
-    if (record.awaitingSince && nonceSentAt >= *record.awaitingSince)
-        record.awaitingSince.reset();
+    record.lastContact = std::max(record.lastContact, nonceSentAt);
+    if (record.unansweredSince && nonceSentAt >= *record.unansweredSince)
+        record.unansweredSince.reset();
     if (record.suspected && nonceSentAt >= record.changedAt)
         table_.clearSuspicion(record);
-    if (!record.suspected && !record.awaitingSince)
-        table_.watched().erase(record.member.id);
+    if (!record.suspected && !record.unansweredSince)
+        table_.unconfirmed().erase(record.member.id);
 }
 
-std::vector<ProbeFinding> FailureDetector::tick(TimePoint now)
+std::vector<DetectorEvent> FailureDetector::tick(TimePoint now)
 {
-    std::vector<ProbeFinding> findings;
-    const std::vector<BalancerId> watched(table_.watched().begin(), table_.watched().end());
-    for (const BalancerId id : watched) {
+    std::vector<DetectorEvent> events;
+    const std::vector<BalancerId> unconfirmed(table_.unconfirmed().begin(), table_.unconfirmed().end());
+    for (const BalancerId id : unconfirmed) {
         MemberRecord& record = *table_.find(id);
-        checkSuspicion(record, now, findings);
-        checkAnswer(record, now, findings);
+        checkSuspicion(record, now, events);
+        checkAnswer(record, now, events);
     }
-    return findings;
+    return events;
 }
 
-void FailureDetector::checkAnswer(MemberRecord& record, TimePoint now, std::vector<ProbeFinding>& findings)
+void FailureDetector::checkAnswer(MemberRecord& record, TimePoint now, std::vector<DetectorEvent>& events)
 {
-    if (!record.awaitingSince)
+    if (!record.unansweredSince)
         return;
-    const Duration silence = now - *record.awaitingSince;
-    if (silence >= settings_.failAfter) {
-        record.awaitingSince.reset();
-        if (!record.suspectedHere)
+    const Duration unansweredFor = now - *record.unansweredSince;
+    if (unansweredFor >= settings_.failAfter) {
+        record.unansweredSince.reset();
+        if (!record.suspectedLocally)
             table_.suspect(record, now);
-        findings.push_back({ record.member.id, ProbeVerdict::Suspected });
-    } else if (silence >= settings_.indirectAfter && !record.askedOthers) {
-        record.askedOthers = true;
-        findings.push_back({ record.member.id, ProbeVerdict::ProbeIndirectly });
+        events.push_back({ record.member.id, DetectorEventKind::Suspected });
+    } else if (unansweredFor >= settings_.indirectAfter && !record.indirectProbesSent) {
+        record.indirectProbesSent = true;
+        events.push_back({ record.member.id, DetectorEventKind::IndirectProbeDue });
     }
 }
 
-void FailureDetector::checkSuspicion(MemberRecord& record, TimePoint now, std::vector<ProbeFinding>& findings)
+void FailureDetector::checkSuspicion(MemberRecord& record, TimePoint now, std::vector<DetectorEvent>& events)
 {
     if (!record.suspected)
         return;
     const Duration age = now - record.changedAt;
-    if (record.suspectedHere) {
-        if (age >= table_.suspicionTime()) {
+    if (record.suspectedLocally) {
+        if (age >= table_.suspicionTimeout()) {
             table_.declareDead(record, now);
-            findings.push_back({ record.member.id, ProbeVerdict::Died });
+            events.push_back({ record.member.id, DetectorEventKind::DeclaredDead });
         }
         return;
     }
-    if (!record.awaitingSince && (record.disputed || age >= forgottenAfter * table_.suspicionTime()))
-        findings.push_back({ record.member.id, ProbeVerdict::Verify });
+    if (!record.unansweredSince && (record.disputed || age >= staleSuspicionFactor * table_.suspicionTimeout()))
+        events.push_back({ record.member.id, DetectorEventKind::VerificationDue });
 }
 
 void FailureDetector::reset(TimePoint now)
 {
-    const std::vector<BalancerId> watched(table_.watched().begin(), table_.watched().end());
-    for (const BalancerId id : watched) {
+    const std::vector<BalancerId> unconfirmed(table_.unconfirmed().begin(), table_.unconfirmed().end());
+    for (const BalancerId id : unconfirmed) {
         MemberRecord& record = *table_.find(id);
-        record.awaitingSince.reset();
+        record.unansweredSince.reset();
         if (!record.suspected)
-            table_.watched().erase(id);
+            table_.unconfirmed().erase(id);
     }
-    table_.restartSuspicions(now);
+    table_.restartSuspicionTimeouts(now);
 }
 
 }
--- a/Source/Membership/FailureDetector.h
+++ b/Source/Membership/FailureDetector.h
@@ -9,16 +9,16 @@
 namespace wisteriadock {
 
 // What is due for a member that owes an answer or is suspected.
-enum class ProbeVerdict {
-    ProbeIndirectly, // Repeat the probe, directly and through others.
+enum class DetectorEventKind {
+    IndirectProbeDue, // Repeat the probe, directly and through others.
     Suspected, // It answered nobody; tell it, so that it can refute.
-    Verify, // Others suspect it; probe it.
-    Died, // It did not refute in time and was declared dead.
+    VerificationDue, // Others suspect it; probe it.
+    DeclaredDead, // It did not refute in time and was declared dead.
 };
 
-struct ProbeFinding {
+struct DetectorEvent {
     BalancerId member;
-    ProbeVerdict verdict = ProbeVerdict::Verify;
+    DetectorEventKind kind = DetectorEventKind::VerificationDue;
 };
 
 // Times the probes of members. A member is declared dead only by a balancer whose own probes it left unanswered,
@@ -28,17 +28,17 @@
     FailureDetector(const MembershipSettings&, MemberTable&);
 
     // A nonce was sent to the member.
-    void probed(MemberRecord&, TimePoint now);
+    void probeSent(MemberRecord&, TimePoint now);
     // The member answered a nonce that was sent at that time.
-    void answered(MemberRecord&, TimePoint nonceSentAt);
+    void answerReceived(MemberRecord&, TimePoint nonceSentAt);
     // Applies and returns what is due.
-    std::vector<ProbeFinding> tick(TimePoint now);
+    std::vector<DetectorEvent> tick(TimePoint now);
     // Forgets all running probes: after a pause their time says nothing about others.
     void reset(TimePoint now);
 
 private:
-    void checkAnswer(MemberRecord&, TimePoint now, std::vector<ProbeFinding>&);
-    void checkSuspicion(MemberRecord&, TimePoint now, std::vector<ProbeFinding>&);
+    void checkAnswer(MemberRecord&, TimePoint now, std::vector<DetectorEvent>&);
+    void checkSuspicion(MemberRecord&, TimePoint now, std::vector<DetectorEvent>&);
 
     const MembershipSettings& settings_;
     MemberTable& table_;
--- a/Source/Membership/MemberRecord.cpp
+++ b/Source/Membership/MemberRecord.cpp
@@ -20,7 +20,7 @@
         case MemberState::Dead:
             break;
         }
-        return record.left ? RowStatus::Left : RowStatus::Dead;
+        return record.hasLeft ? RowStatus::Left : RowStatus::Dead;
     }
 
 }
--- a/Source/Membership/MemberRecord.h
+++ b/Source/Membership/MemberRecord.h
@@ -17,18 +17,18 @@
     // Somebody got no answer from it; views go on showing the state it said last.
     bool suspected = false;
     // This balancer itself got no answer from it.
-    bool suspectedHere = false;
+    bool suspectedLocally = false;
     // Somebody holds it dead who may be wrong, so only a probe of this balancer's own settles it.
     bool disputed = false;
     // Dead after it had said that it leaves.
-    bool left = false;
+    bool hasLeft = false;
     // Since when it is suspected or dead.
     TimePoint changedAt;
     // When the latest nonce was sent that the member answered.
-    TimePoint lastProof = TimePoint::min();
+    TimePoint lastContact = TimePoint::min();
     // When the oldest probe was sent that it has not answered; see FailureDetector.
-    std::optional<TimePoint> awaitingSince;
-    bool askedOthers = false;
+    std::optional<TimePoint> unansweredSince;
+    bool indirectProbesSent = false;
     // Its latest nonce, to be echoed.
     std::uint32_t lastNonce = 0;
     bool newsHasDetails = false;
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -96,7 +96,7 @@
     record.suspected = row.suspected;
     record.changedAt = now;
     if (row.suspected)
-        watched_.insert(record.member.id);
+        unconfirmed_.insert(record.member.id);
     ++othersAlive_;
     arrivals_.push_back(record.member.id);
     membersChanged_ = true;
@@ -116,7 +116,7 @@
     membersChanged_ = membersChanged_ || record.member.state != stateOf(row);
     record.sequence = row.sequence;
     record.member.state = stateOf(row);
-    record.left = false;
+    record.hasLeft = false;
     clearSuspicion(record);
     return MergeOutcome::Applied;
 }
@@ -135,7 +135,7 @@
     }
     // A death is taken over only from a member that was already suspected and has not answered since. Else a
     // balancer that comes out of a cut, or has just woken, would bury everybody with the dead of its old view.
-    const bool isConfirmed = record.suspected && !record.disputed && record.lastProof < record.changedAt;
+    const bool isConfirmed = record.suspected && !record.disputed && record.lastContact < record.changedAt;
     if (isGone(row) && isConfirmed) {
         bury(record, now);
         return MergeOutcome::Applied;
@@ -145,7 +145,7 @@
     record.suspected = true;
     record.disputed = isGone(row);
     record.changedAt = now;
-    watched_.insert(record.member.id);
+    unconfirmed_.insert(record.member.id);
     // A disputed death is not passed on: others would take it for a suspicion and bury the member on the next claim.
     return record.disputed ? MergeOutcome::Ignored : MergeOutcome::Applied;
 }
@@ -175,21 +175,21 @@
 
 void MemberTable::suspect(MemberRecord& record, TimePoint now)
 {
-    record.suspectedHere = true;
+    record.suspectedLocally = true;
     record.disputed = false;
     record.suspected = true;
     record.changedAt = now;
-    watched_.insert(record.member.id);
+    unconfirmed_.insert(record.member.id);
     spread(record, false);
 }
 
 void MemberTable::clearSuspicion(MemberRecord& record)
 {
     record.suspected = false;
-    record.suspectedHere = false;
+    record.suspectedLocally = false;
     record.disputed = false;
-    if (!record.awaitingSince)
-        watched_.erase(record.member.id);
+    if (!record.unansweredSince)
+        unconfirmed_.erase(record.member.id);
 }
 
 void MemberTable::declareDead(MemberRecord& record, TimePoint now)
@@ -198,9 +198,9 @@
     spread(record, false);
 }
 
-void MemberTable::restartSuspicions(TimePoint now)
+void MemberTable::restartSuspicionTimeouts(TimePoint now)
 {
-    for (const BalancerId id : watched_) {
+    for (const BalancerId id : unconfirmed_) {
         MemberRecord& record = records_.at(id);
         if (record.suspected)
             record.changedAt = now;
@@ -209,9 +209,9 @@
 
 void MemberTable::bury(MemberRecord& record, TimePoint now)
 {
-    record.left = record.member.state == MemberState::Leaving;
+    record.hasLeft = record.member.state == MemberState::Leaving;
     record.member.state = MemberState::Dead;
-    record.awaitingSince.reset();
+    record.unansweredSince.reset();
     clearSuspicion(record);
     record.changedAt = now;
     tombstones_.push_back(record.member.id);
@@ -233,13 +233,13 @@
         --othersAlive_;
     else
         std::erase(tombstones_, id);
-    watched_.erase(id);
+    unconfirmed_.erase(id);
     news_.erase(id);
     records_.erase(found);
     membersChanged_ = true;
 }
 
-Duration MemberTable::suspicionTime() const
+Duration MemberTable::suspicionTimeout() const
 {
     const double factor = std::max(1.0, std::log2(static_cast<double>(othersAlive_ + 1)) / 3);
     return std::chrono::duration_cast<Duration>(settings_.suspicion * factor);
@@ -254,7 +254,7 @@
     const std::size_t start = random() % tombstones_.size();
     for (std::size_t i = 0; i < tombstones_.size(); ++i) {
         const BalancerId id = tombstones_[(start + i) % tombstones_.size()];
-        if (!records_.at(id).left)
+        if (!records_.at(id).hasLeft)
             return id;
     }
     return std::nullopt;
@@ -347,7 +347,7 @@
     view->members.reserve(records_.size());
     for (const auto& [id, record] : records_) {
         // Who left by plan is no loss to be shown.
-        if (!record.left)
+        if (!record.hasLeft)
             view->members.push_back(record.member);
     }
     membersChanged_ = false;
--- a/Source/Membership/MemberTable.h
+++ b/Source/Membership/MemberTable.h
@@ -52,11 +52,11 @@
     void clearSuspicion(MemberRecord&);
     void declareDead(MemberRecord&, TimePoint now);
     // Gives all suspected members their full time again.
-    void restartSuspicions(TimePoint now);
+    void restartSuspicionTimeouts(TimePoint now);
     // Members that are suspected or owe an answer.
-    std::set<BalancerId>& watched() { return watched_; }
+    std::set<BalancerId>& unconfirmed() { return unconfirmed_; }
     // How long a suspected member of a fleet of this size has to refute.
-    Duration suspicionTime() const;
+    Duration suspicionTimeout() const;
 
     // Members that are alive since the last call and were not before.
     std::vector<BalancerId> takeArrivals();
@@ -92,7 +92,7 @@
     std::map<BalancerId, MemberRecord> records_;
     MemberRecord* self_;
     std::size_t othersAlive_ = 0;
-    std::set<BalancerId> watched_;
+    std::set<BalancerId> unconfirmed_;
     std::vector<BalancerId> arrivals_;
     // Oldest first.
     std::deque<BalancerId> tombstones_;
--- a/Source/Membership/Membership.cpp
+++ b/Source/Membership/Membership.cpp
@@ -25,7 +25,7 @@
     : settings_(settings)
     , random_(seed)
     , table_(settings_, self, wholeMilliseconds(now))
-    , detector_(settings_, table_)
+    , failureDetector_(settings_, table_)
     , nonces_(self.incarnation, wholeMilliseconds(now))
     , observation_(settings_, wholeMilliseconds(now))
     , catchUp_(settings_.pageWithin)
@@ -92,8 +92,8 @@
     const TimePoint now = wholeMilliseconds(time);
     wakeIfPaused(now);
     observation_.ticked(now);
-    for (const ProbeFinding& finding : detector_.tick(now))
-        act(finding, now);
+    for (const DetectorEvent& event : failureDetector_.tick(now))
+        handleDetectorEvent(event, now);
     const bool isIntervalDue = now >= nextInterval_;
     if (isIntervalDue)
         beginInterval(now);
@@ -184,10 +184,10 @@
     const auto sentAt = echo == 0 ? std::nullopt : nonces_.sentAt(echo, now);
     if (!sentAt)
         return;
-    observation_.answered(*sentAt);
+    observation_.answerReceived(*sentAt);
     if (!sender.isAlive())
         return;
-    detector_.answered(sender, *sentAt);
+    failureDetector_.answerReceived(sender, *sentAt);
     settleRelays(sender, *sentAt);
 }
 
@@ -218,8 +218,8 @@
     const auto sentAt = nonces_.sentAt(message.nonce, now);
     if (!target || !target->isAlive() || target->member.incarnation != message.targetIncarnation || !sentAt)
         return;
-    observation_.answered(*sentAt);
-    detector_.answered(*target, *sentAt);
+    observation_.answerReceived(*sentAt);
+    failureDetector_.answerReceived(*target, *sentAt);
 }
 
 void Membership::onMembersRequest(const MemberRecord& sender, const MembersRequestMessage& message)
@@ -280,7 +280,7 @@
         return;
     // Symptom without this: a balancer that slept for 30 s buries everybody, since nobody has answered for 30 s, and
     // acts on what datagrams from before the pause say. The clock went on while nothing was listened to.
-    detector_.reset(now);
+    failureDetector_.reset(now);
     relays_.clear();
     startCatchUp(std::nullopt, now);
     nextInterval_ = now;
--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -121,7 +121,7 @@
     // Those that have just started know few, and not all may ask the same.
     const MemberRecord* pageSource();
     bool isJoining(TimePoint now) const { return now - startedAt_ < settings_.joining; }
-    void act(const ProbeFinding&, TimePoint now);
+    void handleDetectorEvent(const DetectorEvent&, TimePoint now);
 
     void probe(MemberRecord&, TimePoint now);
     void answer(const Endpoint& to, const MemberRecord* peer, HeartbeatOptions, TimePoint now);
@@ -138,7 +138,7 @@
     const MembershipSettings settings_;
     std::mt19937_64 random_;
     MemberTable table_;
-    FailureDetector detector_;
+    FailureDetector failureDetector_;
     NonceClock nonces_;
     SelfObservation observation_;
     ViewCatchUp catchUp_;
--- a/Source/Membership/MembershipRounds.cpp
+++ b/Source/Membership/MembershipRounds.cpp
@@ -40,9 +40,9 @@
     const bool isSearching = observation_.isSearching(now);
     for (const BalancerId id : allOrder_.takeAll(aliveFilter())) {
         MemberRecord& peer = *table_.find(id);
-        const bool isSilent = peer.awaitingSince && now - *peer.awaitingSince >= settings_.indirectAfter;
+        const bool isSilent = peer.unansweredSince && now - *peer.unansweredSince >= settings_.indirectAfter;
         const bool wantsAnswer = isSearching || isSilent;
-        detector_.probed(peer, now);
+        failureDetector_.probeSent(peer, now);
         sendHeartbeat(peer.member.peerAddress, &peer, { .wantsAnswer = wantsAnswer }, now);
     }
 }
@@ -71,25 +71,25 @@
 
 void Membership::probe(MemberRecord& peer, TimePoint now)
 {
-    detector_.probed(peer, now);
+    failureDetector_.probeSent(peer, now);
     sendHeartbeat(peer.member.peerAddress, &peer, { .wantsAnswer = true }, now);
 }
 
-void Membership::act(const ProbeFinding& finding, TimePoint now)
+void Membership::handleDetectorEvent(const DetectorEvent& event, TimePoint now)
 {
-    MemberRecord& member = *table_.find(finding.member);
-    switch (finding.verdict) {
-    case ProbeVerdict::ProbeIndirectly:
+    MemberRecord& member = *table_.find(event.member);
+    switch (event.kind) {
+    case DetectorEventKind::IndirectProbeDue:
         probeIndirectly(member, now);
         break;
-    case ProbeVerdict::Suspected:
-    case ProbeVerdict::Verify:
+    case DetectorEventKind::Suspected:
+    case DetectorEventKind::VerificationDue:
         if (verificationsLeft_ > 0) {
             --verificationsLeft_;
             probe(member, now);
         }
         break;
-    case ProbeVerdict::Died:
+    case DetectorEventKind::DeclaredDead:
         break;
     }
 }
--- a/Source/Membership/SelfObservation.cpp
+++ b/Source/Membership/SelfObservation.cpp
@@ -21,7 +21,7 @@
     return woke;
 }
 
-void SelfObservation::answered(TimePoint nonceSentAt) { lastAnswer_ = std::max(lastAnswer_, nonceSentAt); }
+void SelfObservation::answerReceived(TimePoint nonceSentAt) { lastAnswer_ = std::max(lastAnswer_, nonceSentAt); }
 
 bool SelfObservation::isSearching(TimePoint now) const
 {
--- a/Source/Membership/SelfObservation.h
+++ b/Source/Membership/SelfObservation.h
@@ -16,7 +16,7 @@
     bool wokeUp(TimePoint now);
     void ticked(TimePoint now) { lastTick_ = now; }
     // Another balancer answered a nonce that was sent at that time.
-    void answered(TimePoint nonceSentAt);
+    void answerReceived(TimePoint nonceSentAt);
     // True when nobody answered lately, which calls for more probes.
     bool isSearching(TimePoint now) const;
     bool isIsolated(bool othersAlive, TimePoint now) const;
