--- a/Source/Membership/RumorQueue.cpp
+++ b/Source/Membership/GossipQueue.cpp
@@ -1,21 +1,21 @@
-#include "Membership/RumorQueue.h"
+#include "Membership/GossipQueue.h"
 
 namespace wisteriadock {
 
-void RumorQueue::push(BalancerId id, std::size_t sends)
+void GossipQueue::push(BalancerId id, std::size_t sends)
 {
     const bool isNew = sendsLeft_.insert_or_assign(id, sends).second;
     if (isNew)
         order_.push_front(id);
 }
 
-void RumorQueue::erase(BalancerId id)
+void GossipQueue::erase(BalancerId id)
 {
     if (sendsLeft_.erase(id))
         std::erase(order_, id);
 }
 
-std::optional<BalancerId> RumorQueue::pop()
+std::optional<BalancerId> GossipQueue::pop()
 {
     if (order_.empty())
         return std::nullopt;
--- a/Source/Membership/RumorQueue.h
+++ b/Source/Membership/GossipQueue.h
@@ -11,7 +11,7 @@
 
 // The news that a balancer still has to pass on: each piece goes into a bounded number of messages, newest first, then
 // in turn. The queue holds an id once, so its size never exceeds the number of members.
-class RumorQueue {
+class GossipQueue {
 public:
     // Restarts the count of an id that is already queued.
     void push(BalancerId, std::size_t sends);
--- a/Source/Membership/MemberRecord.h
+++ b/Source/Membership/MemberRecord.h
@@ -31,7 +31,7 @@
     bool indirectProbesSent = false;
     // Its latest nonce, to be echoed.
     std::uint32_t lastNonce = 0;
-    bool newsHasDetails = false;
+    bool gossipHasDetails = false;
     // How many members it said last that it knows; 0 before it said anything.
     std::uint32_t membersKnown = 0;
 
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -10,17 +10,18 @@
 namespace {
 
     // What a row takes on the wire, in bytes: usually, and at most.
-    constexpr std::size_t usualRowBytes = 24;
-    constexpr std::size_t rowBytes = 34;
-    constexpr std::size_t detailsBytes = 32;
+    constexpr std::size_t typicalRowBytes = 24;
+    constexpr std::size_t maxRowBytes = 34;
+    constexpr std::size_t detailsOverheadBytes = 32;
     // What a message carries beside its rows.
-    constexpr std::size_t messageBytes = 32;
-    constexpr std::size_t fewestSends = 6;
-    constexpr std::size_t sendsPerMagnitude = 3;
+    constexpr std::size_t messageOverheadBytes = 32;
+    constexpr std::size_t minSends = 6;
+    constexpr std::size_t sendsPerDecade = 3;
 
     std::size_t bytesOf(const Member& member, bool withDetails)
     {
-        return rowBytes + (withDetails ? detailsBytes + member.name.size() + member.availabilityZone.size() : 0);
+        return maxRowBytes
+            + (withDetails ? detailsOverheadBytes + member.name.size() + member.availabilityZone.size() : 0);
     }
 
 }
@@ -59,7 +60,7 @@
     const bool isNew = !record || row.incarnation > record->member.incarnation;
     const MergeOutcome outcome = isNew ? arrive(row, record, now) : mergeKnown(*record, row, now);
     if (outcome == MergeOutcome::Applied && passOn)
-        spread(*find(BalancerId { row.id }), isNew);
+        enqueueGossip(*find(BalancerId { row.id }), isNew);
     return outcome;
 }
 
@@ -170,7 +171,7 @@
     membersChanged_ = membersChanged_ || self_->member.incarnation != incarnation;
     self_->member.incarnation = incarnation;
     self_->sequence = sequence;
-    spread(*self_, false);
+    enqueueGossip(*self_, false);
 }
 
 void MemberTable::suspect(MemberRecord& record, TimePoint now)
@@ -180,7 +181,7 @@
     record.suspected = true;
     record.changedAt = now;
     unconfirmed_.insert(record.member.id);
-    spread(record, false);
+    enqueueGossip(record, false);
 }
 
 void MemberTable::clearSuspicion(MemberRecord& record)
@@ -195,7 +196,7 @@
 void MemberTable::declareDead(MemberRecord& record, TimePoint now)
 {
     bury(record, now);
-    spread(record, false);
+    enqueueGossip(record, false);
 }
 
 void MemberTable::restartSuspicionTimeouts(TimePoint now)
@@ -219,11 +220,11 @@
     membersChanged_ = true;
 }
 
-void MemberTable::spread(MemberRecord& record, bool withDetails)
+void MemberTable::enqueueGossip(MemberRecord& record, bool withDetails)
 {
-    record.newsHasDetails = withDetails || (record.newsHasDetails && news_.contains(record.member.id));
-    const double magnitude = std::ceil(std::log10(static_cast<double>(records_.size() + 1)));
-    news_.push(record.member.id, std::max(fewestSends, sendsPerMagnitude * static_cast<std::size_t>(magnitude)));
+    record.gossipHasDetails = withDetails || (record.gossipHasDetails && gossip_.contains(record.member.id));
+    const double decades = std::ceil(std::log10(static_cast<double>(records_.size() + 1)));
+    gossip_.push(record.member.id, std::max(minSends, sendsPerDecade * static_cast<std::size_t>(decades)));
 }
 
 void MemberTable::erase(BalancerId id)
@@ -234,7 +235,7 @@
     else
         std::erase(tombstones_, id);
     unconfirmed_.erase(id);
-    news_.erase(id);
+    gossip_.erase(id);
     records_.erase(found);
     membersChanged_ = true;
 }
@@ -271,26 +272,26 @@
     }
 }
 
-std::vector<MemberRow> MemberTable::takeNews(std::size_t& bytes)
+std::vector<MemberRow> MemberTable::takeGossip(std::size_t& bytes)
 {
     std::vector<MemberRow> rows;
-    for (std::size_t left = news_.size(); left > 0 && bytes >= usualRowBytes; --left) {
-        const auto id = news_.pop();
+    for (std::size_t left = gossip_.size(); left > 0 && bytes >= typicalRowBytes; --left) {
+        const auto id = gossip_.pop();
         const MemberRecord& record = records_.at(*id);
-        bytes -= std::min(bytes, bytesOf(record.member, record.newsHasDetails) - (rowBytes - usualRowBytes));
-        rows.push_back(rowOf(record, record.newsHasDetails));
+        bytes -= std::min(bytes, bytesOf(record.member, record.gossipHasDetails) - (maxRowBytes - typicalRowBytes));
+        rows.push_back(rowOf(record, record.gossipHasDetails));
     }
     return rows;
 }
 
-std::vector<MemberRow> MemberTable::takeRotation(std::size_t count)
+std::vector<MemberRow> MemberTable::takeAntiEntropyRows(std::size_t count)
 {
     std::vector<MemberRow> rows;
     for (std::size_t i = 0; i < std::min(count, records_.size()); ++i) {
-        auto next = records_.upper_bound(rotation_);
+        auto next = records_.upper_bound(antiEntropyPosition_);
         if (next == records_.end())
             next = records_.begin();
-        rotation_ = next->first;
+        antiEntropyPosition_ = next->first;
         rows.push_back(rowOf(next->second, false));
     }
     return rows;
@@ -299,7 +300,7 @@
 std::vector<MemberRow> MemberTable::page(std::uint32_t after, bool& isLast) const
 {
     std::vector<MemberRow> rows;
-    std::size_t used = messageBytes;
+    std::size_t used = messageOverheadBytes;
     auto next = records_.upper_bound(BalancerId { after });
     for (; next != records_.end(); ++next) {
         const bool withDetails = next->second.isAlive();
@@ -325,7 +326,7 @@
 std::vector<MemberRow> MemberTable::rowsOf(const std::vector<std::uint32_t>& ids) const
 {
     std::vector<MemberRow> rows;
-    std::size_t used = messageBytes;
+    std::size_t used = messageOverheadBytes;
     for (const std::uint32_t id : ids) {
         const auto found = records_.find(BalancerId { id });
         if (found == records_.end())
--- a/Source/Membership/MemberTable.h
+++ b/Source/Membership/MemberTable.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "Core/Clock.h"
+#include "Membership/GossipQueue.h"
 #include "Membership/Member.h"
 #include "Membership/MemberRecord.h"
 #include "Membership/MembershipMessages.h"
 #include "Membership/MembershipSettings.h"
-#include "Membership/RumorQueue.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -65,9 +65,9 @@
     void dropOldTombstones(TimePoint now);
 
     // News for a message, worth about the bytes given. Leaves there what it did not use.
-    std::vector<MemberRow> takeNews(std::size_t& bytes);
+    std::vector<MemberRow> takeGossip(std::size_t& bytes);
     // The next members in the order of ids.
-    std::vector<MemberRow> takeRotation(std::size_t rows);
+    std::vector<MemberRow> takeAntiEntropyRows(std::size_t rows);
     // Rows with details above an id, as many as fit one datagram. Sets whether these are the last.
     std::vector<MemberRow> page(std::uint32_t after, bool& isLast) const;
     // The same for so many rows at most.
@@ -85,7 +85,7 @@
     MergeOutcome mergeLife(MemberRecord&, const MemberRow&);
     MergeOutcome mergeClaim(MemberRecord&, const MemberRow&, TimePoint now);
     void bury(MemberRecord&, TimePoint now);
-    void spread(MemberRecord&, bool withDetails);
+    void enqueueGossip(MemberRecord&, bool withDetails);
     void erase(BalancerId);
 
     const MembershipSettings& settings_;
@@ -96,8 +96,8 @@
     std::vector<BalancerId> arrivals_;
     // Oldest first.
     std::deque<BalancerId> tombstones_;
-    RumorQueue news_;
-    BalancerId rotation_;
+    GossipQueue gossip_;
+    BalancerId antiEntropyPosition_;
     bool membersChanged_ = true;
     bool versionsChanged_ = false;
 };
--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -127,7 +127,7 @@
     void answer(const Endpoint& to, const MemberRecord* peer, HeartbeatOptions, TimePoint now);
     void sendHeartbeat(const Endpoint& to, const MemberRecord* peer, HeartbeatOptions, TimePoint now);
     void send(const Endpoint& to, PeerMessageKind, std::vector<std::uint8_t> payload);
-    void appendNews(std::vector<MemberRow>&);
+    void appendGossip(std::vector<MemberRow>&);
     void admitArrivals(TimePoint now);
     MembershipActions finish(TimePoint now, bool endsInterval);
 
@@ -163,8 +163,8 @@
     std::size_t answersLeft_ = 0;
     std::size_t verificationsLeft_ = 0;
     std::size_t indirectProbesLeft_ = 0;
-    std::size_t newsBytesLeft_ = 0;
-    std::size_t rotationRowsLeft_ = 0;
+    std::size_t gossipBytesLeft_ = 0;
+    std::size_t antiEntropyRowsLeft_ = 0;
     std::size_t pagesLeft_ = 0;
     std::size_t detailRequestsLeft_ = 0;
 
--- a/Source/Membership/MembershipRounds.cpp
+++ b/Source/Membership/MembershipRounds.cpp
@@ -21,8 +21,8 @@
     verificationsLeft_ = settings_.verificationsPerInterval;
     indirectProbesLeft_ = settings_.indirectProbesPerInterval;
     pagesLeft_ = settings_.pagesPerInterval;
-    newsBytesLeft_ = settings_.newsBytesPerInterval;
-    rotationRowsLeft_ = settings_.rotationRowsPerInterval;
+    gossipBytesLeft_ = settings_.gossipBytesPerInterval;
+    antiEntropyRowsLeft_ = settings_.antiEntropyRowsPerInterval;
     detailRequestsLeft_ = settings_.detailRequestsPerInterval;
     catchUp_.beginInterval(settings_.catchUpPagesPerInterval);
     std::erase_if(relays_, [&](const Relay& relay) { return now - relay.since > settings_.failAfter; });
@@ -199,23 +199,23 @@
     // First what the peer can refute.
     if (peer && (options.withPeerRow || peer->suspected || !peer->isAlive()))
         message.rows.push_back(rowOf(*peer, false));
-    appendNews(message.rows);
+    appendGossip(message.rows);
     send(to, PeerMessageKind::Heartbeat, encodeMessage(message));
 }
 
-void Membership::appendNews(std::vector<MemberRow>& rows)
+void Membership::appendGossip(std::vector<MemberRow>& rows)
 {
-    const std::size_t allowance = std::min(settings_.newsBytes, newsBytesLeft_);
+    const std::size_t allowance = std::min(settings_.gossipBytes, gossipBytesLeft_);
     std::size_t unused = allowance;
-    const std::vector<MemberRow> news = table_.takeNews(unused);
-    newsBytesLeft_ -= allowance - unused;
-    rows.insert(rows.end(), news.begin(), news.end());
-    std::size_t rotationRows = std::min(settings_.rotationRows, rotationRowsLeft_);
+    const std::vector<MemberRow> gossip = table_.takeGossip(unused);
+    gossipBytesLeft_ -= allowance - unused;
+    rows.insert(rows.end(), gossip.begin(), gossip.end());
+    std::size_t antiEntropyRows = std::min(settings_.antiEntropyRows, antiEntropyRowsLeft_);
     if (isMesh())
-        rotationRows = round_ % settings_.retryEvery == 0 ? 1 : 0;
-    const std::vector<MemberRow> rotation = table_.takeRotation(rotationRows);
-    rotationRowsLeft_ -= std::min(rotationRowsLeft_, rotation.size());
-    rows.insert(rows.end(), rotation.begin(), rotation.end());
+        antiEntropyRows = round_ % settings_.retryEvery == 0 ? 1 : 0;
+    const std::vector<MemberRow> antiEntropy = table_.takeAntiEntropyRows(antiEntropyRows);
+    antiEntropyRowsLeft_ -= std::min(antiEntropyRowsLeft_, antiEntropy.size());
+    rows.insert(rows.end(), antiEntropy.begin(), antiEntropy.end());
 }
 
 void Membership::send(const Endpoint& to, PeerMessageKind kind, std::vector<std::uint8_t> payload)
--- a/Source/Membership/MembershipSettings.h
+++ b/Source/Membership/MembershipSettings.h
@@ -59,11 +59,11 @@
     // A healthy fleet tries one dead member and one unknown address of the VM list every so many intervals.
     std::size_t retryEvery = 4;
     // Bytes of news in one heartbeat, and in all of an interval.
-    std::size_t newsBytes = 400;
-    std::size_t newsBytesPerInterval = 800;
+    std::size_t gossipBytes = 400;
+    std::size_t gossipBytesPerInterval = 800;
     // Rows beside the news, all members in turn, so that lost news is made good; a small fleet needs few.
-    std::size_t rotationRows = 4;
-    std::size_t rotationRowsPerInterval = 12;
+    std::size_t antiEntropyRows = 4;
+    std::size_t antiEntropyRowsPerInterval = 12;
 
     // Dead members are remembered so that old news does not revive them and a cut that heals is noticed.
     std::chrono::minutes tombstoneLifetime { 120 };
