--- a/Source/Membership/MemberRecord.cpp
+++ b/Source/Membership/MemberRecord.cpp
@@ -25,7 +25,7 @@
 
 }
 
-bool isGone(const MemberRow& row)
+bool isDeadOrLeft(const MemberRow& row)
 {
     return row.status == static_cast<std::uint8_t>(RowStatus::Dead)
         || row.status == static_cast<std::uint8_t>(RowStatus::Left);
--- a/Source/Membership/MemberRecord.h
+++ b/Source/Membership/MemberRecord.h
@@ -44,7 +44,7 @@
 // False for a row that no balancer sends.
 bool isWellFormed(const MemberRow&);
 // True when the row says that its member died or left.
-bool isGone(const MemberRow&);
+bool isDeadOrLeft(const MemberRow&);
 MemberState stateOf(const MemberRow&);
 // The member that a row with details tells of.
 Member memberOf(const MemberRow&);
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -40,7 +40,7 @@
     return found == records_.end() ? nullptr : &found->second;
 }
 
-std::vector<Endpoint> MemberTable::addressesOfAlive() const
+std::vector<Endpoint> MemberTable::aliveAddresses() const
 {
     std::vector<Endpoint> addresses;
     for (const auto& [id, record] : records_) {
@@ -50,7 +50,7 @@
     return addresses;
 }
 
-MergeOutcome MemberTable::merge(const MemberRow& row, TimePoint now, bool passOn)
+MergeOutcome MemberTable::merge(const MemberRow& row, TimePoint now, bool propagate)
 {
     if (!isWellFormed(row))
         return MergeOutcome::Ignored;
@@ -58,8 +58,8 @@
     if (record == self_)
         return MergeOutcome::AboutSelf;
     const bool isNew = !record || row.incarnation > record->member.incarnation;
-    const MergeOutcome outcome = isNew ? arrive(row, record, now) : mergeKnown(*record, row, now);
-    if (outcome == MergeOutcome::Applied && passOn)
+    const MergeOutcome outcome = isNew ? mergeNewIncarnation(row, record, now) : mergeKnown(*record, row, now);
+    if (outcome == MergeOutcome::Applied && propagate)
         enqueueGossip(*find(BalancerId { row.id }), isNew);
     return outcome;
 }
@@ -72,19 +72,19 @@
         record.member.configurationVersion = row.configurationVersion;
         versionsChanged_ = true;
     }
-    return row.suspected || isGone(row) ? mergeClaim(record, row, now) : mergeLife(record, row);
+    return row.suspected || isDeadOrLeft(row) ? mergeFailureReport(record, row, now) : mergeAlive(record, row);
 }
 
-MergeOutcome MemberTable::arrive(const MemberRow& row, MemberRecord* old, TimePoint now)
+MergeOutcome MemberTable::mergeNewIncarnation(const MemberRow& row, MemberRecord* old, TimePoint now)
 {
-    if (isGone(row)) {
+    if (isDeadOrLeft(row)) {
         // The next incarnation has come and gone unseen, so the one known here is gone too.
         if (!old)
             return MergeOutcome::Ignored;
         old->member.incarnation = row.incarnation;
         old->sequence = row.sequence;
         if (old->isAlive())
-            bury(*old, now);
+            markDead(*old, now);
         return MergeOutcome::Applied;
     }
     if (row.details.empty())
@@ -99,19 +99,19 @@
     if (row.suspected)
         unconfirmed_.insert(record.member.id);
     ++othersAlive_;
-    arrivals_.push_back(record.member.id);
+    newMembers_.push_back(record.member.id);
     membersChanged_ = true;
     return MergeOutcome::Applied;
 }
 
-MergeOutcome MemberTable::mergeLife(MemberRecord& record, const MemberRow& row)
+MergeOutcome MemberTable::mergeAlive(MemberRecord& record, const MemberRow& row)
 {
     if (row.sequence <= record.sequence)
         return MergeOutcome::Ignored;
     if (!record.isAlive()) {
         std::erase(tombstones_, record.member.id);
         ++othersAlive_;
-        arrivals_.push_back(record.member.id);
+        newMembers_.push_back(record.member.id);
     }
     // A higher sequence alone, as after a refuted suspicion, does not show in views.
     membersChanged_ = membersChanged_ || record.member.state != stateOf(row);
@@ -122,7 +122,7 @@
     return MergeOutcome::Applied;
 }
 
-MergeOutcome MemberTable::mergeClaim(MemberRecord& record, const MemberRow& row, TimePoint now)
+MergeOutcome MemberTable::mergeFailureReport(MemberRecord& record, const MemberRow& row, TimePoint now)
 {
     if (row.sequence < record.sequence)
         return MergeOutcome::Ignored;
@@ -130,21 +130,21 @@
     record.sequence = row.sequence;
     if (!record.isAlive())
         return MergeOutcome::Ignored;
-    if (!isGone(row) && record.member.state != stateOf(row)) {
+    if (!isDeadOrLeft(row) && record.member.state != stateOf(row)) {
         record.member.state = stateOf(row);
         membersChanged_ = true;
     }
     // A death is taken over only from a member that was already suspected and has not answered since. Else a
     // balancer that comes out of a cut, or has just woken, would bury everybody with the dead of its old view.
     const bool isConfirmed = record.suspected && !record.disputed && record.lastContact < record.changedAt;
-    if (isGone(row) && isConfirmed) {
-        bury(record, now);
+    if (isDeadOrLeft(row) && isConfirmed) {
+        markDead(record, now);
         return MergeOutcome::Applied;
     }
     if (isKnown)
         return MergeOutcome::Ignored;
     record.suspected = true;
-    record.disputed = isGone(row);
+    record.disputed = isDeadOrLeft(row);
     record.changedAt = now;
     unconfirmed_.insert(record.member.id);
     // A disputed death is not passed on: others would take it for a suspicion and bury the member on the next claim.
@@ -166,7 +166,7 @@
     membersChanged_ = true;
 }
 
-void MemberTable::raiseSelf(std::uint64_t incarnation, std::uint32_t sequence)
+void MemberTable::setSelfIncarnation(std::uint64_t incarnation, std::uint32_t sequence)
 {
     membersChanged_ = membersChanged_ || self_->member.incarnation != incarnation;
     self_->member.incarnation = incarnation;
@@ -195,7 +195,7 @@
 
 void MemberTable::declareDead(MemberRecord& record, TimePoint now)
 {
-    bury(record, now);
+    markDead(record, now);
     enqueueGossip(record, false);
 }
 
@@ -208,7 +208,7 @@
     }
 }
 
-void MemberTable::bury(MemberRecord& record, TimePoint now)
+void MemberTable::markDead(MemberRecord& record, TimePoint now)
 {
     record.hasLeft = record.member.state == MemberState::Leaving;
     record.member.state = MemberState::Dead;
@@ -246,9 +246,9 @@
     return std::chrono::duration_cast<Duration>(settings_.suspicion * factor);
 }
 
-std::vector<BalancerId> MemberTable::takeArrivals() { return std::exchange(arrivals_, {}); }
+std::vector<BalancerId> MemberTable::takeNewMembers() { return std::exchange(newMembers_, {}); }
 
-std::optional<BalancerId> MemberTable::anyDead(std::mt19937_64& random) const
+std::optional<BalancerId> MemberTable::randomDead(std::mt19937_64& random) const
 {
     if (tombstones_.empty())
         return std::nullopt;
@@ -297,11 +297,11 @@
     return rows;
 }
 
-std::vector<MemberRow> MemberTable::page(std::uint32_t after, bool& isLast) const
+std::vector<MemberRow> MemberTable::page(std::uint32_t afterId, bool& isLast) const
 {
     std::vector<MemberRow> rows;
     std::size_t used = messageOverheadBytes;
-    auto next = records_.upper_bound(BalancerId { after });
+    auto next = records_.upper_bound(BalancerId { afterId });
     for (; next != records_.end(); ++next) {
         const bool withDetails = next->second.isAlive();
         used += bytesOf(next->second.member, withDetails);
@@ -313,11 +313,11 @@
     return rows;
 }
 
-std::vector<MemberRow> MemberTable::rowsAbove(std::uint32_t after, std::size_t most, bool& isLast) const
+std::vector<MemberRow> MemberTable::rowsAfter(std::uint32_t afterId, std::size_t maxRows, bool& isLast) const
 {
     std::vector<MemberRow> rows;
-    auto next = records_.upper_bound(BalancerId { after });
-    for (; next != records_.end() && rows.size() < most; ++next)
+    auto next = records_.upper_bound(BalancerId { afterId });
+    for (; next != records_.end() && rows.size() < maxRows; ++next)
         rows.push_back(rowOf(next->second, next->second.isAlive()));
     isLast = next == records_.end();
     return rows;
--- a/Source/Membership/MemberTable.h
+++ b/Source/Membership/MemberTable.h
@@ -33,7 +33,7 @@
     MemberTable(const MembershipSettings&, const Member& self, TimePoint now);
 
     // What a row changes is passed on as news, unless the row was read in a catch-up and so is news to nobody else.
-    MergeOutcome merge(const MemberRow&, TimePoint now, bool passOn = true);
+    MergeOutcome merge(const MemberRow&, TimePoint now, bool propagate = true);
 
     MemberRecord& self() { return *self_; }
     const MemberRecord& self() const { return *self_; }
@@ -41,12 +41,12 @@
     // All members, this one and the dead included.
     std::size_t size() const { return records_.size(); }
     std::size_t othersAlive() const { return othersAlive_; }
-    std::vector<Endpoint> addressesOfAlive() const;
+    std::vector<Endpoint> aliveAddresses() const;
 
     // Changes of this balancer's own row. Raising the sequence overrides whatever others say of it.
     void setSelfState(MemberState);
     void setConfigurationVersion(std::uint64_t);
-    void raiseSelf(std::uint64_t incarnation, std::uint32_t sequence);
+    void setSelfIncarnation(std::uint64_t incarnation, std::uint32_t sequence);
 
     void suspect(MemberRecord&, TimePoint now);
     void clearSuspicion(MemberRecord&);
@@ -59,9 +59,9 @@
     Duration suspicionTimeout() const;
 
     // Members that are alive since the last call and were not before.
-    std::vector<BalancerId> takeArrivals();
+    std::vector<BalancerId> takeNewMembers();
     // A dead member to be tried again, at random.
-    std::optional<BalancerId> anyDead(std::mt19937_64&) const;
+    std::optional<BalancerId> randomDead(std::mt19937_64&) const;
     void dropOldTombstones(TimePoint now);
 
     // News for a message, worth about the bytes given. Leaves there what it did not use.
@@ -69,9 +69,9 @@
     // The next members in the order of ids.
     std::vector<MemberRow> takeAntiEntropyRows(std::size_t rows);
     // Rows with details above an id, as many as fit one datagram. Sets whether these are the last.
-    std::vector<MemberRow> page(std::uint32_t after, bool& isLast) const;
+    std::vector<MemberRow> page(std::uint32_t afterId, bool& isLast) const;
     // The same for so many rows at most.
-    std::vector<MemberRow> rowsAbove(std::uint32_t after, std::size_t most, bool& isLast) const;
+    std::vector<MemberRow> rowsAfter(std::uint32_t afterId, std::size_t maxRows, bool& isLast) const;
     std::vector<MemberRow> rowsOf(const std::vector<std::uint32_t>& ids) const;
 
     // True when a view published now would differ in more than configuration versions.
@@ -80,11 +80,11 @@
     std::shared_ptr<const MembersView> publish(std::uint64_t revision, bool isolated);
 
 private:
-    MergeOutcome arrive(const MemberRow&, MemberRecord* old, TimePoint now);
+    MergeOutcome mergeNewIncarnation(const MemberRow&, MemberRecord* old, TimePoint now);
     MergeOutcome mergeKnown(MemberRecord&, const MemberRow&, TimePoint now);
-    MergeOutcome mergeLife(MemberRecord&, const MemberRow&);
-    MergeOutcome mergeClaim(MemberRecord&, const MemberRow&, TimePoint now);
-    void bury(MemberRecord&, TimePoint now);
+    MergeOutcome mergeAlive(MemberRecord&, const MemberRow&);
+    MergeOutcome mergeFailureReport(MemberRecord&, const MemberRow&, TimePoint now);
+    void markDead(MemberRecord&, TimePoint now);
     void enqueueGossip(MemberRecord&, bool withDetails);
     void erase(BalancerId);
 
@@ -93,7 +93,7 @@
     MemberRecord* self_;
     std::size_t othersAlive_ = 0;
     std::set<BalancerId> unconfirmed_;
-    std::vector<BalancerId> arrivals_;
+    std::vector<BalancerId> newMembers_;
     // Oldest first.
     std::deque<BalancerId> tombstones_;
     GossipQueue gossip_;
--- a/Source/Membership/MembersPages.cpp
+++ b/Source/Membership/MembersPages.cpp
@@ -27,7 +27,7 @@
     MembersPageMessage packedPage(std::uint32_t after, const MemberTable& table)
     {
         MembersPageMessage page { after, false, false, {} };
-        std::vector<MemberRow> rows = table.rowsAbove(after, mostPackedRows, page.last);
+        std::vector<MemberRow> rows = table.rowsAfter(after, mostPackedRows, page.last);
         page.packedRows = packedRows(rows);
         while (page.packedRows.size() > mostPackedBytes && rows.size() > 1) {
             // A little fewer than the sizes suggest, since fewer rows are packed less well.
--- a/Source/Membership/Membership.cpp
+++ b/Source/Membership/Membership.cpp
@@ -32,7 +32,7 @@
     , startedAt_(wholeMilliseconds(now))
     , nextInterval_(wholeMilliseconds(now))
     , lastCatchUp_(wholeMilliseconds(now))
-    , lastArrival_(wholeMilliseconds(now))
+    , lastNewMemberAt_(wholeMilliseconds(now))
     , view_(table_.publish(1, true))
 {
 }
@@ -73,7 +73,7 @@
 {
     const TimePoint now = wholeMilliseconds(time);
     wakeIfPaused(now);
-    std::vector<Endpoint> known = table_.addressesOfAlive();
+    std::vector<Endpoint> known = table_.aliveAddresses();
     std::sort(known.begin(), known.end());
     std::vector<Endpoint> leaving;
     unknownAddresses_.clear();
@@ -165,7 +165,7 @@
 bool Membership::isSettled(TimePoint now) const
 {
     const bool isWhole = catchUp_.isDone() && !catchUp_.isRunning() && mostKnownElsewhere_ <= table_.size();
-    return isWhole && now - lastArrival_ >= settings_.settledAfter;
+    return isWhole && now - lastNewMemberAt_ >= settings_.settledAfter;
 }
 
 bool Membership::isFarBehind(std::uint32_t peerKnows, TimePoint now) const
@@ -244,11 +244,11 @@
     requestPage(now);
 }
 
-void Membership::mergeRows(const std::vector<MemberRow>& rows, const Endpoint& source, bool passOn, TimePoint now)
+void Membership::mergeRows(const std::vector<MemberRow>& rows, const Endpoint& source, bool propagate, TimePoint now)
 {
     MembersRequestMessage request;
     for (const MemberRow& row : rows) {
-        const MergeOutcome outcome = table_.merge(row, now, passOn);
+        const MergeOutcome outcome = table_.merge(row, now, propagate);
         if (outcome == MergeOutcome::AboutSelf)
             refute(row, now);
         else if (outcome == MergeOutcome::NeedsDetails && request.ids.size() < mostNamedIds)
@@ -265,12 +265,12 @@
     const MemberRecord& self = table_.self();
     const bool isAlive = row.status <= static_cast<std::uint8_t>(RowStatus::Leaving) && !row.suspected;
     if (row.incarnation == self.member.incarnation && row.sequence >= self.sequence && !isAlive) {
-        table_.raiseSelf(row.incarnation, row.sequence + 1);
+        table_.setSelfIncarnation(row.incarnation, row.sequence + 1);
     } else if (row.incarnation > self.member.incarnation
-        && (lastRaise_ == TimePoint::min() || now - lastRaise_ > settings_.failAfter)) {
+        && (lastIncarnationRaise_ == TimePoint::min() || now - lastIncarnationRaise_ > settings_.failAfter)) {
         // The pace bounds the damage when two processes run under one name by mistake.
-        lastRaise_ = now;
-        table_.raiseSelf(row.incarnation + 1, 0);
+        lastIncarnationRaise_ = now;
+        table_.setSelfIncarnation(row.incarnation + 1, 0);
     }
 }
 
--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -100,7 +100,7 @@
     void onMembersRequest(const MemberRecord& sender, const MembersRequestMessage&);
     void onMembersPage(const MemberRecord& sender, const MembersPageMessage&, TimePoint now);
 
-    void mergeRows(const std::vector<MemberRow>&, const Endpoint& source, bool passOn, TimePoint now);
+    void mergeRows(const std::vector<MemberRow>&, const Endpoint& source, bool propagate, TimePoint now);
     void refute(const MemberRow&, TimePoint now);
     void noteAnswer(MemberRecord&, std::uint32_t echo, TimePoint now);
     void settleRelays(const MemberRecord&, TimePoint nonceSentAt);
@@ -128,7 +128,7 @@
     void sendHeartbeat(const Endpoint& to, const MemberRecord* peer, HeartbeatOptions, TimePoint now);
     void send(const Endpoint& to, PeerMessageKind, std::vector<std::uint8_t> payload);
     void appendGossip(std::vector<MemberRow>&);
-    void admitArrivals(TimePoint now);
+    void addToProbeOrders(TimePoint now);
     MembershipActions finish(TimePoint now, bool endsInterval);
 
     bool isMesh() const { return table_.othersAlive() <= settings_.meshLimit; }
@@ -157,8 +157,8 @@
     std::optional<TimePoint> secondCatchUp_;
     // The most members that a heartbeat told of, and when a member came that was not known before.
     std::uint32_t mostKnownElsewhere_ = 0;
-    TimePoint lastArrival_;
-    TimePoint lastRaise_ = TimePoint::min();
+    TimePoint lastNewMemberAt_;
+    TimePoint lastIncarnationRaise_ = TimePoint::min();
     // What is left of the budgets of this interval.
     std::size_t answersLeft_ = 0;
     std::size_t verificationsLeft_ = 0;
--- a/Source/Membership/MembershipRounds.cpp
+++ b/Source/Membership/MembershipRounds.cpp
@@ -111,7 +111,7 @@
     // Two sides of a cut hold each other dead; somebody has to try, or they stay apart after it has healed.
     if (!isMesh() && round_ % settings_.retryEvery != 0)
         return;
-    if (const auto id = table_.anyDead(random_)) {
+    if (const auto id = table_.randomDead(random_)) {
         const MemberRecord* const dead = table_.find(*id);
         sendHeartbeat(dead->member.peerAddress, dead, { .wantsAnswer = true }, now);
     }
@@ -224,10 +224,10 @@
     actions_.push_back(SendPeerMessage { to, { self.id, self.incarnation, kind, std::move(payload) } });
 }
 
-void Membership::admitArrivals(TimePoint now)
+void Membership::addToProbeOrders(TimePoint now)
 {
-    for (const BalancerId id : table_.takeArrivals()) {
-        lastArrival_ = now;
+    for (const BalancerId id : table_.takeNewMembers()) {
+        lastNewMemberAt_ = now;
         allOrder_.insert(id, random_);
         const MemberRecord* const record = table_.find(id);
         if (record && record->member.availabilityZone == table_.self().member.availabilityZone)
@@ -237,7 +237,7 @@
 
 MembershipActions Membership::finish(TimePoint now, bool endsInterval)
 {
-    admitArrivals(now);
+    addToProbeOrders(now);
     const bool isIsolated = observation_.isIsolated(table_.othersAlive() > 0, now);
     // A view of a large fleet is costly to copy, so changes of versions alone, and pages of a catch-up, are collected
     // over an interval.
