--- a/Source/Membership/Membership.cpp
+++ b/Source/Membership/Membership.cpp
@@ -27,7 +27,7 @@
     , table_(settings_, self, wholeMilliseconds(now))
     , failureDetector_(settings_, table_)
     , nonces_(self.incarnation, wholeMilliseconds(now))
-    , observation_(settings_, wholeMilliseconds(now))
+    , isolationDetector_(settings_, wholeMilliseconds(now))
     , catchUp_(settings_.pageWithin)
     , startedAt_(wholeMilliseconds(now))
     , nextInterval_(wholeMilliseconds(now))
@@ -40,7 +40,7 @@
 MembershipActions Membership::handle(const PeerMessageReceived& event, TimePoint time)
 {
     const TimePoint now = wholeMilliseconds(time);
-    wakeIfPaused(now);
+    recoverIfPaused(now);
     const PeerEnvelope& envelope = event.envelope;
     if (envelope.sender == table_.self().member.id)
         return finish(now, false);
@@ -72,7 +72,7 @@
 MembershipActions Membership::handle(const VmListReceived& event, TimePoint time)
 {
     const TimePoint now = wholeMilliseconds(time);
-    wakeIfPaused(now);
+    recoverIfPaused(now);
     std::vector<Endpoint> known = table_.aliveAddresses();
     std::sort(known.begin(), known.end());
     std::vector<Endpoint> leaving;
@@ -90,8 +90,8 @@
 MembershipActions Membership::tick(TimePoint time)
 {
     const TimePoint now = wholeMilliseconds(time);
-    wakeIfPaused(now);
-    observation_.ticked(now);
+    recoverIfPaused(now);
+    isolationDetector_.onTick(now);
     for (const DetectorEvent& event : failureDetector_.tick(now))
         handleDetectorEvent(event, now);
     const bool isIntervalDue = now >= nextInterval_;
@@ -184,7 +184,7 @@
     const auto sentAt = echo == 0 ? std::nullopt : nonces_.sentAt(echo, now);
     if (!sentAt)
         return;
-    observation_.answerReceived(*sentAt);
+    isolationDetector_.answerReceived(*sentAt);
     if (!sender.isAlive())
         return;
     failureDetector_.answerReceived(sender, *sentAt);
@@ -218,7 +218,7 @@
     const auto sentAt = nonces_.sentAt(message.nonce, now);
     if (!target || !target->isAlive() || target->member.incarnation != message.targetIncarnation || !sentAt)
         return;
-    observation_.answerReceived(*sentAt);
+    isolationDetector_.answerReceived(*sentAt);
     failureDetector_.answerReceived(*target, *sentAt);
 }
 
@@ -274,9 +274,9 @@
     }
 }
 
-void Membership::wakeIfPaused(TimePoint now)
+void Membership::recoverIfPaused(TimePoint now)
 {
-    if (!observation_.wokeUp(now))
+    if (!isolationDetector_.detectPause(now))
         return;
     // Symptom without this: a balancer that slept for 30 s buries everybody, since nobody has answered for 30 s, and
     // acts on what datagrams from before the pause say. The clock went on while nothing was listened to.
--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -2,13 +2,13 @@
 
 #include "Core/Clock.h"
 #include "Membership/FailureDetector.h"
+#include "Membership/IsolationDetector.h"
 #include "Membership/Member.h"
 #include "Membership/MemberTable.h"
 #include "Membership/MembershipMessages.h"
 #include "Membership/MembershipSettings.h"
 #include "Membership/NonceClock.h"
 #include "Membership/ProbeOrder.h"
-#include "Membership/SelfObservation.h"
 #include "Membership/ViewCatchUp.h"
 #include "Wire/PeerMessage.h"
 #include "Wire/PeerMessageCodec.h"
@@ -105,7 +105,7 @@
     void noteAnswer(MemberRecord&, std::uint32_t echo, TimePoint now);
     void settleRelays(const MemberRecord&, TimePoint nonceSentAt);
 
-    void wakeIfPaused(TimePoint now);
+    void recoverIfPaused(TimePoint now);
     void beginInterval(TimePoint now);
     void probeAll(TimePoint now);
     void probeSome(TimePoint now);
@@ -140,7 +140,7 @@
     MemberTable table_;
     FailureDetector failureDetector_;
     NonceClock nonces_;
-    SelfObservation observation_;
+    IsolationDetector isolationDetector_;
     ViewCatchUp catchUp_;
     ProbeOrder allOrder_;
     ProbeOrder zoneOrder_;
--- a/Source/Membership/MembershipRounds.cpp
+++ b/Source/Membership/MembershipRounds.cpp
@@ -37,7 +37,7 @@
 void Membership::probeAll(TimePoint now)
 {
     // The other side sends as often, and its next heartbeat answers this one; only silence needs an answer at once.
-    const bool isSearching = observation_.isSearching(now);
+    const bool isSearching = isolationDetector_.isSearching(now);
     for (const BalancerId id : allOrder_.takeAll(aliveFilter())) {
         MemberRecord& peer = *table_.find(id);
         const bool isSilent = peer.unansweredSince && now - *peer.unansweredSince >= settings_.indirectAfter;
@@ -61,7 +61,7 @@
         for (const BalancerId id : sampleAlive(settings_.joiningProbes))
             probe(*table_.find(id), now);
     }
-    if (!observation_.isSearching(now))
+    if (!isolationDetector_.isSearching(now))
         return;
     for (const BalancerId id : zoneOrder_.sample(settings_.searchFanOut / 2, aliveFilter(), random_))
         probe(*table_.find(id), now);
@@ -238,7 +238,7 @@
 MembershipActions Membership::finish(TimePoint now, bool endsInterval)
 {
     addToProbeOrders(now);
-    const bool isIsolated = observation_.isIsolated(table_.othersAlive() > 0, now);
+    const bool isIsolated = isolationDetector_.isIsolated(table_.othersAlive() > 0, now);
     // A view of a large fleet is costly to copy, so changes of versions alone, and pages of a catch-up, are collected
     // over an interval.
     const bool mayCollect = !isMesh() && !endsInterval;
