--- a/Source/Membership/FailureDetector.cpp
+++ b/Source/Membership/FailureDetector.cpp
@@ -55,12 +55,12 @@
     if (!record.unansweredSince)
         return;
     const Duration unansweredFor = now - *record.unansweredSince;
-    if (unansweredFor >= settings_.failAfter) {
+    if (unansweredFor >= settings_.suspectAfter) {
         record.unansweredSince.reset();
         if (!record.suspectedLocally)
             table_.suspect(record, now);
         events.push_back({ record.member.id, DetectorEventKind::Suspected });
-    } else if (unansweredFor >= settings_.indirectAfter && !record.indirectProbesSent) {
+    } else if (unansweredFor >= settings_.indirectProbeAfter && !record.indirectProbesSent) {
         record.indirectProbesSent = true;
         events.push_back({ record.member.id, DetectorEventKind::IndirectProbeDue });
     }
--- a/Source/Membership/FailureDetector.h
+++ b/Source/Membership/FailureDetector.h
@@ -22,7 +22,7 @@
 };
 
 // Times the probes of members. A member is declared dead only by a balancer whose own probes it left unanswered,
-// directly and through others, for failAfter and then for the time it has to refute.
+// directly and through others, for suspectAfter and then for the time it has to refute.
 class FailureDetector {
 public:
     FailureDetector(const MembershipSettings&, MemberTable&);
--- a/Source/Membership/IsolationDetector.cpp
+++ b/Source/Membership/IsolationDetector.cpp
@@ -8,7 +8,7 @@
     : settings_(settings)
     , lastTick_(now)
     , runningSince_(now)
-    , startupEndsAt_(now + settings.startObservation)
+    , startupEndsAt_(now + settings.startupTimeout)
 {
 }
 
@@ -25,7 +25,7 @@
 
 bool IsolationDetector::isSearching(TimePoint now) const
 {
-    return lastAnswer_ < runningSince_ || now - lastAnswer_ > settings_.isolationAfter / 2;
+    return lastAnswer_ < runningSince_ || now - lastAnswer_ > settings_.isolatedAfter / 2;
 }
 
 bool IsolationDetector::isIsolated(bool othersAlive, TimePoint now) const
@@ -34,7 +34,7 @@
     // Alone: the last one of a zone that goes on serving. At the start others may be there that it has yet to find.
     if (!othersAlive)
         return !answeredSincePause && now < startupEndsAt_;
-    return !answeredSincePause || now - lastAnswer_ > settings_.isolationAfter;
+    return !answeredSincePause || now - lastAnswer_ > settings_.isolatedAfter;
 }
 
 }
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -243,7 +243,7 @@
 Duration MemberTable::suspicionTimeout() const
 {
     const double factor = std::max(1.0, std::log2(static_cast<double>(othersAlive_ + 1)) / 3);
-    return std::chrono::duration_cast<Duration>(settings_.suspicion * factor);
+    return std::chrono::duration_cast<Duration>(settings_.suspicionTimeout * factor);
 }
 
 std::vector<BalancerId> MemberTable::takeNewMembers() { return std::exchange(newMembers_, {}); }
--- a/Source/Membership/Membership.cpp
+++ b/Source/Membership/Membership.cpp
@@ -28,7 +28,7 @@
     , failureDetector_(settings_, table_)
     , nonces_(self.incarnation, wholeMilliseconds(now))
     , isolationDetector_(settings_, wholeMilliseconds(now))
-    , catchUp_(settings_.pageWithin)
+    , catchUp_(settings_.pageTimeout)
     , startedAt_(wholeMilliseconds(now))
     , nextInterval_(wholeMilliseconds(now))
     , lastCatchUp_(wholeMilliseconds(now))
@@ -171,12 +171,12 @@
 bool Membership::isFarBehind(std::uint32_t peerKnows, TimePoint now) const
 {
     if (isJoining(now))
-        return peerKnows > table_.size() && now - lastCatchUp_ >= settings_.joiningCatchUpPause;
+        return peerKnows > table_.size() && now - lastCatchUp_ >= settings_.minTimeBetweenJoiningCatchUps;
     // When many join at once, news of each of them takes minutes to go round; pages carry no row twice.
     if (peerKnows <= table_.size() + mostMissing)
         return false;
     const bool isMuch = peerKnows - table_.size() > table_.size() / missingShare;
-    return now - lastCatchUp_ > (isMuch ? settings_.catchUpPause : settings_.smallCatchUpPause);
+    return now - lastCatchUp_ > (isMuch ? settings_.minTimeBetweenCatchUps : settings_.minTimeBetweenSmallCatchUps);
 }
 
 void Membership::noteAnswer(MemberRecord& sender, std::uint32_t echo, TimePoint now)
@@ -267,7 +267,7 @@
     if (row.incarnation == self.member.incarnation && row.sequence >= self.sequence && !isAlive) {
         table_.setSelfIncarnation(row.incarnation, row.sequence + 1);
     } else if (row.incarnation > self.member.incarnation
-        && (lastIncarnationRaise_ == TimePoint::min() || now - lastIncarnationRaise_ > settings_.failAfter)) {
+        && (lastIncarnationRaise_ == TimePoint::min() || now - lastIncarnationRaise_ > settings_.suspectAfter)) {
         // The pace bounds the damage when two processes run under one name by mistake.
         lastIncarnationRaise_ = now;
         table_.setSelfIncarnation(row.incarnation + 1, 0);
--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -120,7 +120,7 @@
     // Whom to ask for a page: whoever sent the last one, or else, of some members at random, the one that knows most.
     // Those that have just started know few, and not all may ask the same.
     const MemberRecord* pageSource();
-    bool isJoining(TimePoint now) const { return now - startedAt_ < settings_.joining; }
+    bool isJoining(TimePoint now) const { return now - startedAt_ < settings_.joiningPeriod; }
     void handleDetectorEvent(const DetectorEvent&, TimePoint now);
 
     void probe(MemberRecord&, TimePoint now);
--- a/Source/Membership/MembershipRounds.cpp
+++ b/Source/Membership/MembershipRounds.cpp
@@ -25,7 +25,7 @@
     antiEntropyRowsLeft_ = settings_.antiEntropyRowsPerInterval;
     detailRequestsLeft_ = settings_.detailRequestsPerInterval;
     catchUp_.beginInterval(settings_.catchUpPagesPerInterval);
-    std::erase_if(relays_, [&](const Relay& relay) { return now - relay.since > settings_.failAfter; });
+    std::erase_if(relays_, [&](const Relay& relay) { return now - relay.since > settings_.suspectAfter; });
     table_.dropOldTombstones(now);
     scheduleCatchUp(now);
     isMesh() ? probeAll(now) : probeSome(now);
@@ -40,7 +40,7 @@
     const bool isSearching = isolationDetector_.isSearching(now);
     for (const BalancerId id : allOrder_.takeAll(aliveFilter())) {
         MemberRecord& peer = *table_.find(id);
-        const bool isSilent = peer.unansweredSince && now - *peer.unansweredSince >= settings_.indirectAfter;
+        const bool isSilent = peer.unansweredSince && now - *peer.unansweredSince >= settings_.indirectProbeAfter;
         const bool wantsAnswer = isSearching || isSilent;
         failureDetector_.probeSent(peer, now);
         sendHeartbeat(peer.member.peerAddress, &peer, { .wantsAnswer = wantsAnswer }, now);
@@ -58,7 +58,7 @@
         probe(*table_.find(*target), now);
     // Who has just started hears from more members how many there are.
     if (isJoining(now)) {
-        for (const BalancerId id : sampleAlive(settings_.joiningProbes))
+        for (const BalancerId id : sampleAlive(settings_.joiningProbesPerInterval))
             probe(*table_.find(id), now);
     }
     if (!isolationDetector_.isSearching(now))
@@ -109,7 +109,7 @@
 void Membership::retryDead(TimePoint now)
 {
     // Two sides of a cut hold each other dead; somebody has to try, or they stay apart after it has healed.
-    if (!isMesh() && round_ % settings_.retryEvery != 0)
+    if (!isMesh() && round_ % settings_.intervalsPerRetry != 0)
         return;
     if (const auto id = table_.randomDead(random_)) {
         const MemberRecord* const dead = table_.find(*id);
@@ -120,7 +120,7 @@
 void Membership::contactUnknown(TimePoint now)
 {
     const bool isAlone = table_.othersAlive() == 0;
-    if (unknownAddresses_.empty() || (!isAlone && round_ % settings_.retryEvery != 0))
+    if (unknownAddresses_.empty() || (!isAlone && round_ % settings_.intervalsPerRetry != 0))
         return;
     const std::size_t count = std::min(isAlone ? settings_.searchFanOut : 1, unknownAddresses_.size());
     // The first ones of a shuffle that goes no further than needed.
@@ -147,7 +147,7 @@
 {
     // Those that joined at the same moment are missing from the pages of the first time.
     if (!catchUp_.isDone())
-        secondCatchUp_ = now + settings_.secondCatchUpAfter;
+        secondCatchUp_ = now + settings_.secondCatchUpDelay;
     catchUp_.start();
     pageSource_ = source;
     lastCatchUp_ = now;
@@ -212,7 +212,7 @@
     rows.insert(rows.end(), gossip.begin(), gossip.end());
     std::size_t antiEntropyRows = std::min(settings_.antiEntropyRows, antiEntropyRowsLeft_);
     if (isMesh())
-        antiEntropyRows = round_ % settings_.retryEvery == 0 ? 1 : 0;
+        antiEntropyRows = round_ % settings_.intervalsPerRetry == 0 ? 1 : 0;
     const std::vector<MemberRow> antiEntropy = table_.takeAntiEntropyRows(antiEntropyRows);
     antiEntropyRowsLeft_ -= std::min(antiEntropyRowsLeft_, antiEntropy.size());
     rows.insert(rows.end(), antiEntropy.begin(), antiEntropy.end());
--- a/Source/Membership/MembershipSettings.h
+++ b/Source/Membership/MembershipSettings.h
@@ -11,18 +11,18 @@
     // One round of the protocol.
     std::chrono::milliseconds interval { 500 };
     // A probe that is unanswered for this long is repeated, directly and through others.
-    std::chrono::milliseconds indirectAfter { 600 };
+    std::chrono::milliseconds indirectProbeAfter { 600 };
     // A member whose probe is unanswered for this long is suspected.
-    std::chrono::milliseconds failAfter { 1000 };
+    std::chrono::milliseconds suspectAfter { 1000 };
     // A suspected member has this long to refute before it is declared dead; large fleets, where news takes longer,
     // multiply it by a third of the binary logarithm of their size.
-    std::chrono::milliseconds suspicion { 1000 };
+    std::chrono::milliseconds suspicionTimeout { 1000 };
     // A longer gap between two calls of tick means that the process was paused. Above the shell's tick period.
     std::chrono::milliseconds pauseThreshold { 1000 };
     // While nobody answers for this long, the view is isolated.
-    std::chrono::milliseconds isolationAfter { 2000 };
+    std::chrono::milliseconds isolatedAfter { 2000 };
     // How long a starting balancer waits for an answer before it takes itself for alone.
-    std::chrono::milliseconds startObservation { 4000 };
+    std::chrono::milliseconds startupTimeout { 4000 };
 
     // With so many others or fewer, each is probed each interval; above, one.
     std::size_t meshLimit = 8;
@@ -42,22 +42,22 @@
     std::size_t detailRequestsPerInterval = 4;
     std::size_t catchUpPagesPerInterval = 16;
     // The shortest time from the start of one catch-up to that of the next, when much is missing and when little is.
-    std::chrono::milliseconds catchUpPause { 5000 };
-    std::chrono::milliseconds smallCatchUpPause { 30000 };
+    std::chrono::milliseconds minTimeBetweenCatchUps { 5000 };
+    std::chrono::milliseconds minTimeBetweenSmallCatchUps { 30000 };
     // A newcomer reads the view once more after this time, for those that joined together with it.
-    std::chrono::milliseconds secondCatchUpAfter { 15000 };
+    std::chrono::milliseconds secondCatchUpDelay { 15000 };
     // So long after its start a balancer counts as joining: it reads the view again as soon as a peer knows more
     // members, since whoever it read from may have started at the same moment.
-    std::chrono::milliseconds joining { 10000 };
-    std::chrono::milliseconds joiningCatchUpPause { 500 };
+    std::chrono::milliseconds joiningPeriod { 10000 };
+    std::chrono::milliseconds minTimeBetweenJoiningCatchUps { 500 };
     // A view without a new member for so long has settled.
     std::chrono::milliseconds settledAfter { 500 };
     // Members that it probes in each interval beside the usual.
-    std::size_t joiningProbes = 3;
+    std::size_t joiningProbesPerInterval = 3;
     // A page that has not come for so long is asked for again, of another member.
-    std::chrono::milliseconds pageWithin { 200 };
+    std::chrono::milliseconds pageTimeout { 200 };
     // A healthy fleet tries one dead member and one unknown address of the VM list every so many intervals.
-    std::size_t retryEvery = 4;
+    std::size_t intervalsPerRetry = 4;
     // Bytes of news in one heartbeat, and in all of an interval.
     std::size_t gossipBytes = 400;
     std::size_t gossipBytesPerInterval = 800;
--- a/Source/Membership/ViewCatchUp.h
+++ b/Source/Membership/ViewCatchUp.h
@@ -13,8 +13,8 @@
 class ViewCatchUp {
 public:
     // A page that has not come for so long may be asked for again.
-    explicit ViewCatchUp(Duration pageWithin)
-        : pageWithin_(pageWithin)
+    explicit ViewCatchUp(Duration pageTimeout)
+        : pageTimeout_(pageTimeout)
     {
     }
 
@@ -28,14 +28,14 @@
     // Whether the next page may be asked for now.
     bool mayRequest(TimePoint now) const;
     // The page that was asked for last has not come in time.
-    bool isOverdue(TimePoint now) const { return askedAt_ && now - *askedAt_ >= pageWithin_; }
+    bool isOverdue(TimePoint now) const { return askedAt_ && now - *askedAt_ >= pageTimeout_; }
     // Asks: gives the id after which the page is wanted.
     std::uint32_t request(TimePoint now);
     // Takes a page in; pages that were not asked for last are ignored.
     void received(std::uint32_t after, std::optional<std::uint32_t> lastId, bool isLastPage);
 
 private:
-    const Duration pageWithin_;
+    const Duration pageTimeout_;
     // When the page that is wanted was asked for; none when it was not.
     std::optional<TimePoint> askedAt_;
     bool running_ = false;
