--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -142,7 +142,7 @@
             control_->receive(envelope);
     };
     peers_->start([this](const std::shared_ptr<const MembersView>& view) { applyMembers(view); }, onRequestMessage);
-    vms_.start([this](const std::vector<VmAdvice>& vms) { peers_->applyVms(vms); });
+    vms_.start([this](const std::vector<ListedVm>& vms) { peers_->applyVms(vms); });
     feed_.start(peers_->view(), [this](const ConfigurationVersion& version) { applyConfiguration(version); });
     awaitSignal();
     scheduleUpkeep();
--- a/Source/Balancer/PeerControl.cpp
+++ b/Source/Balancer/PeerControl.cpp
@@ -120,12 +120,12 @@
     reviewState(now);
 }
 
-void PeerControl::applyVms(const std::vector<VmAdvice>& vms)
+void PeerControl::applyVms(const std::vector<ListedVm>& vms)
 {
     const TimePoint now = Clock::now();
     const Endpoint self = view_->findSelf()->peerAddress;
     const bool onlySelf
-        = std::all_of(vms.begin(), vms.end(), [&](const VmAdvice& vm) { return vm.peerAddress == self; });
+        = std::all_of(vms.begin(), vms.end(), [&](const ListedVm& vm) { return vm.peerAddress == self; });
     knowsToBeAlone_ = !vms.empty() && onlySelf;
     perform(membership_.handle(VmListReceived { vms }, now), now);
 }
--- a/Source/Balancer/PeerControl.h
+++ b/Source/Balancer/PeerControl.h
@@ -35,7 +35,7 @@
     void receive(const PeerEnvelope&, Endpoint sender);
     void applyConfiguration(const std::shared_ptr<const Configuration>&, std::uint64_t version);
     // Balancers that there may be: the seeds of the settings and the platform's list.
-    void applyVms(const std::vector<VmAdvice>&);
+    void applyVms(const std::vector<ListedVm>&);
     // Tells the others of the planned stop.
     void leave();
 
--- a/Source/Balancer/VmListFeed.cpp
+++ b/Source/Balancer/VmListFeed.cpp
@@ -61,7 +61,7 @@
 {
     isWaiting_ = false;
     nextCall_ = Clock::now() + (knowsOthers_ ? settled_ : searching_).next();
-    std::vector<VmAdvice> advice = seeds_;
+    std::vector<ListedVm> advice = seeds_;
     if (vms) {
         for (const Vm& vm : vms.value()) {
             // A line that can't be read is left out; the list is advice anyway.
--- a/Source/Balancer/VmListFeed.h
+++ b/Source/Balancer/VmListFeed.h
@@ -18,7 +18,7 @@
 // is out.
 class VmListFeed {
 public:
-    using Handler = std::function<void(const std::vector<VmAdvice>&)>;
+    using Handler = std::function<void(const std::vector<ListedVm>&)>;
 
     // The platform outlives the feed.
     VmListFeed(PlatformClient&, const std::vector<Endpoint>& seeds, std::uint64_t seed);
@@ -33,7 +33,7 @@
     void finish(const Result<std::vector<Vm>>&);
 
     PlatformClient& platform_;
-    std::vector<VmAdvice> seeds_;
+    std::vector<ListedVm> seeds_;
     Handler onList_;
     Backoff searching_;
     Backoff settled_;
--- a/Source/Membership/Membership.cpp
+++ b/Source/Membership/Membership.cpp
@@ -77,7 +77,7 @@
     std::sort(known.begin(), known.end());
     std::vector<Endpoint> leaving;
     unknownAddresses_.clear();
-    for (const VmAdvice& vm : event.vms) {
+    for (const ListedVm& vm : event.vms) {
         if (vm.peerAddress.isSet() && !std::binary_search(known.begin(), known.end(), vm.peerAddress))
             (vm.isLeaving ? leaving : unknownAddresses_).push_back(vm.peerAddress);
     }
--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -28,14 +28,14 @@
     PeerEnvelope envelope;
 };
 
-struct VmAdvice {
+struct ListedVm {
     Endpoint peerAddress;
     bool isLeaving = false;
 };
 
 // The platform's list of VMs was read. It lags, so it only says whom to contact, never who lives or is dead.
 struct VmListReceived {
-    std::vector<VmAdvice> vms;
+    std::vector<ListedVm> vms;
 };
 
 struct SendPeerMessage {
--- a/Tests/Support/MembershipNetwork.h
+++ b/Tests/Support/MembershipNetwork.h
@@ -80,7 +80,7 @@
         VmListReceived list;
         for (const Node& node : nodes_)
             list.vms.push_back({ node.self.peerAddress, false });
-        std::erase_if(list.vms, [&](const VmAdvice& vm) { return vm.peerAddress == nodes_[index].self.peerAddress; });
+        std::erase_if(list.vms, [&](const ListedVm& vm) { return vm.peerAddress == nodes_[index].self.peerAddress; });
         perform(index, nodes_[index].membership->handle(list, now));
     }
 
