--- a/Source/Membership/Member.cpp
+++ b/Source/Membership/Member.cpp
@@ -21,7 +21,7 @@
 
 std::string_view nameOf(MemberState state) { return memberStateNames.name(state); }
 
-int widthClassOf(std::uint32_t linkMegabits) { return static_cast<int>(std::bit_width(linkMegabits)); }
+int bandwidthClassOf(std::uint32_t linkMegabits) { return static_cast<int>(std::bit_width(linkMegabits)); }
 
 const Member* MembersView::find(BalancerId id) const
 {
--- a/Source/Membership/Member.h
+++ b/Source/Membership/Member.h
@@ -22,7 +22,7 @@
 std::string_view nameOf(MemberState);
 
 // Links that differ by less than a factor of two are alike. Rises with the width; 0 for a link of unknown width.
-int widthClassOf(std::uint32_t linkMegabits);
+int bandwidthClassOf(std::uint32_t linkMegabits);
 
 // One balancer as the others know it.
 struct Member {
--- a/Source/News/NewsExchange.cpp
+++ b/Source/News/NewsExchange.cpp
@@ -308,9 +308,9 @@
     const Member* self = view_->findSelf();
     if (!self || self->linkMegabits == 0)
         return false;
-    const int wide = widthClassOf(self->linkMegabits) + settings_.muchWider;
+    const int wide = bandwidthClassOf(self->linkMegabits) + settings_.muchWider;
     return std::ranges::any_of(
-        members, [&](const Member* member) { return widthClassOf(member->linkMegabits) >= wide; });
+        members, [&](const Member* member) { return bandwidthClassOf(member->linkMegabits) >= wide; });
 }
 
 std::vector<const Member*> NewsExchange::sources(bool isNear) const
@@ -332,8 +332,8 @@
         std::erase_if(members, [&](const Member* member) { return member->id == lastSource_; });
     int widest = 0;
     for (const Member* member : members)
-        widest = std::max(widest, widthClassOf(member->linkMegabits));
-    std::erase_if(members, [&](const Member* member) { return widthClassOf(member->linkMegabits) < widest; });
+        widest = std::max(widest, bandwidthClassOf(member->linkMegabits));
+    std::erase_if(members, [&](const Member* member) { return bandwidthClassOf(member->linkMegabits) < widest; });
     return members[random_() % members.size()];
 }
 
--- a/Source/News/NewsExchange.h
+++ b/Source/News/NewsExchange.h
@@ -28,7 +28,7 @@
     // How long one that knows nothing yet leaves it to the store, which answers everybody at once, before it asks
     // others for everything.
     std::chrono::milliseconds firstPatience { 1500 };
-    // The same while one is ahead whose link is wider by so many classes (widthClassOf(): 3 are a factor of 4 at
+    // The same while one is ahead whose link is wider by so many classes (bandwidthClassOf(): 3 are a factor of 4 at
     // least): with 10,000 routes the store's answer takes 2.3 s on a link of 10 Mbit/s, and a neighbour's packed one
     // 0.2 s. Longer than the store's answer takes while configurations are small, so that nobody is asked then.
     std::chrono::milliseconds widePatience { 300 };
--- a/Source/Peers/ConfigurationWatchers.cpp
+++ b/Source/Peers/ConfigurationWatchers.cpp
@@ -24,7 +24,7 @@
     // link of 10 Mbit/s for 10,000 routes, and the zone's readiness checks and heartbeats wait behind it.
     std::tuple<int, std::uint64_t, BalancerId> rankOf(const Member& member)
     {
-        return { -widthClassOf(member.linkMegabits), hashPair(choiceSeed, member.id.value), member.id };
+        return { -bandwidthClassOf(member.linkMegabits), hashPair(choiceSeed, member.id.value), member.id };
     }
 
     std::size_t watchersInZone(std::size_t availabilityZones, const WatcherNumbers& numbers)
