--- a/Source/Membership/MemberRecord.cpp
+++ b/Source/Membership/MemberRecord.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    constexpr std::size_t longestName = 64;
+    constexpr std::size_t maxNameBytes = 64;
 
     RowStatus statusOf(const MemberRecord& record)
     {
@@ -36,7 +36,7 @@
     if (row.id == 0 || row.status > static_cast<std::uint8_t>(RowStatus::Detached) || row.details.size() > 1)
         return false;
     return row.details.empty()
-        || (row.details[0].name.size() <= longestName && row.details[0].availabilityZone.size() <= longestName);
+        || (row.details[0].name.size() <= maxNameBytes && row.details[0].availabilityZone.size() <= maxNameBytes);
 }
 
 MemberState stateOf(const MemberRow& row)
--- a/Source/Membership/MembersPages.cpp
+++ b/Source/Membership/MembersPages.cpp
@@ -11,12 +11,12 @@
 namespace {
 
     // What a page carries beside its packed rows, in bytes.
-    constexpr std::size_t pageBytes = 24;
-    constexpr std::size_t mostPackedBytes = largestPeerPayload - pageBytes;
+    constexpr std::size_t pageOverheadBytes = 24;
+    constexpr std::size_t maxPackedBytes = largestPeerPayload - pageOverheadBytes;
     // As many as fit where names are short; fewer are tried when these don't.
-    constexpr std::size_t mostPackedRows = 96;
+    constexpr std::size_t maxPackedRows = 96;
     // The most that a page of so many rows unpacks to, with the longest names.
-    constexpr std::size_t mostUnpackedBytes = std::size_t(32) * 1024;
+    constexpr std::size_t maxUnpackedBytes = std::size_t(32) * 1024;
 
     std::string packedRows(const std::vector<MemberRow>& rows)
     {
@@ -27,11 +27,11 @@
     MembersPageMessage packedPage(std::uint32_t after, const MemberTable& table)
     {
         MembersPageMessage page { after, false, false, {} };
-        std::vector<MemberRow> rows = table.rowsAfter(after, mostPackedRows, page.last);
+        std::vector<MemberRow> rows = table.rowsAfter(after, maxPackedRows, page.last);
         page.packedRows = packedRows(rows);
-        while (page.packedRows.size() > mostPackedBytes && rows.size() > 1) {
+        while (page.packedRows.size() > maxPackedBytes && rows.size() > 1) {
             // A little fewer than the sizes suggest, since fewer rows are packed less well.
-            const std::size_t fitting = rows.size() * mostPackedBytes / page.packedRows.size();
+            const std::size_t fitting = rows.size() * maxPackedBytes / page.packedRows.size();
             rows.resize(std::max<std::size_t>(1, std::min(rows.size() - 1, fitting * 15 / 16)));
             page.last = false;
             page.packedRows = packedRows(rows);
@@ -56,9 +56,9 @@
 {
     if (page.packedRows.empty())
         return page.rows;
-    BOOST_OUTCOME_TRY(bytes, unpackBytes(page.packedRows, mostUnpackedBytes));
+    BOOST_OUTCOME_TRY(bytes, unpackBytes(page.packedRows, maxUnpackedBytes));
     return decodeMessage<std::vector<MemberRow>>(
-        std::span(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()), mostUnpackedBytes);
+        std::span(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()), maxUnpackedBytes);
 }
 
 }
--- a/Source/Membership/Membership.cpp
+++ b/Source/Membership/Membership.cpp
@@ -8,38 +8,38 @@
 
 namespace {
 
-    constexpr std::size_t mostRelays = 32;
+    constexpr std::size_t maxRelayedProbes = 32;
     // Ids named in one request for details.
-    constexpr std::size_t mostNamedIds = 8;
+    constexpr std::size_t maxNamedIds = 8;
     // Rows in rotation make good for so many missing members.
-    constexpr std::size_t mostMissing = 3;
+    constexpr std::size_t maxMissingWithoutCatchUp = 3;
     // More than this share of all members missing is much.
-    constexpr std::size_t missingShare = 64;
+    constexpr std::size_t largeGapDivisor = 64;
 
     // Nonces count milliseconds, so all times inside do.
-    TimePoint wholeMilliseconds(TimePoint now) { return std::chrono::floor<std::chrono::milliseconds>(now); }
+    TimePoint floorToMilliseconds(TimePoint now) { return std::chrono::floor<std::chrono::milliseconds>(now); }
 
 }
 
 Membership::Membership(const MembershipSettings& settings, const Member& self, std::uint64_t seed, TimePoint now)
     : settings_(settings)
     , random_(seed)
-    , table_(settings_, self, wholeMilliseconds(now))
+    , table_(settings_, self, floorToMilliseconds(now))
     , failureDetector_(settings_, table_)
-    , nonces_(self.incarnation, wholeMilliseconds(now))
-    , isolationDetector_(settings_, wholeMilliseconds(now))
+    , nonces_(self.incarnation, floorToMilliseconds(now))
+    , isolationDetector_(settings_, floorToMilliseconds(now))
     , catchUp_(settings_.pageTimeout)
-    , startedAt_(wholeMilliseconds(now))
-    , nextInterval_(wholeMilliseconds(now))
-    , lastCatchUp_(wholeMilliseconds(now))
-    , lastNewMemberAt_(wholeMilliseconds(now))
+    , startedAt_(floorToMilliseconds(now))
+    , nextInterval_(floorToMilliseconds(now))
+    , lastCatchUp_(floorToMilliseconds(now))
+    , lastNewMemberAt_(floorToMilliseconds(now))
     , view_(table_.publish(1, true))
 {
 }
 
 MembershipActions Membership::handle(const PeerMessageReceived& event, TimePoint time)
 {
-    const TimePoint now = wholeMilliseconds(time);
+    const TimePoint now = floorToMilliseconds(time);
     recoverIfPaused(now);
     const PeerEnvelope& envelope = event.envelope;
     if (envelope.sender == table_.self().member.id)
@@ -71,7 +71,7 @@
 
 MembershipActions Membership::handle(const VmListReceived& event, TimePoint time)
 {
-    const TimePoint now = wholeMilliseconds(time);
+    const TimePoint now = floorToMilliseconds(time);
     recoverIfPaused(now);
     std::vector<Endpoint> known = table_.aliveAddresses();
     std::sort(known.begin(), known.end());
@@ -89,7 +89,7 @@
 
 MembershipActions Membership::tick(TimePoint time)
 {
-    const TimePoint now = wholeMilliseconds(time);
+    const TimePoint now = floorToMilliseconds(time);
     recoverIfPaused(now);
     isolationDetector_.onTick(now);
     for (const DetectorEvent& event : failureDetector_.tick(now))
@@ -103,18 +103,18 @@
 MembershipActions Membership::setSelfState(MemberState state, TimePoint now)
 {
     table_.setSelfState(state);
-    return finish(wholeMilliseconds(now), false);
+    return finish(floorToMilliseconds(now), false);
 }
 
 MembershipActions Membership::setConfigurationVersion(std::uint64_t version, TimePoint now)
 {
     table_.setConfigurationVersion(version);
-    return finish(wholeMilliseconds(now), false);
+    return finish(floorToMilliseconds(now), false);
 }
 
 MembershipActions Membership::leave(TimePoint time)
 {
-    const TimePoint now = wholeMilliseconds(time);
+    const TimePoint now = floorToMilliseconds(time);
     table_.setSelfState(MemberState::Leaving);
     for (const BalancerId id : sampleAlive(std::max(settings_.leaveFanOut, settings_.meshLimit))) {
         const MemberRecord* const peer = table_.find(id);
@@ -146,14 +146,14 @@
     if (!sender || sender->member.incarnation != envelope.senderIncarnation)
         return;
     // A cut has healed: a small fleet reads what it missed at once, a large one learns it from rows in rotation.
-    const bool hasHealed = wasDead && sender->isAlive() && isMesh();
+    const bool isReachableAgain = wasDead && sender->isAlive() && isMesh();
     const bool isFirst = !catchUp_.isDone() && sender->isAlive();
-    if (!catchUp_.isRunning() && (isFirst || hasHealed || isFarBehind(message.membersKnown, now)))
+    if (!catchUp_.isRunning() && (isFirst || isReachableAgain || isCatchUpDue(message.membersKnown, now)))
         startCatchUp(sender->member.id, now);
     sender->lastNonce = message.nonce;
     sender->membersKnown = message.membersKnown;
-    mostKnownElsewhere_ = std::max(mostKnownElsewhere_, message.membersKnown);
-    noteAnswer(*sender, message.echo, now);
+    maxMembersKnownElsewhere_ = std::max(maxMembersKnownElsewhere_, message.membersKnown);
+    handleEcho(*sender, message.echo, now);
     // A sender that is dead here has to hear so, or it never refutes.
     if (message.wantsAnswer || !sender->isAlive()) {
         answer(sender->member.peerAddress, sender,
@@ -164,22 +164,22 @@
 
 bool Membership::isSettled(TimePoint now) const
 {
-    const bool isWhole = catchUp_.isDone() && !catchUp_.isRunning() && mostKnownElsewhere_ <= table_.size();
-    return isWhole && now - lastNewMemberAt_ >= settings_.settledAfter;
+    const bool isComplete = catchUp_.isDone() && !catchUp_.isRunning() && maxMembersKnownElsewhere_ <= table_.size();
+    return isComplete && now - lastNewMemberAt_ >= settings_.settledAfter;
 }
 
-bool Membership::isFarBehind(std::uint32_t peerKnows, TimePoint now) const
+bool Membership::isCatchUpDue(std::uint32_t peerMembersKnown, TimePoint now) const
 {
     if (isJoining(now))
-        return peerKnows > table_.size() && now - lastCatchUp_ >= settings_.minTimeBetweenJoiningCatchUps;
+        return peerMembersKnown > table_.size() && now - lastCatchUp_ >= settings_.minTimeBetweenJoiningCatchUps;
     // When many join at once, news of each of them takes minutes to go round; pages carry no row twice.
-    if (peerKnows <= table_.size() + mostMissing)
+    if (peerMembersKnown <= table_.size() + maxMissingWithoutCatchUp)
         return false;
-    const bool isMuch = peerKnows - table_.size() > table_.size() / missingShare;
-    return now - lastCatchUp_ > (isMuch ? settings_.minTimeBetweenCatchUps : settings_.minTimeBetweenSmallCatchUps);
+    const bool isLargeGap = peerMembersKnown - table_.size() > table_.size() / largeGapDivisor;
+    return now - lastCatchUp_ > (isLargeGap ? settings_.minTimeBetweenCatchUps : settings_.minTimeBetweenSmallCatchUps);
 }
 
-void Membership::noteAnswer(MemberRecord& sender, std::uint32_t echo, TimePoint now)
+void Membership::handleEcho(MemberRecord& sender, std::uint32_t echo, TimePoint now)
 {
     const auto sentAt = echo == 0 ? std::nullopt : nonces_.sentAt(echo, now);
     if (!sentAt)
@@ -188,16 +188,16 @@
     if (!sender.isAlive())
         return;
     failureDetector_.answerReceived(sender, *sentAt);
-    settleRelays(sender, *sentAt);
+    reportRelayedProbes(sender, *sentAt);
 }
 
-void Membership::settleRelays(const MemberRecord& target, TimePoint nonceSentAt)
+void Membership::reportRelayedProbes(const MemberRecord& target, TimePoint nonceSentAt)
 {
-    std::erase_if(relays_, [&](const Relay& relay) {
-        if (relay.target != target.member.id || nonceSentAt < relay.since)
+    std::erase_if(relayedProbes_, [&](const RelayedProbe& probe) {
+        if (probe.target != target.member.id || nonceSentAt < probe.requestedAt)
             return false;
-        const ProbeResultMessage result { target.member.id.value, target.member.incarnation, relay.nonce };
-        send(relay.requester, PeerMessageKind::ProbeResult, encodeMessage(result));
+        const ProbeResultMessage result { target.member.id.value, target.member.incarnation, probe.nonce };
+        send(probe.requester, PeerMessageKind::ProbeResult, encodeMessage(result));
         return true;
     });
 }
@@ -205,10 +205,10 @@
 void Membership::onProbeRequest(const MemberRecord& sender, const ProbeRequestMessage& message, TimePoint now)
 {
     const MemberRecord* const target = table_.find(BalancerId { message.target });
-    if (!target || target == &table_.self() || indirectProbesLeft_ == 0 || relays_.size() >= mostRelays)
+    if (!target || target == &table_.self() || indirectProbesLeft_ == 0 || relayedProbes_.size() >= maxRelayedProbes)
         return;
     --indirectProbesLeft_;
-    relays_.push_back({ target->member.id, sender.member.peerAddress, message.nonce, now });
+    relayedProbes_.push_back({ target->member.id, sender.member.peerAddress, message.nonce, now });
     sendHeartbeat(target->member.peerAddress, target, { .wantsAnswer = true }, now);
 }
 
@@ -251,7 +251,7 @@
         const MergeOutcome outcome = table_.merge(row, now, propagate);
         if (outcome == MergeOutcome::AboutSelf)
             refute(row, now);
-        else if (outcome == MergeOutcome::NeedsDetails && request.ids.size() < mostNamedIds)
+        else if (outcome == MergeOutcome::NeedsDetails && request.ids.size() < maxNamedIds)
             request.ids.push_back(row.id);
     }
     if (request.ids.empty() || catchUp_.isRunning() || detailRequestsLeft_ == 0)
@@ -281,7 +281,7 @@
     // Symptom without this: a balancer that slept for 30 s buries everybody, since nobody has answered for 30 s, and
     // acts on what datagrams from before the pause say. The clock went on while nothing was listened to.
     failureDetector_.reset(now);
-    relays_.clear();
+    relayedProbes_.clear();
     startCatchUp(std::nullopt, now);
     nextInterval_ = now;
 }
--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -87,11 +87,11 @@
     };
 
     // A probe that this balancer makes for another.
-    struct Relay {
+    struct RelayedProbe {
         BalancerId target;
         Endpoint requester;
         std::uint32_t nonce = 0;
-        TimePoint since;
+        TimePoint requestedAt;
     };
 
     void onHeartbeat(const Endpoint& from, const PeerEnvelope&, const HeartbeatMessage&, TimePoint now);
@@ -102,8 +102,8 @@
 
     void mergeRows(const std::vector<MemberRow>&, const Endpoint& source, bool propagate, TimePoint now);
     void refute(const MemberRow&, TimePoint now);
-    void noteAnswer(MemberRecord&, std::uint32_t echo, TimePoint now);
-    void settleRelays(const MemberRecord&, TimePoint nonceSentAt);
+    void handleEcho(MemberRecord&, std::uint32_t echo, TimePoint now);
+    void reportRelayedProbes(const MemberRecord&, TimePoint nonceSentAt);
 
     void recoverIfPaused(TimePoint now);
     void beginInterval(TimePoint now);
@@ -115,7 +115,7 @@
     void scheduleCatchUp(TimePoint now);
     // Reads the view, from this member first.
     void startCatchUp(std::optional<BalancerId> source, TimePoint now);
-    bool isFarBehind(std::uint32_t peerKnows, TimePoint now) const;
+    bool isCatchUpDue(std::uint32_t peerMembersKnown, TimePoint now) const;
     void requestPage(TimePoint now);
     // Whom to ask for a page: whoever sent the last one, or else, of some members at random, the one that knows most.
     // Those that have just started know few, and not all may ask the same.
@@ -142,9 +142,9 @@
     NonceClock nonces_;
     IsolationDetector isolationDetector_;
     ViewCatchUp catchUp_;
-    ProbeOrder allOrder_;
-    ProbeOrder zoneOrder_;
-    std::vector<Relay> relays_;
+    ProbeOrder probeOrder_;
+    ProbeOrder zoneProbeOrder_;
+    std::vector<RelayedProbe> relayedProbes_;
     // Addresses of the VM list at which no known member lives.
     std::vector<Endpoint> unknownAddresses_;
 
@@ -156,7 +156,7 @@
     std::optional<BalancerId> pageSource_;
     std::optional<TimePoint> secondCatchUp_;
     // The most members that a heartbeat told of, and when a member came that was not known before.
-    std::uint32_t mostKnownElsewhere_ = 0;
+    std::uint32_t maxMembersKnownElsewhere_ = 0;
     TimePoint lastNewMemberAt_;
     TimePoint lastIncarnationRaise_ = TimePoint::min();
     // What is left of the budgets of this interval.
--- a/Source/Membership/MembershipRounds.cpp
+++ b/Source/Membership/MembershipRounds.cpp
@@ -25,7 +25,8 @@
     antiEntropyRowsLeft_ = settings_.antiEntropyRowsPerInterval;
     detailRequestsLeft_ = settings_.detailRequestsPerInterval;
     catchUp_.beginInterval(settings_.catchUpPagesPerInterval);
-    std::erase_if(relays_, [&](const Relay& relay) { return now - relay.since > settings_.suspectAfter; });
+    std::erase_if(
+        relayedProbes_, [&](const RelayedProbe& probe) { return now - probe.requestedAt > settings_.suspectAfter; });
     table_.dropOldTombstones(now);
     scheduleCatchUp(now);
     isMesh() ? probeAll(now) : probeSome(now);
@@ -38,10 +39,10 @@
 {
     // The other side sends as often, and its next heartbeat answers this one; only silence needs an answer at once.
     const bool isSearching = isolationDetector_.isSearching(now);
-    for (const BalancerId id : allOrder_.takeAll(aliveFilter())) {
+    for (const BalancerId id : probeOrder_.takeAll(aliveFilter())) {
         MemberRecord& peer = *table_.find(id);
-        const bool isSilent = peer.unansweredSince && now - *peer.unansweredSince >= settings_.indirectProbeAfter;
-        const bool wantsAnswer = isSearching || isSilent;
+        const bool isUnresponsive = peer.unansweredSince && now - *peer.unansweredSince >= settings_.indirectProbeAfter;
+        const bool wantsAnswer = isSearching || isUnresponsive;
         failureDetector_.probeSent(peer, now);
         sendHeartbeat(peer.member.peerAddress, &peer, { .wantsAnswer = wantsAnswer }, now);
     }
@@ -51,9 +52,9 @@
 {
     // Every other probe stays in the own availability zone: when most of the fleet is cut off, a balancer still hears
     // soon enough from those it can reach to know that it is not alone.
-    auto target = round_ % 2 == 0 ? zoneOrder_.next(aliveFilter(), random_) : std::nullopt;
+    auto target = round_ % 2 == 0 ? zoneProbeOrder_.next(aliveFilter(), random_) : std::nullopt;
     if (!target)
-        target = allOrder_.next(aliveFilter(), random_);
+        target = probeOrder_.next(aliveFilter(), random_);
     if (target)
         probe(*table_.find(*target), now);
     // Who has just started hears from more members how many there are.
@@ -63,7 +64,7 @@
     }
     if (!isolationDetector_.isSearching(now))
         return;
-    for (const BalancerId id : zoneOrder_.sample(settings_.searchFanOut / 2, aliveFilter(), random_))
+    for (const BalancerId id : zoneProbeOrder_.sample(settings_.searchFanOut / 2, aliveFilter(), random_))
         probe(*table_.find(id), now);
     for (const BalancerId id : sampleAlive(settings_.searchFanOut / 2))
         probe(*table_.find(id), now);
@@ -228,10 +229,10 @@
 {
     for (const BalancerId id : table_.takeNewMembers()) {
         lastNewMemberAt_ = now;
-        allOrder_.insert(id, random_);
+        probeOrder_.insert(id, random_);
         const MemberRecord* const record = table_.find(id);
         if (record && record->member.availabilityZone == table_.self().member.availabilityZone)
-            zoneOrder_.insert(id, random_);
+            zoneProbeOrder_.insert(id, random_);
     }
 }
 
@@ -241,10 +242,9 @@
     const bool isIsolated = isolationDetector_.isIsolated(table_.othersAlive() > 0, now);
     // A view of a large fleet is costly to copy, so changes of versions alone, and pages of a catch-up, are collected
     // over an interval.
-    const bool mayCollect = !isMesh() && !endsInterval;
-    const bool isDue = isIsolated != view_->isolated
-        || (table_.membersChanged() && !(mayCollect && catchUp_.isRunning()))
-        || (table_.versionsChanged() && !mayCollect);
+    const bool mayDelay = !isMesh() && !endsInterval;
+    const bool isDue = isIsolated != view_->isolated || (table_.membersChanged() && !(mayDelay && catchUp_.isRunning()))
+        || (table_.versionsChanged() && !mayDelay);
     if (isDue) {
         view_ = table_.publish(view_->revision + 1, isIsolated);
         actions_.push_back(MembersViewChanged { view_ });
@@ -262,7 +262,7 @@
 
 std::vector<BalancerId> Membership::sampleAlive(std::size_t count)
 {
-    return allOrder_.sample(count, aliveFilter(), random_);
+    return probeOrder_.sample(count, aliveFilter(), random_);
 }
 
 }
--- a/Source/Membership/ViewCatchUp.cpp
+++ b/Source/Membership/ViewCatchUp.cpp
@@ -6,18 +6,18 @@
 {
     running_ = true;
     after_ = 0;
-    askedAt_.reset();
+    requestedAt_.reset();
 }
 
 bool ViewCatchUp::mayRequest(TimePoint now) const
 {
-    return running_ && pagesLeft_ > 0 && (!askedAt_ || isOverdue(now));
+    return running_ && pagesLeft_ > 0 && (!requestedAt_ || isOverdue(now));
 }
 
 std::uint32_t ViewCatchUp::request(TimePoint now)
 {
     --pagesLeft_;
-    askedAt_ = now;
+    requestedAt_ = now;
     return after_;
 }
 
@@ -25,7 +25,7 @@
 {
     if (!running_ || after != after_)
         return;
-    askedAt_.reset();
+    requestedAt_.reset();
     if (isLastPage) {
         running_ = false;
         done_ = true;
--- a/Source/Membership/ViewCatchUp.h
+++ b/Source/Membership/ViewCatchUp.h
@@ -28,7 +28,7 @@
     // Whether the next page may be asked for now.
     bool mayRequest(TimePoint now) const;
     // The page that was asked for last has not come in time.
-    bool isOverdue(TimePoint now) const { return askedAt_ && now - *askedAt_ >= pageTimeout_; }
+    bool isOverdue(TimePoint now) const { return requestedAt_ && now - *requestedAt_ >= pageTimeout_; }
     // Asks: gives the id after which the page is wanted.
     std::uint32_t request(TimePoint now);
     // Takes a page in; pages that were not asked for last are ignored.
@@ -37,7 +37,7 @@
 private:
     const Duration pageTimeout_;
     // When the page that is wanted was asked for; none when it was not.
-    std::optional<TimePoint> askedAt_;
+    std::optional<TimePoint> requestedAt_;
     bool running_ = false;
     bool done_ = false;
     std::uint32_t after_ = 0;
