--- a/Source/Configuration/ApplyOperation.cpp
+++ b/Source/Configuration/ApplyOperation.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-    constexpr Duration firstRetryDelay = std::chrono::milliseconds(50);
-    constexpr Duration longestRetryDelay = std::chrono::milliseconds(1600);
+    constexpr Duration minRetryDelay = std::chrono::milliseconds(50);
+    constexpr Duration maxRetryDelay = std::chrono::milliseconds(1600);
 
     std::uint64_t versionOf(const std::optional<ConfigurationHead>& head) { return head ? head->applied.version : 0; }
 
@@ -50,14 +50,14 @@
         return handleGet(got->result);
     if (const auto* swapped = std::get_if<SwapEnded>(&event))
         return handleSwap(swapped->result);
-    return callOf(step_);
+    return actionFor(step_);
 }
 
-ApplyAction ApplyOperation::callOf(Step step)
+ApplyAction ApplyOperation::actionFor(Step step)
 {
     switch (step) {
     case Step::ReadHead:
-    case Step::FindOut:
+    case Step::RereadHead:
         return GetKey { std::string(configurationHeadKey) };
     case Step::ReadBase:
         return GetKey { baseReader_->nextKey() };
@@ -68,20 +68,20 @@
     case Step::SwapHead:
         return SwapKey { std::string(configurationHeadKey), headRevision_, newHead_->toJson() };
     }
-    return remainUnknown("the operation is in no step");
+    return concludeUnknown("the operation is in no step");
 }
 
 ApplyAction ApplyOperation::goTo(Step step)
 {
     step_ = step;
     failures_ = 0;
-    return callOf(step);
+    return actionFor(step);
 }
 
 ApplyAction ApplyOperation::retry(const Error& error)
 {
     lastFailure_ = error.toString();
-    const Duration delay = std::min(longestRetryDelay, firstRetryDelay * (1U << std::min(failures_, 10U)));
+    const Duration delay = std::min(maxRetryDelay, minRetryDelay * (1U << std::min(failures_, 10U)));
     ++failures_;
     if (now_ + delay >= request_.deadline)
         return giveUp();
@@ -91,7 +91,7 @@
 ApplyAction ApplyOperation::giveUp()
 {
     if (mayBeApplied_)
-        return remainUnknown(lastFailure_);
+        return concludeUnknown(lastFailure_);
     ApplyOutcome outcome;
     outcome.status = ApplyStatus::Unavailable;
     outcome.applyId = request_.applyId;
@@ -108,31 +108,31 @@
     const StoredValue* value = result ? &result.value() : nullptr;
     switch (step_) {
     case Step::ReadHead:
-        return useHead(value);
+        return handleHead(value);
     case Step::ReadBase:
-        return useBasePart(value);
+        return handleBasePart(value);
     case Step::ComparePart:
-        return useStoredPart(value);
-    case Step::FindOut:
-        return useHeadFoundOut(value);
+        return handleStoredPart(value);
+    case Step::RereadHead:
+        return handleRereadHead(value);
     case Step::WritePart:
     case Step::SwapHead:
         break;
     }
-    return remainUnknown("a read was answered that nobody sent");
+    return concludeUnknown("a read was answered that nobody sent");
 }
 
 ApplyAction ApplyOperation::handleSwap(const Result<std::uint64_t>& result)
 {
     if (!result && isPermanent(result.error().code)) {
         if (mayBeApplied_)
-            return remainUnknown(result.error().toString());
+            return concludeUnknown(result.error().toString());
         return refuse(ApplyRefusal::BadStore, { result.error().toString() });
     }
     return step_ == Step::WritePart ? handlePartSwap(result) : handleHeadSwap(result);
 }
 
-ApplyAction ApplyOperation::useHead(const StoredValue* stored)
+ApplyAction ApplyOperation::handleHead(const StoredValue* stored)
 {
     if (stored) {
         auto head = ConfigurationHead::parse(stored->value);
@@ -141,12 +141,12 @@
         base_ = std::move(head).value();
         headRevision_ = stored->revision;
         // An earlier run of this apply got through.
-        if (const AppliedVersion* mine = base_->findApply(request_.applyId))
-            return recognise(*mine);
+        if (const AppliedVersion* recorded = base_->findApply(request_.applyId))
+            return concludeFromRecord(*recorded);
     }
     if (request_.baseVersion && *request_.baseVersion != versionOf(base_)) {
         if (base_)
-            return refuseForWinner(ApplyRefusal::WrongBase, *base_);
+            return refuseSuperseded(ApplyRefusal::WrongBase, *base_);
         return refuse(ApplyRefusal::WrongBase,
             { fmt::format("base version {} does not exist; there is no version yet", *request_.baseVersion) });
     }
@@ -161,24 +161,24 @@
     return goTo(Step::ReadBase);
 }
 
-ApplyAction ApplyOperation::useBasePart(const StoredValue* part)
+ApplyAction ApplyOperation::handleBasePart(const StoredValue* part)
 {
     if (!part)
-        return skipUnreadableBase(fmt::format("{} is missing", baseReader_->nextKey()));
+        return handleUnreadableBase(fmt::format("{} is missing", baseReader_->nextKey()));
     baseReader_->addPart(part->value);
     if (!baseReader_->isComplete())
         return goTo(Step::ReadBase);
     const auto version = baseReader_->finish();
     if (!version)
-        return skipUnreadableBase(version.error().detail);
+        return handleUnreadableBase(version.error().detail);
     return checkAgainst(version.value().configuration);
 }
 
-ApplyAction ApplyOperation::skipUnreadableBase(const std::string& why)
+ApplyAction ApplyOperation::handleUnreadableBase(const std::string& cause)
 {
     if (!request_.allowUnreadableBase)
         return refuse(ApplyRefusal::UnreadableBase,
-            { why, "the change can't be checked against the version in force; --allow_unreadable_base skips that" });
+            { cause, "the change can't be checked against the version in force; --allow_unreadable_base skips that" });
     return checkAgainst(Configuration());
 }
 
@@ -215,7 +215,7 @@
     return retry(result.error());
 }
 
-ApplyAction ApplyOperation::useStoredPart(const StoredValue* part)
+ApplyAction ApplyOperation::handleStoredPart(const StoredValue* part)
 {
     if (part && part->value == parts_[partsWritten_])
         return writeNextPart();
@@ -244,18 +244,18 @@
         mayBeApplied_ = true;
     lastFailure_ = result.error().toString();
     // Not goTo(): writing and finding out may take turns, and their delays should go on growing.
-    step_ = Step::FindOut;
-    return callOf(step_);
+    step_ = Step::RereadHead;
+    return actionFor(step_);
 }
 
-ApplyAction ApplyOperation::useHeadFoundOut(const StoredValue* stored)
+ApplyAction ApplyOperation::handleRereadHead(const StoredValue* stored)
 {
     const std::uint64_t revision = stored ? stored->revision : 0;
     std::optional<ConfigurationHead> head;
     if (stored) {
         auto parsed = ConfigurationHead::parse(stored->value);
         if (!parsed)
-            return remainUnknown(parsed.error().detail);
+            return concludeUnknown(parsed.error().detail);
         head = std::move(parsed).value();
     }
     // Both are compared, because a platform restored from an older copy gives revisions again for other values.
@@ -266,26 +266,26 @@
         return retry({ ErrorCode::Unknown, "the head was still the old one after: " + lastFailure_ });
     }
     if (!head)
-        return remainUnknown("the head is gone");
-    if (const AppliedVersion* mine = head->findApply(request_.applyId))
-        return recognise(*mine);
+        return concludeUnknown("the head is gone");
+    if (const AppliedVersion* recorded = head->findApply(request_.applyId))
+        return concludeFromRecord(*recorded);
     if (!mayBeApplied_)
-        return refuseForWinner(ApplyRefusal::LostRace, *head);
+        return refuseSuperseded(ApplyRefusal::LostRace, *head);
     // Absent from a head that remembers everything since our base: another version took its place, and the write's
     // revision is gone for good. Any other head proves nothing.
     if (head->applied.version > versionOf(base_) && head->remembersSince(versionOf(base_)))
-        return refuseForWinner(ApplyRefusal::LostRace, *head);
-    return remainUnknown(fmt::format(
+        return refuseSuperseded(ApplyRefusal::LostRace, *head);
+    return concludeUnknown(fmt::format(
         "the head, now version {}, does not reach back to base version {}", head->applied.version, versionOf(base_)));
 }
 
-ApplyAction ApplyOperation::recognise(const AppliedVersion& mine)
+ApplyAction ApplyOperation::concludeFromRecord(const AppliedVersion& recorded)
 {
-    if (mine.contentHash == contentHash_)
-        return accept(mine.version);
+    if (recorded.contentHash == contentHash_)
+        return accept(recorded.version);
     return refuse(ApplyRefusal::ReusedApplyId,
-        { fmt::format(
-            "apply id {} was used for version {} already, which has other content", mine.applyId, mine.version) });
+        { fmt::format("apply id {} was used for version {} already, which has other content", recorded.applyId,
+            recorded.version) });
 }
 
 ApplyAction ApplyOperation::accept(std::uint64_t version, bool isUnchanged)
@@ -310,7 +310,7 @@
     return outcome;
 }
 
-ApplyAction ApplyOperation::refuseForWinner(ApplyRefusal reason, const ConfigurationHead& head)
+ApplyAction ApplyOperation::refuseSuperseded(ApplyRefusal reason, const ConfigurationHead& head)
 {
     const std::uint64_t base = request_.baseVersion.value_or(versionOf(base_));
     const AppliedVersion* successor = head.successorOf(base);
@@ -327,13 +327,13 @@
     return action;
 }
 
-ApplyAction ApplyOperation::remainUnknown(const std::string& why)
+ApplyAction ApplyOperation::concludeUnknown(const std::string& cause)
 {
     ApplyOutcome outcome;
     outcome.status = ApplyStatus::Unknown;
     outcome.applyId = request_.applyId;
     outcome.baseVersion = versionOf(base_);
-    outcome.details = { "the version may be accepted or not: " + why,
+    outcome.details = { "the version may be accepted or not: " + cause,
         fmt::format("to find out, run the same command again with --apply_id {} --base_version {}; it never applies "
                     "twice",
             request_.applyId, versionOf(base_)) };
--- a/Source/Configuration/ApplyOperation.h
+++ b/Source/Configuration/ApplyOperation.h
@@ -95,10 +95,10 @@
         WritePart,
         ComparePart,
         SwapHead,
-        FindOut,
+        RereadHead,
     };
 
-    ApplyAction callOf(Step);
+    ApplyAction actionFor(Step);
     ApplyAction goTo(Step);
     ApplyAction retry(const Error&);
     ApplyAction giveUp();
@@ -106,23 +106,23 @@
     ApplyAction handleGet(const Result<StoredValue>&);
     ApplyAction handleSwap(const Result<std::uint64_t>&);
 
-    ApplyAction useHead(const StoredValue*);
-    ApplyAction useHeadFoundOut(const StoredValue*);
-    ApplyAction useBasePart(const StoredValue*);
-    ApplyAction useStoredPart(const StoredValue*);
+    ApplyAction handleHead(const StoredValue*);
+    ApplyAction handleRereadHead(const StoredValue*);
+    ApplyAction handleBasePart(const StoredValue*);
+    ApplyAction handleStoredPart(const StoredValue*);
     ApplyAction handlePartSwap(const Result<std::uint64_t>&);
     ApplyAction handleHeadSwap(const Result<std::uint64_t>&);
 
     ApplyAction checkAgainst(const Configuration& base);
-    ApplyAction skipUnreadableBase(const std::string& why);
+    ApplyAction handleUnreadableBase(const std::string& cause);
     ApplyAction writeNextPart();
-    ApplyAction recognise(const AppliedVersion&);
+    ApplyAction concludeFromRecord(const AppliedVersion&);
     void prepareHead();
 
     ApplyAction accept(std::uint64_t version, bool isUnchanged = false);
     ApplyAction refuse(ApplyRefusal, std::vector<std::string> details);
-    ApplyAction refuseForWinner(ApplyRefusal, const ConfigurationHead&);
-    ApplyAction remainUnknown(const std::string& why);
+    ApplyAction refuseSuperseded(ApplyRefusal, const ConfigurationHead&);
+    ApplyAction concludeUnknown(const std::string& cause);
 
     ApplyRequest request_;
     std::string contentHash_;
