--- a/Source/Configuration/ChangeRules.cpp
+++ b/Source/Configuration/ChangeRules.cpp
@@ -18,7 +18,8 @@
         return services;
     }
 
-    void checkIdleServices(const Configuration& before, const Configuration& after, std::vector<std::string>& refusals)
+    void checkIdleServices(
+        const Configuration& before, const Configuration& after, std::vector<std::string>& violations)
     {
         const auto activeBefore = servicesWithActiveServers(before);
         const auto activeAfter = servicesWithActiveServers(after);
@@ -28,18 +29,18 @@
             // A service that was idle already, by an earlier allowance, must not block changes to others.
             if (before.findService(service.name) && activeBefore.count(service.id) == 0)
                 continue;
-            refusals.push_back(fmt::format(
+            violations.push_back(fmt::format(
                 "service {} would have no active backend server; --allow_idle_service allows it", service.name));
         }
     }
 
     void checkMovedAddresses(
-        const Configuration& before, const Configuration& after, std::vector<std::string>& refusals)
+        const Configuration& before, const Configuration& after, std::vector<std::string>& violations)
     {
         for (const ConfigurationChange& change : diffConfigurations(before, after)) {
             if (change.kind != ChangeKind::AddressMoved)
                 continue;
-            refusals.push_back(
+            violations.push_back(
                 fmt::format("address {} would move from service {} to {}; --allow_moved_address allows it", change.name,
                     change.fields.front().before, change.fields.front().after));
         }
@@ -49,12 +50,12 @@
 
 std::vector<std::string> checkChange(const Configuration& before, const Configuration& after, ChangeFlags flags)
 {
-    std::vector<std::string> refusals;
+    std::vector<std::string> violations;
     if (!flags.allowIdleService)
-        checkIdleServices(before, after, refusals);
+        checkIdleServices(before, after, violations);
     if (!flags.allowMovedAddress)
-        checkMovedAddresses(before, after, refusals);
-    return refusals;
+        checkMovedAddresses(before, after, violations);
+    return violations;
 }
 
 }
--- a/Source/Configuration/ConfigurationCheck.cpp
+++ b/Source/Configuration/ConfigurationCheck.cpp
@@ -19,9 +19,9 @@
     // Names near a misspelt one are only looked for among a few services: the search is linear for each problem.
     constexpr std::size_t maxServicesToSearch = 200;
 
-    class WholeCheck {
+    class ConsistencyChecker {
     public:
-        WholeCheck(SettingsReader& reader, const std::vector<DeclaredService>& services,
+        ConsistencyChecker(SettingsReader& reader, const std::vector<DeclaredService>& services,
             const std::vector<DeclaredBackendServer>& servers)
             : reader_(reader)
             , services_(services)
@@ -86,7 +86,7 @@
         {
             if (!address.isSet())
                 return;
-            const auto [owner, isNew] = ownerOfAddress_.emplace(address, &section);
+            const auto [owner, isNew] = sectionOfAddress_.emplace(address, &section);
             if (!isNew)
                 section.addProblem(key,
                     fmt::format("an address of its own; this one is that of [{}] on line {}",
@@ -126,17 +126,17 @@
         const std::vector<DeclaredBackendServer>& servers_;
         std::unordered_map<ServiceId, std::string_view> serviceOfId_;
         std::unordered_map<BackendServerId, std::string_view> serverOfId_;
-        std::unordered_map<Endpoint, SectionReader*> ownerOfAddress_;
+        std::unordered_map<Endpoint, SectionReader*> sectionOfAddress_;
         std::unordered_set<std::string_view> knownServices_;
         std::unordered_set<std::string_view> servedServices_;
     };
 
 }
 
-void checkWhole(SettingsReader& reader, const std::vector<DeclaredService>& services,
+void checkConsistency(SettingsReader& reader, const std::vector<DeclaredService>& services,
     const std::vector<DeclaredBackendServer>& servers)
 {
-    WholeCheck(reader, services, servers).run();
+    ConsistencyChecker(reader, services, servers).run();
 }
 
 }
--- a/Source/Configuration/ConfigurationCheck.h
+++ b/Source/Configuration/ConfigurationCheck.h
@@ -23,6 +23,6 @@
 
 // Checks what no single key shows: numbers of entries, addresses used twice, backend servers of no service, services
 // without backend servers, and names whose identifiers collide. Reports problems through the sections and the reader.
-void checkWhole(SettingsReader&, const std::vector<DeclaredService>&, const std::vector<DeclaredBackendServer>&);
+void checkConsistency(SettingsReader&, const std::vector<DeclaredService>&, const std::vector<DeclaredBackendServer>&);
 
 }
--- a/Source/Configuration/ConfigurationParser.cpp
+++ b/Source/Configuration/ConfigurationParser.cpp
@@ -68,7 +68,7 @@
         return configuration;
     }
 
-    SettingsProblems problemOfSize(const std::string& file, std::size_t size)
+    SettingsProblems sizeProblem(const std::string& file, std::size_t size)
     {
         SettingsProblems problems;
         problems.add({ file, 0, {}, {}, fmt::format("{} bytes", size),
@@ -81,7 +81,7 @@
 ConfigurationResult parseConfiguration(const std::string& file, std::string_view text)
 {
     if (text.size() > maxConfigurationBytes)
-        return problemOfSize(file, text.size());
+        return sizeProblem(file, text.size());
 
     const IniDocument document = IniDocument::parse(file, text);
     SettingsReader reader(document);
@@ -92,7 +92,7 @@
     for (SectionReader* section : reader.sectionsOf(keys::backendServer))
         servers.push_back(readBackendServer(*section));
 
-    checkWhole(reader, services, servers);
+    checkConsistency(reader, services, servers);
     SettingsProblems problems = reader.finish();
     if (!problems.isEmpty())
         return problems;
