--- a/Tests/Configuration/ApplyDriver.h
+++ b/Tests/Configuration/ApplyDriver.h
@@ -12,11 +12,11 @@
 namespace wisteriadock {
 
 // What becomes of one compare-and-swap of the head.
-enum class SwapFate {
-    Normal,
+enum class SwapFault {
+    None,
     LostAfterEffect, // It takes effect; its answer is lost.
     LostBeforeEffect, // It never takes effect; the caller can't tell.
-    Unreached, // It never left the caller.
+    NotSent, // It never left the caller.
 };
 
 // Runs apply operations against a store in memory, call by call.
@@ -34,8 +34,8 @@
     }
 
     std::map<std::string, StoredValue> values;
-    // The fates of the coming head writes; Normal after the last.
-    std::deque<SwapFate> fates;
+    // The headSwapFaults of the coming head writes; Normal after the last.
+    std::deque<SwapFault> headSwapFaults;
     // Runs before each head write, so that somebody else can get in first.
     std::function<void()> beforeHeadSwap;
     // Runs after each head write.
@@ -69,17 +69,17 @@
     Result<std::uint64_t> swapHead(const SwapKey& swap)
     {
         ++headSwaps;
-        const SwapFate fate = fates.empty() ? SwapFate::Normal : fates.front();
-        if (!fates.empty())
-            fates.pop_front();
+        const SwapFault fault = headSwapFaults.empty() ? SwapFault::None : headSwapFaults.front();
+        if (!headSwapFaults.empty())
+            headSwapFaults.pop_front();
         if (beforeHeadSwap)
             std::exchange(beforeHeadSwap, nullptr)();
-        if (fate == SwapFate::Unreached)
+        if (fault == SwapFault::NotSent)
             return Error { ErrorCode::Unavailable, "not reached" };
         Result<std::uint64_t> result = Error { ErrorCode::Unknown, "answer lost" };
-        if (fate != SwapFate::LostBeforeEffect) {
+        if (fault != SwapFault::LostBeforeEffect) {
             auto written = write(swap);
-            if (fate == SwapFate::Normal)
+            if (fault == SwapFault::None)
                 result = std::move(written);
         }
         if (afterHeadSwap)
--- a/Tests/Configuration/ApplyOperationTest.cpp
+++ b/Tests/Configuration/ApplyOperationTest.cpp
@@ -91,7 +91,7 @@
         {
             SCOPED_TRACE("it took effect: accepted, without another write");
             driver_.headSwaps = 0;
-            driver_.fates = { SwapFate::LostAfterEffect };
+            driver_.headSwapFaults = { SwapFault::LostAfterEffect };
             const ApplyOutcome outcome = apply(variant(2), "second");
             EXPECT_EQ(outcome.status, ApplyStatus::Accepted);
             EXPECT_EQ(outcome.version, 2U);
@@ -99,7 +99,7 @@
         }
         {
             SCOPED_TRACE("it took effect, and others applied on top before the head was read");
-            driver_.fates = { SwapFate::LostAfterEffect };
+            driver_.headSwapFaults = { SwapFault::LostAfterEffect };
             driver_.afterHeadSwap = [this] { apply(variant(4), "on-top"); };
             const ApplyOutcome outcome = apply(variant(3), "third");
             EXPECT_EQ(outcome.status, ApplyStatus::Accepted);
@@ -108,12 +108,12 @@
         }
         {
             SCOPED_TRACE("it did not take effect: the same write goes out again");
-            driver_.fates = { SwapFate::LostBeforeEffect, SwapFate::Unreached };
+            driver_.headSwapFaults = { SwapFault::LostBeforeEffect, SwapFault::NotSent };
             EXPECT_EQ(apply(variant(5), "fifth").version, 5U);
         }
         {
             SCOPED_TRACE("it did not take effect, and somebody else won meanwhile");
-            driver_.fates = { SwapFate::LostBeforeEffect };
+            driver_.headSwapFaults = { SwapFault::LostBeforeEffect };
             driver_.afterHeadSwap = [this] { apply(variant(7), "winner"); };
             const ApplyOutcome outcome = apply(variant(6), "loser");
             EXPECT_EQ(outcome.reason, ApplyRefusal::LostRace);
@@ -142,16 +142,16 @@
     {
         {
             SCOPED_TRACE("every further write is lost too");
-            driver_.fates.assign(100, SwapFate::LostBeforeEffect);
+            driver_.headSwapFaults.assign(100, SwapFault::LostBeforeEffect);
             const ApplyOutcome outcome = apply(variant(2), "second");
             EXPECT_EQ(outcome.status, ApplyStatus::Unknown);
             EXPECT_THAT(outcome.details.back(), HasSubstr("--apply_id second --base_version 1"));
             EXPECT_LT(driver_.headSwaps, 20U);
-            driver_.fates.clear();
+            driver_.headSwapFaults.clear();
         }
         {
             SCOPED_TRACE("the head forgot: more versions than it remembers were accepted since");
-            driver_.fates = { SwapFate::LostAfterEffect };
+            driver_.headSwapFaults = { SwapFault::LostAfterEffect };
             driver_.afterHeadSwap = [this] {
                 for (std::uint32_t i = 0; i < maxRememberedApplies; ++i)
                     apply(variant(100 + i), "later-" + std::to_string(i));
@@ -160,7 +160,7 @@
         }
         {
             SCOPED_TRACE("nothing was ever sent: unavailable, not unknown");
-            driver_.fates.assign(100, SwapFate::Unreached);
+            driver_.headSwapFaults.assign(100, SwapFault::NotSent);
             EXPECT_EQ(apply(variant(4), "fourth").status, ApplyStatus::Unavailable);
         }
     }
@@ -173,7 +173,7 @@
         const std::string key(configurationHeadKey);
         ConfigurationHead other = driver_.head();
         other.applied.applyId = "other";
-        driver_.fates = { SwapFate::LostAfterEffect };
+        driver_.headSwapFaults = { SwapFault::LostAfterEffect };
         driver_.afterHeadSwap = [&, revision = driver_.values.at(key).revision] {
             driver_.values[key] = { other.toJson(), revision };
         };
