--- a/Source/Membership/Membership.cpp
+++ b/Source/Membership/Membership.cpp
@@ -240,7 +240,7 @@
     if (message.named)
         return;
     const auto lastId = rows.value().empty() ? std::nullopt : std::optional(rows.value().back().id);
-    catchUp_.received(message.after, lastId, message.last);
+    catchUp_.pageReceived(message.after, lastId, message.last);
     requestPage(now);
 }
 
--- a/Source/Membership/MembershipRounds.cpp
+++ b/Source/Membership/MembershipRounds.cpp
@@ -39,7 +39,7 @@
 {
     // The other side sends as often, and its next heartbeat answers this one; only silence needs an answer at once.
     const bool isSearching = isolationDetector_.isSearching(now);
-    for (const BalancerId id : probeOrder_.takeAll(aliveFilter())) {
+    for (const BalancerId id : probeOrder_.prune(aliveFilter())) {
         MemberRecord& peer = *table_.find(id);
         const bool isUnresponsive = peer.unansweredSince && now - *peer.unansweredSince >= settings_.indirectProbeAfter;
         const bool wantsAnswer = isSearching || isUnresponsive;
--- a/Source/Membership/Ownership.cpp
+++ b/Source/Membership/Ownership.cpp
@@ -13,7 +13,7 @@
         std::uint64_t hash = 0;
 
         // Equal hashes are settled by the id, so that the order of the members never matters.
-        bool beats(const Candidate& other) const
+        bool ranksAbove(const Candidate& other) const
         {
             if (!other.member)
                 return true;
@@ -35,9 +35,9 @@
         if (!availabilityZone.empty() && member.availabilityZone != availabilityZone)
             continue;
         const Candidate candidate { &member, hashPair(key, member.id.value) };
-        if (candidate.beats(first))
+        if (candidate.ranksAbove(first))
             second = std::exchange(first, candidate);
-        else if (candidate.beats(second))
+        else if (candidate.ranksAbove(second))
             second = candidate;
     }
     return { first.id(), second.id() };
--- a/Source/Membership/ProbeOrder.cpp
+++ b/Source/Membership/ProbeOrder.cpp
@@ -39,7 +39,7 @@
     return std::nullopt;
 }
 
-std::vector<BalancerId> ProbeOrder::takeAll(const Filter& passes)
+std::vector<BalancerId> ProbeOrder::prune(const Filter& passes)
 {
     std::erase_if(ids_, [&](BalancerId id) { return !passes(id); });
     position_ = std::min(position_, ids_.size());
--- a/Source/Membership/ProbeOrder.h
+++ b/Source/Membership/ProbeOrder.h
@@ -21,7 +21,7 @@
     // The next member that passes the filter. Drops those that do not.
     std::optional<BalancerId> next(const Filter&, std::mt19937_64&);
     // All members that pass the filter. Drops the others.
-    std::vector<BalancerId> takeAll(const Filter&);
+    std::vector<BalancerId> prune(const Filter&);
     // Some members that pass the filter, at random and none twice; fewer when luck or the group gives no more.
     std::vector<BalancerId> sample(std::size_t count, const Filter&, std::mt19937_64&) const;
 
--- a/Source/Membership/ViewCatchUp.cpp
+++ b/Source/Membership/ViewCatchUp.cpp
@@ -5,7 +5,7 @@
 void ViewCatchUp::start()
 {
     running_ = true;
-    after_ = 0;
+    afterId_ = 0;
     requestedAt_.reset();
 }
 
@@ -18,19 +18,19 @@
 {
     --pagesLeft_;
     requestedAt_ = now;
-    return after_;
+    return afterId_;
 }
 
-void ViewCatchUp::received(std::uint32_t after, std::optional<std::uint32_t> lastId, bool isLastPage)
+void ViewCatchUp::pageReceived(std::uint32_t afterId, std::optional<std::uint32_t> lastId, bool isLastPage)
 {
-    if (!running_ || after != after_)
+    if (!running_ || afterId != afterId_)
         return;
     requestedAt_.reset();
     if (isLastPage) {
         running_ = false;
         done_ = true;
-    } else if (lastId && *lastId > after_) {
-        after_ = *lastId;
+    } else if (lastId && *lastId > afterId_) {
+        afterId_ = *lastId;
     }
 }
 
--- a/Source/Membership/ViewCatchUp.h
+++ b/Source/Membership/ViewCatchUp.h
@@ -32,7 +32,7 @@
     // Asks: gives the id after which the page is wanted.
     std::uint32_t request(TimePoint now);
     // Takes a page in; pages that were not asked for last are ignored.
-    void received(std::uint32_t after, std::optional<std::uint32_t> lastId, bool isLastPage);
+    void pageReceived(std::uint32_t afterId, std::optional<std::uint32_t> lastId, bool isLastPage);
 
 private:
     const Duration pageTimeout_;
@@ -40,7 +40,7 @@
     std::optional<TimePoint> requestedAt_;
     bool running_ = false;
     bool done_ = false;
-    std::uint32_t after_ = 0;
+    std::uint32_t afterId_ = 0;
     std::size_t pagesLeft_ = 0;
 };
 
