--- a/Tests/Membership/MembershipFaultTest.cpp
+++ b/Tests/Membership/MembershipFaultTest.cpp
@@ -15,32 +15,33 @@
         {
             for (std::size_t i = 0; i < count; ++i)
                 network_.add("zone" + std::to_string(i % zones));
-            ASSERT_TRUE(network_.runUntil([&] { return allSeeOnly({}); }, 60s));
+            ASSERT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 60s));
         }
 
         // True when all running balancers outside a set hold exactly that set dead, and none is isolated.
-        bool allSeeOnly(const std::set<std::size_t>& dead)
+        bool allSeeExactlyDead(const std::set<std::size_t>& dead)
         {
-            for (std::size_t by = 0; by < network_.nodes().size(); ++by) {
-                if (network_.isRunning(by) && !dead.contains(by) && (network_.view(by).isolated || !sees(by, dead)))
+            for (std::size_t observer = 0; observer < network_.nodes().size(); ++observer) {
+                if (network_.isRunning(observer) && !dead.contains(observer)
+                    && (network_.view(observer).isolated || !seesExactlyDead(observer, dead)))
                     return false;
             }
             return true;
         }
 
-        bool sees(std::size_t by, const std::set<std::size_t>& dead)
+        bool seesExactlyDead(std::size_t observer, const std::set<std::size_t>& dead)
         {
-            for (std::size_t who = 0; who < network_.nodes().size(); ++who) {
-                const Member* const member = network_.seen(by, who);
-                if (!member || (member->state == MemberState::Dead) != dead.contains(who))
+            for (std::size_t subject = 0; subject < network_.nodes().size(); ++subject) {
+                const Member* const member = network_.seen(observer, subject);
+                if (!member || (member->state == MemberState::Dead) != dead.contains(subject))
                     return false;
             }
             return true;
         }
 
-        std::size_t countDead(std::size_t by)
+        std::size_t countDead(std::size_t observer)
         {
-            const auto& members = network_.view(by).members;
+            const auto& members = network_.view(observer).members;
             return std::count_if(
                 members.begin(), members.end(), [](const Member& member) { return member.state == MemberState::Dead; });
         }
@@ -53,9 +54,9 @@
         startFleet(7, 3);
         network_.loss = 0.05;
         network_.kill(3);
-        EXPECT_TRUE(network_.runUntil([&] { return allSeeOnly({ 3 }); }, 4s));
+        EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({ 3 }); }, 4s));
         network_.run(60s);
-        EXPECT_TRUE(allSeeOnly({ 3 }));
+        EXPECT_TRUE(allSeeExactlyDead({ 3 }));
     }
 
     // Symptom: a balancer acts on an old view after a pause, or buries everybody. Sequence: it is paused for 30 s and
@@ -65,7 +66,7 @@
     {
         startFleet(7, 3);
         network_.pause(0);
-        ASSERT_TRUE(network_.runUntil([&] { return allSeeOnly({ 0 }); }, 5s));
+        ASSERT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({ 0 }); }, 5s));
         network_.run(25s);
 
         SCOPED_TRACE("waking to old datagrams");
@@ -76,7 +77,7 @@
 
         SCOPED_TRACE("fresh answers");
         EXPECT_TRUE(network_.runUntil([&] { return !network_.view(0).isolated; }, 500ms));
-        EXPECT_TRUE(network_.runUntil([&] { return allSeeOnly({}); }, 3s));
+        EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 3s));
     }
 
     // As before, but the others died or were cut off meanwhile: only silence while it runs may tell.
@@ -93,7 +94,7 @@
         EXPECT_TRUE(network_.runUntil([&] { return !network_.view(0).isolated; }, 5s));
         EXPECT_EQ(countDead(0), 6U);
         network_.isCut = nullptr;
-        EXPECT_TRUE(network_.runUntil([&] { return allSeeOnly({}); }, 5s));
+        EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
     // Symptom: a member dies and revives every few seconds. Sequence: packets from A to B are lost, those from B to A
@@ -105,7 +106,7 @@
         network_.isCut = [](std::size_t from, std::size_t to) { return from == 0 && to == 1; };
         const std::uint64_t revision = network_.view(4).revision;
         network_.run(120s);
-        EXPECT_TRUE(allSeeOnly({}));
+        EXPECT_TRUE(allSeeExactlyDead({}));
         EXPECT_EQ(network_.view(4).revision, revision);
     }
 
@@ -116,11 +117,11 @@
         network_.run(15s);
         const std::uint64_t revisions[] = { network_.view(0).revision, network_.view(1).revision };
         network_.run(60s);
-        EXPECT_TRUE(sees(0, { 1 }) && sees(1, { 0 }));
+        EXPECT_TRUE(seesExactlyDead(0, { 1 }) && seesExactlyDead(1, { 0 }));
         EXPECT_EQ(network_.view(0).revision, revisions[0]);
         EXPECT_EQ(network_.view(1).revision, revisions[1]);
         network_.isCut = nullptr;
-        EXPECT_TRUE(network_.runUntil([&] { return allSeeOnly({}); }, 5s));
+        EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
     TEST_F(MembershipFaultTest, cutOffAvailabilityZoneGoesOnAloneAndRejoins)
@@ -131,8 +132,9 @@
         const std::set<std::size_t> inside { 0, 3, 6 };
         const std::set<std::size_t> outside { 1, 2, 4, 5 };
         const auto hasSplit = [&] {
-            for (std::size_t by = 0; by < 7; ++by) {
-                if (network_.view(by).isolated || !sees(by, inside.contains(by) ? outside : inside))
+            for (std::size_t observer = 0; observer < 7; ++observer) {
+                if (network_.view(observer).isolated
+                    || !seesExactlyDead(observer, inside.contains(observer) ? outside : inside))
                     return false;
             }
             return true;
@@ -141,7 +143,7 @@
         network_.run(600s);
         EXPECT_TRUE(hasSplit());
         network_.isCut = nullptr;
-        EXPECT_TRUE(network_.runUntil([&] { return allSeeOnly({}); }, 5s));
+        EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
     // Symptom: a lost rack takes the network of the others with it. Sequence: 40 of 200 balancers go silent at one
@@ -157,9 +159,9 @@
             network_.kill(i);
             rack.insert(i);
         }
-        EXPECT_TRUE(network_.runUntil([&] { return allSeeOnly(rack); }, 60s));
+        EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead(rack); }, 60s));
         network_.run(20s);
-        EXPECT_TRUE(allSeeOnly(rack));
+        EXPECT_TRUE(allSeeExactlyDead(rack));
         std::uint64_t most = 0;
         for (const auto& node : network_.nodes())
             most = std::max(most, node.mostBytesInSecond);
@@ -187,7 +189,7 @@
             answers += target.handle(PeerMessageReceived { { 1, 2 }, envelope }, network_.now).size();
         }
         EXPECT_LE(answers, 60U) << "the budgets of one interval";
-        EXPECT_TRUE(network_.runUntil([&] { return allSeeOnly({}); }, 5s));
+        EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
 }
--- a/Tests/Membership/MembershipJoinTest.cpp
+++ b/Tests/Membership/MembershipJoinTest.cpp
@@ -9,40 +9,40 @@
 
     using namespace std::chrono_literals;
 
-    constexpr std::size_t availabilityZones = 5;
+    constexpr std::size_t availabilityZoneCount = 5;
     // What all balancers know of, and the addresses that are in everybody's settings.
-    constexpr std::size_t seeds = 3;
+    constexpr std::size_t seedCount = 3;
     // At a fleet of hundreds, a configuration must be in force everywhere 6 s after it was written, and news travels
     // by the members that its bearers know. Half of that is left for the news itself.
-    constexpr auto joinedWithin = 3s;
+    constexpr auto joinTimeLimit = 3s;
     // Larger fleets have 15 s.
-    constexpr auto joinedWithinWhenLarger = 7500ms;
+    constexpr auto largeFleetJoinTimeLimit = 7500ms;
     // A tenth of a link of 20 Mbit/s, the thinnest that is common at that size.
-    constexpr std::uint64_t mostJoiningBytesPerSecond = 250'000;
+    constexpr std::uint64_t maxJoiningBytesPerSecond = 250'000;
 
     class MembershipJoinTest : public testing::Test {
     protected:
         void startTogether(std::size_t count)
         {
             for (std::size_t i = 0; i < count; ++i)
-                network_.addWithSeeds(fmt::format("zone{}", i % availabilityZones), seeds);
+                network_.addWithSeeds(fmt::format("zone{}", i % availabilityZoneCount), seedCount);
         }
 
-        bool knowsAll(std::size_t who) const
+        bool knowsAll(std::size_t observer) const
         {
-            return network_.view(who).members.size() == std::as_const(network_).nodes().size();
+            return network_.view(observer).members.size() == std::as_const(network_).nodes().size();
         }
 
         bool allKnowAll() const
         {
-            for (std::size_t who = 0; who < std::as_const(network_).nodes().size(); ++who) {
-                if (!knowsAll(who))
+            for (std::size_t observer = 0; observer < std::as_const(network_).nodes().size(); ++observer) {
+                if (!knowsAll(observer))
                     return false;
             }
             return true;
         }
 
-        std::uint64_t mostBytesInSecond() const
+        std::uint64_t maxBytesInSecond() const
         {
             std::uint64_t most = 0;
             for (const auto& node : std::as_const(network_).nodes())
@@ -62,30 +62,30 @@
     TEST_F(MembershipJoinTest, hundredsThatStartTogetherKnowEachOtherSoon)
     {
         startTogether(195);
-        EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, joinedWithin));
-        EXPECT_LT(mostBytesInSecond(), mostJoiningBytesPerSecond);
+        EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, joinTimeLimit));
+        EXPECT_LT(maxBytesInSecond(), maxJoiningBytesPerSecond);
     }
 
     TEST_F(MembershipJoinTest, theSameWithLostPackets)
     {
         network_.loss = 0.02;
         startTogether(195);
-        EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, joinedWithin));
+        EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, joinTimeLimit));
     }
 
     TEST_F(MembershipJoinTest, sixHundredThatStartTogetherKnowEachOtherInTime)
     {
         startTogether(600);
-        EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, joinedWithinWhenLarger));
-        EXPECT_LT(mostBytesInSecond(), mostJoiningBytesPerSecond);
+        EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, largeFleetJoinTimeLimit));
+        EXPECT_LT(maxBytesInSecond(), maxJoiningBytesPerSecond);
     }
 
     TEST_F(MembershipJoinTest, oneThatStartsAmongHundredsKnowsThemSoon)
     {
         startTogether(195);
         network_.run(30s);
-        const std::size_t newcomer = network_.addWithSeeds("zone1", seeds);
-        EXPECT_TRUE(network_.runUntil([&] { return knowsAll(newcomer); }, joinedWithin));
+        const std::size_t newcomer = network_.addWithSeeds("zone1", seedCount);
+        EXPECT_TRUE(network_.runUntil([&] { return knowsAll(newcomer); }, joinTimeLimit));
     }
 
 }
--- a/Tests/Membership/MembershipTest.cpp
+++ b/Tests/Membership/MembershipTest.cpp
@@ -18,12 +18,12 @@
         }
 
         // True when all running balancers but who itself hold it in that state; nullopt stands for not in the view.
-        bool allSee(std::size_t who, std::optional<MemberState> state)
+        bool allSee(std::size_t subject, std::optional<MemberState> state)
         {
-            for (std::size_t by = 0; by < network_.nodes().size(); ++by) {
-                if (by == who || !network_.isRunning(by))
+            for (std::size_t observer = 0; observer < network_.nodes().size(); ++observer) {
+                if (observer == subject || !network_.isRunning(observer))
                     continue;
-                const Member* const member = network_.seen(by, who);
+                const Member* const member = network_.seen(observer, subject);
                 if ((member ? std::optional(member->state) : std::nullopt) != state)
                     return false;
             }
@@ -32,8 +32,8 @@
 
         bool allAgree()
         {
-            for (std::size_t who = 0; who < network_.nodes().size(); ++who) {
-                if (!allSee(who, MemberState::Serving) || network_.view(who).isolated)
+            for (std::size_t subject = 0; subject < network_.nodes().size(); ++subject) {
+                if (!allSee(subject, MemberState::Serving) || network_.view(subject).isolated)
                     return false;
             }
             return true;
@@ -56,8 +56,8 @@
         SCOPED_TRACE("a new version shows everywhere");
         network_.perform(3, network_.nodes()[3].membership->setConfigurationVersion(12, network_.now));
         const auto allKnowVersion = [&] {
-            for (std::size_t by = 0; by < 7; ++by) {
-                if (network_.seen(by, 3)->configurationVersion != 12)
+            for (std::size_t observer = 0; observer < 7; ++observer) {
+                if (network_.seen(observer, 3)->configurationVersion != 12)
                     return false;
             }
             return true;
@@ -97,8 +97,9 @@
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         const std::uint64_t first = network_.nodes()[4].self.incarnation;
         const auto allSeeIncarnationAbove = [&](std::uint64_t old) {
-            for (std::size_t by = 0; by < 7; ++by) {
-                if (network_.seen(by, 4)->incarnation <= old || network_.seen(by, 4)->state != MemberState::Serving)
+            for (std::size_t observer = 0; observer < 7; ++observer) {
+                if (network_.seen(observer, 4)->incarnation <= old
+                    || network_.seen(observer, 4)->state != MemberState::Serving)
                     return false;
             }
             return true;
