--- a/Source/Membership/FailureDetector.h
+++ b/Source/Membership/FailureDetector.h
@@ -8,12 +8,12 @@
 
 namespace wisteriadock {
 
-// What is due for a member that owes an answer or is suspected.
+// An event of a member that is suspected or whose probe is unanswered.
 enum class DetectorEventKind {
-    IndirectProbeDue, // Repeat the probe, directly and through others.
-    Suspected, // It answered nobody; tell it, so that it can refute.
-    VerificationDue, // Others suspect it; probe it.
-    DeclaredDead, // It did not refute in time and was declared dead.
+    IndirectProbeDue, // A probe is unanswered: repeat it, directly and through other members.
+    Suspected, // It is now suspected: probe it, so that it learns of the suspicion and can refute it.
+    VerificationDue, // Other members report it suspected or dead: probe it.
+    DeclaredDead, // It did not refute the suspicion in time.
 };
 
 struct DetectorEvent {
@@ -21,19 +21,21 @@
     DetectorEventKind kind = DetectorEventKind::VerificationDue;
 };
 
-// Times the probes of members. A member is declared dead only by a balancer whose own probes it left unanswered,
-// directly and through others, for suspectAfter and then for the time it has to refute.
+// Measures how long probes of members are unanswered and marks members as suspected or dead in the MemberTable.
+// Membership calls it. A member is declared dead when this balancer's direct and indirect probes are unanswered for
+// MembershipSettings::suspectAfter, and then for MemberTable::suspicionTimeout().
 class FailureDetector {
 public:
     FailureDetector(const MembershipSettings&, MemberTable&);
 
-    // A nonce was sent to the member.
+    // Call when a heartbeat that serves as a probe was sent to the member. Ignored for dead members.
     void probeSent(MemberRecord&, TimePoint now);
-    // The member answered a nonce that was sent at that time.
+    // Call when the member, or another member on its behalf, echoed a nonce that was sent at that time.
     void answerReceived(MemberRecord&, TimePoint nonceSentAt);
-    // Applies and returns what is due.
+    // Marks members whose timeouts have expired and returns what happened.
     std::vector<DetectorEvent> tick(TimePoint now);
-    // Forgets all running probes: after a pause their time says nothing about others.
+    // Discards all unanswered probes and restarts all suspicion timeouts. Call after a pause of the process, since the
+    // time that passed during it does not count against other members.
     void reset(TimePoint now);
 
 private:
--- a/Source/Membership/GossipQueue.h
+++ b/Source/Membership/GossipQueue.h
@@ -9,14 +9,15 @@
 
 namespace wisteriadock {
 
-// The news that a balancer still has to pass on: each piece goes into a bounded number of messages, newest first, then
-// in turn. The queue holds an id once, so its size never exceeds the number of members.
+// The ids of members whose changes a balancer still has to send as gossip. Each id is sent a bounded number of times:
+// new ids first, then round-robin. An id is queued at most once, so the size never exceeds the number of members. Used
+// by MemberTable.
 class GossipQueue {
 public:
-    // Restarts the count of an id that is already queued.
+    // Queues an id to be sent so many times. Resets the count if the id is already queued.
     void push(BalancerId, std::size_t sends);
     void erase(BalancerId);
-    // The next piece to send; nothing when the queue is empty. Counts as one send.
+    // The next id to send, which counts as one send; nothing if the queue is empty.
     std::optional<BalancerId> pop();
     bool contains(BalancerId id) const { return sendsLeft_.contains(id); }
     std::size_t size() const { return sendsLeft_.size(); }
--- a/Source/Membership/IsolationDetector.h
+++ b/Source/Membership/IsolationDetector.h
@@ -5,28 +5,31 @@
 
 namespace wisteriadock {
 
-// Watches whether this balancer itself can trust what it believes: whether it was paused, and since when others have
-// answered it.
+// Detects pauses of this process and isolation of this balancer, that is, whether its view may be stale. Used by
+// Membership.
 class IsolationDetector {
 public:
     IsolationDetector(const MembershipSettings&, TimePoint now);
 
-    // True when the process was paused until now. Whatever it believed then may be old, and what it measures across the
-    // gap says nothing about others.
+    // True if the process was paused until now. State from before the pause may be stale, and times measured across it
+    // do not count against other members.
     bool detectPause(TimePoint now);
     void onTick(TimePoint now) { lastTick_ = now; }
-    // Another balancer answered a nonce that was sent at that time.
+    // Call when another balancer echoed a nonce that was sent at that time.
     void answerReceived(TimePoint nonceSentAt);
-    // True when nobody answered lately, which calls for more probes.
+    // True if no balancer answered recently, so that more members have to be probed.
     bool isSearching(TimePoint now) const;
+    // Whether the view is isolated; see MembersView::isolated.
     bool isIsolated(bool othersAlive, TimePoint now) const;
 
 private:
     const MembershipSettings& settings_;
     TimePoint lastTick_;
-    // Answers to nonces from before this moment do not count.
+    // The start of the process or the end of its last pause. Answers to older nonces do not count.
     TimePoint runningSince_;
+    // From then on a balancer without other members counts as alone, not as isolated.
     TimePoint startupEndsAt_;
+    // When the newest nonce that was answered was sent.
     TimePoint lastAnswer_ = TimePoint::min();
 };
 
--- a/Source/Membership/Member.h
+++ b/Source/Membership/Member.h
@@ -10,51 +10,55 @@
 
 namespace wisteriadock {
 
-// How far a balancer is in its life, as it says itself and as others last heard.
+// The lifecycle state of a balancer. All states except Dead are reported by the balancer itself.
 enum class MemberState {
-    Joining, // Up, but has not learned yet which flows are exceptions to its tables.
-    Serving, // Decides on its own.
-    Detached, // Serves, but the platform does not answer it: others read the platform in its place.
-    Leaving, // Stops soon by plan; takes no new duties.
-    Dead, // Silent for longer than its lease.
+    Joining, // Started, but has not yet received the flows that are exceptions to its tables.
+    Serving, // Takes decisions about flows and requests.
+    Detached, // Serves, but cannot reach the platform; other balancers read the platform for it.
+    Leaving, // Is about to stop as planned; takes no new duties.
+    Dead, // Declared dead by another balancer after its probes were unanswered.
 };
 
 std::string_view nameOf(MemberState);
 
-// Links that differ by less than a factor of two are alike. Rises with the width; 0 for a link of unknown width.
+// The bandwidth class of a link: the binary logarithm of its bandwidth in Mbit/s, rounded down, plus 1; 0 for a link of
+// unknown bandwidth.
 int bandwidthClassOf(std::uint32_t linkMegabits);
 
-// One balancer as the others know it.
+// One balancer as other balancers know it.
 struct Member {
     BalancerId id;
     std::string name;
     std::string availabilityZone;
-    // Where it takes messages from other balancers (datagrams).
+    // The UDP address for messages from other balancers.
     Endpoint peerAddress;
-    // Where it takes flow packets, from the fabric and forwarded by other balancers (datagrams).
+    // The UDP address for flow packets, both from the fabric and forwarded by other balancers.
     Endpoint flowAddress;
-    // Where it takes HTTP/2 requests from callers and other balancers.
+    // The TCP address for HTTP/2 requests from callers and other balancers.
     Endpoint requestAddress;
-    // Rises with each start of the process. Messages of an older incarnation are dropped.
+    // The wall clock's milliseconds at the start of the process, raised when the fleet already knows a higher value.
+    // Messages of an older incarnation are dropped.
     std::uint64_t incarnation = 0;
     MemberState state = MemberState::Joining;
     std::uint64_t configurationVersion = 0;
-    // What its link carries; 0 when it does not say.
+    // The bandwidth of its link in Mbit/s; 0 if unknown.
     std::uint32_t linkMegabits = 0;
 
     bool operator==(const Member&) const = default;
 };
 
-// The balancers that one balancer knows, itself included, sorted by id. Immutable once published.
+// The balancers that one balancer knows, including itself, sorted by id. Immutable once published.
 struct MembersView {
-    // Rises by one with each change.
+    // Increases by one with each published view.
     std::uint64_t revision = 0;
     BalancerId self;
     std::vector<Member> members;
-    // True while this balancer hears from no other although it expects to: it was paused, or is cut off entirely.
-    // What it believes may be old, so it must not decide what others may have changed meanwhile.
+    // True while no other balancer answers although some are expected to: the process was paused, or is cut off from
+    // all others. The view may be stale, so nothing that others may have changed in the meantime may be decided from
+    // it.
     bool isolated = false;
 
+    // Null if there is no such member.
     const Member* find(BalancerId) const;
     const Member* findSelf() const { return find(self); }
 };
--- a/Source/Membership/MemberRecord.h
+++ b/Source/Membership/MemberRecord.h
@@ -9,44 +9,46 @@
 
 namespace wisteriadock {
 
-// What a balancer knows of one member, itself included.
+// The state that a balancer keeps for one member or for itself. Stored in MemberTable.
 struct MemberRecord {
-    // Its state is what the member said last, or Dead.
+    // Member::state holds the last state reported by the member, or Dead.
     Member member;
+    // The member's own version number of its row within one incarnation; see MemberRow.
     std::uint32_t sequence = 0;
-    // Somebody got no answer from it; views go on showing the state it said last.
+    // Some balancer got no answer from it. Views still show the last reported state.
     bool suspected = false;
-    // This balancer itself got no answer from it.
+    // This balancer got no answer from it.
     bool suspectedLocally = false;
-    // Somebody holds it dead who may be wrong, so only a probe of this balancer's own settles it.
+    // Another balancer reported it dead without a prior suspicion. Only this balancer's own probes can confirm that.
     bool disputed = false;
-    // Dead after it had said that it leaves.
+    // Dead after it announced that it was leaving.
     bool hasLeft = false;
-    // Since when it is suspected or dead.
+    // When it became suspected or dead.
     TimePoint changedAt;
-    // When the latest nonce was sent that the member answered.
+    // When the newest nonce that the member answered was sent.
     TimePoint lastContact = TimePoint::min();
-    // When the oldest probe was sent that it has not answered; see FailureDetector.
+    // When the oldest unanswered probe was sent; see FailureDetector.
     std::optional<TimePoint> unansweredSince;
     bool indirectProbesSent = false;
-    // Its latest nonce, to be echoed.
+    // The newest nonce received from it, to be echoed.
     std::uint32_t lastNonce = 0;
+    // The queued gossip about it carries its MemberDetails.
     bool gossipHasDetails = false;
-    // How many members it said last that it knows; 0 before it said anything.
+    // The number of members that it last reported to know; 0 before its first heartbeat.
     std::uint32_t membersKnown = 0;
 
     bool isAlive() const { return member.state != MemberState::Dead; }
 };
 
-// The row that tells others of a member.
+// Converts a record to the row that is sent to other balancers.
 MemberRow rowOf(const MemberRecord&, bool withDetails);
 
-// False for a row that no balancer sends.
+// False for a row whose fields are out of range.
 bool isWellFormed(const MemberRow&);
-// True when the row says that its member died or left.
+// True if the row reports its member as dead or as having left.
 bool isDeadOrLeft(const MemberRow&);
 MemberState stateOf(const MemberRow&);
-// The member that a row with details tells of.
+// Converts a row to a member. The row must have details.
 Member memberOf(const MemberRow&);
 
 }
--- a/Source/Membership/MemberTable.h
+++ b/Source/Membership/MemberTable.h
@@ -19,64 +19,73 @@
 
 namespace wisteriadock {
 
-// What came of a row that another balancer sent.
+// The result of merging a row that another balancer sent.
 enum class MergeOutcome {
-    Ignored, // Old, malformed or known, or a death to be looked into first.
+    Ignored, // Stale, malformed or already known, or a reported death that has to be verified first.
     Applied,
-    NeedsDetails, // A member or an incarnation that is not known yet; ask for its details.
-    AboutSelf, // Left to the caller, who may have to refute it.
+    NeedsDetails, // The member or its incarnation is unknown and the row has no details; request them.
+    AboutSelf, // The row is about this balancer. The caller refutes it if needed.
 };
 
-// The rows of all members, how rows of other balancers are merged into them, and the news to pass on.
+// Holds the records of all members, merges rows received from other balancers into them, and selects the rows to send:
+// gossip about recent changes, anti-entropy rows, and pages for a catch-up. Used by Membership.
 class MemberTable {
 public:
     MemberTable(const MembershipSettings&, const Member& self, TimePoint now);
 
-    // What a row changes is passed on as news, unless the row was read in a catch-up and so is news to nobody else.
+    // With `propagate`, a change is queued as gossip. Rows read in a catch-up are not propagated, since other members
+    // already have them.
     MergeOutcome merge(const MemberRow&, TimePoint now, bool propagate = true);
 
     MemberRecord& self() { return *self_; }
     const MemberRecord& self() const { return *self_; }
     MemberRecord* find(BalancerId);
-    // All members, this one and the dead included.
+    // The number of all members, including this balancer and dead ones.
     std::size_t size() const { return records_.size(); }
+    // The number of members that are alive, without this balancer.
     std::size_t othersAlive() const { return othersAlive_; }
     std::vector<Endpoint> aliveAddresses() const;
 
-    // Changes of this balancer's own row. Raising the sequence overrides whatever others say of it.
+    // These change this balancer's own row. A higher incarnation or sequence overrides what others report about it.
     void setSelfState(MemberState);
     void setConfigurationVersion(std::uint64_t);
     void setSelfIncarnation(std::uint64_t incarnation, std::uint32_t sequence);
 
+    // These mark a member; suspicions and deaths are queued as gossip.
     void suspect(MemberRecord&, TimePoint now);
     void clearSuspicion(MemberRecord&);
     void declareDead(MemberRecord&, TimePoint now);
-    // Gives all suspected members their full time again.
+    // Restarts the suspicion timeout of all suspected members.
     void restartSuspicionTimeouts(TimePoint now);
-    // Members that are suspected or owe an answer.
+    // Members that are suspected or have an unanswered probe.
     std::set<BalancerId>& unconfirmed() { return unconfirmed_; }
-    // How long a suspected member of a fleet of this size has to refute.
+    // How long a suspected member has to refute the suspicion. Grows with the size of the fleet.
     Duration suspicionTimeout() const;
 
-    // Members that are alive since the last call and were not before.
+    // Members that were added or came back to life since the last call.
     std::vector<BalancerId> takeNewMembers();
-    // A dead member to be tried again, at random.
+    // A random dead member that did not leave as planned; nothing if there is none.
     std::optional<BalancerId> randomDead(std::mt19937_64&) const;
+    // Removes dead members above the limits of MembershipSettings for tombstones.
     void dropOldTombstones(TimePoint now);
 
-    // News for a message, worth about the bytes given. Leaves there what it did not use.
+    // Gossip for one message. `bytes` is the approximate size allowed, and is reduced by the size used.
     std::vector<MemberRow> takeGossip(std::size_t& bytes);
-    // The next members in the order of ids.
-    std::vector<MemberRow> takeAntiEntropyRows(std::size_t rows);
-    // Rows with details above an id, as many as fit one datagram. Sets whether these are the last.
+    // Rows without details of the next members, round-robin in the order of ids.
+    std::vector<MemberRow> takeAntiEntropyRows(std::size_t count);
+    // Rows with details of the members after an id, as many as fit into one datagram. `isLast` is set to whether no
+    // member follows.
     std::vector<MemberRow> page(std::uint32_t afterId, bool& isLast) const;
-    // The same for so many rows at most.
+    // The same, limited by the number of rows instead of their size.
     std::vector<MemberRow> rowsAfter(std::uint32_t afterId, std::size_t maxRows, bool& isLast) const;
+    // Rows with details of these members, as many as fit into one datagram.
     std::vector<MemberRow> rowsOf(const std::vector<std::uint32_t>& ids) const;
 
-    // True when a view published now would differ in more than configuration versions.
+    // True if a view published now would differ in more than configuration versions.
     bool membersChanged() const { return membersChanged_; }
+    // True if other members' configuration versions changed since the last published view.
     bool versionsChanged() const { return versionsChanged_; }
+    // Creates a view of the current members and resets both change flags.
     std::shared_ptr<const MembersView> publish(std::uint64_t revision, bool isolated);
 
 private:
@@ -94,9 +103,10 @@
     std::size_t othersAlive_ = 0;
     std::set<BalancerId> unconfirmed_;
     std::vector<BalancerId> newMembers_;
-    // Oldest first.
+    // Dead members, oldest first.
     std::deque<BalancerId> tombstones_;
     GossipQueue gossip_;
+    // The id of the last anti-entropy row sent.
     BalancerId antiEntropyPosition_;
     bool membersChanged_ = true;
     bool versionsChanged_ = false;
--- a/Source/Membership/MembersPages.h
+++ b/Source/Membership/MembersPages.h
@@ -8,11 +8,11 @@
 
 namespace wisteriadock {
 
-// The answer to a request for rows. Rows of many members are much alike, so a requester that takes packed rows gets
-// some sixty in a datagram instead of ten; when all of a fleet start together, that is what they wait for.
+// Creates the answer to a request for rows. The rows are packed (compressed) if the requester takes packed rows, so
+// that a datagram holds several times as many. Called by Membership.
 MembersPageMessage pageFor(const MembersRequestMessage&, const MemberTable&);
 
-// The rows of a page, packed or not. Fails with InvalidArgument for packed rows that can't be read.
+// Returns the rows of a page, packed or not. Fails with InvalidArgument if packed rows cannot be decoded.
 Result<std::vector<MemberRow>> rowsOf(const MembersPageMessage&);
 
 }
--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -22,27 +22,31 @@
 
 namespace wisteriadock {
 
-// A datagram of another balancer arrived. Messages of kinds that are not membership's are ignored.
+// A datagram from another balancer arrived. Message kinds of other protocols are ignored.
 struct PeerMessageReceived {
     Endpoint from;
     PeerEnvelope envelope;
 };
 
+// One entry of the platform's list of VMs.
 struct ListedVm {
     Endpoint peerAddress;
     bool isLeaving = false;
 };
 
-// The platform's list of VMs was read. It lags, so it only says whom to contact, never who lives or is dead.
+// The platform's list of VMs was read. The list may be stale, so it only supplies addresses to contact and never
+// decides which members are alive or dead.
 struct VmListReceived {
     std::vector<ListedVm> vms;
 };
 
+// Action: send this message to another balancer.
 struct SendPeerMessage {
     Endpoint to;
     PeerEnvelope envelope;
 };
 
+// Action: use this view from now on.
 struct MembersViewChanged {
     std::shared_ptr<const MembersView> view;
 };
@@ -50,15 +54,16 @@
 using MembershipAction = std::variant<SendPeerMessage, MembersViewChanged>;
 using MembershipActions = std::vector<MembershipAction>;
 
-// Knows which balancers there are, at a cost that does not grow with their number: random probes with indirect ones
-// and news that rides on them, as in SWIM (docs/design/membership.md). The daemon's shell calls it, from one thread at
-// a time: tick every 100 ms, handle for each datagram; it does what the returned actions say, in their order.
+// The membership protocol: tracks which balancers are alive, at a cost per balancer that does not grow with the size of
+// the fleet. As in SWIM, it probes random members directly and indirectly, and gossip is piggybacked on the heartbeats
+// (docs/design/membership.md). PeerControl calls it, from one thread at a time: tick() every 100 ms and handle() for
+// each datagram. The caller performs the returned actions in order.
 class Membership {
 public:
-    // The incarnation of self is the wall clock's milliseconds at the start of the process. Should the fleet know a
-    // higher one, the clock having been set back, membership raises it: read it from selfIncarnation().
+    // The incarnation of self is the wall clock's milliseconds at the start of the process. It is raised if the fleet
+    // already knows a higher one because the clock was set back; selfIncarnation() returns the current value.
     Membership(const MembershipSettings&, const Member& self, std::uint64_t seed, TimePoint now);
-    // The parts refer to each other.
+    // Members hold references to each other.
     Membership(const Membership&) = delete;
     Membership& operator=(const Membership&) = delete;
 
@@ -67,15 +72,16 @@
     MembershipActions tick(TimePoint now);
     MembershipActions setSelfState(MemberState, TimePoint now);
     MembershipActions setConfigurationVersion(std::uint64_t, TimePoint now);
-    // A planned stop begins: tells the others. Keep ticking until the process ends.
+    // Announces the planned stop of this balancer. tick() must still be called until the process ends.
     MembershipActions leave(TimePoint now);
 
     std::shared_ptr<const MembersView> view() const { return view_; }
-    // What envelopes of this balancer carry.
+    // The incarnation for the envelopes that this balancer sends.
     std::uint64_t selfIncarnation() const { return table_.self().member.incarnation; }
-    // True once a whole view was read from the peers; a balancer that is alone never gets there.
+    // True once a complete view was read from other members. Never true for a balancer that is alone.
     bool hasCaughtUp() const { return catchUp_.isDone(); }
-    // A whole view was read, nobody is known to know more members, and none was new lately.
+    // True if a complete view was read, no other member reported more members, and none was added for
+    // MembershipSettings::settledAfter.
     bool isSettled(TimePoint now) const;
 
 private:
@@ -86,7 +92,7 @@
         bool withPeerRow = false;
     };
 
-    // A probe that this balancer makes for another.
+    // An indirect probe that this balancer sends for another one.
     struct RelayedProbe {
         BalancerId target;
         Endpoint requester;
@@ -113,12 +119,12 @@
     void retryDead(TimePoint now);
     void contactUnknown(TimePoint now);
     void scheduleCatchUp(TimePoint now);
-    // Reads the view, from this member first.
+    // Starts to read the whole view; the first page is requested from `source` if given.
     void startCatchUp(std::optional<BalancerId> source, TimePoint now);
     bool isCatchUpDue(std::uint32_t peerMembersKnown, TimePoint now) const;
     void requestPage(TimePoint now);
-    // Whom to ask for a page: whoever sent the last one, or else, of some members at random, the one that knows most.
-    // Those that have just started know few, and not all may ask the same.
+    // The member to request a page from: the one asked last, or else the one of a random sample that knows the most
+    // members. The sample spreads the load, and members that have just started know only a few.
     const MemberRecord* pageSource();
     bool isJoining(TimePoint now) const { return now - startedAt_ < settings_.joiningPeriod; }
     void handleDetectorEvent(const DetectorEvent&, TimePoint now);
@@ -129,8 +135,10 @@
     void send(const Endpoint& to, PeerMessageKind, std::vector<std::uint8_t> payload);
     void appendGossip(std::vector<MemberRow>&);
     void addToProbeOrders(TimePoint now);
+    // Publishes a new view if one is due and returns the collected actions.
     MembershipActions finish(TimePoint now, bool endsInterval);
 
+    // A small fleet, in which each member probes all others in each interval.
     bool isMesh() const { return table_.othersAlive() <= settings_.meshLimit; }
     ProbeOrder::Filter aliveFilter();
     std::vector<BalancerId> sampleAlive(std::size_t count);
@@ -145,21 +153,22 @@
     ProbeOrder probeOrder_;
     ProbeOrder zoneProbeOrder_;
     std::vector<RelayedProbe> relayedProbes_;
-    // Addresses of the VM list at which no known member lives.
+    // Addresses of the VM list that belong to no live member.
     std::vector<Endpoint> unknownAddresses_;
 
     std::uint64_t round_ = 0;
     const TimePoint startedAt_;
     TimePoint nextInterval_;
     TimePoint lastCatchUp_;
-    // Who is asked for pages.
+    // The member that pages are requested from.
     std::optional<BalancerId> pageSource_;
+    // When the second catch-up of a new balancer is due.
     std::optional<TimePoint> secondCatchUp_;
-    // The most members that a heartbeat told of, and when a member came that was not known before.
+    // The highest number of members that any heartbeat reported.
     std::uint32_t maxMembersKnownElsewhere_ = 0;
     TimePoint lastNewMemberAt_;
     TimePoint lastIncarnationRaise_ = TimePoint::min();
-    // What is left of the budgets of this interval.
+    // What is left of the budgets of the current interval.
     std::size_t answersLeft_ = 0;
     std::size_t verificationsLeft_ = 0;
     std::size_t indirectProbesLeft_ = 0;
--- a/Source/Membership/MembershipMessages.h
+++ b/Source/Membership/MembershipMessages.h
@@ -8,17 +8,17 @@
 
 namespace wisteriadock {
 
-// How a row on the wire says what became of a member. The numbers are on the wire.
+// The status of a member in a row on the wire.
 enum class RowStatus : std::uint8_t {
     Joining = 0,
     Serving = 1,
     Leaving = 2,
     Dead = 3,
-    Left = 4, // Fell silent after it had said that it leaves.
+    Left = 4, // Stopped answering after it announced that it was leaving.
     Detached = 5,
 };
 
-// What never changes during one incarnation.
+// The properties of a member that are constant during one incarnation.
 struct MemberDetails {
     std::string name;
     std::string availabilityZone;
@@ -28,14 +28,16 @@
     std::uint16_t flowPort = 0;
     std::uint32_t requestHost = 0;
     std::uint16_t requestPort = 0;
+    // Mbit/s; 0 if unknown.
     std::uint32_t linkMegabits = 0;
 
     MSGPACK_DEFINE_ARRAY(
         name, availabilityZone, peerHost, peerPort, flowHost, flowPort, requestHost, requestPort, linkMegabits);
 };
 
-// News of one member. Of two rows the one with the higher incarnation is newer, then the one with the higher sequence,
-// which only the member itself raises; at the same sequence a suspicion or a death counts more than life.
+// The state of one member as one balancer reports it to another. Of two rows of a member the one with the higher
+// incarnation is newer, then the one with the higher sequence, which only the member itself raises. At the same
+// sequence a suspicion or a death overrides an alive status.
 struct MemberRow {
     std::uint32_t id = 0;
     std::uint64_t incarnation = 0;
@@ -43,25 +45,26 @@
     std::uint8_t status = 0;
     bool suspected = false;
     std::uint64_t configurationVersion = 0;
-    // Empty, or one.
+    // At most one element.
     std::vector<MemberDetails> details;
 
     MSGPACK_DEFINE_ARRAY(id, incarnation, sequence, status, suspected, configurationVersion, details);
 };
 
-// A sign of life. A nonce tells its sender when it was sent; a peer that echoes it has heard the sender since then, and
-// so proves contact both ways, which hearing the peer alone does not.
+// A probe, or the answer to one, with piggybacked gossip. The sender can derive the send time from a nonce
+// (NonceClock), so an echo of it proves contact in both directions since then. A heartbeat without an echo proves only
+// one direction.
 struct HeartbeatMessage {
     std::uint32_t nonce = 0;
-    // The receiver's latest nonce, or 0.
+    // The newest nonce received from the receiver, or 0.
     std::uint32_t echo = 0;
     bool wantsAnswer = false;
     bool wantsDetails = false;
-    // The sender's own row; id and incarnation stand in the envelope.
+    // The sender's own row. Its id and incarnation are in the envelope.
     std::uint32_t sequence = 0;
     std::uint8_t status = 0;
     std::uint64_t configurationVersion = 0;
-    // How many members the sender knows, dead or alive. A receiver that knows far fewer has missed news.
+    // The number of members that the sender knows, dead or alive. A receiver that knows far fewer starts a catch-up.
     std::uint32_t membersKnown = 0;
     std::vector<MemberDetails> details;
     std::vector<MemberRow> rows;
@@ -70,7 +73,7 @@
         nonce, echo, wantsAnswer, wantsDetails, sequence, status, configurationVersion, membersKnown, details, rows);
 };
 
-// Asks the receiver to probe the target and to send a ProbeResultMessage when it answers.
+// Asks the receiver to probe the target and to send a ProbeResultMessage if the target answers.
 struct ProbeRequestMessage {
     std::uint32_t target = 0;
     std::uint32_t nonce = 0;
@@ -78,6 +81,7 @@
     MSGPACK_DEFINE_ARRAY(target, nonce);
 };
 
+// Reports that the target of an indirect probe answered.
 struct ProbeResultMessage {
     std::uint32_t target = 0;
     std::uint64_t targetIncarnation = 0;
@@ -87,25 +91,26 @@
     MSGPACK_DEFINE_ARRAY(target, targetIncarnation, nonce);
 };
 
-// Asks for rows with details: of the named ids, or, when none is named, of the ids above "after".
+// Requests rows with details: of `ids`, or of the members after the id `after` if `ids` is empty.
 struct MembersRequestMessage {
     std::uint32_t after = 0;
     std::vector<std::uint32_t> ids;
-    // A balancer of an earlier version does not take packed rows.
+    // Whether the sender can unpack rows; balancers of earlier versions cannot.
     bool takesPacked = false;
 
     MSGPACK_DEFINE_ARRAY(after, ids, takesPacked);
 };
 
+// The answer to a MembersRequestMessage.
 struct MembersPageMessage {
-    // Of the request.
+    // Copied from the request.
     std::uint32_t after = 0;
-    // True when the request named ids.
+    // True if the request named ids.
     bool named = false;
-    // True when no row follows this page.
+    // True if no row follows this page.
     bool last = false;
     std::vector<MemberRow> rows;
-    // An array of rows as encodeMessage() writes it, packed; in place of `rows`.
+    // An array of rows encoded by encodeMessage() and packed by packBytes(); used instead of `rows`.
     std::string packedRows {};
 
     MSGPACK_DEFINE_ARRAY(after, named, last, rows, packedRows);
--- a/Source/Membership/Ownership.h
+++ b/Source/Membership/Ownership.h
@@ -8,21 +8,21 @@
 
 namespace wisteriadock {
 
-// The balancers that a key belongs to by rendezvous hashing: the highest hash of key and balancer wins.
+// The owners of a key by rendezvous hashing: the balancers with the highest hashes of key and balancer id.
 struct Owners {
     std::optional<BalancerId> first;
-    // Takes over when the first goes; knowing it beforehand lets the first keep it informed.
+    // The backup, which becomes the owner when the first stops serving. The first owner can replicate state to it.
     std::optional<BalancerId> second;
 
     bool operator==(const Owners&) const = default;
 };
 
-// Chooses among the Serving members of one availability zone, or of all when the zone is empty. Two balancers with the
-// same Serving members choose alike; when a member goes, only its own keys get another owner. Linear in the members, so
-// callers keep the answer for a view's revision.
+// Chooses among the Serving members of one availability zone, or of all zones if `availabilityZone` is empty. Balancers
+// with the same Serving members get the same owners; when a member is removed, only its own keys change owner. Takes
+// time linear in the number of members, so callers cache the result per view revision.
 Owners ownersOf(const MembersView&, std::uint64_t key, std::string_view availabilityZone = {});
 
-// The first of ownersOf.
+// The first owner; see ownersOf().
 std::optional<BalancerId> ownerOf(const MembersView&, std::uint64_t key, std::string_view availabilityZone = {});
 
 }
--- a/Source/Membership/ProbeOrder.h
+++ b/Source/Membership/ProbeOrder.h
@@ -10,19 +10,20 @@
 
 namespace wisteriadock {
 
-// Gives the members of a group in a random order, each once before any comes twice, which bounds the time until a
-// member is probed again. Members that went are skipped by the caller's filter.
+// The order in which Membership probes a group of members: random, but each member comes once per round, which bounds
+// the time between two probes of one member. The caller's filter skips members that are no longer alive.
 class ProbeOrder {
 public:
     using Filter = std::function<bool(BalancerId)>;
 
-    // Puts a new member at a random place among those still to come.
+    // Inserts a new member at a random position in the rest of the current round. Ignores known members.
     void insert(BalancerId, std::mt19937_64&);
-    // The next member that passes the filter. Drops those that do not.
+    // The next member that passes the filter. Removes members that do not.
     std::optional<BalancerId> next(const Filter&, std::mt19937_64&);
-    // All members that pass the filter. Drops the others.
+    // Removes the members that do not pass the filter and returns the others.
     std::vector<BalancerId> prune(const Filter&);
-    // Some members that pass the filter, at random and none twice; fewer when luck or the group gives no more.
+    // A random sample of distinct members that pass the filter. May return fewer than `count`, since the number of
+    // random draws is bounded.
     std::vector<BalancerId> sample(std::size_t count, const Filter&, std::mt19937_64&) const;
 
 private:
