--- a/Source/Membership/FailureDetector.cpp
+++ b/Source/Membership/FailureDetector.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-    // A suspicion that others raised and nobody settled is looked into after so many times its usual length.
+    // A suspicion that others raised and that was neither refuted nor confirmed is verified after this multiple of the
+    // suspicion timeout.
     constexpr int staleSuspicionFactor = 3;
 
 }
@@ -19,7 +20,7 @@
 
 void FailureDetector::probeSent(MemberRecord& record, TimePoint now)
 {
-    // The dead are only tried; their silence is no news.
+    // Dead members are contacted without expecting an answer.
     if (record.unansweredSince || !record.isAlive())
         return;
     record.unansweredSince = now;
--- a/Source/Membership/GossipQueue.cpp
+++ b/Source/Membership/GossipQueue.cpp
@@ -21,9 +21,9 @@
         return std::nullopt;
     const BalancerId id = order_.front();
     order_.pop_front();
-    const auto left = sendsLeft_.find(id);
-    if (--left->second == 0)
-        sendsLeft_.erase(left);
+    const auto remaining = sendsLeft_.find(id);
+    if (--remaining->second == 0)
+        sendsLeft_.erase(remaining);
     else
         order_.push_back(id);
     return id;
--- a/Source/Membership/IsolationDetector.cpp
+++ b/Source/Membership/IsolationDetector.cpp
@@ -31,7 +31,8 @@
 bool IsolationDetector::isIsolated(bool othersAlive, TimePoint now) const
 {
     const bool answeredSincePause = lastAnswer_ >= runningSince_;
-    // Alone: the last one of a zone that goes on serving. At the start others may be there that it has yet to find.
+    // A balancer without live members is alone and goes on serving, except at startup, when it may not have found
+    // others yet.
     if (!othersAlive)
         return !answeredSincePause && now < startupEndsAt_;
     return !answeredSincePause || now - lastAnswer_ > settings_.isolatedAfter;
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-    // What a row takes on the wire, in bytes: usually, and at most.
+    // The typical and the largest size of a row on the wire without details.
     constexpr std::size_t typicalRowBytes = 24;
     constexpr std::size_t maxRowBytes = 34;
     constexpr std::size_t detailsOverheadBytes = 32;
-    // What a message carries beside its rows.
+    // The size of a message without its rows.
     constexpr std::size_t messageOverheadBytes = 32;
+    // How often a change is sent as gossip: at least, and per power of ten of the number of members.
     constexpr std::size_t minSends = 6;
     constexpr std::size_t sendsPerDecade = 3;
 
@@ -78,7 +79,7 @@
 MergeOutcome MemberTable::mergeNewIncarnation(const MemberRow& row, MemberRecord* old, TimePoint now)
 {
     if (isDeadOrLeft(row)) {
-        // The next incarnation has come and gone unseen, so the one known here is gone too.
+        // A newer incarnation died unseen, so the known older one is dead too.
         if (!old)
             return MergeOutcome::Ignored;
         old->member.incarnation = row.incarnation;
@@ -113,7 +114,7 @@
         ++othersAlive_;
         newMembers_.push_back(record.member.id);
     }
-    // A higher sequence alone, as after a refuted suspicion, does not show in views.
+    // Views do not contain the sequence, so a higher one alone, as after a refuted suspicion, is no change.
     membersChanged_ = membersChanged_ || record.member.state != stateOf(row);
     record.sequence = row.sequence;
     record.member.state = stateOf(row);
@@ -134,8 +135,8 @@
         record.member.state = stateOf(row);
         membersChanged_ = true;
     }
-    // A death is taken over only from a member that was already suspected and has not answered since. Else a
-    // balancer that comes out of a cut, or has just woken, would bury everybody with the dead of its old view.
+    // A reported death is accepted only if the member was already suspected here and has not answered since. Otherwise
+    // the stale view of a balancer that was partitioned or paused would mark live members as dead everywhere.
     const bool isConfirmed = record.suspected && !record.disputed && record.lastContact < record.changedAt;
     if (isDeadOrLeft(row) && isConfirmed) {
         markDead(record, now);
@@ -147,7 +148,7 @@
     record.disputed = isDeadOrLeft(row);
     record.changedAt = now;
     unconfirmed_.insert(record.member.id);
-    // A disputed death is not passed on: others would take it for a suspicion and bury the member on the next claim.
+    // A disputed death is not propagated: others would take it for a suspicion and accept the next report of the death.
     return record.disputed ? MergeOutcome::Ignored : MergeOutcome::Applied;
 }
 
@@ -347,7 +348,7 @@
     view->isolated = isolated;
     view->members.reserve(records_.size());
     for (const auto& [id, record] : records_) {
-        // Who left by plan is no loss to be shown.
+        // Members that left as planned are not listed as dead.
         if (!record.hasLeft)
             view->members.push_back(record.member);
     }
--- a/Source/Membership/MembersPages.cpp
+++ b/Source/Membership/MembersPages.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-    // What a page carries beside its packed rows, in bytes.
+    // The size of a page without its packed rows.
     constexpr std::size_t pageOverheadBytes = 24;
     constexpr std::size_t maxPackedBytes = largestPeerPayload - pageOverheadBytes;
-    // As many as fit where names are short; fewer are tried when these don't.
+    // Packed first; fewer rows are tried if these do not fit.
     constexpr std::size_t maxPackedRows = 96;
-    // The most that a page of so many rows unpacks to, with the longest names.
+    // The largest unpacked size of maxPackedRows rows with the longest names.
     constexpr std::size_t maxUnpackedBytes = std::size_t(32) * 1024;
 
     std::string packedRows(const std::vector<MemberRow>& rows)
@@ -30,7 +30,7 @@
         std::vector<MemberRow> rows = table.rowsAfter(after, maxPackedRows, page.last);
         page.packedRows = packedRows(rows);
         while (page.packedRows.size() > maxPackedBytes && rows.size() > 1) {
-            // A little fewer than the sizes suggest, since fewer rows are packed less well.
+            // Slightly fewer rows than the ratio of the sizes suggests, since fewer rows compress less well.
             const std::size_t fitting = rows.size() * maxPackedBytes / page.packedRows.size();
             rows.resize(std::max<std::size_t>(1, std::min(rows.size() - 1, fitting * 15 / 16)));
             page.last = false;
--- a/Source/Membership/Membership.cpp
+++ b/Source/Membership/Membership.cpp
@@ -9,14 +9,14 @@
 namespace {
 
     constexpr std::size_t maxRelayedProbes = 32;
-    // Ids named in one request for details.
+    // The most ids in one request for details.
     constexpr std::size_t maxNamedIds = 8;
-    // Rows in rotation make good for so many missing members.
+    // Up to this many missing members are left to the anti-entropy rows.
     constexpr std::size_t maxMissingWithoutCatchUp = 3;
-    // More than this share of all members missing is much.
+    // A gap is large if more than one in this many of the known members is missing.
     constexpr std::size_t largeGapDivisor = 64;
 
-    // Nonces count milliseconds, so all times inside do.
+    // Nonces have a resolution of milliseconds, so all times of the protocol are rounded down to it.
     TimePoint floorToMilliseconds(TimePoint now) { return std::chrono::floor<std::chrono::milliseconds>(now); }
 
 }
@@ -49,7 +49,7 @@
             onHeartbeat(event.from, envelope, message.value(), now);
         return finish(now, false);
     }
-    // All else counts only from members whose heartbeat came before.
+    // Other messages are accepted only from live members of the same incarnation.
     const MemberRecord* const sender = table_.find(envelope.sender);
     if (!sender || !sender->isAlive() || sender->member.incarnation != envelope.senderIncarnation)
         return finish(now, false);
@@ -81,7 +81,7 @@
         if (vm.peerAddress.isSet() && !std::binary_search(known.begin(), known.end(), vm.peerAddress))
             (vm.isLeaving ? leaving : unknownAddresses_).push_back(vm.peerAddress);
     }
-    // The list may be wrong about who leaves, so these are better than nobody.
+    // Leaving VMs are contacted only if there are no others, since the list may be stale.
     if (unknownAddresses_.empty())
         unknownAddresses_ = std::move(leaving);
     return finish(now, false);
@@ -128,8 +128,8 @@
 {
     const MemberRecord* const known = table_.find(envelope.sender);
     if (known && envelope.senderIncarnation < known->member.incarnation) {
-        // Either an old datagram, or a member whose wall clock was set back before it restarted: nobody would take its
-        // messages, so it is told the incarnation that it has to exceed.
+        // Either a delayed datagram, or a member that restarted after its wall clock was set back. Other members drop
+        // the latter's messages, so it is sent the incarnation that it has to exceed.
         answer(from, known, { .withPeerRow = true }, now);
         return;
     }
@@ -145,7 +145,8 @@
     }
     if (!sender || sender->member.incarnation != envelope.senderIncarnation)
         return;
-    // A cut has healed: a small fleet reads what it missed at once, a large one learns it from rows in rotation.
+    // A network partition has ended. A small fleet reads what it missed at once, a large one receives it by
+    // anti-entropy.
     const bool isReachableAgain = wasDead && sender->isAlive() && isMesh();
     const bool isFirst = !catchUp_.isDone() && sender->isAlive();
     if (!catchUp_.isRunning() && (isFirst || isReachableAgain || isCatchUpDue(message.membersKnown, now)))
@@ -154,7 +155,7 @@
     sender->membersKnown = message.membersKnown;
     maxMembersKnownElsewhere_ = std::max(maxMembersKnownElsewhere_, message.membersKnown);
     handleEcho(*sender, message.echo, now);
-    // A sender that is dead here has to hear so, or it never refutes.
+    // A sender that is marked dead here has to be told, so that it can refute it.
     if (message.wantsAnswer || !sender->isAlive()) {
         answer(sender->member.peerAddress, sender,
             { .wantsAnswer = !sender->isAlive(), .withDetails = message.wantsDetails }, now);
@@ -172,7 +173,7 @@
 {
     if (isJoining(now))
         return peerMembersKnown > table_.size() && now - lastCatchUp_ >= settings_.minTimeBetweenJoiningCatchUps;
-    // When many join at once, news of each of them takes minutes to go round; pages carry no row twice.
+    // When many members join at once, a catch-up is faster than gossip about each of them.
     if (peerMembersKnown <= table_.size() + maxMissingWithoutCatchUp)
         return false;
     const bool isLargeGap = peerMembersKnown - table_.size() > table_.size() / largeGapDivisor;
@@ -233,7 +234,7 @@
 void Membership::onMembersPage(const MemberRecord& sender, const MembersPageMessage& message, TimePoint now)
 {
     const Result<std::vector<MemberRow>> rows = rowsOf(message);
-    // What can't be read must not pass for the end of the view; the page is asked for again, of another member.
+    // An unreadable page must not count as the end of the view. It is requested again, from another member.
     if (!rows)
         return;
     mergeRows(rows.value(), sender.member.peerAddress, message.named, now);
@@ -268,7 +269,7 @@
         table_.setSelfIncarnation(row.incarnation, row.sequence + 1);
     } else if (row.incarnation > self.member.incarnation
         && (lastIncarnationRaise_ == TimePoint::min() || now - lastIncarnationRaise_ > settings_.suspectAfter)) {
-        // The pace bounds the damage when two processes run under one name by mistake.
+        // The rate limit bounds the traffic if two processes run under one name by mistake.
         lastIncarnationRaise_ = now;
         table_.setSelfIncarnation(row.incarnation + 1, 0);
     }
@@ -278,8 +279,8 @@
 {
     if (!isolationDetector_.detectPause(now))
         return;
-    // Symptom without this: a balancer that slept for 30 s buries everybody, since nobody has answered for 30 s, and
-    // acts on what datagrams from before the pause say. The clock went on while nothing was listened to.
+    // The time of the pause must not count as unanswered, or this balancer would declare all other members dead. The
+    // view may be stale and is read again.
     failureDetector_.reset(now);
     relayedProbes_.clear();
     startCatchUp(std::nullopt, now);
--- a/Source/Membership/MembershipRounds.cpp
+++ b/Source/Membership/MembershipRounds.cpp
@@ -1,4 +1,4 @@
-// The rounds of class Membership: what it sends of its own accord, and how messages leave.
+// Class Membership, continued: what is sent in each interval, and the sending of messages.
 #include "Membership/Membership.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // Of so many members, whoever knows most is asked for a page.
+    // The size of the random sample from which the source of a page is chosen.
     constexpr std::size_t pageCandidates = 8;
 
 }
@@ -15,7 +15,7 @@
 void Membership::beginInterval(TimePoint now)
 {
     ++round_;
-    // A fixed beat, unless the shell fell behind.
+    // Keeps a fixed rate unless the caller's ticks are late.
     nextInterval_ = std::max(nextInterval_ + settings_.interval, now + settings_.interval / 2);
     answersLeft_ = settings_.answersPerInterval;
     verificationsLeft_ = settings_.verificationsPerInterval;
@@ -37,7 +37,8 @@
 
 void Membership::probeAll(TimePoint now)
 {
-    // The other side sends as often, and its next heartbeat answers this one; only silence needs an answer at once.
+    // Peers send as often, and the next heartbeat of each echoes this one. Only unresponsive peers are asked to answer
+    // at once.
     const bool isSearching = isolationDetector_.isSearching(now);
     for (const BalancerId id : probeOrder_.prune(aliveFilter())) {
         MemberRecord& peer = *table_.find(id);
@@ -50,14 +51,14 @@
 
 void Membership::probeSome(TimePoint now)
 {
-    // Every other probe stays in the own availability zone: when most of the fleet is cut off, a balancer still hears
-    // soon enough from those it can reach to know that it is not alone.
+    // Every other probe stays in this balancer's availability zone, so that it still gets answers soon enough not to
+    // count as isolated if only its own zone is reachable.
     auto target = round_ % 2 == 0 ? zoneProbeOrder_.next(aliveFilter(), random_) : std::nullopt;
     if (!target)
         target = probeOrder_.next(aliveFilter(), random_);
     if (target)
         probe(*table_.find(*target), now);
-    // Who has just started hears from more members how many there are.
+    // A joining balancer asks more members, to learn how many there are.
     if (isJoining(now)) {
         for (const BalancerId id : sampleAlive(settings_.joiningProbesPerInterval))
             probe(*table_.find(id), now);
@@ -109,7 +110,8 @@
 
 void Membership::retryDead(TimePoint now)
 {
-    // Two sides of a cut hold each other dead; somebody has to try, or they stay apart after it has healed.
+    // Both sides of a network partition consider each other dead. Without these probes they would not merge after it
+    // ends.
     if (!isMesh() && round_ % settings_.intervalsPerRetry != 0)
         return;
     if (const auto id = table_.randomDead(random_)) {
@@ -124,7 +126,7 @@
     if (unknownAddresses_.empty() || (!isAlone && round_ % settings_.intervalsPerRetry != 0))
         return;
     const std::size_t count = std::min(isAlone ? settings_.searchFanOut : 1, unknownAddresses_.size());
-    // The first ones of a shuffle that goes no further than needed.
+    // A partial shuffle that selects `count` addresses.
     for (std::size_t i = 0; i < count; ++i) {
         std::swap(unknownAddresses_[i], unknownAddresses_[i + random_() % (unknownAddresses_.size() - i)]);
         sendHeartbeat(
@@ -146,7 +148,7 @@
 
 void Membership::startCatchUp(std::optional<BalancerId> source, TimePoint now)
 {
-    // Those that joined at the same moment are missing from the pages of the first time.
+    // Members that joined at the same time may be missing from the first catch-up.
     if (!catchUp_.isDone())
         secondCatchUp_ = now + settings_.secondCatchUpDelay;
     catchUp_.start();
@@ -158,7 +160,7 @@
 {
     if (!catchUp_.mayRequest(now))
         return;
-    // Whoever did not send the last page may be silent, or asked by too many.
+    // A member that did not send the page in time may be unresponsive or overloaded.
     if (catchUp_.isOverdue(now))
         pageSource_.reset();
     const MemberRecord* const source = pageSource();
@@ -197,7 +199,7 @@
     HeartbeatMessage message { nonces_.nonceAt(now), peer ? peer->lastNonce : 0, options.wantsAnswer,
         options.wantsDetails, own.sequence, own.status, own.configurationVersion,
         static_cast<std::uint32_t>(table_.size()), std::move(own.details), {} };
-    // First what the peer can refute.
+    // The receiver's own row comes first if it has to refute it.
     if (peer && (options.withPeerRow || peer->suspected || !peer->isAlive()))
         message.rows.push_back(rowOf(*peer, false));
     appendGossip(message.rows);
@@ -240,8 +242,8 @@
 {
     addToProbeOrders(now);
     const bool isIsolated = isolationDetector_.isIsolated(table_.othersAlive() > 0, now);
-    // A view of a large fleet is costly to copy, so changes of versions alone, and pages of a catch-up, are collected
-    // over an interval.
+    // A view of a large fleet is expensive to copy, so changes of configuration versions alone, and changes during a
+    // catch-up, are published once per interval.
     const bool mayDelay = !isMesh() && !endsInterval;
     const bool isDue = isIsolated != view_->isolated || (table_.membersChanged() && !(mayDelay && catchUp_.isRunning()))
         || (table_.versionsChanged() && !mayDelay);
--- a/Source/Membership/NonceClock.cpp
+++ b/Source/Membership/NonceClock.cpp
@@ -10,7 +10,7 @@
 
 std::uint32_t NonceClock::nonceAt(TimePoint now) const
 {
-    // Wraps around every 49 days; only differences count.
+    // Wraps around every 49 days; only differences are used.
     return base_
         + static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now - start_).count());
 }
--- a/Source/Membership/Ownership.cpp
+++ b/Source/Membership/Ownership.cpp
@@ -12,7 +12,7 @@
         const Member* member = nullptr;
         std::uint64_t hash = 0;
 
-        // Equal hashes are settled by the id, so that the order of the members never matters.
+        // Equal hashes are ordered by id, so that the result does not depend on the order of the members.
         bool ranksAbove(const Candidate& other) const
         {
             if (!other.member)
--- a/Source/Membership/ProbeOrder.cpp
+++ b/Source/Membership/ProbeOrder.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // Draws for each wanted member, so that a sample ends even when hardly anybody passes.
+    // The limit of random draws per requested member, so that sampling ends even if few members pass the filter.
     constexpr std::size_t drawsPerMember = 4;
 
 }
@@ -17,8 +17,8 @@
     if (std::find(ids_.begin(), ids_.end(), id) != ids_.end())
         return;
     ids_.push_back(id);
-    const std::size_t place = position_ + random() % (ids_.size() - position_);
-    std::swap(ids_[place], ids_.back());
+    const std::size_t index = position_ + random() % (ids_.size() - position_);
+    std::swap(ids_[index], ids_.back());
 }
 
 std::optional<BalancerId> ProbeOrder::next(const Filter& passes, std::mt19937_64& random)
