--- a/Source/Configuration/ApplyOperation.h
+++ b/Source/Configuration/ApplyOperation.h
@@ -16,54 +16,58 @@
 
 namespace wisteriadock {
 
-// What an operator wants applied.
+// The configuration that an operator applies, and the conditions of the apply.
 struct ApplyRequest {
     Configuration configuration;
-    // Names this apply; see isName(). Running the same apply again with the same id has the same effect as once.
+    // Identifies this apply; must satisfy isName(). Repeating an apply with the same id has no further effect.
     std::string applyId;
     std::string author;
-    // Refuse unless this is the newest version; 0 for "there is none yet".
+    // If set, the apply is refused unless this is the newest version; 0 means that there is no version yet.
     std::optional<std::uint64_t> baseVersion;
-    // The new version is above this one as well. For a platform that was restored from an older copy: the highest
-    // version that any balancer has in force.
+    // The new version is also above this one. Needed after the platform was restored from an older copy; then it is the
+    // highest version that any balancer has in force.
     std::uint64_t aboveVersion = 0;
     ChangeFlags allowed;
-    // Apply although the version in force can't be read, without checking the change against it.
+    // Apply even if the version in force can't be read, without checking the change against it.
     bool allowUnreadableBase = false;
-    // When to give up.
+    // When retrying ends.
     TimePoint deadline;
 };
 
-// A value as the platform holds it.
+// A value of the platform's store with its revision.
 struct StoredValue {
     std::string value;
     std::uint64_t revision = 0;
 };
 
-// Calls of the platform's that the operation asks for, one at a time.
+// Action: read this key from the platform.
 struct GetKey {
     std::string key;
 };
 
+// Action: write the value by compare-and-swap.
 struct SwapKey {
     std::string key;
+    // The expected revision; 0 if the key must not exist.
     std::uint64_t revision = 0;
     std::string value;
 };
 
+// Action: wait before the next attempt.
 struct WaitForRetry {
     Duration delay {};
 };
 
-// What to do next; an outcome ends the operation.
+// The next action for the caller. An ApplyOutcome ends the operation.
 using ApplyAction = std::variant<GetKey, SwapKey, WaitForRetry, ApplyOutcome>;
 
-// The answers to those calls, with the errors of the PlatformService concept.
+// The results of the actions, with the errors of the PlatformService concept.
 struct GetEnded {
     Result<StoredValue> result;
 };
 
 struct SwapEnded {
+    // The new revision.
     Result<std::uint64_t> result;
 };
 
@@ -71,24 +75,25 @@
 
 using ApplyEvent = std::variant<GetEnded, SwapEnded, WaitEnded>;
 
-// Writes one version: the content first, which nobody reads yet, then the head, by one compare-and-swap that decides
-// alone. So a version is applied whole or not at all, and of two operators one wins.
+// Writes one configuration version to the platform. The content is written first, then the head that refers to it, by a
+// single compare-and-swap. So a version is applied completely or not at all, and of two concurrent applies one
+// succeeds. ctl runs it through ApplyRunner, which performs the actions and returns their results as events.
 //
-// The answer to that compare-and-swap can be lost after it took effect. Repeating it blindly would end in a conflict
-// with itself, and ctl would tell an operator "refused" about a version in force. So the operation reads the head: if
-// it remembers the apply id, the apply was accepted. If it is still the old one, the same write may safely go out
-// again, as at most one of both can take effect.
+// The answer to the compare-and-swap of the head can be lost although it took effect. Repeating it would then conflict
+// with the own write and report an accepted version as refused. So the operation reads the head again: if the head
+// records the apply id, the apply was accepted. If the head is unchanged, the same write is repeated; both writes
+// expect the same revision, so at most one of them takes effect.
 class ApplyOperation {
 public:
     explicit ApplyOperation(ApplyRequest);
 
-    // The first action.
+    // Returns the first action.
     ApplyAction start(TimePoint now);
-    // The answer to the last action; gives the next one.
+    // Handles the result of the last action and returns the next one.
     ApplyAction handle(const ApplyEvent&, TimePoint now);
 
 private:
-    // What the answer that comes next is for.
+    // The call whose result is expected next.
     enum class Step {
         ReadHead,
         ReadBase,
@@ -133,14 +138,14 @@
     unsigned failures_ = 0;
     std::string lastFailure_;
 
-    // The head as it was read first, and its revision; none and 0 before the first version.
+    // The head as it was read first, and its revision; empty and 0 if there is no version yet.
     std::optional<ConfigurationHead> base_;
     std::uint64_t headRevision_ = 0;
     std::optional<ContentReader> baseReader_;
     std::size_t partsWritten_ = 0;
     std::optional<ConfigurationHead> newHead_;
     bool isUnchanged_ = false;
-    // Whether an answer to the deciding write was lost.
+    // Whether an answer to a write of the head was lost.
     bool mayBeApplied_ = false;
 };
 
--- a/Source/Configuration/ChangeRules.h
+++ b/Source/Configuration/ChangeRules.h
@@ -8,16 +8,17 @@
 
 namespace wisteriadock {
 
-// What an operator allows explicitly, since it is more often a mistake than a wish.
+// Changes that are usually mistakes and are refused unless the operator allows them.
 struct ChangeFlags {
-    // Lets a service end up without an active backend server: it then takes no new work.
+    // A service may be left without an active backend server; it then takes no new flows or requests.
     bool allowIdleService = false;
-    // Lets an address go from one service to another: packets still on their way reach the other service.
+    // An address may move from one service to another. Packets in flight then reach the other service.
     bool allowMovedAddress = false;
 };
 
-// Why a change from one version to the next is refused: one sentence a rule broken, each naming the entry and the flag
-// that would allow it. Empty when the change is fine. The first version is checked against an empty configuration.
+// Checks the change from one version to the next. Returns a message for each violated rule, which names the entry and
+// the flag that allows the change; empty if the change is allowed. The first version is checked against an empty
+// configuration. Called by ApplyOperation and by ctl.
 std::vector<std::string> checkChange(const Configuration& before, const Configuration& after, ChangeFlags);
 
 }
--- a/Source/Configuration/Configuration.h
+++ b/Source/Configuration/Configuration.h
@@ -11,32 +11,33 @@
 
 namespace wisteriadock {
 
-// Whether a backend server takes new work.
+// Whether a backend server takes new flows and requests.
 enum class BackendServerState {
-    Active, // Takes new flows and requests.
-    Draining, // Keeps what it has and takes nothing new.
+    Active, // Takes them.
+    Draining, // Finishes its existing flows and requests and takes no new ones.
 };
 
 std::string_view nameOf(BackendServerState);
 
-// The names of the states in files.
+// The names of the states in configuration files.
 constexpr auto backendServerStateNames = makeNameTable<BackendServerState>({
     { BackendServerState::Active, "active" },
     { BackendServerState::Draining, "draining" },
 });
 
-// One service: the address its callers use and the rules by which its traffic is shared.
+// One service: the address that its callers use and the parameters of load balancing.
 struct Service {
     std::string name;
     ServiceId id;
     Endpoint address;
-    // 0 keeps every flow where it is and accepts uneven load; 1 keeps load even at the cost of more moved buckets.
+    // From 0 (flows stay where they are and the load may be uneven) to 1 (the load is kept even at the cost of more
+    // moved buckets).
     double evenness = 0.5;
-    // The share of backend servers that always stays in use, however many look unhealthy (0 to 1).
+    // The share of backend servers that stays in use even if more of them look unhealthy (0 to 1).
     double panicThreshold = 0.5;
-    // Idle time after which a flow counts as ended, in seconds.
+    // The idle time in seconds after which a flow counts as ended.
     std::uint32_t flowIdleSeconds = 300;
-    // Objective for the service-level burn report: the share of flows and requests that must end well (0 to 1).
+    // The service-level objective for the burn rate: the share of flows and requests that must succeed (0 to 1).
     double objective = 0.999;
 
     bool operator==(const Service&) const = default;
@@ -50,25 +51,26 @@
     Endpoint flowAddress;
     Endpoint requestAddress;
     std::string availabilityZone;
-    // Requests that it runs at once.
+    // The most requests that it handles concurrently.
     std::uint32_t slots = 2;
-    // Flows that it carries at once.
+    // The most concurrent flows.
     std::uint32_t connections = 2000;
-    // Its share of new work relative to the others of its service.
+    // Its share of new flows and requests relative to the other backend servers of its service.
     std::uint32_t weight = 100;
     BackendServerState state = BackendServerState::Active;
-    // Seconds over which a server that is new to its service ramps up to its full weight; 0 for at once.
+    // Seconds over which a backend server that is new to its service ramps up to its full weight; 0 to start at full
+    // weight.
     std::uint32_t slowStartSeconds = 0;
 
     bool operator==(const BackendServer&) const = default;
 };
 
-// What the operators declared, checked whole. Services and servers are sorted by name.
+// The services and backend servers declared by the operators, after all checks. Both lists are sorted by name.
 struct Configuration {
     std::vector<Service> services;
     std::vector<BackendServer> backendServers;
 
-    // Look-ups by name are binary searches, those by identifier linear ones. Null when there is no such entry.
+    // Lookup by name is a binary search, by identifier a linear one. Null if there is no such entry.
     const Service* findService(std::string_view name) const;
     const Service* findService(ServiceId) const;
     const BackendServer* findBackendServer(std::string_view name) const;
--- a/Source/Configuration/ConfigurationCheck.h
+++ b/Source/Configuration/ConfigurationCheck.h
@@ -8,21 +8,23 @@
 
 namespace wisteriadock {
 
-// A service as its section declares it, with the section to report problems at.
+// A service as declared, with the section to which problems are attributed.
 struct DeclaredService {
     Service service;
     SectionReader* section = nullptr;
 };
 
-// A backend server as its section declares it. Keys that were malformed, and reported so, are unset.
+// A backend server as declared, with the section to which problems are attributed. Malformed keys, which have been
+// reported already, are unset.
 struct DeclaredBackendServer {
     BackendServer server;
     std::string serviceName;
     SectionReader* section = nullptr;
 };
 
-// Checks what no single key shows: numbers of entries, addresses used twice, backend servers of no service, services
-// without backend servers, and names whose identifiers collide. Reports problems through the sections and the reader.
+// Checks entries against each other: the numbers of entries, duplicate addresses, backend servers of undeclared
+// services, services without backend servers, and names whose identifiers collide. Reports problems through the
+// sections and the reader. Called by parseConfiguration().
 void checkConsistency(SettingsReader&, const std::vector<DeclaredService>&, const std::vector<DeclaredBackendServer>&);
 
 }
--- a/Source/Configuration/ConfigurationDiff.h
+++ b/Source/Configuration/ConfigurationDiff.h
@@ -15,13 +15,13 @@
     BackendServerAdded,
     BackendServerRemoved,
     BackendServerChanged,
-    // An address of a service, or of one of its backend servers, now belongs to another service.
+    // The address of a service, or of one of its backend servers, moved to another service.
     AddressMoved,
 };
 
 std::string_view nameOf(ChangeKind);
 
-// One key whose value differs.
+// One key whose value changed, with both values as text.
 struct FieldChange {
     std::string key;
     std::string before;
@@ -33,18 +33,19 @@
 // One difference between two configurations.
 struct ConfigurationChange {
     ChangeKind kind = ChangeKind::ServiceAdded;
-    // The service, the backend server or the address.
+    // The name of the service or backend server, or the address.
     std::string name;
-    // What differs, for the kinds that change or move.
+    // The changed keys, for changed entries and moved addresses.
     std::vector<FieldChange> fields;
 
-    // "~ backend_server tryon-3: state active -> draining" as ctl prints it.
+    // One line of ctl's output, such as "~ backend_server tryon-3: state active -> draining".
     std::string toString() const;
 
     bool operator==(const ConfigurationChange&) const = default;
 };
 
-// Every difference: services by name, backend servers by name, then moved addresses. Empty for equal configurations.
+// All differences: services by name, backend servers by name, then moved addresses. Empty for equal configurations.
+// Called by ctl and by checkChange().
 std::vector<ConfigurationChange> diffConfigurations(const Configuration& before, const Configuration& after);
 
 }
--- a/Source/Configuration/ConfigurationHead.h
+++ b/Source/Configuration/ConfigurationHead.h
@@ -10,24 +10,25 @@
 
 namespace wisteriadock {
 
-// How many applies a head remembers, its own included. An operator whose answer was lost can find the outcome out as
-// long as fewer than this many versions were accepted since.
+// The number of applies that a head records, including its own. The outcome of an apply whose answer was lost can be
+// determined as long as fewer versions than this were accepted since.
 constexpr std::size_t maxRememberedApplies = 32;
 constexpr std::size_t maxAuthorLength = 63;
 
 // One accepted apply.
 struct AppliedVersion {
     std::uint64_t version = 0;
-    // Chosen by the operator's ctl for one apply, so that its effect can be told from anybody else's.
+    // Chosen by ctl for one apply, to tell it apart from other applies.
     std::string applyId;
     std::string contentHash;
-    // Who applied, as ctl was told; for people.
+    // The operator's name as given to ctl; informational.
     std::string author;
 
     bool operator==(const AppliedVersion&) const = default;
 };
 
-// The small value whose compare-and-swap makes a version the one in force.
+// The value that names the version in force. It is replaced by compare-and-swap, so that one of two concurrent applies
+// wins. Written by ApplyOperation and read by HeadReader.
 struct ConfigurationHead {
     AppliedVersion applied;
     // The version that the applied one was checked against and replaced.
@@ -37,18 +38,18 @@
     // Earlier applies, newest first.
     std::vector<AppliedVersion> previousApplies;
 
-    // The remembered apply of this id, or null.
+    // The recorded apply of this id, or null.
     const AppliedVersion* findApply(std::string_view applyId) const;
-    // The remembered apply that replaced the given version, or null.
+    // The recorded apply that replaced the given version, or null.
     const AppliedVersion* successorOf(std::uint64_t version) const;
-    // Whether every apply after the given version is remembered.
+    // Whether every apply after the given version is recorded.
     bool remembersSince(std::uint64_t version) const;
 
-    // The previous applies of a head that follows this one.
+    // The value of previousApplies for the head that replaces this one.
     std::vector<AppliedVersion> appliesForNext() const;
 
     std::string toJson() const;
-    // Fails with InvalidArgument; the detail names what was expected.
+    // Fails with InvalidArgument; the detail describes the expected value.
     static Result<ConfigurationHead> parse(std::string_view json);
 
     bool operator==(const ConfigurationHead&) const = default;
--- a/Source/Configuration/ConfigurationKeys.h
+++ b/Source/Configuration/ConfigurationKeys.h
@@ -2,7 +2,7 @@
 
 #include <string_view>
 
-// The names of sections and keys in the operators' file, shared by the parser, the writer and the diff.
+// The names of sections and keys in configuration files, shared by the parser, the writer and the diff.
 namespace wisteriadock::configuration_keys {
 
 constexpr std::string_view service = "service";
--- a/Source/Configuration/ConfigurationParser.h
+++ b/Source/Configuration/ConfigurationParser.h
@@ -9,12 +9,13 @@
 
 namespace wisteriadock {
 
-// A configuration that passed every check, or all that is wrong with its file.
+// A configuration that passed all checks, or the problems of its file.
 using ConfigurationResult
     = boost::outcome_v2::basic_result<Configuration, SettingsProblems, boost::outcome_v2::policy::terminate>;
 
-// Reads text as the content of the named file and checks it whole (docs/operators/configuration-reference.md). A
-// problem in one place does not hide those in others. Used by ctl on operators' files and by balancers on stored ones.
+// Parses and checks the text of a configuration file (docs/operators/configuration-reference.md). `file` is the name
+// used in problems. All problems of a file are reported at once. Called by ctl for operators' files and by balancers
+// for stored content.
 ConfigurationResult parseConfiguration(const std::string& file, std::string_view text);
 
 }
--- a/Source/Configuration/ConfigurationWriter.h
+++ b/Source/Configuration/ConfigurationWriter.h
@@ -8,7 +8,7 @@
 
 namespace wisteriadock {
 
-// One key of an entry with the text that stands for its value in files.
+// One key of an entry and the text of its value in configuration files.
 struct ConfigurationField {
     std::string_view key;
     std::string value;
@@ -16,12 +16,12 @@
     bool operator==(const ConfigurationField&) const = default;
 };
 
-// Every key of an entry, in canonical order.
+// All keys of an entry, in canonical order.
 std::vector<ConfigurationField> fieldsOf(const Service&);
 std::vector<ConfigurationField> fieldsOf(const BackendServer&, std::string_view serviceName);
 
-// The canonical text: sorted by name, every key written out. Parsing it gives the same configuration again, and equal
-// configurations have equal texts, so that the hash of the text names the content.
+// The canonical text of a configuration: sorted by name, with every key written out. Parsing it returns the same
+// configuration, and equal configurations have equal texts, so the hash of the text identifies the content.
 std::string writeConfiguration(const Configuration&);
 
 }
--- a/Source/Configuration/ContentReader.h
+++ b/Source/Configuration/ContentReader.h
@@ -9,27 +9,28 @@
 
 namespace wisteriadock {
 
-// One version, read whole and verified.
+// One complete and verified version.
 struct ConfigurationVersion {
     ConfigurationHead head;
     Configuration configuration;
-    // The canonical text that the head's content hash names, for handing it on to other balancers.
+    // The canonical text with the head's content hash, which is sent to other balancers.
     std::string text;
 };
 
-// Puts the content of one head together out of its parts, which the caller fetches one after the other.
+// Assembles the content of one head from its parts, which the caller fetches one after the other. Used by HeadReader
+// and ApplyOperation.
 class ContentReader {
 public:
     explicit ContentReader(ConfigurationHead);
 
     const ConfigurationHead& head() const { return head_; }
     bool isComplete() const { return partsRead_ == head_.contentParts; }
-    // The key of the part to fetch now; only while not complete.
+    // The key of the part to fetch next. Call only if not complete.
     std::string nextKey() const;
     void addPart(std::string_view part);
 
-    // The version, once complete. Fails with InvalidArgument when the text is not the one that the head names, or when
-    // it doesn't pass the check.
+    // Returns the version; call once complete. Fails with InvalidArgument if the text does not match the head's hash
+    // and size, or is no valid configuration.
     Result<ConfigurationVersion> finish();
 
 private:
--- a/Source/Configuration/HeadReader.h
+++ b/Source/Configuration/HeadReader.h
@@ -11,28 +11,28 @@
 
 namespace wisteriadock {
 
-// Why a head is not put in force. The version in force stays.
+// Why the version of a head is not put in force. The version in force is kept.
 enum class HeadProblemKind {
-    Malformed, // The head is no head, or of a newer format.
-    OlderCopy, // The store went back: it holds an older version, or another content under the version in force.
-    PartMissing, // A part of the content is not there (yet).
-    Unreachable, // A part could not be read; read the head again later.
-    WrongContent, // The content is not the one that the head names, or doesn't pass the check.
+    Malformed, // The head can't be parsed, or has a newer format.
+    OlderCopy, // The store was restored from an older copy: its version is older, or the same with other content.
+    PartMissing, // A part of the content does not exist, or not yet.
+    Unreachable, // A part could not be read; the caller reads the head again later.
+    WrongContent, // The content does not match the head, or is no valid configuration.
 };
 
 std::string_view nameOf(HeadProblemKind);
 
-// Fetch this key, then call handlePart with what came.
+// Action: fetch this key, then call handlePart() with the result.
 struct FetchPart {
     std::string key;
 };
 
-// Put this version in force.
+// Action: put this version in force.
 struct PutInForce {
     ConfigurationVersion version;
 };
 
-// The head names the version in force.
+// No action: the head names the version in force.
 struct NothingNew { };
 
 struct HeadProblem {
@@ -42,17 +42,17 @@
 
 using HeadAction = std::variant<FetchPart, PutInForce, NothingNew, HeadProblem>;
 
-// Turns heads and parts of content, from the platform or from a peer, into verified versions that only rise. Used by
-// every balancer; the caller fetches and puts in force.
+// Reads configuration versions from heads and parts of content that the caller fetches from the platform or from a
+// peer. Verifies them and returns only versions newer than the one in force. Used by balancers and by ctl.
 class HeadReader {
 public:
-    // Takes the value of a head. A read that is still going on is given up for it.
+    // Handles the value of a head. Cancels a read in progress.
     HeadAction handleHead(std::string_view value);
 
-    // Takes the part that was asked for last.
+    // Handles the result of the last FetchPart.
     HeadAction handlePart(const Result<std::string>& part);
 
-    // The newest version that was handed out, or nothing. Versions never go back below it.
+    // The last version returned by PutInForce, or nothing. Only higher versions replace it.
     const std::optional<AppliedVersion>& inForce() const { return inForce_; }
 
 private:
