--- a/Benchmarks/ConfigurationBenchmark.cpp
+++ b/Benchmarks/ConfigurationBenchmark.cpp
@@ -113,7 +113,7 @@
             made.baseVersion = version - 1;
             // Heads in use remember as many applies as they may.
             AppliedVersion earlier = made.applied;
-            while (made.previousApplies.size() + 1 < maxRememberedApplies) {
+            while (made.previousApplies.size() + 1 < maxRecordedApplies) {
                 earlier.applyId = fmt::format("apply-{}", --earlier.version);
                 made.previousApplies.push_back(earlier);
             }
--- a/Source/Configuration/ApplyOperation.cpp
+++ b/Source/Configuration/ApplyOperation.cpp
@@ -273,7 +273,7 @@
         return refuseSuperseded(ApplyRefusal::LostRace, *head);
     // Absent from a head that remembers everything since our base: another version took its place, and the write's
     // revision is gone for good. Any other head proves nothing.
-    if (head->applied.version > versionOf(base_) && head->remembersSince(versionOf(base_)))
+    if (head->applied.version > versionOf(base_) && head->recordsAllSince(versionOf(base_)))
         return refuseSuperseded(ApplyRefusal::LostRace, *head);
     return concludeUnknown(fmt::format(
         "the head, now version {}, does not reach back to base version {}", head->applied.version, versionOf(base_)));
@@ -319,7 +319,7 @@
         { fmt::format("against base version {}, version {} of {} (apply id {}) was accepted first; the newest version "
                       "is {}",
             base, winner.version, winner.author, winner.applyId, head.applied.version) });
-    if (!head.remembersSince(base))
+    if (!head.recordsAllSince(base))
         std::get<ApplyOutcome>(action).details.push_back(fmt::format(
             "the head no longer remembers whether an earlier run with apply id {} was accepted", request_.applyId));
     std::get<ApplyOutcome>(action).winner = winner;
--- a/Source/Configuration/ConfigurationHead.cpp
+++ b/Source/Configuration/ConfigurationHead.cpp
@@ -61,8 +61,8 @@
     Result<std::vector<AppliedVersion>> readPrevious(const Json& object, std::uint64_t version)
     {
         const auto list = object.find("previous_applies");
-        if (list == object.end() || !list->is_array() || list->size() >= maxRememberedApplies)
-            return malformedHead(fmt::format("previous_applies, a list shorter than {}", maxRememberedApplies));
+        if (list == object.end() || !list->is_array() || list->size() >= maxRecordedApplies)
+            return malformedHead(fmt::format("previous_applies, a list shorter than {}", maxRecordedApplies));
         std::vector<AppliedVersion> previous;
         for (const Json& entry : *list) {
             auto applied = readApplied(entry);
@@ -95,9 +95,9 @@
     return successor;
 }
 
-bool ConfigurationHead::remembersSince(std::uint64_t version) const
+bool ConfigurationHead::recordsAllSince(std::uint64_t version) const
 {
-    const bool isWholeHistory = previousApplies.size() + 1 < maxRememberedApplies;
+    const bool isWholeHistory = previousApplies.size() + 1 < maxRecordedApplies;
     const std::uint64_t oldest = previousApplies.empty() ? applied.version : previousApplies.back().version;
     return isWholeHistory || oldest <= version;
 }
@@ -105,7 +105,7 @@
 std::vector<AppliedVersion> ConfigurationHead::appliesForNext() const
 {
     std::vector<AppliedVersion> applies { applied };
-    const std::size_t kept = std::min(previousApplies.size(), maxRememberedApplies - 2);
+    const std::size_t kept = std::min(previousApplies.size(), maxRecordedApplies - 2);
     applies.insert(applies.end(), previousApplies.begin(), previousApplies.begin() + static_cast<std::ptrdiff_t>(kept));
     return applies;
 }
--- a/Source/Configuration/ConfigurationHead.h
+++ b/Source/Configuration/ConfigurationHead.h
@@ -12,7 +12,7 @@
 
 // The number of applies that a head records, including its own. The outcome of an apply whose answer was lost can be
 // determined as long as fewer versions than this were accepted since.
-constexpr std::size_t maxRememberedApplies = 32;
+constexpr std::size_t maxRecordedApplies = 32;
 constexpr std::size_t maxAuthorLength = 63;
 
 // One accepted apply.
@@ -43,7 +43,7 @@
     // The recorded apply that replaced the given version, or null.
     const AppliedVersion* successorOf(std::uint64_t version) const;
     // Whether every apply after the given version is recorded.
-    bool remembersSince(std::uint64_t version) const;
+    bool recordsAllSince(std::uint64_t version) const;
 
     // The value of previousApplies for the head that replaces this one.
     std::vector<AppliedVersion> appliesForNext() const;
--- a/Tests/Configuration/ApplyOperationTest.cpp
+++ b/Tests/Configuration/ApplyOperationTest.cpp
@@ -153,7 +153,7 @@
             SCOPED_TRACE("the head forgot: more versions than it remembers were accepted since");
             driver_.headSwapFaults = { SwapFault::LostAfterEffect };
             driver_.afterHeadSwap = [this] {
-                for (std::uint32_t i = 0; i < maxRememberedApplies; ++i)
+                for (std::uint32_t i = 0; i < maxRecordedApplies; ++i)
                     apply(variant(100 + i), "later-" + std::to_string(i));
             };
             EXPECT_EQ(apply(variant(3), "third").status, ApplyStatus::Unknown);
