--- a/Source/Configuration/ApplyOperation.cpp
+++ b/Source/Configuration/ApplyOperation.cpp
@@ -17,7 +17,7 @@
 
     std::uint64_t versionOf(const std::optional<ConfigurationHead>& head) { return head ? head->applied.version : 0; }
 
-    // Errors that the same call can't get over.
+    // Errors that a retry of the same call can't resolve.
     bool isPermanent(ErrorCode code)
     {
         return code == ErrorCode::InvalidArgument || code == ErrorCode::ResourceExhausted;
@@ -36,7 +36,7 @@
 ApplyAction ApplyOperation::start(TimePoint now)
 {
     now_ = now;
-    // Every key written out can make the canonical text longer than the operator's file.
+    // The canonical text writes every key out, so it can be longer than the operator's file.
     if (parts_.size() > maxContentParts)
         return refuse(ApplyRefusal::BadStore,
             { fmt::format("the canonical text is longer than {} bytes", maxConfigurationBytes) });
@@ -68,7 +68,7 @@
     case Step::SwapHead:
         return SwapKey { std::string(configurationHeadKey), headRevision_, newHead_->toJson() };
     }
-    return concludeUnknown("the operation is in no step");
+    return concludeUnknown("internal error: invalid step");
 }
 
 ApplyAction ApplyOperation::goTo(Step step)
@@ -119,7 +119,7 @@
     case Step::SwapHead:
         break;
     }
-    return concludeUnknown("a read was answered that nobody sent");
+    return concludeUnknown("internal error: unexpected answer to a read");
 }
 
 ApplyAction ApplyOperation::handleSwap(const Result<std::uint64_t>& result)
@@ -140,7 +140,7 @@
             return refuse(ApplyRefusal::UnreadableBase, { head.error().detail });
         base_ = std::move(head).value();
         headRevision_ = stored->revision;
-        // An earlier run of this apply got through.
+        // An earlier run of this apply was accepted.
         if (const AppliedVersion* recorded = base_->findApply(request_.applyId))
             return concludeFromRecord(*recorded);
     }
@@ -154,7 +154,7 @@
         return checkAgainst(Configuration());
 
     isUnchanged_ = base_->applied.contentHash == contentHash_ && request_.aboveVersion <= base_->applied.version;
-    // The parts are written all the same: should one be missing, this mends it.
+    // The parts are written even so, which restores a missing one.
     if (isUnchanged_)
         return goTo(Step::WritePart);
     baseReader_.emplace(*base_);
@@ -178,7 +178,8 @@
 {
     if (!request_.allowUnreadableBase)
         return refuse(ApplyRefusal::UnreadableBase,
-            { cause, "the change can't be checked against the version in force; --allow_unreadable_base skips that" });
+            { cause,
+                "the change can't be checked against the version in force; --allow_unreadable_base skips the check" });
     return checkAgainst(Configuration());
 }
 
@@ -205,7 +206,7 @@
     newHead_ = std::move(head);
 }
 
-// Content never changes, so writing a part twice is harmless: the second write finds the first.
+// Stored content never changes, so on a conflict the existing part is compared with the one to be written.
 ApplyAction ApplyOperation::handlePartSwap(const Result<std::uint64_t>& result)
 {
     if (result)
@@ -220,7 +221,7 @@
     if (part && part->value == parts_[partsWritten_])
         return writeNextPart();
     return refuse(ApplyRefusal::BadStore,
-        { fmt::format("{} holds another text than the one that its name stands for",
+        { fmt::format("the content stored under {} does not match the hash in its key",
             contentPartKey(contentHash_, partsWritten_)) });
 }
 
@@ -243,7 +244,8 @@
     if (result.error().code != ErrorCode::Conflict)
         mayBeApplied_ = true;
     lastFailure_ = result.error().toString();
-    // Not goTo(): writing and finding out may take turns, and their delays should go on growing.
+    // Not goTo(), which resets the retry delay: writes and reads of the head may alternate, and the delay must keep
+    // growing.
     step_ = Step::RereadHead;
     return actionFor(step_);
 }
@@ -258,25 +260,26 @@
             return concludeUnknown(parsed.error().detail);
         head = std::move(parsed).value();
     }
-    // Both are compared, because a platform restored from an older copy gives revisions again for other values.
+    // The head is compared too, since a platform restored from an older copy may assign a revision again to another
+    // value.
     if (revision == headRevision_ && head == base_) {
-        // Our write has not taken effect, or not yet. It may go out again: both carry the same revision, so the
-        // platform takes one of them at most.
+        // The write has not taken effect, or not yet. It can be repeated: both writes expect the same revision, so at
+        // most one takes effect.
         step_ = Step::SwapHead;
-        return retry({ ErrorCode::Unknown, "the head was still the old one after: " + lastFailure_ });
+        return retry({ ErrorCode::Unknown, "the head is unchanged after: " + lastFailure_ });
     }
     if (!head)
-        return concludeUnknown("the head is gone");
+        return concludeUnknown("the head no longer exists");
     if (const AppliedVersion* recorded = head->findApply(request_.applyId))
         return concludeFromRecord(*recorded);
     if (!mayBeApplied_)
         return refuseSuperseded(ApplyRefusal::LostRace, *head);
-    // Absent from a head that remembers everything since our base: another version took its place, and the write's
-    // revision is gone for good. Any other head proves nothing.
+    // A head that records all applies since the base but not this one proves that another version replaced the base, so
+    // the write can no longer take effect. Any other head proves nothing.
     if (head->applied.version > versionOf(base_) && head->recordsAllSince(versionOf(base_)))
         return refuseSuperseded(ApplyRefusal::LostRace, *head);
-    return concludeUnknown(fmt::format(
-        "the head, now version {}, does not reach back to base version {}", head->applied.version, versionOf(base_)));
+    return concludeUnknown(fmt::format("the head, now version {}, no longer records the applies since base version {}",
+        head->applied.version, versionOf(base_)));
 }
 
 ApplyAction ApplyOperation::concludeFromRecord(const AppliedVersion& recorded)
@@ -284,7 +287,7 @@
     if (recorded.contentHash == contentHash_)
         return accept(recorded.version);
     return refuse(ApplyRefusal::ReusedApplyId,
-        { fmt::format("apply id {} was used for version {} already, which has other content", recorded.applyId,
+        { fmt::format("apply id {} was already used for version {}, which has different content", recorded.applyId,
             recorded.version) });
 }
 
@@ -321,7 +324,7 @@
             base, winner.version, winner.author, winner.applyId, head.applied.version) });
     if (!head.recordsAllSince(base))
         std::get<ApplyOutcome>(action).details.push_back(fmt::format(
-            "the head no longer remembers whether an earlier run with apply id {} was accepted", request_.applyId));
+            "the head no longer records whether an earlier run with apply id {} was accepted", request_.applyId));
     std::get<ApplyOutcome>(action).winner = winner;
     std::get<ApplyOutcome>(action).baseVersion = base;
     return action;
@@ -333,9 +336,9 @@
     outcome.status = ApplyStatus::Unknown;
     outcome.applyId = request_.applyId;
     outcome.baseVersion = versionOf(base_);
-    outcome.details = { "the version may be accepted or not: " + cause,
-        fmt::format("to find out, run the same command again with --apply_id {} --base_version {}; it never applies "
-                    "twice",
+    outcome.details = { "it is unknown whether the version was accepted: " + cause,
+        fmt::format("to find out, run the same command again with --apply_id {} --base_version {}; it "
+                    "is applied at most once",
             request_.applyId, versionOf(base_)) };
     return outcome;
 }
--- a/Source/Configuration/ChangeRules.cpp
+++ b/Source/Configuration/ChangeRules.cpp
@@ -26,7 +26,7 @@
         for (const Service& service : after.services) {
             if (activeAfter.count(service.id) != 0)
                 continue;
-            // A service that was idle already, by an earlier allowance, must not block changes to others.
+            // A service that was already idle with the operator's consent must not block other changes.
             if (before.findService(service.name) && activeBefore.count(service.id) == 0)
                 continue;
             violations.push_back(fmt::format(
--- a/Source/Configuration/ConfigurationCheck.cpp
+++ b/Source/Configuration/ConfigurationCheck.cpp
@@ -16,7 +16,7 @@
 
     namespace keys = configuration_keys;
 
-    // Names near a misspelt one are only looked for among a few services: the search is linear for each problem.
+    // Suggestions for misspelt service names are limited to small files, since each search takes linear time.
     constexpr std::size_t maxServicesToSearch = 200;
 
     class ConsistencyChecker {
@@ -64,13 +64,13 @@
             const BackendServer& server = declared.server;
             checkIdentifier(serverOfId_, server.id, server.name, *declared.section);
             checkAddress(keys::flowAddress, server.flowAddress, *declared.section);
-            // One server may take flows and requests at one address: the former are datagrams, the latter TCP.
+            // A backend server may use one address for flows (UDP) and requests (TCP).
             if (server.requestAddress != server.flowAddress)
                 checkAddress(keys::requestAddress, server.requestAddress, *declared.section);
             checkServiceOf(declared);
         }
 
-        // Packets are routed by identifier, so two names with one identifier would cross over to each other.
+        // Packets are routed by identifier, so traffic of two names with the same identifier would be mixed up.
         template <typename Id>
         static void checkIdentifier(
             std::unordered_map<Id, std::string_view>& owners, Id id, std::string_view name, SectionReader& section)
@@ -79,7 +79,7 @@
             if (!isNew)
                 section.addProblem({},
                     fmt::format(
-                        "another name; its identifier {:08x} is that of '{}' already", id.value, owner->second));
+                        "a different name; its identifier {:08x} is already used by '{}'", id.value, owner->second));
         }
 
         void checkAddress(std::string_view key, Endpoint address, SectionReader& section)
@@ -89,7 +89,7 @@
             const auto [owner, isNew] = sectionOfAddress_.emplace(address, &section);
             if (!isNew)
                 section.addProblem(key,
-                    fmt::format("an address of its own; this one is that of [{}] on line {}",
+                    fmt::format("a unique address; this one is already used by [{}] on line {}",
                         owner->second->sectionName(), owner->second->line()));
         }
 
--- a/Source/Configuration/ConfigurationContent.cpp
+++ b/Source/Configuration/ConfigurationContent.cpp
@@ -11,7 +11,7 @@
 namespace {
 
     constexpr std::size_t contentHashDigits = 32;
-    // Two seeds make 128 bits out of the 64-bit hash that all balancers share.
+    // Two seeds, since the content hash concatenates two 64-bit hashes.
     constexpr std::uint64_t firstHashSeed = 0x636f6e66;
     constexpr std::uint64_t secondHashSeed = 0x69677572;
 
--- a/Source/Configuration/ConfigurationDiff.cpp
+++ b/Source/Configuration/ConfigurationDiff.cpp
@@ -88,14 +88,14 @@
                 ChangeKind::BackendServerRemoved, [this](const BackendServer& before, const BackendServer& after) {
                     addChangedBackendServer(before, after);
                 });
-            // Without any other difference every address stays where it is.
+            // Without any other difference no address has moved.
             if (!changes_.empty())
                 addMovedAddresses();
             return std::move(changes_);
         }
 
     private:
-        // Walks two lists that are sorted by name side by side.
+        // Compares two lists that are sorted by name.
         template <typename Entry, typename OnBoth>
         void mergeByName(const std::vector<Entry>& before, const std::vector<Entry>& after, ChangeKind added,
             ChangeKind removed, OnBoth onBoth)
--- a/Source/Configuration/ConfigurationHead.cpp
+++ b/Source/Configuration/ConfigurationHead.cpp
@@ -16,7 +16,7 @@
 
     using Json = nlohmann::json;
 
-    // Raised when the format changes so that an older reader would misread it; such a reader refuses the head instead.
+    // Increased on incompatible changes, so that older readers refuse the head.
     constexpr std::uint64_t headFormat = 1;
 
     Error malformedHead(std::string_view expected)
@@ -62,12 +62,13 @@
     {
         const auto list = object.find("previous_applies");
         if (list == object.end() || !list->is_array() || list->size() >= maxRecordedApplies)
-            return malformedHead(fmt::format("previous_applies, a list shorter than {}", maxRecordedApplies));
+            return malformedHead(fmt::format("previous_applies, a list of fewer than {} entries", maxRecordedApplies));
         std::vector<AppliedVersion> previous;
         for (const Json& entry : *list) {
             auto applied = readApplied(entry);
             if (!applied || applied->version >= version)
-                return malformedHead("previous_applies with falling versions, apply ids and content hashes");
+                return malformedHead(
+                    "previous_applies with decreasing versions and valid apply ids and content hashes");
             version = applied->version;
             previous.push_back(std::move(*applied));
         }
--- a/Source/Configuration/ContentReader.cpp
+++ b/Source/Configuration/ContentReader.cpp
@@ -19,20 +19,20 @@
 void ContentReader::addPart(std::string_view part)
 {
     ++partsRead_;
-    // A text that is too long is refused by its hash in the end; it need not be kept until then.
+    // A text that is too long is refused by finish(), so the rest is not stored.
     if (text_.size() <= head_.contentBytes)
         text_ += part;
 }
 
-// A part may be torn, or belong to another content: without the hash, a balancer would put half a file in force, which
-// an operator would notice as services that vanish.
+// Parts may be truncated or belong to other content. Without the check of the hash, a balancer would put an incomplete
+// configuration in force, from which services are missing.
 Result<ConfigurationVersion> ContentReader::finish()
 {
     const std::string place = fmt::format("configuration version {}", head_.applied.version);
     const std::string hash = contentHashOf(text_);
     if (text_.size() != head_.contentBytes || hash != head_.applied.contentHash)
         return Error { ErrorCode::InvalidArgument,
-            fmt::format("{}: its stored content of {} bytes has the hash {}; expected {} bytes with {}", place,
+            fmt::format("{}: the stored content has {} bytes and the hash {}; expected {} bytes and the hash {}", place,
                 text_.size(), hash, head_.contentBytes, head_.applied.contentHash) };
     auto configuration = parseConfiguration(place, text_);
     if (!configuration)
--- a/Source/Configuration/HeadReader.cpp
+++ b/Source/Configuration/HeadReader.cpp
@@ -34,9 +34,9 @@
     return FetchPart { reading_->nextKey() };
 }
 
-// A platform restored from an older copy offers versions that were replaced long ago, and may later give a number again
-// that it gave before. Balancers that followed it would revert an accepted change; one notices it as older_copy in
-// their logs and as a head below the balancers' versions in ctl status.
+// A platform restored from an older copy offers replaced versions and may assign a version number again. Balancers must
+// not follow it, as that would revert accepted changes. Operators see the restore as older_copy in the balancers' logs,
+// and as a head below the balancers' versions in ctl status.
 std::optional<HeadAction> HeadReader::compareWithInForce(const AppliedVersion& applied) const
 {
     if (!inForce_ || applied.version > inForce_->version)
@@ -50,7 +50,7 @@
 
 HeadAction HeadReader::handlePart(const Result<std::string>& part)
 {
-    // The answer to a read that a newer head ended.
+    // The result belongs to a read that was cancelled.
     if (!reading_)
         return NothingNew {};
     if (!part) {
--- a/Tests/Configuration/ConfigurationParserTest.cpp
+++ b/Tests/Configuration/ConfigurationParserTest.cpp
@@ -77,16 +77,15 @@
             { "duplicate section", "[backend_server scan-1]", "[backend_server tryon-1]",
                 "f.ini:15: [backend_server tryon-1]: expected this section once; it stands on line 5 already" },
             { "two services on one address", "10.0.0.2:443", "10.0.0.1:443",
-                "f.ini:4: [service scanintake] address = 10.0.0.1:443: expected an address of its own; this one is "
-                "that "
-                "of [service tryon] on line 1" },
+                "f.ini:4: [service scanintake] address = 10.0.0.1:443: expected a unique address; this one is already "
+                "used by [service tryon] on line 1" },
             { "two backend servers on one address", "10.1.0.2:9001", "10.1.0.1:9000",
-                "f.ini:13: [backend_server tryon-2] request_address = 10.1.0.1:9000: expected an address of its own; "
-                "this one is that of [backend_server tryon-1] on line 5" },
+                "f.ini:13: [backend_server tryon-2] request_address = 10.1.0.1:9000: expected a unique address; this "
+                "one is already used by [backend_server tryon-1] on line 5" },
             { "a backend server on a service's address would send its packets in a circle", "10.1.0.2:9001",
                 "10.0.0.2:443",
-                "f.ini:13: [backend_server tryon-2] request_address = 10.0.0.2:443: expected an address of its own; "
-                "this one is that of [service scanintake] on line 3" },
+                "f.ini:13: [backend_server tryon-2] request_address = 10.0.0.2:443: expected a unique address; this "
+                "one is already used by [service scanintake] on line 3" },
             { "backend server of no service", "service = scanintake", "service = scanintak",
                 "f.ini:16: [backend_server scan-1] service = scanintak: expected the name of a section [service NAME] "
                 "of this file; the nearest is 'scanintake'" },
@@ -129,7 +128,7 @@
         }
         std::string text = exampleWith("scanintake", second);
         text += "[service " + first + "]\naddress = 10.0.0.9:1\n";
-        EXPECT_THAT(problemsOf(text), testing::Contains(testing::HasSubstr("is that of '" + second + "' already")));
+        EXPECT_THAT(problemsOf(text), testing::Contains(testing::HasSubstr("is already used by '" + second + "'")));
     }
 
     TEST(ConfigurationParserTest, refusesFilesWithoutServicesOrOverALimit)
