--- a/Tests/Membership/MembersPagesTest.cpp
+++ b/Tests/Membership/MembersPagesTest.cpp
@@ -31,7 +31,7 @@
                 MemberState::Serving, 0 };
         }
 
-        // Reads all pages as a newcomer does.
+        // Reads all pages as a joining balancer does.
         std::set<std::uint32_t> readAll(bool takesPacked, std::size_t& pages)
         {
             std::set<std::uint32_t> ids;
@@ -55,7 +55,7 @@
         MemberTable table_ { settings_, memberNamed("self"), TimePoint() };
     };
 
-    TEST_F(MembersPagesTest, packedPagesHoldEverybodyInFewDatagrams)
+    TEST_F(MembersPagesTest, packedPagesNeedFewerDatagrams)
     {
         fill(300, 8);
         std::size_t plain = 0;
@@ -65,14 +65,14 @@
         EXPECT_LE(packed * 3, plain);
     }
 
-    TEST_F(MembersPagesTest, longNamesTakeMorePagesAndNoLargerOnes)
+    TEST_F(MembersPagesTest, longNamesDoNotExceedTheDatagramSize)
     {
         fill(100, 60);
         std::size_t pages = 0;
         EXPECT_EQ(readAll(true, pages).size(), 100U);
     }
 
-    TEST_F(MembersPagesTest, rowsThatCannotBeReadAreRefused)
+    TEST_F(MembersPagesTest, unreadableRowsAreRefused)
     {
         fill(100, 8);
         MembersPageMessage page = pageFor({ 0, {}, true }, table_);
--- a/Tests/Membership/MembershipFaultTest.cpp
+++ b/Tests/Membership/MembershipFaultTest.cpp
@@ -18,7 +18,8 @@
             ASSERT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 60s));
         }
 
-        // True when all running balancers outside a set hold exactly that set dead, and none is isolated.
+        // True if no running balancer outside the set is isolated, and each sees exactly the members of the set as
+        // dead.
         bool allSeeExactlyDead(const std::set<std::size_t>& dead)
         {
             for (std::size_t observer = 0; observer < network_.nodes().size(); ++observer) {
@@ -49,7 +50,7 @@
         MembershipNetwork network_ { 5 };
     };
 
-    TEST_F(MembershipFaultTest, killedBalancerIsDeadEverywhereWithinSeconds)
+    TEST_F(MembershipFaultTest, killedBalancerIsDeclaredDeadEverywhere)
     {
         startFleet(7, 3);
         network_.loss = 0.05;
@@ -59,29 +60,28 @@
         EXPECT_TRUE(allSeeExactlyDead({ 3 }));
     }
 
-    // Symptom: a balancer acts on an old view after a pause, or buries everybody. Sequence: it is paused for 30 s and
-    // declared dead; it wakes to datagrams from before and during the pause. Cause: its clock went on while it did not
-    // listen, so that silence and echoes look like news.
-    TEST_F(MembershipFaultTest, pausedBalancerNoticesBeforeItDecides)
+    // Guards against a resumed balancer that acts on its stale view, or declares all others dead because the time of
+    // the pause counts as unanswered.
+    TEST_F(MembershipFaultTest, pausedBalancerIsIsolatedUntilAnswered)
     {
         startFleet(7, 3);
         network_.pause(0);
         ASSERT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({ 0 }); }, 5s));
         network_.run(25s);
 
-        SCOPED_TRACE("waking to old datagrams");
+        SCOPED_TRACE("resume with datagrams from before and during the pause");
         ASSERT_FALSE(network_.nodes()[0].inbox.empty());
         network_.resume(0);
         EXPECT_TRUE(network_.view(0).isolated);
         EXPECT_EQ(countDead(0), 0U);
 
-        SCOPED_TRACE("fresh answers");
+        SCOPED_TRACE("receive new answers");
         EXPECT_TRUE(network_.runUntil([&] { return !network_.view(0).isolated; }, 500ms));
         EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 3s));
     }
 
-    // As before, but the others died or were cut off meanwhile: only silence while it runs may tell.
-    TEST_F(MembershipFaultTest, soleSurvivorGoesOnServingAfterItHasObservedTheSilence)
+    // Guards against declaring members dead for the time of a pause if they became unreachable during it.
+    TEST_F(MembershipFaultTest, resumedBalancerWithoutPeersServesAfterTimeout)
     {
         startFleet(7, 3);
         network_.pause(0);
@@ -97,11 +97,10 @@
         EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
-    // Symptom: a member dies and revives every few seconds. Sequence: packets from A to B are lost, those from B to A
-    // arrive. Cause: one counts the other's messages as life, the other its silence as death, and both tell everybody.
-    TEST_F(MembershipFaultTest, oneWayCutSettlesInOneView)
+    // Guards against a member that alternates between dead and alive while packets are lost in one direction only.
+    TEST_F(MembershipFaultTest, oneWayLossKeepsBothMembersAlive)
     {
-        SCOPED_TRACE("with others around, both stay alive through them");
+        SCOPED_TRACE("both stay alive through indirect probes");
         startFleet(7, 3);
         network_.isCut = [](std::size_t from, std::size_t to) { return from == 0 && to == 1; };
         const std::uint64_t revision = network_.view(4).revision;
@@ -110,7 +109,7 @@
         EXPECT_EQ(network_.view(4).revision, revision);
     }
 
-    TEST_F(MembershipFaultTest, oneWayCutOfTwoIsACutForBoth)
+    TEST_F(MembershipFaultTest, oneWayLossBetweenTwoIsAPartition)
     {
         startFleet(2, 2);
         network_.isCut = [](std::size_t from, std::size_t to) { return from == 0 && to == 1; };
@@ -124,7 +123,7 @@
         EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
-    TEST_F(MembershipFaultTest, cutOffAvailabilityZoneGoesOnAloneAndRejoins)
+    TEST_F(MembershipFaultTest, partitionedAvailabilityZoneServesAndRejoins)
     {
         startFleet(7, 3);
         const auto isInside = [](std::size_t index) { return index % 3 == 0; };
@@ -146,9 +145,8 @@
         EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
-    // Symptom: a lost rack takes the network of the others with it. Sequence: 40 of 200 balancers go silent at one
-    // moment. Cause: everybody tells everybody about each of them.
-    TEST_F(MembershipFaultTest, lostRackIsNoticedWithoutAStorm)
+    // Guards against a traffic spike among the remaining balancers when many fail at the same time.
+    TEST_F(MembershipFaultTest, lostRackCausesNoTrafficSpike)
     {
         startFleet(200, 4);
         network_.run(30s);
@@ -169,7 +167,7 @@
         RecordProperty("mostBytesInSecond", std::to_string(most));
     }
 
-    TEST_F(MembershipFaultTest, garbageNeitherStopsItNorMakesItShout)
+    TEST_F(MembershipFaultTest, malformedMessagesCauseBoundedTraffic)
     {
         startFleet(7, 3);
         std::mt19937_64 random(9);
@@ -183,12 +181,12 @@
             envelope.payload.resize(random() % 100);
             for (auto& byte : envelope.payload)
                 byte = static_cast<std::uint8_t>(random());
-            // An array of the right size reaches further into the decoder.
+            // A MessagePack array header of a plausible size reaches further into the decoder.
             if (!envelope.payload.empty())
                 envelope.payload[0] = static_cast<std::uint8_t>(0x90 + random() % 10);
             answers += target.handle(PeerMessageReceived { { 1, 2 }, envelope }, network_.now).size();
         }
-        EXPECT_LE(answers, 60U) << "the budgets of one interval";
+        EXPECT_LE(answers, 60U) << "the limits of one interval";
         EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
--- a/Tests/Membership/MembershipJoinTest.cpp
+++ b/Tests/Membership/MembershipJoinTest.cpp
@@ -10,14 +10,14 @@
     using namespace std::chrono_literals;
 
     constexpr std::size_t availabilityZoneCount = 5;
-    // What all balancers know of, and the addresses that are in everybody's settings.
+    // The number of balancers whose addresses are in the settings of all.
     constexpr std::size_t seedCount = 3;
-    // At a fleet of hundreds, a configuration must be in force everywhere 6 s after it was written, and news travels
-    // by the members that its bearers know. Half of that is left for the news itself.
+    // A new configuration version must be in force everywhere within 6 s. Half of that is reserved for its
+    // distribution, which relies on the members that are known.
     constexpr auto joinTimeLimit = 3s;
-    // Larger fleets have 15 s.
+    // Half of the 15 s that larger fleets have for the same.
     constexpr auto largeFleetJoinTimeLimit = 7500ms;
-    // A tenth of a link of 20 Mbit/s, the thinnest that is common at that size.
+    // A tenth of a link of 20 Mbit/s.
     constexpr std::uint64_t maxJoiningBytesPerSecond = 250'000;
 
     class MembershipJoinTest : public testing::Test {
@@ -53,34 +53,30 @@
         MembershipNetwork network_ { 7 };
     };
 
-    // Symptom: after all of 195 balancers had lost power, half of them knew a quarter of the others after 6.6 s and
-    // nine tenths after 12.6 s; hundreds watched the platform's service at once, since none of their zone was known to
-    // them. Sequence: all processes start at once with the same three addresses; those three answer and hand out the
-    // view at a pace meant for single newcomers; whoever asks a newcomer for the view gets the few members that it
-    // knows, takes it for the whole and waits 5 s before it asks again. Cause: the pace of joining was set for one
-    // newcomer among many, and every member counted as an equally good source.
-    TEST_F(MembershipJoinTest, hundredsThatStartTogetherKnowEachOtherSoon)
+    // Guards against slow joins when all balancers start at once: the few seeds limit their answers, and other sources
+    // know only a few members yet.
+    TEST_F(MembershipJoinTest, hundredsStartingTogetherJoinInTime)
     {
         startTogether(195);
         EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, joinTimeLimit));
         EXPECT_LT(maxBytesInSecond(), maxJoiningBytesPerSecond);
     }
 
-    TEST_F(MembershipJoinTest, theSameWithLostPackets)
+    TEST_F(MembershipJoinTest, hundredsStartingTogetherJoinDespitePacketLoss)
     {
         network_.loss = 0.02;
         startTogether(195);
         EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, joinTimeLimit));
     }
 
-    TEST_F(MembershipJoinTest, sixHundredThatStartTogetherKnowEachOtherInTime)
+    TEST_F(MembershipJoinTest, sixHundredStartingTogetherJoinInTime)
     {
         startTogether(600);
         EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, largeFleetJoinTimeLimit));
         EXPECT_LT(maxBytesInSecond(), maxJoiningBytesPerSecond);
     }
 
-    TEST_F(MembershipJoinTest, oneThatStartsAmongHundredsKnowsThemSoon)
+    TEST_F(MembershipJoinTest, newBalancerJoinsLargeFleetInTime)
     {
         startTogether(195);
         network_.run(30s);
--- a/Tests/Membership/MembershipTest.cpp
+++ b/Tests/Membership/MembershipTest.cpp
@@ -17,7 +17,8 @@
                 network_.add(zone);
         }
 
-        // True when all running balancers but who itself hold it in that state; nullopt stands for not in the view.
+        // True if all running balancers except `subject` see it in this state; nullopt means that it is not in the
+        // view.
         bool allSee(std::size_t subject, std::optional<MemberState> state)
         {
             for (std::size_t observer = 0; observer < network_.nodes().size(); ++observer) {
@@ -42,9 +43,9 @@
         MembershipNetwork network_ { 1 };
     };
 
-    TEST_F(MembershipTest, sevenJoinAndHearOfEachOthersConfiguration)
+    TEST_F(MembershipTest, fleetJoinsAndSharesConfigurationVersions)
     {
-        EXPECT_TRUE(network_.view(0).isolated) << "nobody has answered yet";
+        EXPECT_TRUE(network_.view(0).isolated) << "no balancer has answered yet";
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         const auto allCaughtUp = [&] {
             const auto& nodes = network_.nodes();
@@ -53,7 +54,7 @@
         };
         EXPECT_TRUE(network_.runUntil(allCaughtUp, 3s));
 
-        SCOPED_TRACE("a new version shows everywhere");
+        SCOPED_TRACE("all balancers see a new configuration version");
         network_.perform(3, network_.nodes()[3].membership->setConfigurationVersion(12, network_.now));
         const auto allKnowVersion = [&] {
             for (std::size_t observer = 0; observer < 7; ++observer) {
@@ -64,14 +65,14 @@
         };
         EXPECT_TRUE(network_.runUntil(allKnowVersion, 2s));
 
-        SCOPED_TRACE("loss and quiet change nothing");
+        SCOPED_TRACE("packet loss does not change the view");
         const std::uint64_t revision = network_.view(0).revision;
         network_.run(120s);
         EXPECT_TRUE(allAgree());
         EXPECT_EQ(network_.view(0).revision, revision);
     }
 
-    TEST_F(MembershipTest, balancerThatIsAloneServesAfterItHasLookedAround)
+    TEST_F(MembershipTest, loneBalancerServesAfterStartupTimeout)
     {
         MembershipNetwork alone(2);
         alone.add("walu");
@@ -81,18 +82,18 @@
         EXPECT_FALSE(alone.view(0).isolated);
     }
 
-    TEST_F(MembershipTest, plannedStopIsLeavingUntilSilentAndThenGone)
+    TEST_F(MembershipTest, stoppedBalancerIsLeavingAndThenRemoved)
     {
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         network_.perform(2, network_.nodes()[2].membership->leave(network_.now));
         EXPECT_TRUE(network_.runUntil([&] { return allSee(2, MemberState::Leaving); }, 1s));
         network_.run(20s);
-        EXPECT_TRUE(allSee(2, MemberState::Leaving)) << "while it still finishes its work";
+        EXPECT_TRUE(allSee(2, MemberState::Leaving)) << "while it still runs";
         network_.kill(2);
         EXPECT_TRUE(network_.runUntil([&] { return allSee(2, std::nullopt); }, 5s));
     }
 
-    TEST_F(MembershipTest, restartUnderTheSameNameReplacesTheOldRowAtOnce)
+    TEST_F(MembershipTest, restartReplacesTheOldIncarnation)
     {
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         const std::uint64_t first = network_.nodes()[4].self.incarnation;
@@ -104,19 +105,18 @@
             }
             return true;
         };
-        SCOPED_TRACE("clock ahead");
+        SCOPED_TRACE("wall clock ahead");
         network_.restart(4, first + 5000);
         EXPECT_TRUE(network_.runUntil([&] { return allSeeIncarnationAbove(first); }, 1500ms));
 
-        // Symptom: a balancer comes back and nobody takes its messages. Sequence: its VM's wall clock is set back
-        // before it restarts. Cause: its incarnation is lower than that of its last start.
-        SCOPED_TRACE("clock set back");
+        // Guards against a restarted balancer whose messages are dropped because its clock was set back.
+        SCOPED_TRACE("wall clock set back");
         network_.restart(4, first - 5000);
         EXPECT_TRUE(network_.runUntil([&] { return allSeeIncarnationAbove(first + 5000); }, 3s));
         EXPECT_GT(network_.nodes()[4].membership->selfIncarnation(), first + 5000);
     }
 
-    TEST_F(MembershipTest, sameSeedAndEventsGiveTheSameActions)
+    TEST_F(MembershipTest, sameSeedGivesTheSameTraffic)
     {
         std::vector<std::uint64_t> totals;
         for (int i = 0; i < 2; ++i) {
--- a/Tests/Membership/OwnershipTest.cpp
+++ b/Tests/Membership/OwnershipTest.cpp
@@ -23,25 +23,25 @@
         return view;
     }
 
-    TEST(OwnershipTest, spreadsKeysAndMovesOnlyThoseOfTheOneThatGoes)
+    TEST(OwnershipTest, keysSpreadEvenlyAndMoveOnlyFromARemovedMember)
     {
         const MembersView before = viewOf(7);
         MembersView after = before;
-        const BalancerId gone = after.members[3].id;
+        const BalancerId removed = after.members[3].id;
         after.members[3].state = MemberState::Leaving;
-        std::size_t ownedByGone = 0;
+        std::size_t ownedByRemoved = 0;
         for (std::uint64_t key = 0; key < 7000; ++key) {
             const Owners owners = ownersOf(before, key);
             ASSERT_TRUE(owners.first && owners.second);
             EXPECT_NE(*owners.first, *owners.second);
-            const bool moves = *owners.first == gone;
-            ownedByGone += moves ? 1 : 0;
+            const bool moves = *owners.first == removed;
+            ownedByRemoved += moves ? 1 : 0;
             EXPECT_EQ(ownerOf(after, key), moves ? owners.second : owners.first);
         }
-        EXPECT_NEAR(static_cast<double>(ownedByGone), 1000, 150);
+        EXPECT_NEAR(static_cast<double>(ownedByRemoved), 1000, 150);
     }
 
-    TEST(OwnershipTest, staysInTheAvailabilityZoneAndOwnsNothingWithoutServingMembers)
+    TEST(OwnershipTest, ownersAreServingMembersOfTheAvailabilityZone)
     {
         MembersView view = viewOf(6);
         for (std::uint64_t key = 0; key < 100; ++key)
