--- a/Tests/Configuration/ApplyDriver.h
+++ b/Tests/Configuration/ApplyDriver.h
@@ -11,15 +11,15 @@
 
 namespace wisteriadock {
 
-// What becomes of one compare-and-swap of the head.
+// A fault injected into one compare-and-swap of the head.
 enum class SwapFault {
     None,
-    LostAfterEffect, // It takes effect; its answer is lost.
-    LostBeforeEffect, // It never takes effect; the caller can't tell.
-    NotSent, // It never left the caller.
+    LostAfterEffect, // The write takes effect, but its answer is lost.
+    LostBeforeEffect, // The write does not take effect, and its answer is lost.
+    NotSent, // The write is not sent; the caller gets Unavailable.
 };
 
-// Runs apply operations against a store in memory, call by call.
+// Runs apply operations against an in-memory store with a manual clock.
 class ApplyDriver {
 public:
     ApplyOutcome run(ApplyRequest request)
@@ -34,11 +34,11 @@
     }
 
     std::map<std::string, StoredValue> values;
-    // The headSwapFaults of the coming head writes; Normal after the last.
+    // The faults of the next head writes; None for all later ones.
     std::deque<SwapFault> headSwapFaults;
-    // Runs before each head write, so that somebody else can get in first.
+    // Runs once, before the next head write.
     std::function<void()> beforeHeadSwap;
-    // Runs after each head write.
+    // Runs once, after the next head write.
     std::function<void()> afterHeadSwap;
     std::size_t headSwaps = 0;
 
--- a/Tests/Configuration/ApplyOperationTest.cpp
+++ b/Tests/Configuration/ApplyOperationTest.cpp
@@ -28,7 +28,7 @@
             return driver_.run(request(configuration, applyId));
         }
 
-        // A version that differs from the example, and from those of other numbers.
+        // A configuration that differs from the example and from variants of other numbers.
         Configuration variant(std::uint32_t number) const
         {
             Configuration changed = example_;
@@ -40,7 +40,7 @@
         ApplyDriver driver_;
     };
 
-    TEST_F(ApplyOperationTest, writesVersionsOneAfterTheOther)
+    TEST_F(ApplyOperationTest, writesSuccessiveVersions)
     {
         {
             SCOPED_TRACE("the first version");
@@ -48,14 +48,14 @@
             EXPECT_EQ(driver_.head().baseVersion, 0U);
         }
         {
-            SCOPED_TRACE("the second remembers the first");
+            SCOPED_TRACE("the second version records the first");
             const ApplyOutcome outcome = apply(variant(2), "second");
             EXPECT_EQ(outcome.status, ApplyStatus::Accepted);
             EXPECT_EQ(outcome.version, 2U);
             EXPECT_EQ(driver_.head().previousApplies.at(0).applyId, "first");
         }
         {
-            SCOPED_TRACE("the same content again makes no version, and mends a part that is missing");
+            SCOPED_TRACE("the same content creates no version, and restores a missing part");
             driver_.values.erase(contentPartKey(driver_.head().applied.contentHash, 0));
             const ApplyOutcome outcome = apply(variant(2), "third");
             EXPECT_TRUE(outcome.isUnchanged);
@@ -63,13 +63,13 @@
             EXPECT_EQ(driver_.values.count(contentPartKey(driver_.head().applied.contentHash, 0)), 1U);
         }
         {
-            SCOPED_TRACE("an apply id that was used before");
+            SCOPED_TRACE("an apply id is used again");
             EXPECT_EQ(apply(example_, "first").version, 1U);
             EXPECT_EQ(apply(variant(9), "first").reason, ApplyRefusal::ReusedApplyId);
             EXPECT_EQ(driver_.head().applied.version, 2U);
         }
         {
-            SCOPED_TRACE("a base that is not the newest, and a rule that is broken");
+            SCOPED_TRACE("the base is not the newest version, or a rule is violated");
             ApplyRequest stale = request(variant(3), "fourth");
             stale.baseVersion = 1;
             const ApplyOutcome outcome = driver_.run(stale);
@@ -84,12 +84,11 @@
         }
     }
 
-    // Symptom: ctl said "refused" about a version that was in force. Sequence: the head write took effect, its answer
-    // was lost, the write was repeated and lost against itself. Cause: an unknown outcome was taken for a failure.
-    TEST_F(ApplyOperationTest, findsOutAWriteWhoseAnswerWasLost)
+    // Guards against reporting a version in force as refused because the answer to its write was lost.
+    TEST_F(ApplyOperationTest, resolvesAWriteWithALostAnswer)
     {
         {
-            SCOPED_TRACE("it took effect: accepted, without another write");
+            SCOPED_TRACE("the write took effect: accepted without another write");
             driver_.headSwaps = 0;
             driver_.headSwapFaults = { SwapFault::LostAfterEffect };
             const ApplyOutcome outcome = apply(variant(2), "second");
@@ -98,7 +97,7 @@
             EXPECT_EQ(driver_.headSwaps, 1U);
         }
         {
-            SCOPED_TRACE("it took effect, and others applied on top before the head was read");
+            SCOPED_TRACE("the write took effect, and another version was applied before the head was read");
             driver_.headSwapFaults = { SwapFault::LostAfterEffect };
             driver_.afterHeadSwap = [this] { apply(variant(4), "on-top"); };
             const ApplyOutcome outcome = apply(variant(3), "third");
@@ -107,12 +106,12 @@
             EXPECT_EQ(driver_.head().applied.version, 4U);
         }
         {
-            SCOPED_TRACE("it did not take effect: the same write goes out again");
+            SCOPED_TRACE("the write did not take effect: it is repeated");
             driver_.headSwapFaults = { SwapFault::LostBeforeEffect, SwapFault::NotSent };
             EXPECT_EQ(apply(variant(5), "fifth").version, 5U);
         }
         {
-            SCOPED_TRACE("it did not take effect, and somebody else won meanwhile");
+            SCOPED_TRACE("the write did not take effect, and another apply was accepted first");
             driver_.headSwapFaults = { SwapFault::LostBeforeEffect };
             driver_.afterHeadSwap = [this] { apply(variant(7), "winner"); };
             const ApplyOutcome outcome = apply(variant(6), "loser");
@@ -121,9 +120,8 @@
         }
     }
 
-    // Symptom: one of two operators found his file gone. Sequence: both read version 1, both wrote. Cause: the later
-    // write replaced a version that it had never been checked against.
-    TEST_F(ApplyOperationTest, oneOfTwoRacingOperatorsWins)
+    // Guards against an apply that replaces a version against which it was not checked.
+    TEST_F(ApplyOperationTest, oneOfTwoConcurrentAppliesWins)
     {
         driver_.beforeHeadSwap = [this] { apply(variant(2), "wins"); };
         const ApplyOutcome outcome = apply(variant(3), "loses");
@@ -136,12 +134,11 @@
         EXPECT_EQ(driver_.head().applied.applyId, "wins");
     }
 
-    // Symptom: ctl claimed to know what it could not. Sequence: the answer was lost, and then the platform went away,
-    // or so many others applied that the head forgot. Cause: absence from a short list was taken for proof.
-    TEST_F(ApplyOperationTest, saysUnknownWhereItCanNotFindOut)
+    // Guards against taking the absence of an apply id from the limited record of a head as proof.
+    TEST_F(ApplyOperationTest, reportsUnknownOutcome)
     {
         {
-            SCOPED_TRACE("every further write is lost too");
+            SCOPED_TRACE("all further writes are lost too");
             driver_.headSwapFaults.assign(100, SwapFault::LostBeforeEffect);
             const ApplyOutcome outcome = apply(variant(2), "second");
             EXPECT_EQ(outcome.status, ApplyStatus::Unknown);
@@ -150,7 +147,7 @@
             driver_.headSwapFaults.clear();
         }
         {
-            SCOPED_TRACE("the head forgot: more versions than it remembers were accepted since");
+            SCOPED_TRACE("more versions than the head records were accepted since");
             driver_.headSwapFaults = { SwapFault::LostAfterEffect };
             driver_.afterHeadSwap = [this] {
                 for (std::uint32_t i = 0; i < maxRecordedApplies; ++i)
@@ -159,16 +156,15 @@
             EXPECT_EQ(apply(variant(3), "third").status, ApplyStatus::Unknown);
         }
         {
-            SCOPED_TRACE("nothing was ever sent: unavailable, not unknown");
+            SCOPED_TRACE("no write was sent: unavailable, not unknown");
             driver_.headSwapFaults.assign(100, SwapFault::NotSent);
             EXPECT_EQ(apply(variant(4), "fourth").status, ApplyStatus::Unavailable);
         }
     }
 
-    // Symptom: a version vanished that nobody had replaced knowingly. Sequence: an answer was lost, the platform was
-    // restored from an older copy, and another operator's write got the revision that the first had read. Cause: the
-    // revision alone was taken for the head.
-    TEST_F(ApplyOperationTest, doesNotTakeARevisionThatCameAgainForTheSameHead)
+    // Guards against overwriting another head whose revision is the same after the platform was restored from an older
+    // copy.
+    TEST_F(ApplyOperationTest, detectsAReusedRevision)
     {
         const std::string key(configurationHeadKey);
         ConfigurationHead other = driver_.head();
@@ -181,7 +177,7 @@
         EXPECT_EQ(driver_.head().applied.applyId, "other");
     }
 
-    TEST_F(ApplyOperationTest, splitsContentThatThePlatformCanNotHold)
+    TEST_F(ApplyOperationTest, splitsLargeContent)
     {
         Configuration large = example_;
         for (int i = 0; i < 12000; ++i) {
@@ -195,10 +191,11 @@
         EXPECT_GT(driver_.head().contentParts, 1U);
         for (const auto& [key, value] : driver_.values)
             EXPECT_LE(value.value.size(), maxContentPartBytes) << key;
-        EXPECT_EQ(apply(variant(2), "small").version, 3U) << "the large base must be readable to be checked against";
+        EXPECT_EQ(apply(variant(2), "small").version, 3U)
+            << "the large base has to be read for the check of the change";
     }
 
-    TEST_F(ApplyOperationTest, refusesAStoreThatHoldsSomethingElse)
+    TEST_F(ApplyOperationTest, refusesUnexpectedStoredData)
     {
         {
             SCOPED_TRACE("a part of the version in force is missing");
@@ -209,13 +206,13 @@
             EXPECT_EQ(driver_.run(next).status, ApplyStatus::Accepted);
         }
         {
-            SCOPED_TRACE("another text lies under our content's name");
+            SCOPED_TRACE("other text is stored under the key of the content");
             const std::string text = "[service x]";
             driver_.values[contentPartKey(driver_.head().applied.contentHash, 0)].value = text;
             EXPECT_EQ(apply(variant(2), "third").reason, ApplyRefusal::BadStore);
         }
         {
-            SCOPED_TRACE("a platform that was restored: versions jump above those that balancers have in force");
+            SCOPED_TRACE("restored platform: the new version is above those in force");
             ApplyRequest restored = request(variant(4), "fourth");
             restored.allowUnreadableBase = true;
             restored.aboveVersion = 41;
--- a/Tests/Configuration/ChangeRulesTest.cpp
+++ b/Tests/Configuration/ChangeRulesTest.cpp
@@ -23,7 +23,7 @@
         const Configuration before_ = parsed(exampleText);
     };
 
-    TEST_F(ChangeRulesTest, diffNamesEveryDifference)
+    TEST_F(ChangeRulesTest, diffListsAllDifferences)
     {
         EXPECT_THAT(changes(before_, before_), IsEmpty());
         EXPECT_THAT(
@@ -38,17 +38,17 @@
                 "+ backend_server tryon-1", "+ backend_server tryon-2"));
     }
 
-    TEST_F(ChangeRulesTest, aServiceKeepsAnActiveBackendServer)
+    TEST_F(ChangeRulesTest, refusesIdleServices)
     {
         const Configuration idle = parsed(std::string(exampleText) + "state = draining\n");
         {
-            SCOPED_TRACE("its last active server may not drain, unless allowed");
+            SCOPED_TRACE("the last active server may only be drained if allowed");
             EXPECT_THAT(checkChange(before_, idle, {}),
                 ElementsAre("service scanintake would have no active backend server; --allow_idle_service allows it"));
             EXPECT_THAT(checkChange(before_, idle, { .allowIdleService = true }), IsEmpty());
         }
         {
-            SCOPED_TRACE("a service that was idle already blocks no other change, a new idle one is refused");
+            SCOPED_TRACE("an already idle service blocks no other change; a new idle one is refused");
             Configuration further = idle;
             further.services[1].evenness = 1;
             EXPECT_THAT(checkChange(idle, further, {}), IsEmpty());
@@ -56,9 +56,8 @@
         }
     }
 
-    // Symptom: a packet meant for try-on reached scan intake. Sequence: an operator gave try-on's address to scan
-    // intake in one file; callers of try-on still sent to it. Cause: a moved address makes no difference to a caller.
-    TEST_F(ChangeRulesTest, anAddressStaysWithItsService)
+    // Guards against packets that reach another service because its address was moved while callers still use it.
+    TEST_F(ChangeRulesTest, refusesMovedAddresses)
     {
         {
             SCOPED_TRACE("two services swap their addresses");
@@ -72,13 +71,13 @@
             EXPECT_THAT(checkChange(before_, swapped, { .allowMovedAddress = true }), IsEmpty());
         }
         {
-            SCOPED_TRACE("a service is renamed: the old one is gone, and its address belongs to a new one");
+            SCOPED_TRACE("a service is renamed: its address moves to a new service");
             const Configuration renamed = parsed(exampleWith("tryon", "fitting"));
             EXPECT_THAT(checkChange(before_, renamed, {}),
                 testing::Contains(testing::HasSubstr("10.0.0.1:443 would move from service tryon to fitting")));
         }
         {
-            SCOPED_TRACE("a backend server's address goes to the other service");
+            SCOPED_TRACE("a backend server's addresses move to the other service");
             const Configuration moved
                 = parsed(exampleWith("tryon\nflow_address = 10.1.0.2", "scanintake\nflow_address = 10.1.0.2"));
             EXPECT_THAT(checkChange(before_, moved, {}),
--- a/Tests/Configuration/ConfigurationParserTest.cpp
+++ b/Tests/Configuration/ConfigurationParserTest.cpp
@@ -23,7 +23,7 @@
         return lines;
     }
 
-    TEST(ConfigurationParserTest, readsAFileAndFindsItsEntries)
+    TEST(ConfigurationParserTest, parsesAndFindsEntries)
     {
         const Configuration configuration = parsed(exampleText);
         {
@@ -36,13 +36,13 @@
             EXPECT_EQ(configuration.findBackendServer("none"), nullptr);
         }
         {
-            SCOPED_TRACE("keys that the file leaves out have their defaults");
+            SCOPED_TRACE("omitted keys have their defaults");
             EXPECT_EQ(configuration.findService("tryon")->flowIdleSeconds, 300U);
             EXPECT_EQ(configuration.findBackendServer("tryon-2")->state, BackendServerState::Active);
         }
     }
 
-    TEST(ConfigurationParserTest, canonicalTextReadsBackTheSame)
+    TEST(ConfigurationParserTest, canonicalTextRoundTrips)
     {
         Configuration configuration = parsed(exampleText);
         configuration.services[0].evenness = 0.1;
@@ -56,13 +56,13 @@
     }
 
     struct BadInput {
-        std::string_view story;
+        std::string_view description;
         std::string_view from;
         std::string_view to;
         std::string_view problem;
     };
 
-    TEST(ConfigurationParserTest, namesEachMistakeWithItsPlace)
+    TEST(ConfigurationParserTest, reportsEachProblemWithItsLocation)
     {
         const BadInput cases[] = {
             { "unknown key", "availability_zone = nabua", "availability_zone = nabua\nweigth = 3",
@@ -82,8 +82,7 @@
             { "two backend servers on one address", "10.1.0.2:9001", "10.1.0.1:9000",
                 "f.ini:13: [backend_server tryon-2] request_address = 10.1.0.1:9000: expected a unique address; this "
                 "one is already used by [backend_server tryon-1] on line 5" },
-            { "a backend server on a service's address would send its packets in a circle", "10.1.0.2:9001",
-                "10.0.0.2:443",
+            { "a backend server on the address of a service, a forwarding loop", "10.1.0.2:9001", "10.0.0.2:443",
                 "f.ini:13: [backend_server tryon-2] request_address = 10.0.0.2:443: expected a unique address; this "
                 "one is already used by [service scanintake] on line 3" },
             { "backend server of no service", "service = scanintake", "service = scanintak",
@@ -98,12 +97,12 @@
                 "or '.', starting with a letter or digit" },
         };
         for (const BadInput& bad : cases) {
-            SCOPED_TRACE(bad.story);
+            SCOPED_TRACE(bad.description);
             EXPECT_THAT(problemsOf(exampleWith(bad.from, bad.to)), testing::Contains(bad.problem));
         }
     }
 
-    TEST(ConfigurationParserTest, reportsSeveralMistakesInOneGo)
+    TEST(ConfigurationParserTest, reportsAllProblemsAtOnce)
     {
         std::string text = exampleWith("10.0.0.2:443", "10.0.0.1:443");
         text += "slots = many\n[oops\n";
@@ -113,9 +112,8 @@
                 testing::HasSubstr("f.ini:21: [oops")));
     }
 
-    // Symptom: packets of one service reached another. Sequence: two names were declared whose identifiers are equal;
-    // balancers route by identifier. Cause: identifiers are 32-bit hashes of names, and nobody looked.
-    TEST(ConfigurationParserTest, refusesNamesWithOneIdentifier)
+    // Guards against packets that reach the wrong service because the hashes of two names collide.
+    TEST(ConfigurationParserTest, refusesCollidingIdentifiers)
     {
         std::unordered_map<ServiceId, std::string> seen;
         std::string first;
@@ -131,7 +129,7 @@
         EXPECT_THAT(problemsOf(text), testing::Contains(testing::HasSubstr("is already used by '" + second + "'")));
     }
 
-    TEST(ConfigurationParserTest, refusesFilesWithoutServicesOrOverALimit)
+    TEST(ConfigurationParserTest, refusesFilesWithoutServicesOrOverTheLimits)
     {
         EXPECT_THAT(problemsOf(""), testing::ElementsAre("f.ini: expected at least one section [service NAME]"));
         EXPECT_THAT(problemsOf(std::string(maxConfigurationBytes + 1, '\n')),
@@ -145,7 +143,7 @@
         EXPECT_GT(result.error().omitted(), 0U);
     }
 
-    TEST(ConfigurationParserTest, survivesSeededGarbage)
+    TEST(ConfigurationParserTest, survivesRandomEdits)
     {
         std::mt19937 random(7);
         int accepted = 0;
--- a/Tests/Configuration/ExampleConfiguration.h
+++ b/Tests/Configuration/ExampleConfiguration.h
@@ -9,7 +9,7 @@
 
 namespace wisteriadock {
 
-// Two services with two backend servers and one, each key that may be left out left out.
+// Two services, one with two backend servers and one with one, without optional keys.
 constexpr std::string_view exampleText = R"([service tryon]
 address = 10.0.0.1:443
 [service scanintake]
@@ -31,7 +31,7 @@
 availability_zone = walu
 )";
 
-// The example with every occurrence of one text replaced by another.
+// Returns exampleText with every occurrence of one text replaced by another.
 inline std::string exampleWith(std::string_view from, std::string_view to)
 {
     std::string text(exampleText);
--- a/Tests/Configuration/HeadReaderTest.cpp
+++ b/Tests/Configuration/HeadReaderTest.cpp
@@ -21,7 +21,7 @@
             EXPECT_EQ(driver_.run(request).status, ApplyStatus::Accepted);
         }
 
-        // Reads the head and the parts that it asks for, to the end.
+        // Reads the head and all parts that the reader requests.
         HeadAction read()
         {
             HeadAction action = reader_.handleHead(driver_.values.at(std::string(configurationHeadKey)).value);
@@ -46,7 +46,7 @@
         HeadReader reader_;
     };
 
-    TEST_F(HeadReaderTest, readsNewVersionsOnce)
+    TEST_F(HeadReaderTest, returnsEachVersionOnce)
     {
         apply(1);
         const HeadAction first = read();
@@ -58,10 +58,8 @@
         EXPECT_EQ(reader_.inForce()->version, 2U);
     }
 
-    // Symptom: an accepted change was undone on some balancers. Sequence: the platform was restored from an older copy,
-    // balancers read its head, a later apply gave version 3 again with other content. Cause: they trusted the store
-    // over what they had in force.
-    TEST_F(HeadReaderTest, doesNotGoBackToARestoredOlderCopy)
+    // Guards against reverting an accepted change after the platform was restored from an older copy.
+    TEST_F(HeadReaderTest, refusesARestoredOlderCopy)
     {
         apply(1);
         apply(2);
@@ -74,22 +72,21 @@
             EXPECT_EQ(problemOf(read()), HeadProblemKind::OlderCopy);
         }
         {
-            SCOPED_TRACE("the number in force with other content is no better");
+            SCOPED_TRACE("the version in force with other content is refused");
             apply(4);
             EXPECT_EQ(driver_.head().applied.version, 3U);
             EXPECT_EQ(problemOf(read()), HeadProblemKind::OlderCopy);
             EXPECT_EQ(reader_.inForce()->applyId, "apply-3");
         }
         {
-            SCOPED_TRACE("a version above it is");
+            SCOPED_TRACE("a higher version is applied");
             apply(5);
             EXPECT_TRUE(std::holds_alternative<PutInForce>(read()));
         }
     }
 
-    // Symptom: services vanished on one balancer. Sequence: a part of the content was missing or torn when the balancer
-    // read it. Cause: it put in force what it had.
-    TEST_F(HeadReaderTest, putsNothingInForceThatIsNotWhole)
+    // Guards against putting incomplete content in force, from which services are missing.
+    TEST_F(HeadReaderTest, refusesIncompleteContent)
     {
         apply(1);
         read();
@@ -97,19 +94,19 @@
         const std::string key = contentPartKey(driver_.head().applied.contentHash, 0);
         const StoredValue whole = driver_.values.at(key);
         {
-            SCOPED_TRACE("part missing");
+            SCOPED_TRACE("a part is missing");
             driver_.values.erase(key);
             EXPECT_EQ(problemOf(read()), HeadProblemKind::PartMissing);
         }
         {
-            SCOPED_TRACE("part torn, or too long");
+            SCOPED_TRACE("a part is truncated or too long");
             for (const std::string& text : { whole.value.substr(0, 40), whole.value + "x" }) {
                 driver_.values[key].value = text;
                 EXPECT_EQ(problemOf(read()), HeadProblemKind::WrongContent);
             }
         }
         {
-            SCOPED_TRACE("platform gone between head and part");
+            SCOPED_TRACE("the platform is unreachable between head and part");
             reader_.handleHead(driver_.values.at(std::string(configurationHeadKey)).value);
             EXPECT_EQ(
                 problemOf(reader_.handlePart(Error { ErrorCode::DeadlineExceeded, "" })), HeadProblemKind::Unreachable);
