--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -63,7 +63,7 @@
     // The incarnation of self is the wall clock's milliseconds at the start of the process. It is raised if the fleet
     // already knows a higher one because the clock was set back; selfIncarnation() returns the current value.
     Membership(const MembershipSettings&, const Member& self, std::uint64_t seed, TimePoint now);
-    // Members hold references to each other.
+    // Not copyable, since data members refer to each other.
     Membership(const Membership&) = delete;
     Membership& operator=(const Membership&) = delete;
 
--- a/Source/Membership/MembershipSettings.h
+++ b/Source/Membership/MembershipSettings.h
@@ -24,8 +24,7 @@
     // How long a starting balancer waits for an answer before it counts as alone.
     std::chrono::milliseconds startupTimeout { 4000 };
 
-    // With up to this many other members alive, all of them are probed in each interval; with more, one random member
-    // is.
+    // Up to this many other live members are all probed in each interval; in larger fleets one random member is.
     std::size_t meshLimit = 8;
     // Members that are asked to probe an unresponsive member.
     std::size_t indirectProbes = 3;
