--- a/Source/Membership/Membership.h
+++ b/Source/Membership/Membership.h
@@ -56,8 +56,9 @@
 
 // The membership protocol: tracks which balancers are alive, at a cost per balancer that does not grow with the size of
 // the fleet. As in SWIM, it probes random members directly and indirectly, and gossip is piggybacked on the heartbeats
-// (docs/design/membership.md). PeerControl calls it, from one thread at a time: tick() every 100 ms and handle() for
-// each datagram. The caller performs the returned actions in order.
+// (docs/design/membership.md). The control loops of balancer and forwarder call it, from one thread at a time: tick()
+// at a fixed period well below MembershipSettings::pauseThreshold, and handle() for each datagram. The caller performs
+// the returned actions in order.
 class Membership {
 public:
     // The incarnation of self is the wall clock's milliseconds at the start of the process. It is raised if the fleet
--- a/Source/Membership/MembershipMessages.h
+++ b/Source/Membership/MembershipMessages.h
@@ -8,7 +8,7 @@
 
 namespace wisteriadock {
 
-// The status of a member in a row on the wire.
+// The status of a member in a row. The numeric values are on the wire.
 enum class RowStatus : std::uint8_t {
     Joining = 0,
     Serving = 1,
