--- a/Source/Membership/Membership.cpp
+++ b/Source/Membership/Membership.cpp
@@ -8,39 +8,39 @@
 
 namespace {
 
-    constexpr std::size_t mostRelays = 32;
-    // Ids named in one request for details.
-    constexpr std::size_t mostNamedIds = 8;
-    // Rows in rotation make good for so many missing members.
-    constexpr std::size_t mostMissing = 3;
-    // More than this share of all members missing is much.
-    constexpr std::size_t missingShare = 64;
+    constexpr std::size_t maxRelayedProbes = 32;
+    // The most ids in one request for details.
+    constexpr std::size_t maxNamedIds = 8;
+    // Up to this many missing members are left to the anti-entropy rows.
+    constexpr std::size_t maxMissingWithoutCatchUp = 3;
+    // A gap is large if more than one in this many of the known members is missing.
+    constexpr std::size_t largeGapDivisor = 64;
 
-    // Nonces count milliseconds, so all times inside do.
-    TimePoint wholeMilliseconds(TimePoint now) { return std::chrono::floor<std::chrono::milliseconds>(now); }
+    // Nonces have a resolution of milliseconds, so all times of the protocol are rounded down to it.
+    TimePoint floorToMilliseconds(TimePoint now) { return std::chrono::floor<std::chrono::milliseconds>(now); }
 
 }
 
 Membership::Membership(const MembershipSettings& settings, const Member& self, std::uint64_t seed, TimePoint now)
     : settings_(settings)
     , random_(seed)
-    , table_(settings_, self, wholeMilliseconds(now))
-    , detector_(settings_, table_)
-    , nonces_(self.incarnation, wholeMilliseconds(now))
-    , observation_(settings_, wholeMilliseconds(now))
-    , catchUp_(settings_.pageWithin)
-    , startedAt_(wholeMilliseconds(now))
-    , nextInterval_(wholeMilliseconds(now))
-    , lastCatchUp_(wholeMilliseconds(now))
-    , lastArrival_(wholeMilliseconds(now))
+    , table_(settings_, self, floorToMilliseconds(now))
+    , failureDetector_(settings_, table_)
+    , nonces_(self.incarnation, floorToMilliseconds(now))
+    , isolationDetector_(settings_, floorToMilliseconds(now))
+    , catchUp_(settings_.pageTimeout)
+    , startedAt_(floorToMilliseconds(now))
+    , nextInterval_(floorToMilliseconds(now))
+    , lastCatchUp_(floorToMilliseconds(now))
+    , lastNewMemberAt_(floorToMilliseconds(now))
     , view_(table_.publish(1, true))
 {
 }
 
 MembershipActions Membership::handle(const PeerMessageReceived& event, TimePoint time)
 {
-    const TimePoint now = wholeMilliseconds(time);
-    wakeIfPaused(now);
+    const TimePoint now = floorToMilliseconds(time);
+    recoverIfPaused(now);
     const PeerEnvelope& envelope = event.envelope;
     if (envelope.sender == table_.self().member.id)
         return finish(now, false);
@@ -49,7 +49,7 @@
             onHeartbeat(event.from, envelope, message.value(), now);
         return finish(now, false);
     }
-    // All else counts only from members whose heartbeat came before.
+    // Other messages are accepted only from live members of the same incarnation.
     const MemberRecord* const sender = table_.find(envelope.sender);
     if (!sender || !sender->isAlive() || sender->member.incarnation != envelope.senderIncarnation)
         return finish(now, false);
@@ -71,17 +71,17 @@
 
 MembershipActions Membership::handle(const VmListReceived& event, TimePoint time)
 {
-    const TimePoint now = wholeMilliseconds(time);
-    wakeIfPaused(now);
-    std::vector<Endpoint> known = table_.addressesOfAlive();
+    const TimePoint now = floorToMilliseconds(time);
+    recoverIfPaused(now);
+    std::vector<Endpoint> known = table_.aliveAddresses();
     std::sort(known.begin(), known.end());
     std::vector<Endpoint> leaving;
     unknownAddresses_.clear();
-    for (const VmAdvice& vm : event.vms) {
+    for (const ListedVm& vm : event.vms) {
         if (vm.peerAddress.isSet() && !std::binary_search(known.begin(), known.end(), vm.peerAddress))
             (vm.isLeaving ? leaving : unknownAddresses_).push_back(vm.peerAddress);
     }
-    // The list may be wrong about who leaves, so these are better than nobody.
+    // Leaving VMs are contacted only if there are no others, since the list may be stale.
     if (unknownAddresses_.empty())
         unknownAddresses_ = std::move(leaving);
     return finish(now, false);
@@ -89,11 +89,11 @@
 
 MembershipActions Membership::tick(TimePoint time)
 {
-    const TimePoint now = wholeMilliseconds(time);
-    wakeIfPaused(now);
-    observation_.ticked(now);
-    for (const ProbeFinding& finding : detector_.tick(now))
-        act(finding, now);
+    const TimePoint now = floorToMilliseconds(time);
+    recoverIfPaused(now);
+    isolationDetector_.onTick(now);
+    for (const DetectorEvent& event : failureDetector_.tick(now))
+        handleDetectorEvent(event, now);
     const bool isIntervalDue = now >= nextInterval_;
     if (isIntervalDue)
         beginInterval(now);
@@ -103,18 +103,18 @@
 MembershipActions Membership::setSelfState(MemberState state, TimePoint now)
 {
     table_.setSelfState(state);
-    return finish(wholeMilliseconds(now), false);
+    return finish(floorToMilliseconds(now), false);
 }
 
 MembershipActions Membership::setConfigurationVersion(std::uint64_t version, TimePoint now)
 {
     table_.setConfigurationVersion(version);
-    return finish(wholeMilliseconds(now), false);
+    return finish(floorToMilliseconds(now), false);
 }
 
 MembershipActions Membership::leave(TimePoint time)
 {
-    const TimePoint now = wholeMilliseconds(time);
+    const TimePoint now = floorToMilliseconds(time);
     table_.setSelfState(MemberState::Leaving);
     for (const BalancerId id : sampleAlive(std::max(settings_.leaveFanOut, settings_.meshLimit))) {
         const MemberRecord* const peer = table_.find(id);
@@ -128,8 +128,8 @@
 {
     const MemberRecord* const known = table_.find(envelope.sender);
     if (known && envelope.senderIncarnation < known->member.incarnation) {
-        // Either an old datagram, or a member whose wall clock was set back before it restarted: nobody would take its
-        // messages, so it is told the incarnation that it has to exceed.
+        // Either a delayed datagram, or a member that restarted after its wall clock was set back. Other members drop
+        // the latter's messages, so it is sent the incarnation that it has to exceed.
         answer(from, known, { .withPeerRow = true }, now);
         return;
     }
@@ -145,16 +145,17 @@
     }
     if (!sender || sender->member.incarnation != envelope.senderIncarnation)
         return;
-    // A cut has healed: a small fleet reads what it missed at once, a large one learns it from rows in rotation.
-    const bool hasHealed = wasDead && sender->isAlive() && isMesh();
+    // A network partition has ended. A small fleet reads what it missed at once, a large one receives it by
+    // anti-entropy.
+    const bool isReachableAgain = wasDead && sender->isAlive() && isMesh();
     const bool isFirst = !catchUp_.isDone() && sender->isAlive();
-    if (!catchUp_.isRunning() && (isFirst || hasHealed || isFarBehind(message.membersKnown, now)))
+    if (!catchUp_.isRunning() && (isFirst || isReachableAgain || isCatchUpDue(message.membersKnown, now)))
         startCatchUp(sender->member.id, now);
     sender->lastNonce = message.nonce;
     sender->membersKnown = message.membersKnown;
-    mostKnownElsewhere_ = std::max(mostKnownElsewhere_, message.membersKnown);
-    noteAnswer(*sender, message.echo, now);
-    // A sender that is dead here has to hear so, or it never refutes.
+    maxMembersKnownElsewhere_ = std::max(maxMembersKnownElsewhere_, message.membersKnown);
+    handleEcho(*sender, message.echo, now);
+    // A sender that is marked dead here has to be told, so that it can refute it.
     if (message.wantsAnswer || !sender->isAlive()) {
         answer(sender->member.peerAddress, sender,
             { .wantsAnswer = !sender->isAlive(), .withDetails = message.wantsDetails }, now);
@@ -164,40 +165,40 @@
 
 bool Membership::isSettled(TimePoint now) const
 {
-    const bool isWhole = catchUp_.isDone() && !catchUp_.isRunning() && mostKnownElsewhere_ <= table_.size();
-    return isWhole && now - lastArrival_ >= settings_.settledAfter;
+    const bool isComplete = catchUp_.isDone() && !catchUp_.isRunning() && maxMembersKnownElsewhere_ <= table_.size();
+    return isComplete && now - lastNewMemberAt_ >= settings_.settledAfter;
 }
 
-bool Membership::isFarBehind(std::uint32_t peerKnows, TimePoint now) const
+bool Membership::isCatchUpDue(std::uint32_t peerMembersKnown, TimePoint now) const
 {
     if (isJoining(now))
-        return peerKnows > table_.size() && now - lastCatchUp_ >= settings_.joiningCatchUpPause;
-    // When many join at once, news of each of them takes minutes to go round; pages carry no row twice.
-    if (peerKnows <= table_.size() + mostMissing)
+        return peerMembersKnown > table_.size() && now - lastCatchUp_ >= settings_.minTimeBetweenJoiningCatchUps;
+    // When many members join at once, a catch-up is faster than gossip about each of them.
+    if (peerMembersKnown <= table_.size() + maxMissingWithoutCatchUp)
         return false;
-    const bool isMuch = peerKnows - table_.size() > table_.size() / missingShare;
-    return now - lastCatchUp_ > (isMuch ? settings_.catchUpPause : settings_.smallCatchUpPause);
+    const bool isLargeGap = peerMembersKnown - table_.size() > table_.size() / largeGapDivisor;
+    return now - lastCatchUp_ > (isLargeGap ? settings_.minTimeBetweenCatchUps : settings_.minTimeBetweenSmallCatchUps);
 }
 
-void Membership::noteAnswer(MemberRecord& sender, std::uint32_t echo, TimePoint now)
+void Membership::handleEcho(MemberRecord& sender, std::uint32_t echo, TimePoint now)
 {
     const auto sentAt = echo == 0 ? std::nullopt : nonces_.sentAt(echo, now);
     if (!sentAt)
         return;
-    observation_.answered(*sentAt);
+    isolationDetector_.answerReceived(*sentAt);
     if (!sender.isAlive())
         return;
-    detector_.answered(sender, *sentAt);
-    settleRelays(sender, *sentAt);
+    failureDetector_.answerReceived(sender, *sentAt);
+    reportRelayedProbes(sender, *sentAt);
 }
 
-void Membership::settleRelays(const MemberRecord& target, TimePoint nonceSentAt)
+void Membership::reportRelayedProbes(const MemberRecord& target, TimePoint nonceSentAt)
 {
-    std::erase_if(relays_, [&](const Relay& relay) {
-        if (relay.target != target.member.id || nonceSentAt < relay.since)
+    std::erase_if(relayedProbes_, [&](const RelayedProbe& probe) {
+        if (probe.target != target.member.id || nonceSentAt < probe.requestedAt)
             return false;
-        const ProbeResultMessage result { target.member.id.value, target.member.incarnation, relay.nonce };
-        send(relay.requester, PeerMessageKind::ProbeResult, encodeMessage(result));
+        const ProbeResultMessage result { target.member.id.value, target.member.incarnation, probe.nonce };
+        send(probe.requester, PeerMessageKind::ProbeResult, encodeMessage(result));
         return true;
     });
 }
@@ -205,10 +206,10 @@
 void Membership::onProbeRequest(const MemberRecord& sender, const ProbeRequestMessage& message, TimePoint now)
 {
     const MemberRecord* const target = table_.find(BalancerId { message.target });
-    if (!target || target == &table_.self() || indirectProbesLeft_ == 0 || relays_.size() >= mostRelays)
+    if (!target || target == &table_.self() || indirectProbesLeft_ == 0 || relayedProbes_.size() >= maxRelayedProbes)
         return;
     --indirectProbesLeft_;
-    relays_.push_back({ target->member.id, sender.member.peerAddress, message.nonce, now });
+    relayedProbes_.push_back({ target->member.id, sender.member.peerAddress, message.nonce, now });
     sendHeartbeat(target->member.peerAddress, target, { .wantsAnswer = true }, now);
 }
 
@@ -218,8 +219,8 @@
     const auto sentAt = nonces_.sentAt(message.nonce, now);
     if (!target || !target->isAlive() || target->member.incarnation != message.targetIncarnation || !sentAt)
         return;
-    observation_.answered(*sentAt);
-    detector_.answered(*target, *sentAt);
+    isolationDetector_.answerReceived(*sentAt);
+    failureDetector_.answerReceived(*target, *sentAt);
 }
 
 void Membership::onMembersRequest(const MemberRecord& sender, const MembersRequestMessage& message)
@@ -233,25 +234,25 @@
 void Membership::onMembersPage(const MemberRecord& sender, const MembersPageMessage& message, TimePoint now)
 {
     const Result<std::vector<MemberRow>> rows = rowsOf(message);
-    // What can't be read must not pass for the end of the view; the page is asked for again, of another member.
+    // An unreadable page must not count as the end of the view. It is requested again, from another member.
     if (!rows)
         return;
     mergeRows(rows.value(), sender.member.peerAddress, message.named, now);
     if (message.named)
         return;
     const auto lastId = rows.value().empty() ? std::nullopt : std::optional(rows.value().back().id);
-    catchUp_.received(message.after, lastId, message.last);
+    catchUp_.pageReceived(message.after, lastId, message.last);
     requestPage(now);
 }
 
-void Membership::mergeRows(const std::vector<MemberRow>& rows, const Endpoint& source, bool passOn, TimePoint now)
+void Membership::mergeRows(const std::vector<MemberRow>& rows, const Endpoint& source, bool propagate, TimePoint now)
 {
     MembersRequestMessage request;
     for (const MemberRow& row : rows) {
-        const MergeOutcome outcome = table_.merge(row, now, passOn);
+        const MergeOutcome outcome = table_.merge(row, now, propagate);
         if (outcome == MergeOutcome::AboutSelf)
             refute(row, now);
-        else if (outcome == MergeOutcome::NeedsDetails && request.ids.size() < mostNamedIds)
+        else if (outcome == MergeOutcome::NeedsDetails && request.ids.size() < maxNamedIds)
             request.ids.push_back(row.id);
     }
     if (request.ids.empty() || catchUp_.isRunning() || detailRequestsLeft_ == 0)
@@ -265,23 +266,23 @@
     const MemberRecord& self = table_.self();
     const bool isAlive = row.status <= static_cast<std::uint8_t>(RowStatus::Leaving) && !row.suspected;
     if (row.incarnation == self.member.incarnation && row.sequence >= self.sequence && !isAlive) {
-        table_.raiseSelf(row.incarnation, row.sequence + 1);
+        table_.setSelfIncarnation(row.incarnation, row.sequence + 1);
     } else if (row.incarnation > self.member.incarnation
-        && (lastRaise_ == TimePoint::min() || now - lastRaise_ > settings_.failAfter)) {
-        // The pace bounds the damage when two processes run under one name by mistake.
-        lastRaise_ = now;
-        table_.raiseSelf(row.incarnation + 1, 0);
+        && (lastIncarnationRaise_ == TimePoint::min() || now - lastIncarnationRaise_ > settings_.suspectAfter)) {
+        // The rate limit bounds the traffic if two processes run under one name by mistake.
+        lastIncarnationRaise_ = now;
+        table_.setSelfIncarnation(row.incarnation + 1, 0);
     }
 }
 
-void Membership::wakeIfPaused(TimePoint now)
+void Membership::recoverIfPaused(TimePoint now)
 {
-    if (!observation_.wokeUp(now))
+    if (!isolationDetector_.detectPause(now))
         return;
-    // Symptom without this: a balancer that slept for 30 s buries everybody, since nobody has answered for 30 s, and
-    // acts on what datagrams from before the pause say. The clock went on while nothing was listened to.
-    detector_.reset(now);
-    relays_.clear();
+    // The time of the pause must not count as unanswered, or this balancer would declare all other members dead. The
+    // view may be stale and is read again.
+    failureDetector_.reset(now);
+    relayedProbes_.clear();
     startCatchUp(std::nullopt, now);
     nextInterval_ = now;
 }
--- a/Source/Membership/MembershipRounds.cpp
+++ b/Source/Membership/MembershipRounds.cpp
@@ -1,4 +1,4 @@
-// The rounds of class Membership: what it sends of its own accord, and how messages leave.
+// Class Membership, continued: what is sent in each interval, and the sending of messages.
 #include "Membership/Membership.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // Of so many members, whoever knows most is asked for a page.
+    // The size of the random sample from which the source of a page is chosen.
     constexpr std::size_t pageCandidates = 8;
 
 }
@@ -15,17 +15,18 @@
 void Membership::beginInterval(TimePoint now)
 {
     ++round_;
-    // A fixed beat, unless the shell fell behind.
+    // Keeps a fixed rate unless the caller's ticks are late.
     nextInterval_ = std::max(nextInterval_ + settings_.interval, now + settings_.interval / 2);
     answersLeft_ = settings_.answersPerInterval;
     verificationsLeft_ = settings_.verificationsPerInterval;
     indirectProbesLeft_ = settings_.indirectProbesPerInterval;
     pagesLeft_ = settings_.pagesPerInterval;
-    newsBytesLeft_ = settings_.newsBytesPerInterval;
-    rotationRowsLeft_ = settings_.rotationRowsPerInterval;
+    gossipBytesLeft_ = settings_.gossipBytesPerInterval;
+    antiEntropyRowsLeft_ = settings_.antiEntropyRowsPerInterval;
     detailRequestsLeft_ = settings_.detailRequestsPerInterval;
     catchUp_.beginInterval(settings_.catchUpPagesPerInterval);
-    std::erase_if(relays_, [&](const Relay& relay) { return now - relay.since > settings_.failAfter; });
+    std::erase_if(
+        relayedProbes_, [&](const RelayedProbe& probe) { return now - probe.requestedAt > settings_.suspectAfter; });
     table_.dropOldTombstones(now);
     scheduleCatchUp(now);
     isMesh() ? probeAll(now) : probeSome(now);
@@ -36,34 +37,35 @@
 
 void Membership::probeAll(TimePoint now)
 {
-    // The other side sends as often, and its next heartbeat answers this one; only silence needs an answer at once.
-    const bool isSearching = observation_.isSearching(now);
-    for (const BalancerId id : allOrder_.takeAll(aliveFilter())) {
+    // Peers send as often, and the next heartbeat of each echoes this one. Only unresponsive peers are asked to answer
+    // at once.
+    const bool isSearching = isolationDetector_.isSearching(now);
+    for (const BalancerId id : probeOrder_.prune(aliveFilter())) {
         MemberRecord& peer = *table_.find(id);
-        const bool isSilent = peer.awaitingSince && now - *peer.awaitingSince >= settings_.indirectAfter;
-        const bool wantsAnswer = isSearching || isSilent;
-        detector_.probed(peer, now);
+        const bool isUnresponsive = peer.unansweredSince && now - *peer.unansweredSince >= settings_.indirectProbeAfter;
+        const bool wantsAnswer = isSearching || isUnresponsive;
+        failureDetector_.probeSent(peer, now);
         sendHeartbeat(peer.member.peerAddress, &peer, { .wantsAnswer = wantsAnswer }, now);
     }
 }
 
 void Membership::probeSome(TimePoint now)
 {
-    // Every other probe stays in the own availability zone: when most of the fleet is cut off, a balancer still hears
-    // soon enough from those it can reach to know that it is not alone.
-    auto target = round_ % 2 == 0 ? zoneOrder_.next(aliveFilter(), random_) : std::nullopt;
+    // Every other probe stays in this balancer's availability zone, so that it still gets answers soon enough not to
+    // count as isolated if only its own zone is reachable.
+    auto target = round_ % 2 == 0 ? zoneProbeOrder_.next(aliveFilter(), random_) : std::nullopt;
     if (!target)
-        target = allOrder_.next(aliveFilter(), random_);
+        target = probeOrder_.next(aliveFilter(), random_);
     if (target)
         probe(*table_.find(*target), now);
-    // Who has just started hears from more members how many there are.
+    // A joining balancer asks more members, to learn how many there are.
     if (isJoining(now)) {
-        for (const BalancerId id : sampleAlive(settings_.joiningProbes))
+        for (const BalancerId id : sampleAlive(settings_.joiningProbesPerInterval))
             probe(*table_.find(id), now);
     }
-    if (!observation_.isSearching(now))
+    if (!isolationDetector_.isSearching(now))
         return;
-    for (const BalancerId id : zoneOrder_.sample(settings_.searchFanOut / 2, aliveFilter(), random_))
+    for (const BalancerId id : zoneProbeOrder_.sample(settings_.searchFanOut / 2, aliveFilter(), random_))
         probe(*table_.find(id), now);
     for (const BalancerId id : sampleAlive(settings_.searchFanOut / 2))
         probe(*table_.find(id), now);
@@ -71,25 +73,25 @@
 
 void Membership::probe(MemberRecord& peer, TimePoint now)
 {
-    detector_.probed(peer, now);
+    failureDetector_.probeSent(peer, now);
     sendHeartbeat(peer.member.peerAddress, &peer, { .wantsAnswer = true }, now);
 }
 
-void Membership::act(const ProbeFinding& finding, TimePoint now)
+void Membership::handleDetectorEvent(const DetectorEvent& event, TimePoint now)
 {
-    MemberRecord& member = *table_.find(finding.member);
-    switch (finding.verdict) {
-    case ProbeVerdict::ProbeIndirectly:
+    MemberRecord& member = *table_.find(event.member);
+    switch (event.kind) {
+    case DetectorEventKind::IndirectProbeDue:
         probeIndirectly(member, now);
         break;
-    case ProbeVerdict::Suspected:
-    case ProbeVerdict::Verify:
+    case DetectorEventKind::Suspected:
+    case DetectorEventKind::VerificationDue:
         if (verificationsLeft_ > 0) {
             --verificationsLeft_;
             probe(member, now);
         }
         break;
-    case ProbeVerdict::Died:
+    case DetectorEventKind::DeclaredDead:
         break;
     }
 }
@@ -108,10 +110,11 @@
 
 void Membership::retryDead(TimePoint now)
 {
-    // Two sides of a cut hold each other dead; somebody has to try, or they stay apart after it has healed.
-    if (!isMesh() && round_ % settings_.retryEvery != 0)
+    // Both sides of a network partition consider each other dead. Without these probes they would not merge after it
+    // ends.
+    if (!isMesh() && round_ % settings_.intervalsPerRetry != 0)
         return;
-    if (const auto id = table_.anyDead(random_)) {
+    if (const auto id = table_.randomDead(random_)) {
         const MemberRecord* const dead = table_.find(*id);
         sendHeartbeat(dead->member.peerAddress, dead, { .wantsAnswer = true }, now);
     }
@@ -120,10 +123,10 @@
 void Membership::contactUnknown(TimePoint now)
 {
     const bool isAlone = table_.othersAlive() == 0;
-    if (unknownAddresses_.empty() || (!isAlone && round_ % settings_.retryEvery != 0))
+    if (unknownAddresses_.empty() || (!isAlone && round_ % settings_.intervalsPerRetry != 0))
         return;
     const std::size_t count = std::min(isAlone ? settings_.searchFanOut : 1, unknownAddresses_.size());
-    // The first ones of a shuffle that goes no further than needed.
+    // A partial shuffle that selects `count` addresses.
     for (std::size_t i = 0; i < count; ++i) {
         std::swap(unknownAddresses_[i], unknownAddresses_[i + random_() % (unknownAddresses_.size() - i)]);
         sendHeartbeat(
@@ -145,9 +148,9 @@
 
 void Membership::startCatchUp(std::optional<BalancerId> source, TimePoint now)
 {
-    // Those that joined at the same moment are missing from the pages of the first time.
+    // Members that joined at the same time may be missing from the first catch-up.
     if (!catchUp_.isDone())
-        secondCatchUp_ = now + settings_.secondCatchUpAfter;
+        secondCatchUp_ = now + settings_.secondCatchUpDelay;
     catchUp_.start();
     pageSource_ = source;
     lastCatchUp_ = now;
@@ -157,7 +160,7 @@
 {
     if (!catchUp_.mayRequest(now))
         return;
-    // Whoever did not send the last page may be silent, or asked by too many.
+    // A member that did not send the page in time may be unresponsive or overloaded.
     if (catchUp_.isOverdue(now))
         pageSource_.reset();
     const MemberRecord* const source = pageSource();
@@ -196,26 +199,26 @@
     HeartbeatMessage message { nonces_.nonceAt(now), peer ? peer->lastNonce : 0, options.wantsAnswer,
         options.wantsDetails, own.sequence, own.status, own.configurationVersion,
         static_cast<std::uint32_t>(table_.size()), std::move(own.details), {} };
-    // First what the peer can refute.
+    // The receiver's own row comes first if it has to refute it.
     if (peer && (options.withPeerRow || peer->suspected || !peer->isAlive()))
         message.rows.push_back(rowOf(*peer, false));
-    appendNews(message.rows);
+    appendGossip(message.rows);
     send(to, PeerMessageKind::Heartbeat, encodeMessage(message));
 }
 
-void Membership::appendNews(std::vector<MemberRow>& rows)
+void Membership::appendGossip(std::vector<MemberRow>& rows)
 {
-    const std::size_t allowance = std::min(settings_.newsBytes, newsBytesLeft_);
+    const std::size_t allowance = std::min(settings_.gossipBytes, gossipBytesLeft_);
     std::size_t unused = allowance;
-    const std::vector<MemberRow> news = table_.takeNews(unused);
-    newsBytesLeft_ -= allowance - unused;
-    rows.insert(rows.end(), news.begin(), news.end());
-    std::size_t rotationRows = std::min(settings_.rotationRows, rotationRowsLeft_);
+    const std::vector<MemberRow> gossip = table_.takeGossip(unused);
+    gossipBytesLeft_ -= allowance - unused;
+    rows.insert(rows.end(), gossip.begin(), gossip.end());
+    std::size_t antiEntropyRows = std::min(settings_.antiEntropyRows, antiEntropyRowsLeft_);
     if (isMesh())
-        rotationRows = round_ % settings_.retryEvery == 0 ? 1 : 0;
-    const std::vector<MemberRow> rotation = table_.takeRotation(rotationRows);
-    rotationRowsLeft_ -= std::min(rotationRowsLeft_, rotation.size());
-    rows.insert(rows.end(), rotation.begin(), rotation.end());
+        antiEntropyRows = round_ % settings_.intervalsPerRetry == 0 ? 1 : 0;
+    const std::vector<MemberRow> antiEntropy = table_.takeAntiEntropyRows(antiEntropyRows);
+    antiEntropyRowsLeft_ -= std::min(antiEntropyRowsLeft_, antiEntropy.size());
+    rows.insert(rows.end(), antiEntropy.begin(), antiEntropy.end());
 }
 
 void Membership::send(const Endpoint& to, PeerMessageKind kind, std::vector<std::uint8_t> payload)
@@ -224,27 +227,26 @@
     actions_.push_back(SendPeerMessage { to, { self.id, self.incarnation, kind, std::move(payload) } });
 }
 
-void Membership::admitArrivals(TimePoint now)
+void Membership::addToProbeOrders(TimePoint now)
 {
-    for (const BalancerId id : table_.takeArrivals()) {
-        lastArrival_ = now;
-        allOrder_.insert(id, random_);
+    for (const BalancerId id : table_.takeNewMembers()) {
+        lastNewMemberAt_ = now;
+        probeOrder_.insert(id, random_);
         const MemberRecord* const record = table_.find(id);
         if (record && record->member.availabilityZone == table_.self().member.availabilityZone)
-            zoneOrder_.insert(id, random_);
+            zoneProbeOrder_.insert(id, random_);
     }
 }
 
 MembershipActions Membership::finish(TimePoint now, bool endsInterval)
 {
-    admitArrivals(now);
-    const bool isIsolated = observation_.isIsolated(table_.othersAlive() > 0, now);
-    // A view of a large fleet is costly to copy, so changes of versions alone, and pages of a catch-up, are collected
-    // over an interval.
-    const bool mayCollect = !isMesh() && !endsInterval;
-    const bool isDue = isIsolated != view_->isolated
-        || (table_.membersChanged() && !(mayCollect && catchUp_.isRunning()))
-        || (table_.versionsChanged() && !mayCollect);
+    addToProbeOrders(now);
+    const bool isIsolated = isolationDetector_.isIsolated(table_.othersAlive() > 0, now);
+    // A view of a large fleet is expensive to copy, so changes of configuration versions alone, and changes during a
+    // catch-up, are published once per interval.
+    const bool mayDelay = !isMesh() && !endsInterval;
+    const bool isDue = isIsolated != view_->isolated || (table_.membersChanged() && !(mayDelay && catchUp_.isRunning()))
+        || (table_.versionsChanged() && !mayDelay);
     if (isDue) {
         view_ = table_.publish(view_->revision + 1, isIsolated);
         actions_.push_back(MembersViewChanged { view_ });
@@ -262,7 +264,7 @@
 
 std::vector<BalancerId> Membership::sampleAlive(std::size_t count)
 {
-    return allOrder_.sample(count, aliveFilter(), random_);
+    return probeOrder_.sample(count, aliveFilter(), random_);
 }
 
 }
--- a/Source/Membership/ViewCatchUp.cpp
+++ b/Source/Membership/ViewCatchUp.cpp
@@ -5,32 +5,32 @@
 void ViewCatchUp::start()
 {
     running_ = true;
-    after_ = 0;
-    askedAt_.reset();
+    afterId_ = 0;
+    requestedAt_.reset();
 }
 
 bool ViewCatchUp::mayRequest(TimePoint now) const
 {
-    return running_ && pagesLeft_ > 0 && (!askedAt_ || isOverdue(now));
+    return running_ && pagesLeft_ > 0 && (!requestedAt_ || isOverdue(now));
 }
 
 std::uint32_t ViewCatchUp::request(TimePoint now)
 {
     --pagesLeft_;
-    askedAt_ = now;
-    return after_;
+    requestedAt_ = now;
+    return afterId_;
 }
 
-void ViewCatchUp::received(std::uint32_t after, std::optional<std::uint32_t> lastId, bool isLastPage)
+void ViewCatchUp::pageReceived(std::uint32_t afterId, std::optional<std::uint32_t> lastId, bool isLastPage)
 {
-    if (!running_ || after != after_)
+    if (!running_ || afterId != afterId_)
         return;
-    askedAt_.reset();
+    requestedAt_.reset();
     if (isLastPage) {
         running_ = false;
         done_ = true;
-    } else if (lastId && *lastId > after_) {
-        after_ = *lastId;
+    } else if (lastId && *lastId > afterId_) {
+        afterId_ = *lastId;
     }
 }
 
--- a/Source/News/ReplicaSync.cpp
+++ b/Source/News/ReplicaSync.cpp
@@ -310,9 +310,9 @@
     const Member* self = view_->findSelf();
     if (!self || self->linkMegabits == 0)
         return false;
-    const int minClass = widthClassOf(self->linkMegabits) + settings_.fasterPeerClasses;
+    const int minClass = bandwidthClassOf(self->linkMegabits) + settings_.fasterPeerClasses;
     return std::ranges::any_of(
-        members, [&](const Member* member) { return widthClassOf(member->linkMegabits) >= minClass; });
+        members, [&](const Member* member) { return bandwidthClassOf(member->linkMegabits) >= minClass; });
 }
 
 std::vector<const Member*> ReplicaSync::sources(bool isInZone) const
@@ -334,8 +334,8 @@
         std::erase_if(members, [&](const Member* member) { return member->id == lastSource_; });
     int fastestClass = 0;
     for (const Member* member : members)
-        fastestClass = std::max(fastestClass, widthClassOf(member->linkMegabits));
-    std::erase_if(members, [&](const Member* member) { return widthClassOf(member->linkMegabits) < fastestClass; });
+        fastestClass = std::max(fastestClass, bandwidthClassOf(member->linkMegabits));
+    std::erase_if(members, [&](const Member* member) { return bandwidthClassOf(member->linkMegabits) < fastestClass; });
     return members[random_() % members.size()];
 }
 
--- a/Tests/Configuration/ApplyDriver.h
+++ b/Tests/Configuration/ApplyDriver.h
@@ -11,15 +11,15 @@
 
 namespace wisteriadock {
 
-// What becomes of one compare-and-swap of the head.
-enum class SwapFate {
-    Normal,
-    LostAfterEffect, // It takes effect; its answer is lost.
-    LostBeforeEffect, // It never takes effect; the caller can't tell.
-    Unreached, // It never left the caller.
+// A fault injected into one compare-and-swap of the head.
+enum class SwapFault {
+    None,
+    LostAfterEffect, // The write takes effect, but its answer is lost.
+    LostBeforeEffect, // The write does not take effect, and its answer is lost.
+    NotSent, // The write is not sent; the caller gets Unavailable.
 };
 
-// Runs apply operations against a store in memory, call by call.
+// Runs apply operations against an in-memory store with a manual clock.
 class ApplyDriver {
 public:
     ApplyOutcome run(ApplyRequest request)
@@ -34,11 +34,11 @@
     }
 
     std::map<std::string, StoredValue> values;
-    // The fates of the coming head writes; Normal after the last.
-    std::deque<SwapFate> fates;
-    // Runs before each head write, so that somebody else can get in first.
+    // The faults of the next head writes; None for all later ones.
+    std::deque<SwapFault> headSwapFaults;
+    // Runs once, before the next head write.
     std::function<void()> beforeHeadSwap;
-    // Runs after each head write.
+    // Runs once, after the next head write.
     std::function<void()> afterHeadSwap;
     std::size_t headSwaps = 0;
 
@@ -69,17 +69,17 @@
     Result<std::uint64_t> swapHead(const SwapKey& swap)
     {
         ++headSwaps;
-        const SwapFate fate = fates.empty() ? SwapFate::Normal : fates.front();
-        if (!fates.empty())
-            fates.pop_front();
+        const SwapFault fault = headSwapFaults.empty() ? SwapFault::None : headSwapFaults.front();
+        if (!headSwapFaults.empty())
+            headSwapFaults.pop_front();
         if (beforeHeadSwap)
             std::exchange(beforeHeadSwap, nullptr)();
-        if (fate == SwapFate::Unreached)
+        if (fault == SwapFault::NotSent)
             return Error { ErrorCode::Unavailable, "not reached" };
         Result<std::uint64_t> result = Error { ErrorCode::Unknown, "answer lost" };
-        if (fate != SwapFate::LostBeforeEffect) {
+        if (fault != SwapFault::LostBeforeEffect) {
             auto written = write(swap);
-            if (fate == SwapFate::Normal)
+            if (fault == SwapFault::None)
                 result = std::move(written);
         }
         if (afterHeadSwap)
