--- a/Benchmarks/RequestBenchmark.cpp
+++ b/Benchmarks/RequestBenchmark.cpp
@@ -121,7 +121,7 @@
     }
 
     TimePoint now = TimePoint(std::chrono::hours(1));
-    std::vector<Holder> holders;
+    std::vector<BalancerInstance> holders;
     std::vector<std::unique_ptr<RequestRunner>> runners;
     WholeAnswer answer = std::make_shared<HttpResponse>(HttpResponse { 200, {}, "confirmed" });
     WorkId started = 0;
@@ -331,7 +331,7 @@
     std::mt19937_64 random_;
     MembersView view_ = makeView(6, false);
     Configuration configuration_ = makeConfiguration(15, 2, false);
-    std::vector<Holder> holders_;
+    std::vector<BalancerInstance> holders_;
     std::deque<Admission> admissions_;
     std::multimap<TimePoint, std::function<void()>> events_;
     std::map<WorkId, Asked> asked_;
--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -45,7 +45,8 @@
         return times;
     }
 
-    RequestControlSettings controlSettingsOf(const BalancerSettings& settings, const Holder& self, std::uint64_t seed)
+    RequestControlSettings controlSettingsOf(
+        const BalancerSettings& settings, const BalancerInstance& self, std::uint64_t seed)
     {
         RequestControlSettings control;
         control.self = self;
--- a/Source/Balancer/ClaimTermText.cpp
+++ b/Source/Balancer/ClaimTermText.cpp
@@ -8,17 +8,17 @@
 
     using Json = nlohmann::json;
 
-    Json toJson(const std::vector<Holder>& holders)
+    Json toJson(const std::vector<BalancerInstance>& holders)
     {
         Json rows = Json::array();
-        for (const Holder& holder : holders)
+        for (const BalancerInstance& holder : holders)
             rows.push_back(Json::array({ holder.id.value, holder.incarnation }));
         return rows;
     }
 
-    std::vector<Holder> holdersOf(const Json& rows)
+    std::vector<BalancerInstance> holdersOf(const Json& rows)
     {
-        std::vector<Holder> holders;
+        std::vector<BalancerInstance> holders;
         for (const Json& row : rows)
             holders.push_back({ BalancerId { row.at(0).get<std::uint32_t>() }, row.at(1).get<std::uint64_t>() });
         return holders;
--- a/Source/Balancer/HolderLink.cpp
+++ b/Source/Balancer/HolderLink.cpp
@@ -23,8 +23,8 @@
 
 }
 
-HolderLink::HolderLink(
-    boost::asio::io_context& context, PeerLink& link, const Holder& self, const Http2Limits& limits, Handler onMessage)
+HolderLink::HolderLink(boost::asio::io_context& context, PeerLink& link, const BalancerInstance& self,
+    const Http2Limits& limits, Handler onMessage)
     : link_(link)
     , self_(self)
     , onMessage_(std::move(onMessage))
@@ -41,13 +41,13 @@
     });
 }
 
-const Member* HolderLink::find(const Holder& holder) const
+const Member* HolderLink::find(const BalancerInstance& holder) const
 {
     const Member* member = view_->find(holder.id);
     return member && member->incarnation == holder.incarnation ? member : nullptr;
 }
 
-void HolderLink::send(const Holder& to, const BalancerMessage& message)
+void HolderLink::send(const BalancerInstance& to, const BalancerMessage& message)
 {
     const Member* receiver = find(to);
     if (!receiver || to == self_)
@@ -95,7 +95,7 @@
 
 // What an earlier start of the sender said is over, and what was meant for an earlier start of this balancer builds on
 // claims that it has lost: acting on either would vouch for copies that are gone.
-void HolderLink::take(const Holder& from, std::span<const std::uint8_t> payload)
+void HolderLink::take(const BalancerInstance& from, std::span<const std::uint8_t> payload)
 {
     const Member* sender = view_->find(from.id);
     const bool isCurrent = sender && from.id != self_.id && from.incarnation >= sender->incarnation;
--- a/Source/Balancer/HolderLink.h
+++ b/Source/Balancer/HolderLink.h
@@ -23,23 +23,23 @@
 // them; the Request library sends again what matters. Everything runs on the thread of the io_context.
 class HolderLink {
 public:
-    using Handler = std::function<void(const Holder& from, const BalancerMessage&)>;
+    using Handler = std::function<void(const BalancerInstance& from, const BalancerMessage&)>;
 
     // The link outlives this object.
-    HolderLink(boost::asio::io_context&, PeerLink&, const Holder& self, const Http2Limits&, Handler);
+    HolderLink(boost::asio::io_context&, PeerLink&, const BalancerInstance& self, const Http2Limits&, Handler);
     HolderLink(const HolderLink&) = delete;
     HolderLink& operator=(const HolderLink&) = delete;
 
     void applyMembers(std::shared_ptr<const MembersView>);
     // To nobody when that start of the balancer is over, or not known yet.
-    void send(const Holder& to, const BalancerMessage&);
+    void send(const BalancerInstance& to, const BalancerMessage&);
 
     void receive(const PeerEnvelope&);
     // Takes a message that came by HTTP/2.
     void receive(Http2Exchange&);
 
     // The member that is this holder now; null when there is none.
-    const Member* find(const Holder&) const;
+    const Member* find(const BalancerInstance&) const;
     const std::shared_ptr<const MembersView>& view() const { return view_; }
     // By HTTP/2, bodies of both directions; datagrams are counted by the PeerLink.
     std::uint64_t longMessageBytes() const { return longMessageBytes_; }
@@ -47,10 +47,10 @@
 
 private:
     void sendLong(const Member& receiver, const std::vector<std::uint8_t>&);
-    void take(const Holder& from, std::span<const std::uint8_t>);
+    void take(const BalancerInstance& from, std::span<const std::uint8_t>);
 
     PeerLink& link_;
-    Holder self_;
+    BalancerInstance self_;
     Handler onMessage_;
     std::shared_ptr<const MembersView> view_ = std::make_shared<const MembersView>();
     std::uint64_t longMessageBytes_ = 0;
--- a/Source/Balancer/HolderText.cpp
+++ b/Source/Balancer/HolderText.cpp
@@ -15,16 +15,19 @@
     return value;
 }
 
-std::string writeHolder(const Holder& holder) { return fmt::format("{}-{}", holder.id.value, holder.incarnation); }
+std::string writeHolder(const BalancerInstance& holder)
+{
+    return fmt::format("{}-{}", holder.id.value, holder.incarnation);
+}
 
-Result<Holder> readHolder(std::string_view text)
+Result<BalancerInstance> readHolder(std::string_view text)
 {
     const std::size_t dash = text.find('-');
     if (dash == std::string_view::npos)
         return Error { ErrorCode::InvalidArgument, fmt::format("\"{}\" names no balancer", text.substr(0, 32)) };
     BOOST_OUTCOME_TRY(id, readNumber(text.substr(0, dash)));
     BOOST_OUTCOME_TRY(incarnation, readNumber(text.substr(dash + 1)));
-    return Holder { BalancerId { static_cast<std::uint32_t>(id) }, incarnation };
+    return BalancerInstance { BalancerId { static_cast<std::uint32_t>(id) }, incarnation };
 }
 
 std::string writeToken(const ForwardToken& token)
--- a/Source/Balancer/OpenTries.cpp
+++ b/Source/Balancer/OpenTries.cpp
@@ -20,7 +20,7 @@
 
 }
 
-OpenTries::OpenTries(const Holder& self, CancelHandler onCancelled)
+OpenTries::OpenTries(const BalancerInstance& self, CancelHandler onCancelled)
     : self_(self)
     , onCancelled_(std::move(onCancelled))
 {
--- a/Source/Balancer/OpenTries.h
+++ b/Source/Balancer/OpenTries.h
@@ -38,7 +38,7 @@
     using CancelHandler = std::function<void(TryId)>;
 
     // The handler runs when a caller or the forwarding balancer gives a try up, which is closed by then.
-    OpenTries(const Holder& self, CancelHandler);
+    OpenTries(const BalancerInstance& self, CancelHandler);
     ~OpenTries() { alive_.reset(); }
     OpenTries(const OpenTries&) = delete;
     OpenTries& operator=(const OpenTries&) = delete;
@@ -61,7 +61,7 @@
     std::shared_ptr<OpenTry> close(TryId);
     void count(RequestEnding ending) { ++counts_[static_cast<std::size_t>(ending)]; }
 
-    Holder self_;
+    BalancerInstance self_;
     CancelHandler onCancelled_;
     std::map<TryId, std::shared_ptr<OpenTry>> tries_;
     TryId last_ = 0;
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -74,7 +74,7 @@
     , runner_(runnerSettingsOf(settings))
     , router_(std::make_unique<RequestRouter>(settings.self, zonesOf(settings)))
     , link_(context, link, settings.self, settings.http,
-          [this](const Holder& from, const BalancerMessage& message) { handle(from, message); })
+          [this](const BalancerInstance& from, const BalancerMessage& message) { handle(from, message); })
     , terms_(platform, *router_, link_, homeZone_, settings.self, settings.seed,
           [this](const ClaimTerm& term) { adopt(term); })
     , forwarder_(context, link_, settings.self, settings.http,
@@ -82,7 +82,7 @@
               .onRefusal = [this](TryId id, const Refusal& refusal) { tries_.refuse(id, refusal); },
               .onLost = [this](TryId id, RefusalReason reason) { refuseUnknown(id, reason); },
               .onRedirect =
-                  [this](TryId id, const Holder& owner) {
+                  [this](TryId id, const BalancerInstance& owner) {
                       terms_.ask(owner);
                       routeLater(id, Clock::now());
                   } })
@@ -153,7 +153,7 @@
     act();
 }
 
-void RequestControl::handle(const Holder& from, const BalancerMessage& message)
+void RequestControl::handle(const BalancerInstance& from, const BalancerMessage& message)
 {
     const TimePoint now = Clock::now();
     if (const auto* received = std::get_if<TryReceived>(&message)) {
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -25,7 +25,7 @@
 
 // What a RequestControl is set up with.
 struct RequestControlSettings {
-    Holder self;
+    BalancerInstance self;
     std::string availabilityZone;
     // The fixed list of availability zones, equal on all balancers. Empty makes the fleet one home for all keys.
     std::vector<std::string> zones;
@@ -70,7 +70,7 @@
     // The answer to a request for a ticket.
     HttpResponse issueTicket();
 
-    const Holder& self() const { return settings_.self; }
+    const BalancerInstance& self() const { return settings_.self; }
     // For a planned stop: nothing is under way, and the claims held here have gone over to others, if there are any.
     bool isIdle() const { return runner_.workUnderWay() == 0; }
     bool isReleased(TimePoint now) const;
@@ -94,7 +94,7 @@
     void tick(TimePoint now);
     void routeDue(TimePoint now);
     void repeatReceipts(TimePoint now);
-    void handle(const Holder& from, const BalancerMessage&);
+    void handle(const BalancerInstance& from, const BalancerMessage&);
     void takeHop(const std::shared_ptr<Http2Exchange>&);
 
     void route(TryId, TimePoint now);
--- a/Source/Balancer/RequestHop.h
+++ b/Source/Balancer/RequestHop.h
@@ -16,7 +16,7 @@
 // A caller's request on its way from the balancer that took it in to the owner of its key.
 struct HopRequest {
     ForwardToken token;
-    Holder owner;
+    BalancerInstance owner;
     std::chrono::microseconds timeLeft {};
     // Set when the request must not run.
     std::optional<RefusalReason> problem;
@@ -35,7 +35,7 @@
 };
 
 struct HopAnswer {
-    Holder owner;
+    BalancerInstance owner;
     HopEnding ending = HopEnding::Redirect;
     Refusal refusal;
     std::uint64_t declaredBytes = 0;
--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -26,7 +26,7 @@
     template <typename Archive, typename... Fields> void fields(Archive&, Fields&...);
 
     // The members of each type in their order on the wire.
-    void describe(auto& archive, Holder& value) { fields(archive, value.id.value, value.incarnation); }
+    void describe(auto& archive, BalancerInstance& value) { fields(archive, value.id.value, value.incarnation); }
     void describe(auto& archive, ServiceId& value) { fields(archive, value.value); }
     void describe(auto& archive, BackendServerId& value) { fields(archive, value.value); }
     void describe(auto& archive, KeyDigest& value) { fields(archive, value.high, value.low); }
--- a/Source/Balancer/TermControl.cpp
+++ b/Source/Balancer/TermControl.cpp
@@ -23,7 +23,7 @@
 }
 
 TermControl::TermControl(PlatformClient& platform, RequestRouter& router, HolderLink& link, std::string zone,
-    const Holder& self, std::uint64_t seed, AdoptHandler onAdopted)
+    const BalancerInstance& self, std::uint64_t seed, AdoptHandler onAdopted)
     : platform_(platform)
     , router_(router)
     , link_(link)
@@ -74,7 +74,7 @@
     lookAt_ = now + comparisonPeriod + std::chrono::milliseconds(random_() % readJitterMilliseconds);
 }
 
-void TermControl::ask(const Holder& holder) { link_.send(holder, digest()); }
+void TermControl::ask(const BalancerInstance& holder) { link_.send(holder, digest()); }
 
 void TermControl::learn(const ClaimTerm& term, TimePoint now)
 {
@@ -87,7 +87,7 @@
         spread(term);
 }
 
-void TermControl::compare(const Holder& from, const TermDigest& theirs)
+void TermControl::compare(const BalancerInstance& from, const TermDigest& theirs)
 {
     bool isBehind = false;
     for (const std::string& zone : router_.zones()) {
@@ -181,13 +181,13 @@
     perform(now);
 }
 
-std::optional<Holder> TermControl::randomOther()
+std::optional<BalancerInstance> TermControl::randomOther()
 {
-    std::optional<Holder> chosen;
+    std::optional<BalancerInstance> chosen;
     std::uint64_t seen = 0;
     for (const Member& member : link_.view()->members) {
         if (member.id != self_.id && member.state != MemberState::Dead && random_() % ++seen == 0)
-            chosen = Holder { member.id, member.incarnation };
+            chosen = BalancerInstance { member.id, member.incarnation };
     }
     return chosen;
 }
--- a/Source/Balancer/TermControl.h
+++ b/Source/Balancer/TermControl.h
@@ -26,8 +26,8 @@
     using AdoptHandler = std::function<void(const ClaimTerm&)>;
 
     // Platform, router and link outlive the control. The handler gets each newer record of the own zone.
-    TermControl(PlatformClient&, RequestRouter&, HolderLink&, std::string zone, const Holder& self, std::uint64_t seed,
-        AdoptHandler);
+    TermControl(PlatformClient&, RequestRouter&, HolderLink&, std::string zone, const BalancerInstance& self,
+        std::uint64_t seed, AdoptHandler);
     TermControl(const TermControl&) = delete;
     TermControl& operator=(const TermControl&) = delete;
 
@@ -37,10 +37,10 @@
     // A newer record than the known one exists.
     void want(TimePoint now);
     // Asks a balancer for what it knows better.
-    void ask(const Holder&);
+    void ask(const BalancerInstance&);
 
     void learn(const ClaimTerm&, TimePoint now);
-    void compare(const Holder& from, const TermDigest&);
+    void compare(const BalancerInstance& from, const TermDigest&);
 
 private:
     void perform(TimePoint now);
@@ -50,7 +50,7 @@
     void finishWrite(const Result<std::uint64_t>&);
     void adopt(const ClaimTerm&);
     void spread(const ClaimTerm&);
-    std::optional<Holder> randomOther();
+    std::optional<BalancerInstance> randomOther();
     TermDigest digest() const;
     std::uint64_t ownEpoch() const;
 
@@ -59,7 +59,7 @@
     RequestRouter& router_;
     HolderLink& link_;
     std::string zone_;
-    Holder self_;
+    BalancerInstance self_;
     std::mt19937_64 random_;
     AdoptHandler onAdopted_;
     TermKeeper keeper_;
--- a/Source/Balancer/TryForwarder.cpp
+++ b/Source/Balancer/TryForwarder.cpp
@@ -17,8 +17,8 @@
 
 }
 
-TryForwarder::TryForwarder(
-    boost::asio::io_context& context, HolderLink& link, const Holder& self, const Http2Limits& limits, ForwardEnds ends)
+TryForwarder::TryForwarder(boost::asio::io_context& context, HolderLink& link, const BalancerInstance& self,
+    const Http2Limits& limits, ForwardEnds ends)
     : link_(link)
     , self_(self)
     , ends_(std::move(ends))
@@ -28,7 +28,7 @@
 }
 
 void TryForwarder::forward(TryId id, const HttpRequest& request, const KeyDigest& key,
-    std::optional<RefusalReason> problem, const Holder& owner, TimePoint deadline)
+    std::optional<RefusalReason> problem, const BalancerInstance& owner, TimePoint deadline)
 {
     const TimePoint now = Clock::now();
     const Member* member = link_.find(owner);
@@ -67,10 +67,10 @@
 
 void TryForwarder::applyMembers()
 {
-    std::set<Holder> owners;
+    std::set<BalancerInstance> owners;
     for (const auto& [number, hop] : hops_)
         owners.insert(hop.owner);
-    for (const Holder& owner : owners) {
+    for (const BalancerInstance& owner : owners) {
         const Member* member = link_.find(owner);
         if (member && member->state != MemberState::Dead)
             continue;
--- a/Source/Balancer/TryForwarder.h
+++ b/Source/Balancer/TryForwarder.h
@@ -24,24 +24,24 @@
     // Without the owner's word: the work may have run.
     std::function<void(TryId, RefusalReason)> onLost;
     // The owner does not own the key any more, or never got the try: route it again.
-    std::function<void(TryId, const Holder& owner)> onRedirect;
+    std::function<void(TryId, const BalancerInstance& owner)> onRedirect;
 };
 
 // Sends tries over HTTP/2 to the balancers that own their keys and takes the answers. RequestControl calls it.
 class TryForwarder {
 public:
     // The link outlives the forwarder.
-    TryForwarder(boost::asio::io_context&, HolderLink&, const Holder& self, const Http2Limits&, ForwardEnds);
+    TryForwarder(boost::asio::io_context&, HolderLink&, const BalancerInstance& self, const Http2Limits&, ForwardEnds);
     // What still ends afterwards is told to nobody.
     ~TryForwarder() { alive_.reset(); }
     TryForwarder(const TryForwarder&) = delete;
     TryForwarder& operator=(const TryForwarder&) = delete;
 
     // Exactly one of the ends follows, unless the try is cancelled.
-    void forward(TryId, const HttpRequest&, const KeyDigest&, std::optional<RefusalReason> problem, const Holder& owner,
-        TimePoint deadline);
+    void forward(TryId, const HttpRequest&, const KeyDigest&, std::optional<RefusalReason> problem,
+        const BalancerInstance& owner, TimePoint deadline);
     void cancel(TryId);
-    void acknowledge(const Holder& from, const ForwardToken& token) { book_.acknowledge(from, token); }
+    void acknowledge(const BalancerInstance& from, const ForwardToken& token) { book_.acknowledge(from, token); }
     // Gives up what went to owners that are dead or have started again.
     void applyMembers();
     void tick(TimePoint now);
@@ -50,7 +50,7 @@
     struct Hop {
         TryId id = 0;
         KeyDigest key;
-        Holder owner;
+        BalancerInstance owner;
         Endpoint address;
         Http2Client::RequestId request = 0;
     };
@@ -62,7 +62,7 @@
     void closeHop(TryId);
 
     HolderLink& link_;
-    Holder self_;
+    BalancerInstance self_;
     ForwardEnds ends_;
     AnswerBook book_;
     // By token number. A hop that is not here any more is nobody's.
--- a/Source/Request/Admission.cpp
+++ b/Source/Request/Admission.cpp
@@ -16,7 +16,7 @@
 
 }
 
-Admission::Admission(const Holder& self, const AdmissionLimits& limits, std::uint64_t seed)
+Admission::Admission(const BalancerInstance& self, const AdmissionLimits& limits, std::uint64_t seed)
     : self_(self)
     , limits_(limits)
     , random_(seed)
@@ -40,7 +40,7 @@
     isFirstConfiguration_ = isFirstConfiguration_ && configuration.backendServers.empty();
     std::erase_if(servers_, [](const auto& entry) { return !entry.second.isConfigured && entry.second.inUse == 0; });
 
-    std::vector<Holder> peers;
+    std::vector<BalancerInstance> peers;
     for (const Member& member : view.members) {
         if (member.state == MemberState::Serving && member.id != self_.id)
             peers.push_back({ member.id, member.incarnation });
@@ -217,7 +217,7 @@
     }
 }
 
-void Admission::handle(const Holder& from, const BorrowSlot& message, TimePoint now)
+void Admission::handle(const BalancerInstance& from, const BorrowSlot& message, TimePoint now)
 {
     Server* server = queues_[message.service].isEmpty() ? freeServer(message.service, now) : nullptr;
     if (!server) {
@@ -229,7 +229,7 @@
     messages_.push_back({ from, SlotReply { message.nonce, true, server->settings.id } });
 }
 
-void Admission::handle(const Holder& from, const SlotReply& message, TimePoint now)
+void Admission::handle(const BalancerInstance& from, const SlotReply& message, TimePoint now)
 {
     const std::optional<ServiceId> service = loans_.takeReply(from, message, now);
     if (!message.isLent)
@@ -252,7 +252,7 @@
     dispatch(*service, now);
 }
 
-void Admission::handle(const Holder& from, const ReturnSlot& message, TimePoint now)
+void Admission::handle(const BalancerInstance& from, const ReturnSlot& message, TimePoint now)
 {
     if (!loans_.takeBack(from, message.nonce))
         return;
--- a/Source/Request/Admission.h
+++ b/Source/Request/Admission.h
@@ -43,7 +43,7 @@
 // messages after each call.
 class Admission {
 public:
-    Admission(const Holder& self, const AdmissionLimits& limits, std::uint64_t seed);
+    Admission(const BalancerInstance& self, const AdmissionLimits& limits, std::uint64_t seed);
 
     void configure(const Configuration&, const MembersView&, TimePoint now);
 
@@ -56,9 +56,9 @@
     void shed(BackendServerId, std::chrono::milliseconds retryAfter, TimePoint now);
     void tick(TimePoint now);
 
-    void handle(const Holder& from, const BorrowSlot&, TimePoint now);
-    void handle(const Holder& from, const SlotReply&, TimePoint now);
-    void handle(const Holder& from, const ReturnSlot&, TimePoint now);
+    void handle(const BalancerInstance& from, const BorrowSlot&, TimePoint now);
+    void handle(const BalancerInstance& from, const SlotReply&, TimePoint now);
+    void handle(const BalancerInstance& from, const ReturnSlot&, TimePoint now);
 
     std::vector<SlotGrant> takeGrants();
     std::vector<SlotRefusal> takeRefusals();
@@ -85,7 +85,7 @@
         BackendServerId server;
         TimePoint startedAt;
         // Set when the slot was borrowed: from whom, and under which number.
-        std::optional<Holder> lender;
+        std::optional<BalancerInstance> lender;
         std::uint64_t nonce = 0;
     };
 
@@ -98,7 +98,7 @@
     void dispatch(ServiceId, TimePoint now);
     void giveBack(const Running&);
 
-    Holder self_;
+    BalancerInstance self_;
     AdmissionLimits limits_;
     std::mt19937_64 random_;
     std::map<BackendServerId, Server> servers_;
--- a/Source/Request/AnswerBook.cpp
+++ b/Source/Request/AnswerBook.cpp
@@ -2,34 +2,36 @@
 
 namespace wisteriadock {
 
-AnswerBook::AnswerBook(const Holder& self, std::chrono::milliseconds acknowledgeTimeout)
+AnswerBook::AnswerBook(const BalancerInstance& self, std::chrono::milliseconds acknowledgeTimeout)
     : self_(self)
     , acknowledgeTimeout_(acknowledgeTimeout)
 {
 }
 
-ForwardToken AnswerBook::open(TryId id, const KeyDigest& key, const Holder& owner, TimePoint deadline, TimePoint now)
+ForwardToken AnswerBook::open(
+    TryId id, const KeyDigest& key, const BalancerInstance& owner, TimePoint deadline, TimePoint now)
 {
     const std::uint64_t number = ++lastNumber_;
     entries_[number] = { id, key, owner, deadline, now + acknowledgeTimeout_, false };
     return { self_, number };
 }
 
-std::map<std::uint64_t, AnswerBook::Entry>::iterator AnswerBook::find(const Holder& from, const ForwardToken& token)
+std::map<std::uint64_t, AnswerBook::Entry>::iterator AnswerBook::find(
+    const BalancerInstance& from, const ForwardToken& token)
 {
     const auto found = token.entry == self_ ? entries_.find(token.number) : entries_.end();
     const bool isOwners = found != entries_.end() && found->second.owner == from;
     return isOwners ? found : entries_.end();
 }
 
-void AnswerBook::acknowledge(const Holder& from, const ForwardToken& token)
+void AnswerBook::acknowledge(const BalancerInstance& from, const ForwardToken& token)
 {
     const auto found = find(from, token);
     if (found != entries_.end())
         found->second.isAcknowledged = true;
 }
 
-AnswerBook::Settled AnswerBook::settle(const Holder& from, const ForwardedAnswer& answer)
+AnswerBook::Settled AnswerBook::settle(const BalancerInstance& from, const ForwardedAnswer& answer)
 {
     const auto found = find(from, answer.token);
     if (found == entries_.end() || found->second.key != answer.key) {
@@ -42,7 +44,7 @@
     return { isWhole ? Delivery::Deliver : Delivery::Incomplete, id };
 }
 
-std::optional<TryId> AnswerBook::redirect(const Holder& from, const ForwardToken& token)
+std::optional<TryId> AnswerBook::redirect(const BalancerInstance& from, const ForwardToken& token)
 {
     const auto found = find(from, token);
     if (found == entries_.end())
@@ -64,7 +66,7 @@
     return std::nullopt;
 }
 
-std::vector<AbandonedForward> AnswerBook::loseOwner(const Holder& owner)
+std::vector<AbandonedForward> AnswerBook::loseOwner(const BalancerInstance& owner)
 {
     std::vector<AbandonedForward> abandoned;
     std::erase_if(entries_, [&](const auto& item) {
--- a/Source/Request/AnswerBook.h
+++ b/Source/Request/AnswerBook.h
@@ -15,7 +15,7 @@
 // Names one forwarded try to the owner, which repeats it in everything that it says about the try. A balancer that
 // starts again has another incarnation, so an answer to its earlier life matches nothing.
 struct ForwardToken {
-    Holder entry;
+    BalancerInstance entry;
     std::uint64_t number = 0;
 
     auto operator<=>(const ForwardToken&) const = default;
@@ -47,29 +47,29 @@
 // that one that is dead or paused is noticed after the timeout and not at the request's deadline.
 class AnswerBook {
 public:
-    AnswerBook(const Holder& self, std::chrono::milliseconds acknowledgeTimeout);
+    AnswerBook(const BalancerInstance& self, std::chrono::milliseconds acknowledgeTimeout);
 
-    ForwardToken open(TryId, const KeyDigest&, const Holder& owner, TimePoint deadline, TimePoint now);
-    void acknowledge(const Holder& from, const ForwardToken&);
+    ForwardToken open(TryId, const KeyDigest&, const BalancerInstance& owner, TimePoint deadline, TimePoint now);
+    void acknowledge(const BalancerInstance& from, const ForwardToken&);
 
     // Finds out whose answer this is; try id is set for Deliver and Incomplete. The try is closed then.
     struct Settled {
         Delivery delivery = Delivery::Drop;
         TryId id = 0;
     };
-    Settled settle(const Holder& from, const ForwardedAnswer&);
+    Settled settle(const BalancerInstance& from, const ForwardedAnswer&);
     // The owner refused to own the key: the try is open again for another open().
-    std::optional<TryId> redirect(const Holder& from, const ForwardToken&);
+    std::optional<TryId> redirect(const BalancerInstance& from, const ForwardToken&);
 
     // The caller left. Returns whom to tell.
     struct Forward {
-        Holder owner;
+        BalancerInstance owner;
         ForwardToken token;
     };
     std::optional<Forward> cancel(TryId);
 
     // The owner is dead as far as the members' view goes; all it had is given up at once.
-    std::vector<AbandonedForward> loseOwner(const Holder&);
+    std::vector<AbandonedForward> loseOwner(const BalancerInstance&);
     // Gives up what was not acknowledged in time or is past its deadline.
     std::vector<AbandonedForward> expire(TimePoint now);
 
@@ -80,15 +80,15 @@
     struct Entry {
         TryId id = 0;
         KeyDigest key;
-        Holder owner;
+        BalancerInstance owner;
         TimePoint deadline;
         TimePoint acknowledgeUntil;
         bool isAcknowledged = false;
     };
 
-    std::map<std::uint64_t, Entry>::iterator find(const Holder& from, const ForwardToken&);
+    std::map<std::uint64_t, Entry>::iterator find(const BalancerInstance& from, const ForwardToken&);
 
-    Holder self_;
+    BalancerInstance self_;
     std::chrono::milliseconds acknowledgeTimeout_;
     std::map<std::uint64_t, Entry> entries_;
     std::uint64_t lastNumber_ = 0;
--- a/Source/Request/BucketKeeper.cpp
+++ b/Source/Request/BucketKeeper.cpp
@@ -14,7 +14,7 @@
 
 }
 
-BucketKeeper::BucketKeeper(const Holder& self, const ClaimLimits& limits, Duration maxDeadline)
+BucketKeeper::BucketKeeper(const BalancerInstance& self, const ClaimLimits& limits, Duration maxDeadline)
     : self_(self)
     , maxDeadline_(maxDeadline)
     , table_(limits)
@@ -77,7 +77,7 @@
 
 void BucketKeeper::recover(std::uint32_t index, TimePoint now)
 {
-    const RecoveryState state = buckets_[index].recovery.decide(gone_, now);
+    const RecoveryState state = buckets_[index].recovery.decide(terminated_, now);
     if (state == RecoveryState::Waiting)
         return askEarlierHolders(index, now);
     takeIn(index, state, now);
@@ -89,7 +89,7 @@
     if (now < bucket.sendAt)
         return;
     bucket.sendAt = now + (bucket.lost ? Duration(healInterval) : Duration(resendInterval));
-    for (const Holder& holder : bucket.recovery.unanswered(gone_))
+    for (const BalancerInstance& holder : bucket.recovery.unanswered(terminated_))
         send(holder, RecoverBucket { term_->epoch, index });
 }
 
@@ -164,7 +164,7 @@
 void BucketKeeper::tryToHeal(std::uint32_t index, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
-    const RecoveryState state = bucket.recovery.decide(gone_, now);
+    const RecoveryState state = bucket.recovery.decide(terminated_, now);
     if (state == RecoveryState::Whole) {
         const BucketSnapshot* source = bucket.recovery.source();
         if (source)
@@ -215,7 +215,7 @@
     hasOwnershipChanged_ = true;
 }
 
-bool BucketKeeper::isPresent(const Holder& from, std::uint64_t epoch)
+bool BucketKeeper::isPresent(const BalancerInstance& from, std::uint64_t epoch)
 {
     hearOf(epoch);
     if (term_ && epoch < term_->epoch)
@@ -223,7 +223,7 @@
     return mayAct() && epoch == newestEpoch_;
 }
 
-void BucketKeeper::handle(const Holder& from, const RecoverBucket& message, TimePoint now)
+void BucketKeeper::handle(const BalancerInstance& from, const RecoverBucket& message, TimePoint now)
 {
     hearOf(message.epoch);
     if (message.epoch < newestEpoch_) {
@@ -237,7 +237,7 @@
             contentsOf(message.bucket, true, now) });
 }
 
-void BucketKeeper::handle(const Holder& from, const BucketSnapshot& message, TimePoint now)
+void BucketKeeper::handle(const BalancerInstance& from, const BucketSnapshot& message, TimePoint now)
 {
     if (!isPresent(from, message.epoch))
         return;
@@ -248,7 +248,7 @@
     advance(message.bucket, now);
 }
 
-void BucketKeeper::handle(const Holder& from, const InstallBucket& message, TimePoint now)
+void BucketKeeper::handle(const BalancerInstance& from, const InstallBucket& message, TimePoint now)
 {
     if (!isPresent(from, message.epoch))
         return;
@@ -274,7 +274,7 @@
     send(from, BucketInstalled { message.epoch, message.bucket, true });
 }
 
-void BucketKeeper::handle(const Holder& from, const BucketInstalled& message, TimePoint now)
+void BucketKeeper::handle(const BalancerInstance& from, const BucketInstalled& message, TimePoint now)
 {
     if (!isPresent(from, message.epoch))
         return;
@@ -288,7 +288,7 @@
     install(message.bucket, now);
 }
 
-void BucketKeeper::handle(const Holder& from, const ClaimKey& message, TimePoint now)
+void BucketKeeper::handle(const BalancerInstance& from, const ClaimKey& message, TimePoint now)
 {
     const Bucket& bucket = buckets_[message.bucket];
     bool accepted = isPresent(from, message.epoch) && bucket.pair && bucket.pair->owner == from
@@ -303,7 +303,7 @@
     send(from, ClaimReply { newestEpoch_, message.sequence, accepted });
 }
 
-void BucketKeeper::handle(const Holder& from, const WithdrawClaim& message, TimePoint)
+void BucketKeeper::handle(const BalancerInstance& from, const WithdrawClaim& message, TimePoint)
 {
     const ClaimRecord* known = table_.find(message.bucket, message.digest);
     const bool isThisClaim = known && known->runner == from && known->sequence == message.sequence;
@@ -311,7 +311,7 @@
         table_.erase(message.bucket, message.digest);
 }
 
-void BucketKeeper::handle(const Holder& from, const ClaimOutcome& message, TimePoint now)
+void BucketKeeper::handle(const BalancerInstance& from, const ClaimOutcome& message, TimePoint now)
 {
     const ClaimRecord* known = table_.find(message.bucket, message.digest);
     if (!known || known->runner != from || known->sequence != message.sequence)
@@ -323,7 +323,7 @@
     table_.put(message.bucket, message.digest, std::move(record));
 }
 
-void BucketKeeper::handle(const Holder& from, const CheckEpoch& message, TimePoint)
+void BucketKeeper::handle(const BalancerInstance& from, const CheckEpoch& message, TimePoint)
 {
     const bool accepted = isPresent(from, message.epoch);
     send(from, EpochChecked { message.epoch, message.nonce, accepted });
@@ -364,7 +364,10 @@
     hasOwnershipChanged_ = true;
 }
 
-void BucketKeeper::send(const Holder& to, RequestMessage message) { messages_.push_back({ to, std::move(message) }); }
+void BucketKeeper::send(const BalancerInstance& to, RequestMessage message)
+{
+    messages_.push_back({ to, std::move(message) });
+}
 
 std::vector<OutgoingMessage> BucketKeeper::takeMessages() { return std::exchange(messages_, {}); }
 
--- a/Source/Request/BucketKeeper.h
+++ b/Source/Request/BucketKeeper.h
@@ -33,24 +33,24 @@
 // Called by the RequestRunner; sends nothing itself but leaves messages to be taken.
 class BucketKeeper {
 public:
-    BucketKeeper(const Holder& self, const ClaimLimits& limits, Duration maxDeadline);
+    BucketKeeper(const BalancerInstance& self, const ClaimLimits& limits, Duration maxDeadline);
 
     void learnTerm(const ClaimTerm&, TimePoint now);
     // Notes that an epoch exists; this balancer acts no more until it knows the epoch's holders.
     void hearOf(std::uint64_t epoch);
-    // Proofs that holders run no more (GoneHolders.h).
-    void learnGone(const Holder& holder) { gone_.learnGone(holder); }
-    void learnStart(const Holder& holder) { gone_.learnStart(holder); }
+    // Proofs that holders run no more (TerminatedInstances.h).
+    void learnTerminated(const BalancerInstance& holder) { terminated_.learnTerminated(holder); }
+    void learnStart(const BalancerInstance& holder) { terminated_.learnStart(holder); }
     void tick(TimePoint now);
 
-    void handle(const Holder& from, const RecoverBucket&, TimePoint now);
-    void handle(const Holder& from, const BucketSnapshot&, TimePoint now);
-    void handle(const Holder& from, const InstallBucket&, TimePoint now);
-    void handle(const Holder& from, const BucketInstalled&, TimePoint now);
-    void handle(const Holder& from, const ClaimKey&, TimePoint now);
-    void handle(const Holder& from, const WithdrawClaim&, TimePoint now);
-    void handle(const Holder& from, const ClaimOutcome&, TimePoint now);
-    void handle(const Holder& from, const CheckEpoch&, TimePoint now);
+    void handle(const BalancerInstance& from, const RecoverBucket&, TimePoint now);
+    void handle(const BalancerInstance& from, const BucketSnapshot&, TimePoint now);
+    void handle(const BalancerInstance& from, const InstallBucket&, TimePoint now);
+    void handle(const BalancerInstance& from, const BucketInstalled&, TimePoint now);
+    void handle(const BalancerInstance& from, const ClaimKey&, TimePoint now);
+    void handle(const BalancerInstance& from, const WithdrawClaim&, TimePoint now);
+    void handle(const BalancerInstance& from, const ClaimOutcome&, TimePoint now);
+    void handle(const BalancerInstance& from, const CheckEpoch&, TimePoint now);
 
     const std::optional<ClaimTerm>& term() const { return term_; }
     std::uint64_t newestEpoch() const { return newestEpoch_; }
@@ -88,9 +88,9 @@
         TimePoint sendAt;
     };
 
-    void send(const Holder& to, RequestMessage);
+    void send(const BalancerInstance& to, RequestMessage);
     // Handles a message's epoch; returns whether it is the epoch under which this balancer acts.
-    bool isPresent(const Holder& from, std::uint64_t epoch);
+    bool isPresent(const BalancerInstance& from, std::uint64_t epoch);
     void startOwning(std::uint32_t index, TimePoint now);
     void advance(std::uint32_t index, TimePoint now);
     void recover(std::uint32_t index, TimePoint now);
@@ -105,14 +105,14 @@
     void setLoss(Bucket&, const std::optional<LostClaims>&, TimePoint now);
     BucketContents contentsOf(std::uint32_t index, bool withClaims, TimePoint now) const;
 
-    Holder self_;
+    BalancerInstance self_;
     Duration maxDeadline_;
     ClaimTable table_;
     std::optional<ClaimTerm> term_;
     TimePoint termLearnedAt_;
     std::uint64_t newestEpoch_ = 0;
     std::vector<Bucket> buckets_;
-    GoneHolders gone_;
+    TerminatedInstances terminated_;
     std::vector<OutgoingMessage> messages_;
     bool isTermWanted_ = false;
     bool hasOwnershipChanged_ = false;
--- a/Source/Request/BucketRecovery.cpp
+++ b/Source/Request/BucketRecovery.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    std::vector<Holder> membersOf(const ClaimPair& pair)
+    std::vector<BalancerInstance> membersOf(const ClaimPair& pair)
     {
-        std::vector<Holder> members = { pair.owner };
+        std::vector<BalancerInstance> members = { pair.owner };
         if (pair.backup)
             members.push_back(*pair.backup);
         return members;
@@ -25,7 +25,7 @@
 {
 }
 
-void BucketRecovery::add(const Holder& from, const BucketSnapshot& snapshot)
+void BucketRecovery::add(const BalancerInstance& from, const BucketSnapshot& snapshot)
 {
     // The first answer counts: it was given when the holder stopped acting, and nothing was claimed there since.
     answers_.try_emplace(from, snapshot);
@@ -33,7 +33,7 @@
 
 const BucketRecovery::Answers::value_type* BucketRecovery::wholeCopyOf(const ClaimPair& pair) const
 {
-    for (const Holder& member : membersOf(pair)) {
+    for (const BalancerInstance& member : membersOf(pair)) {
         const auto answer = answers_.find(member);
         if (answer == answers_.end())
             continue;
@@ -46,35 +46,35 @@
 
 bool BucketRecovery::wasNeverActive(const ClaimPair& pair) const
 {
-    const std::vector<Holder> members = membersOf(pair);
-    return std::any_of(members.begin(), members.end(), [&](const Holder& member) {
+    const std::vector<BalancerInstance> members = membersOf(pair);
+    return std::any_of(members.begin(), members.end(), [&](const BalancerInstance& member) {
         const auto answer = answers_.find(member);
         return answer != answers_.end() && answer->second.installedEpoch < pair.epoch;
     });
 }
 
-bool BucketRecovery::mayStillAnswer(const ClaimPair& pair, const GoneHolders& gone) const
+bool BucketRecovery::mayStillAnswer(const ClaimPair& pair, const TerminatedInstances& terminated) const
 {
-    const std::vector<Holder> members = membersOf(pair);
+    const std::vector<BalancerInstance> members = membersOf(pair);
     return std::any_of(members.begin(), members.end(),
-        [&](const Holder& member) { return !hasAnswered(member) && !gone.contains(member); });
+        [&](const BalancerInstance& member) { return !hasAnswered(member) && !terminated.contains(member); });
 }
 
-bool BucketRecovery::isStopped(const ClaimPair& pair, const GoneHolders& gone) const
+bool BucketRecovery::isStopped(const ClaimPair& pair, const TerminatedInstances& terminated) const
 {
-    const std::vector<Holder> members = membersOf(pair);
+    const std::vector<BalancerInstance> members = membersOf(pair);
     return std::any_of(members.begin(), members.end(),
-        [&](const Holder& member) { return hasAnswered(member) || gone.contains(member); });
+        [&](const BalancerInstance& member) { return hasAnswered(member) || terminated.contains(member); });
 }
 
-RecoveryState BucketRecovery::decide(const GoneHolders& gone, TimePoint now)
+RecoveryState BucketRecovery::decide(const TerminatedInstances& terminated, TimePoint now)
 {
     source_ = nullptr;
     lostPairs_.clear();
     allStopped_ = true;
     for (const ClaimPair& pair : pairs_) {
         if (const auto* copy = wholeCopyOf(pair)) {
-            const bool ownerMayAnswer = !hasAnswered(pair.owner) && !gone.contains(pair.owner);
+            const bool ownerMayAnswer = !hasAnswered(pair.owner) && !terminated.contains(pair.owner);
             if (ownerMayAnswer && now - start_ < ownerPreference)
                 return RecoveryState::Waiting;
             source_ = copy;
@@ -82,22 +82,22 @@
         }
         if (wasNeverActive(pair))
             continue;
-        if (mayStillAnswer(pair, gone) && now - start_ < patience)
+        if (mayStillAnswer(pair, terminated) && now - start_ < patience)
             return RecoveryState::Waiting;
         lostPairs_.push_back(pair);
-        allStopped_ = allStopped_ && isStopped(pair, gone);
+        allStopped_ = allStopped_ && isStopped(pair, terminated);
     }
     allStopped_ = allStopped_ && isHistoryWhole_;
     return lostPairs_.empty() && isHistoryWhole_ ? RecoveryState::Whole : RecoveryState::Lost;
 }
 
-std::vector<Holder> BucketRecovery::unanswered(const GoneHolders& gone) const
+std::vector<BalancerInstance> BucketRecovery::unanswered(const TerminatedInstances& terminated) const
 {
-    std::vector<Holder> holders;
+    std::vector<BalancerInstance> holders;
     for (const ClaimPair& pair : pairs_) {
-        for (const Holder& member : membersOf(pair)) {
+        for (const BalancerInstance& member : membersOf(pair)) {
             const bool isListed = std::find(holders.begin(), holders.end(), member) != holders.end();
-            if (!isListed && !hasAnswered(member) && !gone.contains(member))
+            if (!isListed && !hasAnswered(member) && !terminated.contains(member))
                 holders.push_back(member);
         }
     }
--- a/Source/Request/BucketRecovery.h
+++ b/Source/Request/BucketRecovery.h
@@ -2,7 +2,7 @@
 
 #include "Core/Clock.h"
 #include "Request/ClaimMessages.h"
-#include "Request/GoneHolders.h"
+#include "Request/TerminatedInstances.h"
 
 #include <map>
 #include <optional>
@@ -31,14 +31,14 @@
     BucketRecovery(std::vector<ClaimPair> pairs, bool isHistoryWhole, std::uint64_t ceilingEpoch, TimePoint start);
 
     // Takes the answer of an earlier holder.
-    void add(const Holder& from, const BucketSnapshot&);
+    void add(const BalancerInstance& from, const BucketSnapshot&);
 
     // Decides by what has been heard. Gone are holders that certainly run no more.
-    RecoveryState decide(const GoneHolders& gone, TimePoint now);
+    RecoveryState decide(const TerminatedInstances& terminated, TimePoint now);
 
     // The copy to start from, and who sent it, once whole or lost; null when there is none.
     const BucketSnapshot* source() const { return source_ ? &source_->second : nullptr; }
-    const Holder* sourceHolder() const { return source_ ? &source_->first : nullptr; }
+    const BalancerInstance* sourceHolder() const { return source_ ? &source_->first : nullptr; }
     // Pairs that may have held newer claims than the source; empty when whole.
     const std::vector<ClaimPair>& lostPairs() const { return lostPairs_; }
     // Whether nobody can act under an earlier epoch any more: each lost pair has a member that is certainly gone or has
@@ -47,7 +47,7 @@
     bool isHistoryWhole() const { return isHistoryWhole_; }
 
     // Whom to ask (again).
-    std::vector<Holder> unanswered(const GoneHolders& gone) const;
+    std::vector<BalancerInstance> unanswered(const TerminatedInstances& terminated) const;
 
     // How long holders that are not known to be gone are waited for.
     static constexpr std::chrono::milliseconds patience { 1500 };
@@ -55,13 +55,13 @@
     static constexpr std::chrono::milliseconds ownerPreference { 100 };
 
 private:
-    using Answers = std::map<Holder, BucketSnapshot>;
+    using Answers = std::map<BalancerInstance, BucketSnapshot>;
 
-    bool hasAnswered(const Holder& holder) const { return answers_.contains(holder); }
+    bool hasAnswered(const BalancerInstance& holder) const { return answers_.contains(holder); }
     const Answers::value_type* wholeCopyOf(const ClaimPair&) const;
     bool wasNeverActive(const ClaimPair&) const;
-    bool mayStillAnswer(const ClaimPair&, const GoneHolders& gone) const;
-    bool isStopped(const ClaimPair&, const GoneHolders& gone) const;
+    bool mayStillAnswer(const ClaimPair&, const TerminatedInstances& terminated) const;
+    bool isStopped(const ClaimPair&, const TerminatedInstances& terminated) const;
 
     std::vector<ClaimPair> pairs_;
     bool isHistoryWhole_ = true;
--- a/Source/Request/ClaimMessages.h
+++ b/Source/Request/ClaimMessages.h
@@ -117,7 +117,7 @@
 
 // A message that the shell must send.
 struct OutgoingMessage {
-    Holder to;
+    BalancerInstance to;
     RequestMessage message;
 };
 
--- a/Source/Request/ClaimTable.h
+++ b/Source/Request/ClaimTable.h
@@ -30,7 +30,7 @@
     std::uint64_t fingerprint = 0; // Hash of the content, to notice a key that is used for something else.
     std::uint64_t issuedEpoch = 0;
     std::uint64_t sequence = 0; // Rises with each claim that one runner makes.
-    Holder runner;
+    BalancerInstance runner;
     TimePoint since; // When it last changed; for Refused, when it may run.
     ClaimState state = ClaimState::Claimed;
     WholeAnswer answer;
--- a/Source/Request/ClaimTerm.cpp
+++ b/Source/Request/ClaimTerm.cpp
@@ -11,16 +11,17 @@
     constexpr std::uint64_t rendezvousSeed = 0x636c61696d;
 
     // The incarnation stays out of it, so that a balancer that starts again gets its buckets back.
-    std::uint64_t score(const Holder& holder, std::uint32_t bucket)
+    std::uint64_t score(const BalancerInstance& holder, std::uint32_t bucket)
     {
         return hashPair(hashPair(rendezvousSeed, holder.id.value), bucket);
     }
 
-    std::optional<ClaimPair> pairAmong(const std::vector<Holder>& holders, std::uint64_t epoch, std::uint32_t bucket)
+    std::optional<ClaimPair> pairAmong(
+        const std::vector<BalancerInstance>& holders, std::uint64_t epoch, std::uint32_t bucket)
     {
-        const Holder* first = nullptr;
-        const Holder* second = nullptr;
-        for (const Holder& holder : holders) {
+        const BalancerInstance* first = nullptr;
+        const BalancerInstance* second = nullptr;
+        for (const BalancerInstance& holder : holders) {
             if (!first || score(holder, bucket) > score(*first, bucket)) {
                 second = first;
                 first = &holder;
@@ -32,9 +33,9 @@
         return ClaimPair { epoch, *first, second ? std::optional(*second) : std::nullopt };
     }
 
-    std::vector<Holder> servingHolders(std::string_view zone, const MembersView& view)
+    std::vector<BalancerInstance> servingHolders(std::string_view zone, const MembersView& view)
     {
-        std::vector<Holder> holders;
+        std::vector<BalancerInstance> holders;
         for (const Member& member : view.members) {
             if (member.state == MemberState::Serving && member.availabilityZone == zone)
                 holders.push_back({ member.id, member.incarnation });
@@ -43,7 +44,7 @@
         return holders;
     }
 
-    ClaimTerm successorOf(const ClaimTerm& current, std::vector<Holder> holders)
+    ClaimTerm successorOf(const ClaimTerm& current, std::vector<BalancerInstance> holders)
     {
         ClaimTerm next { current.zone, current.epoch + 1, std::move(holders), current.previous,
             current.isHistoryWhole };
@@ -77,7 +78,7 @@
     // A balancer that hears nobody may have been paused: what it believes about the others is no ground to act on.
     if (view.isolated)
         return std::nullopt;
-    std::vector<Holder> holders = servingHolders(zone, view);
+    std::vector<BalancerInstance> holders = servingHolders(zone, view);
     if (holders.empty() || (current && current->holders == holders))
         return std::nullopt;
     if (!current)
--- a/Source/Request/ClaimTerm.h
+++ b/Source/Request/ClaimTerm.h
@@ -19,9 +19,9 @@
 // The two balancers that hold the claims of one bucket under one epoch.
 struct ClaimPair {
     std::uint64_t epoch = 0;
-    Holder owner;
+    BalancerInstance owner;
     // Absent when the zone had a single holder.
-    std::optional<Holder> backup;
+    std::optional<BalancerInstance> backup;
 
     bool operator==(const ClaimPair&) const = default;
 };
@@ -29,7 +29,7 @@
 // Who held claims under an earlier epoch.
 struct PastTerm {
     std::uint64_t epoch = 0;
-    std::vector<Holder> holders;
+    std::vector<BalancerInstance> holders;
 
     bool operator==(const PastTerm&) const = default;
 };
@@ -40,7 +40,7 @@
     std::string zone;
     std::uint64_t epoch = 0;
     // Sorted.
-    std::vector<Holder> holders;
+    std::vector<BalancerInstance> holders;
     // Newest first, at most maxPastTerms.
     std::vector<PastTerm> previous;
     // True while previous reaches back to the first epoch ever.
--- a/Source/Request/RefusalFence.cpp
+++ b/Source/Request/RefusalFence.cpp
@@ -18,7 +18,10 @@
 {
 }
 
-void RefusalFence::add(const Holder& backup, const FencedRefusal& refusal) { lines_[backup].next.push_back(refusal); }
+void RefusalFence::add(const BalancerInstance& backup, const FencedRefusal& refusal)
+{
+    lines_[backup].next.push_back(refusal);
+}
 
 std::vector<OutgoingMessage> RefusalFence::takeQuestions(std::uint64_t epoch, TimePoint now)
 {
@@ -34,7 +37,7 @@
     return questions;
 }
 
-std::vector<FencedRefusal> RefusalFence::takeAnswered(const Holder& from, const EpochChecked& answer)
+std::vector<FencedRefusal> RefusalFence::takeAnswered(const BalancerInstance& from, const EpochChecked& answer)
 {
     const auto line = lines_.find(from);
     if (line == lines_.end() || line->second.asked.empty() || line->second.nonce != answer.nonce)
--- a/Source/Request/RefusalFence.h
+++ b/Source/Request/RefusalFence.h
@@ -28,12 +28,12 @@
 public:
     explicit RefusalFence(Duration timeout);
 
-    void add(const Holder& backup, const FencedRefusal&);
+    void add(const BalancerInstance& backup, const FencedRefusal&);
     // Questions to send now: at most one open for each backup.
     std::vector<OutgoingMessage> takeQuestions(std::uint64_t epoch, TimePoint now);
 
     // Refusals that an answer settles; empty when the answer is to no open question.
-    std::vector<FencedRefusal> takeAnswered(const Holder& from, const EpochChecked&);
+    std::vector<FencedRefusal> takeAnswered(const BalancerInstance& from, const EpochChecked&);
     // Refusals whose backup was silent for too long.
     std::vector<FencedRefusal> takeExpired(TimePoint now);
     // All of them, because the epoch changed.
@@ -52,7 +52,7 @@
     };
 
     Duration timeout_;
-    std::map<Holder, Line> lines_;
+    std::map<BalancerInstance, Line> lines_;
     std::uint64_t lastNonce_ = 0;
 };
 
--- a/Source/Request/RefusalWriter.cpp
+++ b/Source/Request/RefusalWriter.cpp
@@ -54,7 +54,7 @@
     const std::uint32_t bucket = claimBucketOf(refusal.key.digest);
     if (keeper_.ownership(bucket) != Ownership::Active)
         return refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.comeBackIn);
-    const std::optional<Holder>& backup = keeper_.pairOf(bucket)->backup;
+    const std::optional<BalancerInstance>& backup = keeper_.pairOf(bucket)->backup;
     if (backup)
         fence_.add(*backup, refusal);
     else
@@ -85,10 +85,10 @@
     if (isFinalReason || refusal.reason == RefusalReason::ComeBackLater || !hasRoom)
         return;
     table.put(bucket, refusal.key.digest,
-        { 0, refusal.key.issuedEpoch, 0, Holder {}, now + retryAfter, ClaimState::Refused, nullptr });
+        { 0, refusal.key.issuedEpoch, 0, BalancerInstance {}, now + retryAfter, ClaimState::Refused, nullptr });
 }
 
-void RefusalWriter::takeEpochChecked(const Holder& from, const EpochChecked& answer, TimePoint now)
+void RefusalWriter::takeEpochChecked(const BalancerInstance& from, const EpochChecked& answer, TimePoint now)
 {
     for (const FencedRefusal& refusal : fence_.takeAnswered(from, answer)) {
         if (answer.accepted)
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -25,7 +25,7 @@
     // The same at once. For keys whose claim was held in this balancer's name: nobody else can have run them.
     void refuseOwn(const FencedRefusal&, TimePoint now);
 
-    void takeEpochChecked(const Holder& from, const EpochChecked&, TimePoint now);
+    void takeEpochChecked(const BalancerInstance& from, const EpochChecked&, TimePoint now);
     // The epoch has changed: what waits can't be confirmed any more.
     void abandonFenced();
     void expireFenced(TimePoint now);
--- a/Source/Request/RequestRouter.cpp
+++ b/Source/Request/RequestRouter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    bool isReachable(const Holder& holder, const MembersView& view)
+    bool isReachable(const BalancerInstance& holder, const MembersView& view)
     {
         return std::any_of(view.members.begin(), view.members.end(), [&](const Member& member) {
             if (member.id != holder.id)
@@ -19,7 +19,7 @@
 
 }
 
-RequestRouter::RequestRouter(const Holder& self, std::vector<std::string> zones)
+RequestRouter::RequestRouter(const BalancerInstance& self, std::vector<std::string> zones)
     : self_(self)
     , zones_(std::move(zones))
 {
--- a/Source/Request/RequestRouter.h
+++ b/Source/Request/RequestRouter.h
@@ -20,7 +20,7 @@
 
 struct Route {
     TryRouteKind kind = TryRouteKind::Unreachable;
-    Holder owner;
+    BalancerInstance owner;
 };
 
 // Finds the owner of a key by the ownership records of all availability zones.
@@ -30,7 +30,7 @@
 class RequestRouter {
 public:
     // The zones are the fixed list of the settings, the same on every balancer.
-    RequestRouter(const Holder& self, std::vector<std::string> zones);
+    RequestRouter(const BalancerInstance& self, std::vector<std::string> zones);
 
     // Keeps the newest record of each zone; returns whether this one is new.
     bool learnTerm(const ClaimTerm&);
@@ -41,7 +41,7 @@
     const std::vector<std::string>& zones() const { return zones_; }
 
 private:
-    Holder self_;
+    BalancerInstance self_;
     std::vector<std::string> zones_;
     std::map<std::string, ClaimTerm> terms_;
 };
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -311,7 +311,7 @@
         park({ waiter.id, *parked.key, parked.fingerprint, parked.service, waiter.deadline, std::nullopt }, now);
 }
 
-void RequestRunner::receive(const Holder& from, const RequestMessage& message, TimePoint now)
+void RequestRunner::receive(const BalancerInstance& from, const RequestMessage& message, TimePoint now)
 {
     if (const auto* recover = std::get_if<RecoverBucket>(&message)) {
         if (recover->epoch > keeper_.newestEpoch())
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -21,7 +21,7 @@
 
 // Everything that a runner is set up with.
 struct RunnerSettings {
-    Holder self;
+    BalancerInstance self;
     ClaimLimits claims;
     AdmissionLimits admission;
     RetryLimits retries;
@@ -46,7 +46,7 @@
 
     void learnTerm(const ClaimTerm&, TimePoint now);
     // A holder that certainly runs no more: its VM is gone for good. Restarts are noticed from the members.
-    void learnGone(const Holder& holder) { keeper_.learnGone(holder); }
+    void learnTerminated(const BalancerInstance& holder) { keeper_.learnTerminated(holder); }
     void configure(const Configuration&, const MembersView&, TimePoint now);
 
     void arrive(const KeyedTry&, TimePoint now);
@@ -64,7 +64,7 @@
         admission_.shed(server, retryAfter, now);
     }
 
-    void receive(const Holder& from, const RequestMessage&, TimePoint now);
+    void receive(const BalancerInstance& from, const RequestMessage&, TimePoint now);
     // To be called about every 20 ms.
     void tick(TimePoint now);
 
--- a/Source/Request/RequestTypes.h
+++ b/Source/Request/RequestTypes.h
@@ -66,13 +66,13 @@
 using WholeAnswer = std::shared_ptr<const HttpResponse>;
 
 // One start of one balancer. A balancer that starts again is another holder: it has lost what the earlier one held.
-struct Holder {
+struct BalancerInstance {
     BalancerId id;
     std::uint64_t incarnation = 0;
 
-    auto operator<=>(const Holder&) const = default;
+    auto operator<=>(const BalancerInstance&) const = default;
 
-    template <typename HashState> friend HashState AbslHashValue(HashState state, const Holder& holder)
+    template <typename HashState> friend HashState AbslHashValue(HashState state, const BalancerInstance& holder)
     {
         return HashState::combine(std::move(state), holder.id, holder.incarnation);
     }
--- a/Source/Request/SlotLoans.cpp
+++ b/Source/Request/SlotLoans.cpp
@@ -19,7 +19,7 @@
 
 }
 
-void SlotLoans::setPeers(std::vector<Holder> peers) { peers_ = std::move(peers); }
+void SlotLoans::setPeers(std::vector<BalancerInstance> peers) { peers_ = std::move(peers); }
 
 std::optional<SlotLoans::Question> SlotLoans::nextQuestion(ServiceId service, TimePoint now, std::mt19937_64& random)
 {
@@ -41,7 +41,7 @@
     return Question { asking.to, asking.nonce };
 }
 
-std::optional<ServiceId> SlotLoans::takeReply(const Holder& from, const SlotReply& reply, TimePoint now)
+std::optional<ServiceId> SlotLoans::takeReply(const BalancerInstance& from, const SlotReply& reply, TimePoint now)
 {
     for (auto& [service, asking] : asking_) {
         if (!asking.isWaiting || asking.nonce != reply.nonce || asking.to != from)
@@ -54,12 +54,15 @@
     return std::nullopt;
 }
 
-void SlotLoans::lend(const Holder& to, std::uint64_t nonce, BackendServerId server, TimePoint expiry)
+void SlotLoans::lend(const BalancerInstance& to, std::uint64_t nonce, BackendServerId server, TimePoint expiry)
 {
     loans_[{ to, nonce }] = { server, expiry };
 }
 
-bool SlotLoans::takeBack(const Holder& from, std::uint64_t nonce) { return loans_.erase({ from, nonce }) > 0; }
+bool SlotLoans::takeBack(const BalancerInstance& from, std::uint64_t nonce)
+{
+    return loans_.erase({ from, nonce }) > 0;
+}
 
 std::vector<BackendServerId> SlotLoans::takeExpired(TimePoint now)
 {
--- a/Source/Request/SlotLoans.h
+++ b/Source/Request/SlotLoans.h
@@ -16,27 +16,27 @@
 // Refused questions are repeated ever more seldom, so that an overload of everybody costs few messages.
 class SlotLoans {
 public:
-    void setPeers(std::vector<Holder> peers);
+    void setPeers(std::vector<BalancerInstance> peers);
 
     // Whom to ask for a slot of the service now, if anybody; the caller sends the question with the number.
     struct Question {
-        Holder to;
+        BalancerInstance to;
         std::uint64_t nonce = 0;
     };
     std::optional<Question> nextQuestion(ServiceId, TimePoint now, std::mt19937_64&);
     // Takes an answer; returns the service it was asked for if it still is of use.
-    std::optional<ServiceId> takeReply(const Holder& from, const SlotReply&, TimePoint now);
+    std::optional<ServiceId> takeReply(const BalancerInstance& from, const SlotReply&, TimePoint now);
 
-    void lend(const Holder& to, std::uint64_t nonce, BackendServerId, TimePoint expiry);
+    void lend(const BalancerInstance& to, std::uint64_t nonce, BackendServerId, TimePoint expiry);
     // Whether that loan was open; it is closed now.
-    bool takeBack(const Holder& from, std::uint64_t nonce);
+    bool takeBack(const BalancerInstance& from, std::uint64_t nonce);
     // Servers whose loans ran out because the borrower vanished, one entry a slot.
     std::vector<BackendServerId> takeExpired(TimePoint now);
 
 private:
     struct Asking {
         std::uint64_t nonce = 0;
-        Holder to;
+        BalancerInstance to;
         bool isWaiting = false;
         TimePoint askAgainAt;
         std::size_t nextPeer = 0;
@@ -47,9 +47,9 @@
         TimePoint expiry;
     };
 
-    std::vector<Holder> peers_;
+    std::vector<BalancerInstance> peers_;
     std::map<ServiceId, Asking> asking_;
-    std::map<std::pair<Holder, std::uint64_t>, Loan> loans_;
+    std::map<std::pair<BalancerInstance, std::uint64_t>, Loan> loans_;
     std::uint64_t lastNonce_ = 0;
 };
 
--- a/Source/Request/TermKeeper.cpp
+++ b/Source/Request/TermKeeper.cpp
@@ -85,9 +85,9 @@
 {
     if (auto next = nextClaimTerm(term_, zone_, view_))
         return next;
-    const bool isHolder = term_ && std::any_of(term_->holders.begin(), term_->holders.end(), [&](const Holder& holder) {
-        return holder.id == self_;
-    });
+    const bool isHolder = term_
+        && std::any_of(term_->holders.begin(), term_->holders.end(),
+            [&](const BalancerInstance& holder) { return holder.id == self_; });
     if (isHolder && !view_.isolated && now - adoptedAt_ >= times_.renewal)
         return renewedClaimTerm(*term_);
     return std::nullopt;
@@ -96,7 +96,7 @@
 std::size_t TermKeeper::rankOf(const ClaimTerm& next) const
 {
     const auto self = std::find_if(
-        next.holders.begin(), next.holders.end(), [&](const Holder& holder) { return holder.id == self_; });
+        next.holders.begin(), next.holders.end(), [&](const BalancerInstance& holder) { return holder.id == self_; });
     return self - next.holders.begin();
 }
 
--- a/Source/Request/WorkClaims.cpp
+++ b/Source/Request/WorkClaims.cpp
@@ -4,7 +4,7 @@
 
 namespace wisteriadock {
 
-WorkClaims::WorkClaims(const Holder& self, BucketKeeper& keeper, WorkTable& works)
+WorkClaims::WorkClaims(const BalancerInstance& self, BucketKeeper& keeper, WorkTable& works)
     : self_(self)
     , keeper_(keeper)
     , works_(works)
@@ -24,7 +24,7 @@
     works_.setClaim(work, ++lastSequence_);
     if (!keeper_.table().put(bucket, work.key->digest, recordOf(work, ClaimState::Claimed, now)))
         return ClaimStart::NoRoom;
-    const std::optional<Holder>& backup = keeper_.pairOf(bucket)->backup;
+    const std::optional<BalancerInstance>& backup = keeper_.pairOf(bucket)->backup;
     if (!backup)
         return ClaimStart::Held;
     const ClaimKey message { keeper_.newestEpoch(), bucket, work.sequence, work.key->digest, work.fingerprint,
--- a/Source/Request/WorkClaims.h
+++ b/Source/Request/WorkClaims.h
@@ -22,7 +22,7 @@
 // which has no key, nothing happens.
 class WorkClaims {
 public:
-    WorkClaims(const Holder& self, BucketKeeper&, WorkTable&);
+    WorkClaims(const BalancerInstance& self, BucketKeeper&, WorkTable&);
 
     ClaimStart begin(Work&, TimePoint now);
     void recordSent(const Work&, TimePoint now);
@@ -36,7 +36,7 @@
     ClaimRecord recordOf(const Work&, ClaimState, TimePoint now) const;
     void tellHolders(std::uint32_t bucket, const RequestMessage&);
 
-    Holder self_;
+    BalancerInstance self_;
     BucketKeeper& keeper_;
     WorkTable& works_;
     std::uint64_t lastSequence_ = 0;
--- a/Tests/Balancer/RequestGroup.cpp
+++ b/Tests/Balancer/RequestGroup.cpp
@@ -163,7 +163,7 @@
 
 std::size_t RequestGroup::ownerOf(const std::string& key)
 {
-    std::optional<Holder> owner;
+    std::optional<BalancerInstance> owner;
     const KeyDigest digest = RequestKey::parse(key, zones_).value().digest;
     operator_->get(claimTermKey(zones_.front()), Clock::now() + 20s, [&](const Result<PlatformEntry>& entry) {
         owner = readClaimTerm(entry.value().value).value().pairOf(claimBucketOf(digest))->owner;
--- a/Tests/Balancer/RequestMessageCodecTest.cpp
+++ b/Tests/Balancer/RequestMessageCodecTest.cpp
@@ -10,8 +10,8 @@
 
     using namespace std::chrono_literals;
 
-    const Holder first { BalancerId { 7 }, 1'700'000'000'001 };
-    const Holder second { BalancerId { 4'000'000'000 }, 2 };
+    const BalancerInstance first { BalancerId { 7 }, 1'700'000'000'001 };
+    const BalancerInstance second { BalancerId { 4'000'000'000 }, 2 };
 
     ClaimTerm exampleTerm() { return { "walu", 9, { first, second }, { { 8, { second } }, { 7, {} } }, false }; }
 
--- a/Tests/Request/AdmissionTest.cpp
+++ b/Tests/Request/AdmissionTest.cpp
@@ -87,7 +87,7 @@
         }
 
         MembersView view = makeView(2);
-        std::vector<Holder> holders;
+        std::vector<BalancerInstance> holders;
         std::vector<Admission> admissions;
         ManualClock clock;
         WorkId lastWork = 0;
--- a/Tests/Request/AnswerBookTest.cpp
+++ b/Tests/Request/AnswerBookTest.cpp
@@ -12,8 +12,8 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    const Holder self { { 1 }, 5 };
-    const Holder owner { { 2 }, 9 };
+    const BalancerInstance self { { 1 }, 5 };
+    const BalancerInstance owner { { 2 }, 9 };
 
     KeyDigest keyOf(std::uint64_t number) { return { number, number }; }
 
@@ -35,7 +35,7 @@
             EXPECT_EQ(book.cancel(id)->token, token);
         }
         EXPECT_EQ(book.settle(owner, { token, keyOf(id + 1), 3, 3 }).delivery, Delivery::Drop);
-        EXPECT_EQ(book.settle(Holder { { 3 }, 9 }, { token, keyOf(id), 3, 3 }).delivery, Delivery::Drop);
+        EXPECT_EQ(book.settle(BalancerInstance { { 3 }, 9 }, { token, keyOf(id), 3, 3 }).delivery, Delivery::Drop);
         EXPECT_EQ(book.settle(owner, { { { { 1 }, 4 }, token.number }, keyOf(id), 3, 3 }).delivery, Delivery::Drop);
         const AnswerBook::Settled settled = book.settle(owner, { token, keyOf(id), 3, 3 });
         EXPECT_EQ(settled.delivery, isCancelled ? Delivery::Drop : Delivery::Deliver);
--- a/Tests/Request/ClaimDoubtStoryTest.cpp
+++ b/Tests/Request/ClaimDoubtStoryTest.cpp
@@ -62,7 +62,7 @@
     }
     {
         SCOPED_TRACE("once one of the pair is gone for good, the doubt ends after the remembering time");
-        group[owner].learnGone(group.holder(0));
+        group[owner].learnTerminated(group.holder(0));
         wait(seconds(3500));
         group.arrive(owner, old);
         group.deliver(onlyNew);
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -61,8 +61,8 @@
     world.after(milliseconds(20), [this] { tick(); });
 }
 
-void FakeCluster::carry(
-    const FakeBalancer& from, const Holder& to, const std::function<void(FakeBalancer&)>& event, bool isReliable)
+void FakeCluster::carry(const FakeBalancer& from, const BalancerInstance& to,
+    const std::function<void(FakeBalancer&)>& event, bool isReliable)
 {
     const std::string& fromZone = from.zone();
     const int copies = isReliable ? 1 : (world.chance(lostMessages) ? 0 : (world.chance(lostMessages) ? 2 : 1));
@@ -235,7 +235,7 @@
         true);
 }
 
-void FakeBalancer::arriveForwarded(const Holder& entry, const ForwardToken& token, const FakeRequest& request)
+void FakeBalancer::arriveForwarded(const BalancerInstance& entry, const ForwardToken& token, const FakeRequest& request)
 {
     const TimePoint now = cluster_.world.now();
     cluster_.carry(*this, entry,
@@ -269,7 +269,8 @@
             FakeBalancer& balancer) { balancer.settle(owner, token, key, reply); });
 }
 
-void FakeBalancer::settle(const Holder& from, const ForwardToken& token, const KeyDigest& key, const FakeReply& reply)
+void FakeBalancer::settle(
+    const BalancerInstance& from, const ForwardToken& token, const KeyDigest& key, const FakeReply& reply)
 {
     const std::uint64_t bytes = reply.answer ? reply.answer->body.size() : 0;
     const AnswerBook::Settled settled = life_->book->settle(from, { token, key, bytes, bytes });
@@ -277,7 +278,7 @@
         finish(settled.id, reply);
 }
 
-void FakeBalancer::settleRedirect(const Holder& from, const ForwardToken& token)
+void FakeBalancer::settleRedirect(const BalancerInstance& from, const ForwardToken& token)
 {
     if (const auto id = life_->book->redirect(from, token))
         routeLater(*id);
@@ -294,7 +295,7 @@
     });
 }
 
-void FakeBalancer::receive(const Holder& from, const RequestMessage& message)
+void FakeBalancer::receive(const BalancerInstance& from, const RequestMessage& message)
 {
     life_->runner->receive(from, message, cluster_.world.now());
     act();
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -55,8 +55,8 @@
     void start();
     void run(Duration time) { world.runUntil(world.now() + time); }
     // Carries a closure to a balancer's present life, if the network lets it.
-    void carry(
-        const FakeBalancer& from, const Holder& to, const std::function<void(FakeBalancer&)>&, bool isReliable = false);
+    void carry(const FakeBalancer& from, const BalancerInstance& to, const std::function<void(FakeBalancer&)>&,
+        bool isReliable = false);
     FakeBalancer& balancer(std::size_t index) { return *balancers[index]; }
     // The balancer that owns the key by the newest record known to anybody; null when there is none.
     FakeBalancer* ownerOf(const RequestKey&);
@@ -87,12 +87,12 @@
 
     // Runs an event in this life, once it is not paused.
     void perform(const std::function<void()>&);
-    void receive(const Holder& from, const RequestMessage&);
+    void receive(const BalancerInstance& from, const RequestMessage&);
     void hear(const FakeBalancer& other);
     void publishView();
     void tick();
 
-    Holder holder() const { return { id_, incarnation_ }; }
+    BalancerInstance holder() const { return { id_, incarnation_ }; }
     const std::string& zone() const { return zone_; }
     BalancerId id() const { return id_; }
     RequestRunner& runner() { return *life_->runner; }
@@ -102,7 +102,7 @@
     struct Local {
         FakeRequest request;
         FakeReplyTo reply; // Of a caller here.
-        Holder entry; // Of another balancer, when token.number is set.
+        BalancerInstance entry; // Of another balancer, when token.number is set.
         ForwardToken token;
         int hops = 0;
     };
@@ -122,10 +122,10 @@
     void start();
     void route(TryId);
     void routeLater(TryId);
-    void arriveForwarded(const Holder& entry, const ForwardToken&, const FakeRequest&);
+    void arriveForwarded(const BalancerInstance& entry, const ForwardToken&, const FakeRequest&);
     void finish(TryId, const FakeReply&);
-    void settle(const Holder& from, const ForwardToken&, const KeyDigest&, const FakeReply&);
-    void settleRedirect(const Holder& from, const ForwardToken&);
+    void settle(const BalancerInstance& from, const ForwardToken&, const KeyDigest&, const FakeReply&);
+    void settleRedirect(const BalancerInstance& from, const ForwardToken&);
     void refuseUnknown(TryId, RefusalReason);
     void act();
     void act(const RequestAction&);
--- a/Tests/Request/RunnerGroup.cpp
+++ b/Tests/Request/RunnerGroup.cpp
@@ -60,7 +60,7 @@
     return term;
 }
 
-std::size_t RunnerGroup::indexOf(const Holder& wanted) const
+std::size_t RunnerGroup::indexOf(const BalancerInstance& wanted) const
 {
     const auto found
         = std::find_if(nodes_.begin(), nodes_.end(), [&](const Node& node) { return node.holder == wanted; });
--- a/Tests/Request/RunnerGroup.h
+++ b/Tests/Request/RunnerGroup.h
@@ -38,7 +38,7 @@
     TryId arriveBad(std::size_t at, const RequestKey&, RefusalReason);
 
     RequestRunner& operator[](std::size_t index) { return *nodes_[index].runner; }
-    Holder holder(std::size_t index) const { return nodes_[index].holder; }
+    BalancerInstance holder(std::size_t index) const { return nodes_[index].holder; }
     TimePoint now() const { return clock_.now(); }
 
     // What a runner decided since the last call of take, messages apart.
@@ -58,18 +58,18 @@
 
 private:
     struct Node {
-        Holder holder;
+        BalancerInstance holder;
         std::unique_ptr<RequestRunner> runner;
         std::vector<RequestAction> actions;
     };
     struct Letter {
         std::size_t from = 0;
-        Holder to;
+        BalancerInstance to;
         RequestMessage message;
     };
 
     std::vector<Letter> collect();
-    std::size_t indexOf(const Holder&) const;
+    std::size_t indexOf(const BalancerInstance&) const;
 
     std::vector<Node> nodes_;
     ManualClock clock_;
--- a/Tests/Request/TermKeeperTest.cpp
+++ b/Tests/Request/TermKeeperTest.cpp
@@ -78,7 +78,7 @@
 // Symptom: an epoch is used twice. Sequence: the platform comes back from an older copy. Cause: believing its record.
 TEST_F(TermKeeperTest, NeverGoesBackToAnEarlierEpoch)
 {
-    const std::vector<Holder> holders { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } };
+    const std::vector<BalancerInstance> holders { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } };
     keeper.learnRecord({ "walu", 7, holders, {}, true }, 30, clock.now());
     keeper.learnRecord({ "walu", 4, holders, {}, true }, 12, clock.now());
     EXPECT_EQ(keeper.term()->epoch, 7u);
@@ -110,23 +110,23 @@
 // found. Cause: taking the older copy for whole.
 TEST(BucketRecovery, TakesNoOlderCopyForWholeWhileANewerOneMayExist)
 {
-    const Holder a { { 1 }, 1 };
-    const Holder b { { 2 }, 1 };
-    const Holder c { { 3 }, 1 };
-    const Holder d { { 4 }, 1 };
+    const BalancerInstance a { { 1 }, 1 };
+    const BalancerInstance b { { 2 }, 1 };
+    const BalancerInstance c { { 3 }, 1 };
+    const BalancerInstance d { { 4 }, 1 };
     const std::vector<ClaimPair> pairs { { 8, a, b }, { 7, c, d } };
     const TimePoint start(seconds(100));
-    GoneHolders gone;
-    const auto decide = [&](BucketRecovery& recovery) { return recovery.decide(gone, start + seconds(2)); };
+    TerminatedInstances terminated;
+    const auto decide = [&](BucketRecovery& recovery) { return recovery.decide(terminated, start + seconds(2)); };
     {
         SCOPED_TRACE("nobody of the newest pair answers");
         BucketRecovery recovery(pairs, true, 9, start);
         recovery.add(c, copyAt(7));
-        EXPECT_EQ(recovery.decide(gone, start), RecoveryState::Waiting);
+        EXPECT_EQ(recovery.decide(terminated, start), RecoveryState::Waiting);
         EXPECT_EQ(decide(recovery), RecoveryState::Lost);
         EXPECT_FALSE(recovery.allStopped());
         ASSERT_TRUE(recovery.source());
-        gone.learnGone(b);
+        terminated.learnTerminated(b);
         EXPECT_EQ(decide(recovery), RecoveryState::Lost);
         EXPECT_TRUE(recovery.allStopped());
     }
