--- a/Benchmarks/RequestBenchmark.cpp
+++ b/Benchmarks/RequestBenchmark.cpp
@@ -93,7 +93,7 @@
         const std::size_t owner
             = runners[0]->keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
         runners[owner]->arrive(
-            KeyedTry { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
+            KeyedAttempt { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
         exchange(owner);
         exchange(1 - owner);
         exchange(owner);
@@ -108,7 +108,7 @@
             = runners[0]->keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
         const TimePoint start = Clock::now();
         runners[owner]->arrive(
-            KeyedTry { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
+            KeyedAttempt { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
         const TimePoint asked = Clock::now();
         exchange(owner);
         const TimePoint acknowledged = Clock::now();
@@ -125,7 +125,7 @@
     std::vector<std::unique_ptr<RequestRunner>> runners;
     WholeAnswer answer = std::make_shared<HttpResponse>(HttpResponse { 200, {}, "confirmed" });
     WorkId started = 0;
-    TryId lastTry = 0;
+    AttemptId lastTry = 0;
 };
 
 std::vector<RequestKey> makeKeys(std::size_t count)
@@ -198,7 +198,7 @@
         = pair.runners[0]->keeper().ownership(claimBucketOf(keys[0].digest)) == Ownership::Active ? 0 : 1;
     for (auto _ : state) {
         pair.runners[owner]->arrive(
-            KeyedTry { ++pair.lastTry, keys[0], 7, service, pair.now + std::chrono::seconds(10), std::nullopt },
+            KeyedAttempt { ++pair.lastTry, keys[0], 7, service, pair.now + std::chrono::seconds(10), std::nullopt },
             pair.now);
         benchmark::DoNotOptimize(pair.runners[owner]->takeActions());
     }
--- a/Source/Balancer/OpenTries.cpp
+++ b/Source/Balancer/OpenTries.cpp
@@ -29,7 +29,7 @@
 OpenTry& OpenTries::open(const std::shared_ptr<Http2Exchange>& exchange, const CheckedRequest& checked,
     const Configuration& configuration, std::shared_ptr<const HttpRequest> forwarded)
 {
-    const TryId id = ++last_;
+    const AttemptId id = ++last_;
     const auto opened = std::make_shared<OpenTry>();
     opened->exchange = exchange;
     opened->forwarded = std::move(forwarded);
@@ -39,7 +39,7 @@
     opened->detail = checked.detail;
     opened->isKeyed = checked.key.has_value();
 
-    KeyedTry& attempt = opened->attempt;
+    KeyedAttempt& attempt = opened->attempt;
     attempt.id = id;
     attempt.key = checked.key.value_or(RequestKey {});
     attempt.service = service ? service->id : ServiceId {};
@@ -58,13 +58,13 @@
     return *opened;
 }
 
-OpenTry* OpenTries::find(TryId id)
+OpenTry* OpenTries::find(AttemptId id)
 {
     const auto found = tries_.find(id);
     return found == tries_.end() ? nullptr : found->second.get();
 }
 
-void OpenTries::cancel(TryId id)
+void OpenTries::cancel(AttemptId id)
 {
     const auto closed = close(id);
     if (!closed)
@@ -74,7 +74,7 @@
     onCancelled_(id);
 }
 
-void OpenTries::answer(TryId id, HttpResponse response)
+void OpenTries::answer(AttemptId id, HttpResponse response)
 {
     const auto closed = close(id);
     if (!closed)
@@ -88,7 +88,7 @@
     closed->exchange->respond(std::move(response));
 }
 
-void OpenTries::refuse(TryId id, const Refusal& refusal)
+void OpenTries::refuse(AttemptId id, const Refusal& refusal)
 {
     const auto closed = close(id);
     if (!closed)
@@ -108,14 +108,14 @@
     closed->exchange->respond(problem.toResponse());
 }
 
-void OpenTries::redirect(TryId id)
+void OpenTries::redirect(AttemptId id)
 {
     if (const auto closed = close(id))
         closed->exchange->respond(
             writeHopAnswer({ .owner = self_, .ending = HopEnding::Redirect, .refusal = {}, .response = {} }));
 }
 
-std::shared_ptr<OpenTry> OpenTries::close(TryId id)
+std::shared_ptr<OpenTry> OpenTries::close(AttemptId id)
 {
     const auto found = tries_.find(id);
     if (found == tries_.end())
--- a/Source/Balancer/OpenTries.h
+++ b/Source/Balancer/OpenTries.h
@@ -20,7 +20,7 @@
     std::shared_ptr<Http2Exchange> exchange;
     // Set for a forwarded try: the request as its caller sent it.
     std::shared_ptr<const HttpRequest> forwarded;
-    KeyedTry attempt;
+    KeyedAttempt attempt;
     bool isKeyed = false;
     bool namesNoService = false;
     // What is wrong with the request, for its caller.
@@ -35,7 +35,7 @@
 // RequestControl calls it.
 class OpenTries {
 public:
-    using CancelHandler = std::function<void(TryId)>;
+    using CancelHandler = std::function<void(AttemptId)>;
 
     // The handler runs when a caller or the forwarding balancer gives a try up, which is closed by then.
     OpenTries(const BalancerInstance& self, CancelHandler);
@@ -45,26 +45,26 @@
 
     OpenTry& open(const std::shared_ptr<Http2Exchange>&, const CheckedRequest&, const Configuration&,
         std::shared_ptr<const HttpRequest> forwarded = nullptr);
-    OpenTry* find(TryId);
+    OpenTry* find(AttemptId);
 
     // These end a try; one that has ended already is ignored.
-    void answer(TryId, HttpResponse);
-    void refuse(TryId, const Refusal&);
+    void answer(AttemptId, HttpResponse);
+    void refuse(AttemptId, const Refusal&);
     // Only for a forwarded try: sends it back to be routed again.
-    void redirect(TryId);
+    void redirect(AttemptId);
 
     // How callers' requests ended. Forwarded ones are counted by the balancer that took them in.
     const RequestCounts& counts() const { return counts_; }
 
 private:
-    void cancel(TryId);
-    std::shared_ptr<OpenTry> close(TryId);
+    void cancel(AttemptId);
+    std::shared_ptr<OpenTry> close(AttemptId);
     void count(RequestEnding ending) { ++counts_[static_cast<std::size_t>(ending)]; }
 
     BalancerInstance self_;
     CancelHandler onCancelled_;
-    std::map<TryId, std::shared_ptr<OpenTry>> tries_;
-    TryId last_ = 0;
+    std::map<AttemptId, std::shared_ptr<OpenTry>> tries_;
+    AttemptId last_ = 0;
     RequestCounts counts_ {};
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -70,7 +70,7 @@
     , homeZone_(settings.zones.empty() ? std::string(wholeFleet) : settings.availabilityZone)
     , timer_(context)
     , random_(settings.seed)
-    , tries_(settings.self, [this](TryId id) { cancelled(id); })
+    , tries_(settings.self, [this](AttemptId id) { cancelled(id); })
     , runner_(runnerSettingsOf(settings))
     , router_(std::make_unique<RequestRouter>(settings.self, zonesOf(settings)))
     , link_(context, link, settings.self, settings.http,
@@ -78,11 +78,11 @@
     , terms_(platform, *router_, link_, homeZone_, settings.self, settings.seed,
           [this](const ClaimTerm& term) { adopt(term); })
     , forwarder_(context, link_, settings.self, settings.http,
-          { .onAnswer = [this](TryId id, HttpResponse response) { tries_.answer(id, std::move(response)); },
-              .onRefusal = [this](TryId id, const Refusal& refusal) { tries_.refuse(id, refusal); },
-              .onLost = [this](TryId id, RefusalReason reason) { refuseUnknown(id, reason); },
+          { .onAnswer = [this](AttemptId id, HttpResponse response) { tries_.answer(id, std::move(response)); },
+              .onRefusal = [this](AttemptId id, const Refusal& refusal) { tries_.refuse(id, refusal); },
+              .onLost = [this](AttemptId id, RefusalReason reason) { refuseUnknown(id, reason); },
               .onRedirect =
-                  [this](TryId id, const BalancerInstance& owner) {
+                  [this](AttemptId id, const BalancerInstance& owner) {
                       terms_.ask(owner);
                       routeLater(id, Clock::now());
                   } })
@@ -181,20 +181,20 @@
                                                     .bodyBytes = request.body.size() },
         router_->zones(), settings_.limits);
     const OpenTry& opened = tries_.open(exchange, checked, *configuration_);
-    const TryId id = opened.attempt.id;
+    const AttemptId id = opened.attempt.id;
     if (opened.isKeyed)
         route(id, now);
     else if (opened.attempt.problem)
         tries_.refuse(id, { *opened.attempt.problem, Executed::No, {} });
     else
-        runner_.arrive(PlainTry { id, opened.attempt.service, opened.attempt.deadline }, now);
+        runner_.arrive(UnkeyedAttempt { id, opened.attempt.service, opened.attempt.deadline }, now);
     act();
 }
 
-void RequestControl::route(TryId id, TimePoint now)
+void RequestControl::route(AttemptId id, TimePoint now)
 {
     OpenTry& opened = *tries_.find(id);
-    const KeyedTry& attempt = opened.attempt;
+    const KeyedAttempt& attempt = opened.attempt;
     if (now >= attempt.deadline) {
         refuseUnknown(id, RefusalReason::DeadlinePassed);
         return;
@@ -205,15 +205,15 @@
         return;
     }
     const Route found = router_->route(attempt.key, *link_.view());
-    if (found.kind == TryRouteKind::Unreachable || ++opened.hops > mostHops)
+    if (found.kind == AttemptRouteKind::Unreachable || ++opened.hops > mostHops)
         refuseUnknown(id, attempt.problem.value_or(RefusalReason::HomeUnreachable));
-    else if (found.kind == TryRouteKind::Local)
+    else if (found.kind == AttemptRouteKind::Local)
         runner_.arrive(attempt, now);
     else
         forwarder_.forward(id, opened.request(), attempt.key.digest, attempt.problem, found.owner, attempt.deadline);
 }
 
-void RequestControl::routeLater(TryId id, TimePoint now)
+void RequestControl::routeLater(AttemptId id, TimePoint now)
 {
     if (tries_.find(id))
         later_.push_back({ id, now + rerouteAfter });
@@ -221,14 +221,14 @@
 
 void RequestControl::routeDue(TimePoint now)
 {
-    std::vector<TryId> due;
+    std::vector<AttemptId> due;
     std::erase_if(later_, [&](const LaterRoute& later) {
         if (now < later.at)
             return false;
         due.push_back(later.id);
         return true;
     });
-    for (const TryId id : due) {
+    for (const AttemptId id : due) {
         if (tries_.find(id))
             route(id, now);
     }
@@ -289,7 +289,7 @@
     act();
 }
 
-void RequestControl::cancelled(TryId id)
+void RequestControl::cancelled(AttemptId id)
 {
     forwarder_.cancel(id);
     runner_.cancel(id, Clock::now());
@@ -336,7 +336,7 @@
     act();
 }
 
-void RequestControl::perform(const RedirectTry& redirect)
+void RequestControl::perform(const RedirectAttempt& redirect)
 {
     const OpenTry* opened = tries_.find(redirect.id);
     if (opened && opened->forwarded) {
@@ -347,7 +347,7 @@
     routeLater(redirect.id, Clock::now());
 }
 
-void RequestControl::refuseUnknown(TryId id, RefusalReason reason)
+void RequestControl::refuseUnknown(AttemptId id, RefusalReason reason)
 {
     tries_.refuse(id, { reason, Executed::Unknown, drawRetryAfter(comeBackIn, random_) });
 }
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -79,13 +79,13 @@
 private:
     // The word that a forwarded try has come, to be said again: datagrams get lost.
     struct LaterReceipt {
-        TryId id = 0;
+        AttemptId id = 0;
         ForwardToken token;
         TimePoint at;
         int left = 0;
     };
     struct LaterRoute {
-        TryId id = 0;
+        AttemptId id = 0;
         TimePoint at;
     };
 
@@ -97,22 +97,22 @@
     void handle(const BalancerInstance& from, const BalancerMessage&);
     void takeHop(const std::shared_ptr<Http2Exchange>&);
 
-    void route(TryId, TimePoint now);
-    void routeLater(TryId, TimePoint now);
-    void cancelled(TryId);
+    void route(AttemptId, TimePoint now);
+    void routeLater(AttemptId, TimePoint now);
+    void cancelled(AttemptId);
 
     // Carries out what the runner decided.
     void act();
     void perform(const StartWork&);
     void perform(const CancelWork& cancel) { sender_.cancel(cancel.work); }
-    void perform(const AnswerTry& answer) { tries_.answer(answer.id, *answer.answer); }
-    void perform(const RefuseTry& refusal) { tries_.refuse(refusal.id, refusal.refusal); }
-    void perform(const RedirectTry&);
+    void perform(const AnswerAttempt& answer) { tries_.answer(answer.id, *answer.answer); }
+    void perform(const RefuseAttempt& refusal) { tries_.refuse(refusal.id, refusal.refusal); }
+    void perform(const RedirectAttempt&);
     void perform(const OutgoingMessage& message) { link_.send(message.to, message.message); }
     void perform(const WantTerm&) { terms_.want(Clock::now()); }
     void finishWork(WorkId, BackendServerId, HttpOutcome);
 
-    void refuseUnknown(TryId, RefusalReason);
+    void refuseUnknown(AttemptId, RefusalReason);
     MembersView homeView() const;
 
     RequestControlSettings settings_;
--- a/Source/Balancer/TryForwarder.cpp
+++ b/Source/Balancer/TryForwarder.cpp
@@ -27,7 +27,7 @@
 {
 }
 
-void TryForwarder::forward(TryId id, const HttpRequest& request, const KeyDigest& key,
+void TryForwarder::forward(AttemptId id, const HttpRequest& request, const KeyDigest& key,
     std::optional<RefusalReason> problem, const BalancerInstance& owner, TimePoint deadline)
 {
     const TimePoint now = Clock::now();
@@ -49,13 +49,13 @@
     hops_.emplace(token.number, hop);
 }
 
-void TryForwarder::cancel(TryId id)
+void TryForwarder::cancel(AttemptId id)
 {
     book_.cancel(id);
     closeHop(id);
 }
 
-void TryForwarder::closeHop(TryId id)
+void TryForwarder::closeHop(AttemptId id)
 {
     const auto found = std::ranges::find_if(hops_, [&](const auto& entry) { return entry.second.id == id; });
     if (found == hops_.end())
--- a/Source/Balancer/TryForwarder.h
+++ b/Source/Balancer/TryForwarder.h
@@ -18,13 +18,13 @@
 
 // How a forwarded try ended.
 struct ForwardEnds {
-    std::function<void(TryId, HttpResponse)> onAnswer;
+    std::function<void(AttemptId, HttpResponse)> onAnswer;
     // The owner's own word.
-    std::function<void(TryId, const Refusal&)> onRefusal;
+    std::function<void(AttemptId, const Refusal&)> onRefusal;
     // Without the owner's word: the work may have run.
-    std::function<void(TryId, RefusalReason)> onLost;
+    std::function<void(AttemptId, RefusalReason)> onLost;
     // The owner does not own the key any more, or never got the try: route it again.
-    std::function<void(TryId, const BalancerInstance& owner)> onRedirect;
+    std::function<void(AttemptId, const BalancerInstance& owner)> onRedirect;
 };
 
 // Sends tries over HTTP/2 to the balancers that own their keys and takes the answers. RequestControl calls it.
@@ -38,9 +38,9 @@
     TryForwarder& operator=(const TryForwarder&) = delete;
 
     // Exactly one of the ends follows, unless the try is cancelled.
-    void forward(TryId, const HttpRequest&, const KeyDigest&, std::optional<RefusalReason> problem,
+    void forward(AttemptId, const HttpRequest&, const KeyDigest&, std::optional<RefusalReason> problem,
         const BalancerInstance& owner, TimePoint deadline);
-    void cancel(TryId);
+    void cancel(AttemptId);
     void acknowledge(const BalancerInstance& from, const ForwardToken& token) { book_.acknowledge(from, token); }
     // Gives up what went to owners that are dead or have started again.
     void applyMembers();
@@ -48,7 +48,7 @@
 
 private:
     struct Hop {
-        TryId id = 0;
+        AttemptId id = 0;
         KeyDigest key;
         BalancerInstance owner;
         Endpoint address;
@@ -59,7 +59,7 @@
     void finishFailed(const ForwardToken&, const Hop&, HttpFailureKind);
     void finishAnswered(const ForwardToken&, const Hop&, HopAnswer);
     void abandon(const AbandonedForward&);
-    void closeHop(TryId);
+    void closeHop(AttemptId);
 
     HolderLink& link_;
     BalancerInstance self_;
--- a/Source/Request/AnswerBook.cpp
+++ b/Source/Request/AnswerBook.cpp
@@ -9,7 +9,7 @@
 }
 
 ForwardToken AnswerBook::open(
-    TryId id, const KeyDigest& key, const BalancerInstance& owner, TimePoint deadline, TimePoint now)
+    AttemptId id, const KeyDigest& key, const BalancerInstance& owner, TimePoint deadline, TimePoint now)
 {
     const std::uint64_t number = ++lastNumber_;
     entries_[number] = { id, key, owner, deadline, now + acknowledgeTimeout_, false };
@@ -38,23 +38,23 @@
         ++dropped_;
         return {};
     }
-    const TryId id = found->second.id;
+    const AttemptId id = found->second.id;
     entries_.erase(found);
     const bool isWhole = answer.declaredBytes == answer.receivedBytes;
     return { isWhole ? Delivery::Deliver : Delivery::Incomplete, id };
 }
 
-std::optional<TryId> AnswerBook::redirect(const BalancerInstance& from, const ForwardToken& token)
+std::optional<AttemptId> AnswerBook::redirect(const BalancerInstance& from, const ForwardToken& token)
 {
     const auto found = find(from, token);
     if (found == entries_.end())
         return std::nullopt;
-    const TryId id = found->second.id;
+    const AttemptId id = found->second.id;
     entries_.erase(found);
     return id;
 }
 
-std::optional<AnswerBook::Forward> AnswerBook::cancel(TryId id)
+std::optional<AnswerBook::Forward> AnswerBook::cancel(AttemptId id)
 {
     for (auto entry = entries_.begin(); entry != entries_.end(); ++entry) {
         if (entry->second.id != id)
--- a/Source/Request/AnswerBook.h
+++ b/Source/Request/AnswerBook.h
@@ -38,7 +38,7 @@
 
 // A try that ends without the owner's answer. The work may have run: these are refused as unknown.
 struct AbandonedForward {
-    TryId id = 0;
+    AttemptId id = 0;
     RefusalReason reason = RefusalReason::HomeUnreachable;
 };
 
@@ -49,24 +49,24 @@
 public:
     AnswerBook(const BalancerInstance& self, std::chrono::milliseconds acknowledgeTimeout);
 
-    ForwardToken open(TryId, const KeyDigest&, const BalancerInstance& owner, TimePoint deadline, TimePoint now);
+    ForwardToken open(AttemptId, const KeyDigest&, const BalancerInstance& owner, TimePoint deadline, TimePoint now);
     void acknowledge(const BalancerInstance& from, const ForwardToken&);
 
     // Finds out whose answer this is; try id is set for Deliver and Incomplete. The try is closed then.
     struct Settled {
         Delivery delivery = Delivery::Drop;
-        TryId id = 0;
+        AttemptId id = 0;
     };
     Settled settle(const BalancerInstance& from, const ForwardedAnswer&);
     // The owner refused to own the key: the try is open again for another open().
-    std::optional<TryId> redirect(const BalancerInstance& from, const ForwardToken&);
+    std::optional<AttemptId> redirect(const BalancerInstance& from, const ForwardToken&);
 
     // The caller left. Returns whom to tell.
     struct Forward {
         BalancerInstance owner;
         ForwardToken token;
     };
-    std::optional<Forward> cancel(TryId);
+    std::optional<Forward> cancel(AttemptId);
 
     // The owner is dead as far as the members' view goes; all it had is given up at once.
     std::vector<AbandonedForward> loseOwner(const BalancerInstance&);
@@ -78,7 +78,7 @@
 
 private:
     struct Entry {
-        TryId id = 0;
+        AttemptId id = 0;
         KeyDigest key;
         BalancerInstance owner;
         TimePoint deadline;
--- a/Source/Request/KeyDecision.cpp
+++ b/Source/Request/KeyDecision.cpp
@@ -16,7 +16,7 @@
         return { KeyStep::RefuseNotRun, reason, comeBackIn, nullptr };
     }
 
-    KeyDecision decideJoin(const KeyedTry& attempt, const Work& work)
+    KeyDecision decideJoin(const KeyedAttempt& attempt, const Work& work)
     {
         if (attempt.fingerprint != work.fingerprint)
             return refuseUnknown(RefusalReason::KeyReused);
@@ -25,7 +25,7 @@
         return { KeyStep::Join, {}, {}, nullptr };
     }
 
-    KeyDecision decideFresh(const KeyedTry& attempt, const BucketKeeper& keeper)
+    KeyDecision decideFresh(const KeyedAttempt& attempt, const BucketKeeper& keeper)
     {
         switch (keeper.knowledgeOf(claimBucketOf(attempt.key.digest), attempt.key)) {
         case KeyKnowledge::TooOld:
@@ -40,7 +40,7 @@
         return { KeyStep::Start, {}, {}, nullptr };
     }
 
-    KeyDecision decideKnown(const KeyedTry& attempt, const ClaimRecord& record)
+    KeyDecision decideKnown(const KeyedAttempt& attempt, const ClaimRecord& record)
     {
         if (attempt.fingerprint != record.fingerprint)
             return refuseUnknown(RefusalReason::KeyReused);
@@ -56,7 +56,7 @@
 
 }
 
-KeyDecision decideKey(const KeyedTry& attempt, const BucketKeeper& keeper, const WorkTable& works, TimePoint now)
+KeyDecision decideKey(const KeyedAttempt& attempt, const BucketKeeper& keeper, const WorkTable& works, TimePoint now)
 {
     const bool isBehind = !keeper.mayAct() || attempt.key.issuedEpoch > keeper.newestEpoch();
     if (isBehind)
--- a/Source/Request/KeyDecision.h
+++ b/Source/Request/KeyDecision.h
@@ -30,6 +30,6 @@
 };
 
 // Decides on one try by what this balancer holds of its key. Changes nothing.
-KeyDecision decideKey(const KeyedTry&, const BucketKeeper&, const WorkTable&, TimePoint now);
+KeyDecision decideKey(const KeyedAttempt&, const BucketKeeper&, const WorkTable&, TimePoint now);
 
 }
--- a/Source/Request/ParkedTries.h
+++ b/Source/Request/ParkedTries.h
@@ -20,7 +20,7 @@
     }
 
     // False when there is no room.
-    bool add(const KeyedTry& attempt, TimePoint now)
+    bool add(const KeyedAttempt& attempt, TimePoint now)
     {
         if (tries_.size() >= capacity_)
             return false;
@@ -28,22 +28,22 @@
         return true;
     }
 
-    void remove(TryId id)
+    void remove(AttemptId id)
     {
         std::erase_if(tries_, [&](const Entry& entry) { return entry.attempt.id == id; });
     }
 
-    std::vector<KeyedTry> takeAll()
+    std::vector<KeyedAttempt> takeAll()
     {
-        std::vector<KeyedTry> attempts;
+        std::vector<KeyedAttempt> attempts;
         for (const Entry& entry : std::exchange(tries_, {}))
             attempts.push_back(entry.attempt);
         return attempts;
     }
 
-    std::vector<TryId> takeExpired(TimePoint now)
+    std::vector<AttemptId> takeExpired(TimePoint now)
     {
-        std::vector<TryId> expired;
+        std::vector<AttemptId> expired;
         std::erase_if(tries_, [&](const Entry& entry) {
             if (now < entry.until)
                 return false;
@@ -57,7 +57,7 @@
 
 private:
     struct Entry {
-        KeyedTry attempt;
+        KeyedAttempt attempt;
         TimePoint until;
     };
 
--- a/Source/Request/RefusalFence.h
+++ b/Source/Request/RefusalFence.h
@@ -13,7 +13,7 @@
 
 // A refusal that may say "not run" once the backup has confirmed that its sender still owns the key.
 struct FencedRefusal {
-    TryId id = 0;
+    AttemptId id = 0;
     RequestKey key;
     RefusalReason reason = RefusalReason::Overloaded;
     std::chrono::milliseconds comeBackIn { 0 };
--- a/Source/Request/RefusalWriter.cpp
+++ b/Source/Request/RefusalWriter.cpp
@@ -36,10 +36,10 @@
 {
 }
 
-void RefusalWriter::refuse(TryId id, RefusalReason reason, Executed executed, std::chrono::milliseconds comeBackIn)
+void RefusalWriter::refuse(AttemptId id, RefusalReason reason, Executed executed, std::chrono::milliseconds comeBackIn)
 {
     const auto retryAfter = isFinal(reason) ? std::chrono::seconds(0) : drawRetryAfter(comeBackIn, random_);
-    actions_.emplace_back(RefuseTry { id, { reason, executed, retryAfter } });
+    actions_.emplace_back(RefuseAttempt { id, { reason, executed, retryAfter } });
 }
 
 void RefusalWriter::refuseAll(const std::vector<WorkWaiter>& waiters, RefusalReason reason, Executed executed,
@@ -75,7 +75,7 @@
 {
     const bool isFinalReason = isFinal(refusal.reason);
     const auto retryAfter = isFinalReason ? std::chrono::seconds(0) : drawRetryAfter(refusal.comeBackIn, random_);
-    actions_.emplace_back(RefuseTry { refusal.id, { refusal.reason, Executed::No, retryAfter } });
+    actions_.emplace_back(RefuseAttempt { refusal.id, { refusal.reason, Executed::No, retryAfter } });
 
     // Until the caller was told to come back, no other try of the key makes this answer false. Repeating the refusal
     // does not put the time off. Refusals get at most half of the table.
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -17,7 +17,7 @@
 public:
     RefusalWriter(BucketKeeper&, WorkTable&, Duration backupTimeout, std::uint64_t seed);
 
-    void refuse(TryId, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
+    void refuse(AttemptId, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
     void refuseAll(const std::vector<WorkWaiter>&, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
 
     // Refuses as not run after the bucket's backup confirmed that this balancer still owns the key.
--- a/Source/Request/RequestActions.h
+++ b/Source/Request/RequestActions.h
@@ -12,8 +12,8 @@
 namespace wisteriadock {
 
 // A non-idempotent request that reached the balancer that this one's shell believes to own its key.
-struct KeyedTry {
-    TryId id = 0;
+struct KeyedAttempt {
+    AttemptId id = 0;
     RequestKey key;
     // Hash of service, method, path and body: a key belongs to one content.
     std::uint64_t fingerprint = 0;
@@ -24,8 +24,8 @@
 };
 
 // An idempotent request, handled by whichever balancer took it in.
-struct PlainTry {
-    TryId id = 0;
+struct UnkeyedAttempt {
+    AttemptId id = 0;
     ServiceId service;
     TimePoint deadline;
 };
@@ -34,7 +34,7 @@
 // workFailed. Keep no copy: a further attempt is another StartWork.
 struct StartWork {
     WorkId work = 0;
-    TryId content = 0;
+    AttemptId content = 0;
     BackendServerId server;
     TimePoint deadline;
 };
@@ -45,27 +45,28 @@
 };
 
 // The final answer of a try: what the backend server said, whole.
-struct AnswerTry {
-    TryId id = 0;
+struct AnswerAttempt {
+    AttemptId id = 0;
     WholeAnswer answer;
 };
 
 // The final answer of a try: a refusal.
-struct RefuseTry {
-    TryId id = 0;
+struct RefuseAttempt {
+    AttemptId id = 0;
     Refusal refusal;
 };
 
 // This balancer does not own the key, and has not sent the work for this try: route it again. The epoch is the newest
 // one that this balancer knows of.
-struct RedirectTry {
-    TryId id = 0;
+struct RedirectAttempt {
+    AttemptId id = 0;
     std::uint64_t epoch = 0;
 };
 
 // Read the zone's ownership record, from the platform or a peer: a newer one exists.
 struct WantTerm { };
 
-using RequestAction = std::variant<StartWork, CancelWork, AnswerTry, RefuseTry, RedirectTry, OutgoingMessage, WantTerm>;
+using RequestAction
+    = std::variant<StartWork, CancelWork, AnswerAttempt, RefuseAttempt, RedirectAttempt, OutgoingMessage, WantTerm>;
 
 }
--- a/Source/Request/RequestRouter.cpp
+++ b/Source/Request/RequestRouter.cpp
@@ -49,10 +49,10 @@
     if (!pair)
         return {};
     if (pair->owner == self_)
-        return { TryRouteKind::Local, self_ };
+        return { AttemptRouteKind::Local, self_ };
     if (!isReachable(pair->owner, view))
-        return { TryRouteKind::Unreachable, pair->owner };
-    return { TryRouteKind::Forward, pair->owner };
+        return { AttemptRouteKind::Unreachable, pair->owner };
+    return { AttemptRouteKind::Forward, pair->owner };
 }
 
 }
--- a/Source/Request/RequestRouter.h
+++ b/Source/Request/RequestRouter.h
@@ -12,14 +12,14 @@
 namespace wisteriadock {
 
 // Where a keyed request goes.
-enum class TryRouteKind {
+enum class AttemptRouteKind {
     Local, // This balancer owns the key: give it to the RequestRunner.
     Forward, // To the owner, over its request address.
     Unreachable, // Nobody who can vouch for the key can be reached: refuse at once as unknown.
 };
 
 struct Route {
-    TryRouteKind kind = TryRouteKind::Unreachable;
+    AttemptRouteKind kind = AttemptRouteKind::Unreachable;
     BalancerInstance owner;
 };
 
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -49,31 +49,31 @@
     collect(now);
 }
 
-void RequestRunner::arrive(const KeyedTry& attempt, TimePoint now)
+void RequestRunner::arrive(const KeyedAttempt& attempt, TimePoint now)
 {
     decide(attempt, now);
     collect(now);
 }
 
-void RequestRunner::arrive(const PlainTry& attempt, TimePoint now)
+void RequestRunner::arrive(const UnkeyedAttempt& attempt, TimePoint now)
 {
     start(makeWork(attempt), now);
     collect(now);
 }
 
-void RequestRunner::decide(const KeyedTry& attempt, TimePoint now)
+void RequestRunner::decide(const KeyedAttempt& attempt, TimePoint now)
 {
     const KeyDecision decision = decideKey(attempt, keeper_, works_, now);
     switch (decision.step) {
     case KeyStep::Park:
         return park(attempt, now);
     case KeyStep::Redirect:
-        actions_.emplace_back(RedirectTry { attempt.id, keeper_.newestEpoch() });
+        actions_.emplace_back(RedirectAttempt { attempt.id, keeper_.newestEpoch() });
         return;
     case KeyStep::Join:
         return join(attempt);
     case KeyStep::Answer:
-        actions_.emplace_back(AnswerTry { attempt.id, decision.answer });
+        actions_.emplace_back(AnswerAttempt { attempt.id, decision.answer });
         return;
     case KeyStep::RefuseUnknown:
         return refusals_.refuse(attempt.id, decision.reason, Executed::Unknown, decision.comeBackIn);
@@ -84,7 +84,7 @@
     }
 }
 
-void RequestRunner::park(const KeyedTry& attempt, TimePoint now)
+void RequestRunner::park(const KeyedAttempt& attempt, TimePoint now)
 {
     if (!parked_.add(attempt, now))
         return refusals_.refuse(attempt.id, RefusalReason::NotReady, Executed::Unknown, shortWait);
@@ -96,7 +96,7 @@
     actions_.emplace_back(WantTerm {});
 }
 
-void RequestRunner::join(const KeyedTry& attempt)
+void RequestRunner::join(const KeyedAttempt& attempt)
 {
     Work& work = *works_.findByKey(attempt.key.digest);
     if (work.stage != WorkStage::Sent)
@@ -111,10 +111,10 @@
     admission_.request(started.id, started.service, started.deadline, now);
 }
 
-void RequestRunner::cancel(TryId id, TimePoint now)
+void RequestRunner::cancel(AttemptId id, TimePoint now)
 {
     parked_.remove(id);
-    Work* work = works_.findByTry(id);
+    Work* work = works_.findByAttempt(id);
     if (!work)
         return;
     works_.removeWaiter(*work, id);
@@ -134,7 +134,7 @@
         return;
     claims_.recordEnd(*work, true, answer, now);
     for (const WorkWaiter& waiter : work->waiters)
-        actions_.emplace_back(AnswerTry { waiter.id, answer });
+        actions_.emplace_back(AnswerAttempt { waiter.id, answer });
     works_.erase(id);
     admission_.release(id, true, now);
     collect(now);
@@ -186,7 +186,7 @@
 {
     for (bool isSettled = false; !isSettled;) {
         if (keeper_.takeOwnershipChanged()) {
-            for (const KeyedTry& attempt : parked_.takeAll())
+            for (const KeyedAttempt& attempt : parked_.takeAll())
                 decide(attempt, now);
         }
         const std::vector<SlotGrant> grants = admission_.takeGrants();
@@ -351,7 +351,7 @@
     keeper_.tick(now);
     expireClaims(now);
     expireWaiters(now);
-    for (const TryId id : parked_.takeExpired(now))
+    for (const AttemptId id : parked_.takeExpired(now))
         refusals_.refuse(id, RefusalReason::NotReady, Executed::Unknown, shortWait);
     refusals_.expireFenced(now);
     admission_.tick(now);
@@ -382,7 +382,7 @@
     }
 }
 
-void RequestRunner::expireWaiter(Work& work, TryId id, TimePoint now)
+void RequestRunner::expireWaiter(Work& work, AttemptId id, TimePoint now)
 {
     const bool isLast = work.waiters.size() == 1;
     if (isLast && work.stage != WorkStage::Sent)
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -49,11 +49,11 @@
     void learnTerminated(const BalancerInstance& holder) { keeper_.learnTerminated(holder); }
     void configure(const Configuration&, const MembersView&, TimePoint now);
 
-    void arrive(const KeyedTry&, TimePoint now);
-    void arrive(const PlainTry&, TimePoint now);
+    void arrive(const KeyedAttempt&, TimePoint now);
+    void arrive(const UnkeyedAttempt&, TimePoint now);
     // The caller left or its balancer is gone. Work of a key that was sent goes on, so that a retry finds its answer;
     // idempotent work that nobody waits for is cancelled.
-    void cancel(TryId, TimePoint now);
+    void cancel(AttemptId, TimePoint now);
 
     void workAnswered(WorkId, const WholeAnswer&, TimePoint now);
     void workFailed(WorkId, HttpFailureKind, TimePoint now);
@@ -82,9 +82,9 @@
     const Admission& admission() const { return admission_; }
 
 private:
-    void decide(const KeyedTry&, TimePoint now);
-    void park(const KeyedTry&, TimePoint now);
-    void join(const KeyedTry&);
+    void decide(const KeyedAttempt&, TimePoint now);
+    void park(const KeyedAttempt&, TimePoint now);
+    void join(const KeyedAttempt&);
     void start(Work, TimePoint now);
 
     void collect(TimePoint now);
@@ -104,7 +104,7 @@
     void leaveEpoch(TimePoint now);
 
     void expireWaiters(TimePoint now);
-    void expireWaiter(Work&, TryId, TimePoint now);
+    void expireWaiter(Work&, AttemptId, TimePoint now);
     void expireClaims(TimePoint now);
 
     RunnerSettings settings_;
--- a/Source/Request/RequestTypes.h
+++ b/Source/Request/RequestTypes.h
@@ -12,7 +12,7 @@
 namespace wisteriadock {
 
 // One HTTP request of one caller as the shell numbers it; never used again while the balancer runs.
-using TryId = std::uint64_t;
+using AttemptId = std::uint64_t;
 // One piece of work that may be sent to a backend server; several tries with the same key share it.
 using WorkId = std::uint64_t;
 
--- a/Source/Request/WorkTable.cpp
+++ b/Source/Request/WorkTable.cpp
@@ -5,7 +5,7 @@
 
 namespace wisteriadock {
 
-Work makeWork(const KeyedTry& attempt)
+Work makeWork(const KeyedAttempt& attempt)
 {
     Work work;
     work.key = attempt.key;
@@ -16,7 +16,7 @@
     return work;
 }
 
-Work makeWork(const PlainTry& attempt)
+Work makeWork(const UnkeyedAttempt& attempt)
 {
     Work work;
     work.service = attempt.service;
@@ -31,7 +31,7 @@
     if (work.key)
         byKey_[work.key->digest] = work.id;
     for (const WorkWaiter& waiter : work.waiters)
-        byTry_[waiter.id] = work.id;
+        byAttempt_[waiter.id] = work.id;
     return works_.emplace_hint(works_.end(), work.id, std::move(work))->second;
 }
 
@@ -44,7 +44,7 @@
     if (work.key)
         byKey_.erase(work.key->digest);
     for (const WorkWaiter& waiter : work.waiters)
-        byTry_.erase(waiter.id);
+        byAttempt_.erase(waiter.id);
     byClaim_.erase(work.sequence);
     works_.erase(found);
 }
@@ -67,10 +67,10 @@
     return found == byKey_.end() ? nullptr : &works_.at(found->second);
 }
 
-Work* WorkTable::findByTry(TryId id)
+Work* WorkTable::findByAttempt(AttemptId id)
 {
-    const auto found = byTry_.find(id);
-    return found == byTry_.end() ? nullptr : find(found->second);
+    const auto found = byAttempt_.find(id);
+    return found == byAttempt_.end() ? nullptr : find(found->second);
 }
 
 Work* WorkTable::findByClaim(std::uint64_t sequence)
@@ -82,13 +82,13 @@
 void WorkTable::addWaiter(Work& work, const WorkWaiter& waiter)
 {
     work.waiters.push_back(waiter);
-    byTry_[waiter.id] = work.id;
+    byAttempt_[waiter.id] = work.id;
 }
 
-void WorkTable::removeWaiter(Work& work, TryId id)
+void WorkTable::removeWaiter(Work& work, AttemptId id)
 {
     std::erase_if(work.waiters, [&](const WorkWaiter& waiter) { return waiter.id == id; });
-    byTry_.erase(id);
+    byAttempt_.erase(id);
 }
 
 void WorkTable::setClaim(Work& work, std::uint64_t sequence)
--- a/Source/Request/WorkTable.h
+++ b/Source/Request/WorkTable.h
@@ -15,7 +15,7 @@
 
 // One try that waits for the end of some work.
 struct WorkWaiter {
-    TryId id = 0;
+    AttemptId id = 0;
     TimePoint deadline;
 };
 
@@ -48,8 +48,8 @@
 };
 
 // Work for one try, to be added to a table.
-Work makeWork(const KeyedTry&);
-Work makeWork(const PlainTry&);
+Work makeWork(const KeyedAttempt&);
+Work makeWork(const UnkeyedAttempt&);
 
 // The work of one balancer, found by number, key, try and claim.
 class WorkTable {
@@ -60,11 +60,11 @@
     Work* find(WorkId);
     Work* findByKey(const KeyDigest&);
     const Work* findByKey(const KeyDigest&) const;
-    Work* findByTry(TryId);
+    Work* findByAttempt(AttemptId);
     Work* findByClaim(std::uint64_t sequence);
 
     void addWaiter(Work&, const WorkWaiter&);
-    void removeWaiter(Work&, TryId);
+    void removeWaiter(Work&, AttemptId);
     void setClaim(Work&, std::uint64_t sequence);
 
     std::size_t size() const { return works_.size(); }
@@ -74,7 +74,7 @@
 private:
     std::map<WorkId, Work> works_;
     absl::flat_hash_map<KeyDigest, WorkId> byKey_;
-    absl::flat_hash_map<TryId, WorkId> byTry_;
+    absl::flat_hash_map<AttemptId, WorkId> byAttempt_;
     absl::flat_hash_map<std::uint64_t, WorkId> byClaim_;
     WorkId last_ = 0;
 };
--- a/Tests/Request/AnswerBookTest.cpp
+++ b/Tests/Request/AnswerBookTest.cpp
@@ -25,8 +25,8 @@
 {
     ManualClock clock;
     AnswerBook book(self, milliseconds(300));
-    std::vector<std::pair<TryId, ForwardToken>> open;
-    for (TryId id = 1; id <= 100; ++id)
+    std::vector<std::pair<AttemptId, ForwardToken>> open;
+    for (AttemptId id = 1; id <= 100; ++id)
         open.emplace_back(id, book.open(id, keyOf(id), owner, clock.now() + seconds(5), clock.now()));
     std::shuffle(open.begin(), open.end(), std::mt19937_64(7));
     for (const auto& [id, token] : open) {
--- a/Tests/Request/ClaimDoubtStoryTest.cpp
+++ b/Tests/Request/ClaimDoubtStoryTest.cpp
@@ -142,13 +142,13 @@
     EXPECT_FALSE(group[0].mayStop(group.now()));
     group[0].workAnswered(started[0].work, answerOf("done"), group.now());
     group.deliver();
-    EXPECT_EQ(group.take<AnswerTry>(0).size(), 1u);
+    EXPECT_EQ(group.take<AnswerAttempt>(0).size(), 1u);
     EXPECT_TRUE(group[0].mayStop(group.now()));
 
     const std::size_t owner = group[1].keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 1 : 2;
     group.arrive(owner, key);
     group.deliver();
-    EXPECT_EQ(group.take<AnswerTry>(owner).size(), 1u);
+    EXPECT_EQ(group.take<AnswerAttempt>(owner).size(), 1u);
 }
 
 // Symptom: a zone that is cut off refuses most of its own work as overloaded.
@@ -182,10 +182,10 @@
         return RunnerGroup::Fate::Deliver;
     });
     EXPECT_EQ(questions, 2u);
-    const auto refusals = group.take<RefuseTry>(0);
+    const auto refusals = group.take<RefuseAttempt>(0);
     ASSERT_EQ(refusals.size(), 50u);
     std::set<seconds> times;
-    for (const RefuseTry& refusal : refusals) {
+    for (const RefuseAttempt& refusal : refusals) {
         EXPECT_EQ(refusal.refusal.executed, Executed::No);
         times.insert(refusal.refusal.retryAfter);
     }
--- a/Tests/Request/ClaimStoryTest.cpp
+++ b/Tests/Request/ClaimStoryTest.cpp
@@ -36,7 +36,8 @@
     {
         SCOPED_TRACE("the same key joins the work, other content is refused");
         group.arrive(0, key);
-        group[0].arrive(KeyedTry { 99, key, 8, testService(), group.now() + seconds(10), std::nullopt }, group.now());
+        group[0].arrive(
+            KeyedAttempt { 99, key, 8, testService(), group.now() + seconds(10), std::nullopt }, group.now());
         group.deliver();
         EXPECT_TRUE(group.take<StartWork>(0).empty());
         EXPECT_EQ(group.takeRefusal(0), (Refusal { RefusalReason::KeyReused, Executed::Unknown, seconds(0) }));
@@ -45,13 +46,13 @@
         SCOPED_TRACE("all get the whole answer, and so does a retry after the owner died");
         group[0].workAnswered(started[0].work, answerOf("done"), group.now());
         group.deliver();
-        EXPECT_EQ(group.take<AnswerTry>(0).size(), 2u);
+        EXPECT_EQ(group.take<AnswerAttempt>(0).size(), 2u);
         group.learn(group.makeTerm({ 1 }), { 1 });
         group.arrive(1, key);
         group.deliver(cutOff(0));
         group.advance(milliseconds(150));
         group.deliver(cutOff(0));
-        const auto answers = group.take<AnswerTry>(1);
+        const auto answers = group.take<AnswerAttempt>(1);
         ASSERT_EQ(answers.size(), 1u);
         EXPECT_EQ(answers[0].answer->body, "done");
     }
@@ -108,7 +109,7 @@
     group.deliver();
     group.releaseKept();
     EXPECT_TRUE(group.take<StartWork>(0).empty());
-    ASSERT_EQ(group.take<RedirectTry>(0).size(), 1u);
+    ASSERT_EQ(group.take<RedirectAttempt>(0).size(), 1u);
     const std::size_t owner = group[2].keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 2 : 3;
     group.arrive(owner, key);
     group.deliver();
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -206,22 +206,22 @@
 
 void FakeBalancer::request(const FakeRequest& request, const FakeReplyTo& reply)
 {
-    const TryId id = ++life_->lastTry;
+    const AttemptId id = ++life_->lastTry;
     life_->tries[id] = { request, reply, {}, {}, 0 };
     route(id);
 }
 
-void FakeBalancer::route(TryId id)
+void FakeBalancer::route(AttemptId id)
 {
     Local& local = life_->tries[id];
     const TimePoint now = cluster_.world.now();
     if (now >= local.request.deadline)
         return refuseUnknown(id, RefusalReason::DeadlinePassed);
     const Route found = life_->router->route(local.request.key, life_->view);
-    if (found.kind == TryRouteKind::Unreachable || ++local.hops > maxHops)
+    if (found.kind == AttemptRouteKind::Unreachable || ++local.hops > maxHops)
         return refuseUnknown(id, RefusalReason::HomeUnreachable);
-    if (found.kind == TryRouteKind::Local) {
-        KeyedTry attempt { id, local.request.key, hashString(local.request.name),
+    if (found.kind == AttemptRouteKind::Local) {
+        KeyedAttempt attempt { id, local.request.key, hashString(local.request.name),
             cluster_.backends.configuration().services[0].id, local.request.deadline, std::nullopt };
         life_->runner->arrive(attempt, now);
         return act();
@@ -240,22 +240,22 @@
     const TimePoint now = cluster_.world.now();
     cluster_.carry(*this, entry,
         [owner = holder(), token](FakeBalancer& balancer) { balancer.life_->book->acknowledge(owner, token); });
-    const TryId id = ++life_->lastTry;
+    const AttemptId id = ++life_->lastTry;
     life_->tries[id] = { request, {}, entry, token, 0 };
     if (now >= request.deadline)
         return refuseUnknown(id, RefusalReason::DeadlinePassed);
-    KeyedTry attempt { id, request.key, hashString(request.name), cluster_.backends.configuration().services[0].id,
+    KeyedAttempt attempt { id, request.key, hashString(request.name), cluster_.backends.configuration().services[0].id,
         request.deadline, std::nullopt };
     life_->runner->arrive(attempt, now);
     act();
 }
 
-void FakeBalancer::refuseUnknown(TryId id, RefusalReason reason)
+void FakeBalancer::refuseUnknown(AttemptId id, RefusalReason reason)
 {
     finish(id, { nullptr, { reason, Executed::Unknown, std::chrono::seconds(1) }, cluster_.world.now() });
 }
 
-void FakeBalancer::finish(TryId id, const FakeReply& reply)
+void FakeBalancer::finish(AttemptId id, const FakeReply& reply)
 {
     const auto found = life_->tries.find(id);
     if (found == life_->tries.end())
@@ -284,7 +284,7 @@
         routeLater(*id);
 }
 
-void FakeBalancer::routeLater(TryId id)
+void FakeBalancer::routeLater(AttemptId id)
 {
     // The newer record comes with the next heartbeat.
     cluster_.world.after(milliseconds(110), [this, id, life = incarnation_] {
@@ -317,11 +317,11 @@
             [from = holder(), content = message->message](FakeBalancer& balancer) { balancer.receive(from, content); });
     else if (const auto* start = std::get_if<StartWork>(&action))
         startWork(*start);
-    else if (const auto* answer = std::get_if<AnswerTry>(&action))
+    else if (const auto* answer = std::get_if<AnswerAttempt>(&action))
         finish(answer->id, { answer->answer, {}, now });
-    else if (const auto* refusal = std::get_if<RefuseTry>(&action))
+    else if (const auto* refusal = std::get_if<RefuseAttempt>(&action))
         finish(refusal->id, { nullptr, refusal->refusal, now });
-    else if (const auto* redirect = std::get_if<RedirectTry>(&action)) {
+    else if (const auto* redirect = std::get_if<RedirectAttempt>(&action)) {
         const auto found = life_->tries.find(redirect->id);
         if (found == life_->tries.end())
             return;
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -112,21 +112,21 @@
         std::unique_ptr<RequestRouter> router;
         std::unique_ptr<AnswerBook> book;
         std::unique_ptr<TermKeeper> terms;
-        std::map<TryId, Local> tries;
+        std::map<AttemptId, Local> tries;
         MembersView view;
         std::map<BalancerId, std::pair<Member, TimePoint>> heard;
         TimePoint lastBeat;
-        TryId lastTry = 0;
+        AttemptId lastTry = 0;
     };
 
     void start();
-    void route(TryId);
-    void routeLater(TryId);
+    void route(AttemptId);
+    void routeLater(AttemptId);
     void arriveForwarded(const BalancerInstance& entry, const ForwardToken&, const FakeRequest&);
-    void finish(TryId, const FakeReply&);
+    void finish(AttemptId, const FakeReply&);
     void settle(const BalancerInstance& from, const ForwardToken&, const KeyDigest&, const FakeReply&);
     void settleRedirect(const BalancerInstance& from, const ForwardToken&);
-    void refuseUnknown(TryId, RefusalReason);
+    void refuseUnknown(AttemptId, RefusalReason);
     void act();
     void act(const RequestAction&);
     void act(const TermAction&);
--- a/Tests/Request/RunnerGroup.cpp
+++ b/Tests/Request/RunnerGroup.cpp
@@ -119,22 +119,23 @@
     }
 }
 
-TryId RunnerGroup::arrive(std::size_t at, const RequestKey& key, Duration patience)
+AttemptId RunnerGroup::arrive(std::size_t at, const RequestKey& key, Duration patience)
 {
-    nodes_[at].runner->arrive(KeyedTry { ++lastTry_, key, 7, testService(), now() + patience, std::nullopt }, now());
-    return lastTry_;
+    nodes_[at].runner->arrive(
+        KeyedAttempt { ++lastAttempt_, key, 7, testService(), now() + patience, std::nullopt }, now());
+    return lastAttempt_;
 }
 
-TryId RunnerGroup::arriveBad(std::size_t at, const RequestKey& key, RefusalReason problem)
+AttemptId RunnerGroup::arriveBad(std::size_t at, const RequestKey& key, RefusalReason problem)
 {
-    KeyedTry attempt { ++lastTry_, key, 7, testService(), now() + std::chrono::seconds(10), problem };
+    KeyedAttempt attempt { ++lastAttempt_, key, 7, testService(), now() + std::chrono::seconds(10), problem };
     nodes_[at].runner->arrive(attempt, now());
-    return lastTry_;
+    return lastAttempt_;
 }
 
 Refusal RunnerGroup::takeRefusal(std::size_t index)
 {
-    const std::vector<RefuseTry> refusals = take<RefuseTry>(index);
+    const std::vector<RefuseAttempt> refusals = take<RefuseAttempt>(index);
     EXPECT_EQ(refusals.size(), 1u);
     return refusals.empty() ? Refusal {} : refusals.front().refusal;
 }
--- a/Tests/Request/RunnerGroup.h
+++ b/Tests/Request/RunnerGroup.h
@@ -34,8 +34,8 @@
 
     // A key of the caller's own making whose owner and backup under the newest record are these.
     RequestKey keyOf(std::size_t owner, std::size_t backup, const std::string& prefix = "key");
-    TryId arrive(std::size_t at, const RequestKey&, Duration patience = std::chrono::seconds(10));
-    TryId arriveBad(std::size_t at, const RequestKey&, RefusalReason);
+    AttemptId arrive(std::size_t at, const RequestKey&, Duration patience = std::chrono::seconds(10));
+    AttemptId arriveBad(std::size_t at, const RequestKey&, RefusalReason);
 
     RequestRunner& operator[](std::size_t index) { return *nodes_[index].runner; }
     BalancerInstance holder(std::size_t index) const { return nodes_[index].holder; }
@@ -75,7 +75,7 @@
     ManualClock clock_;
     ClaimTerm term_;
     std::vector<Letter> kept_;
-    TryId lastTry_ = 0;
+    AttemptId lastAttempt_ = 0;
 };
 
 ServiceId testService();
