--- a/Source/Request/ParkedTries.h
+++ b/Source/Request/ParkedAttempts.h
@@ -11,9 +11,9 @@
 namespace wisteriadock {
 
 // Tries that wait until the claims of their bucket have moved, for a short time and in bounded number.
-class ParkedTries {
+class ParkedAttempts {
 public:
-    ParkedTries(std::size_t capacity, Duration longestWait)
+    ParkedAttempts(std::size_t capacity, Duration longestWait)
         : capacity_(capacity)
         , longestWait_(longestWait)
     {
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -4,7 +4,7 @@
 #include "Request/Admission.h"
 #include "Request/BucketKeeper.h"
 #include "Request/KeyDecision.h"
-#include "Request/ParkedTries.h"
+#include "Request/ParkedAttempts.h"
 #include "Request/RefusalWriter.h"
 #include "Request/RequestActions.h"
 #include "Request/RetryPolicy.h"
@@ -114,7 +114,7 @@
     WorkTable works_;
     WorkClaims claims_;
     RefusalWriter refusals_;
-    ParkedTries parked_;
+    ParkedAttempts parked_;
     TimePoint wantTermAt_;
     std::vector<RequestAction> actions_;
 };
