--- a/Source/Balancer/HolderText.h
+++ b/Source/Balancer/HolderText.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Error.h"
-#include "Request/AnswerBook.h"
+#include "Request/PendingForwardTable.h"
 
 #include <string>
 #include <string_view>
--- a/Source/Balancer/RequestHop.h
+++ b/Source/Balancer/RequestHop.h
@@ -2,7 +2,7 @@
 
 #include "Core/Error.h"
 #include "Net/HttpMessage.h"
-#include "Request/AnswerBook.h"
+#include "Request/PendingForwardTable.h"
 #include "Request/RequestTypes.h"
 
 #include <optional>
--- a/Source/Balancer/RequestMessageCodec.h
+++ b/Source/Balancer/RequestMessageCodec.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "Core/Error.h"
-#include "Request/AnswerBook.h"
 #include "Request/ClaimMessages.h"
+#include "Request/PendingForwardTable.h"
 
 #include <cstdint>
 #include <span>
@@ -12,7 +12,7 @@
 
 namespace wisteriadock {
 
-// The owner's word that a forwarded try has reached it (AnswerBook.h).
+// The owner's word that a forwarded try has reached it (PendingForwardTable.h).
 struct TryReceived {
     ForwardToken token;
 
--- a/Source/Balancer/TryForwarder.cpp
+++ b/Source/Balancer/TryForwarder.cpp
@@ -74,7 +74,7 @@
         const Member* member = link_.find(owner);
         if (member && member->state != MemberState::Dead)
             continue;
-        for (const AbandonedForward& lost : book_.loseOwner(owner))
+        for (const AbandonedForward& lost : book_.removeOwner(owner))
             abandon(lost);
     }
     clients_.keepOnly([&](Endpoint address) {
@@ -135,7 +135,8 @@
         return;
     }
     const std::uint64_t received = answer.response.body.size();
-    const AnswerBook::Settled settled = book_.settle(answer.owner, { token, hop.key, answer.declaredBytes, received });
+    const PendingForwardTable::Settled settled
+        = book_.settle(answer.owner, { token, hop.key, answer.declaredBytes, received });
     if (settled.delivery != Delivery::Deliver || answer.ending == HopEnding::Redirect) {
         book_.cancel(hop.id);
         ends_.onLost(hop.id, RefusalReason::OutcomeUnknown);
--- a/Source/Balancer/TryForwarder.h
+++ b/Source/Balancer/TryForwarder.h
@@ -4,7 +4,7 @@
 #include "Balancer/Http2ClientPool.h"
 #include "Balancer/RequestHop.h"
 #include "Core/Clock.h"
-#include "Request/AnswerBook.h"
+#include "Request/PendingForwardTable.h"
 
 #include <boost/asio/io_context.hpp>
 
@@ -64,7 +64,7 @@
     HolderLink& link_;
     BalancerInstance self_;
     ForwardEnds ends_;
-    AnswerBook book_;
+    PendingForwardTable book_;
     // By token number. A hop that is not here any more is nobody's.
     std::map<std::uint64_t, Hop> hops_;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/Source/Request/AnswerBook.cpp
+++ b/Source/Request/PendingForwardTable.cpp
@@ -1,14 +1,14 @@
-#include "Request/AnswerBook.h"
+#include "Request/PendingForwardTable.h"
 
 namespace wisteriadock {
 
-AnswerBook::AnswerBook(const BalancerInstance& self, std::chrono::milliseconds acknowledgeTimeout)
+PendingForwardTable::PendingForwardTable(const BalancerInstance& self, std::chrono::milliseconds acknowledgeTimeout)
     : self_(self)
     , acknowledgeTimeout_(acknowledgeTimeout)
 {
 }
 
-ForwardToken AnswerBook::open(
+ForwardToken PendingForwardTable::open(
     AttemptId id, const KeyDigest& key, const BalancerInstance& owner, TimePoint deadline, TimePoint now)
 {
     const std::uint64_t number = ++lastNumber_;
@@ -16,7 +16,7 @@
     return { self_, number };
 }
 
-std::map<std::uint64_t, AnswerBook::Entry>::iterator AnswerBook::find(
+std::map<std::uint64_t, PendingForwardTable::Entry>::iterator PendingForwardTable::find(
     const BalancerInstance& from, const ForwardToken& token)
 {
     const auto found = token.entry == self_ ? entries_.find(token.number) : entries_.end();
@@ -24,14 +24,14 @@
     return isOwners ? found : entries_.end();
 }
 
-void AnswerBook::acknowledge(const BalancerInstance& from, const ForwardToken& token)
+void PendingForwardTable::acknowledge(const BalancerInstance& from, const ForwardToken& token)
 {
     const auto found = find(from, token);
     if (found != entries_.end())
         found->second.isAcknowledged = true;
 }
 
-AnswerBook::Settled AnswerBook::settle(const BalancerInstance& from, const ForwardedAnswer& answer)
+PendingForwardTable::Settled PendingForwardTable::settle(const BalancerInstance& from, const ForwardedAnswer& answer)
 {
     const auto found = find(from, answer.token);
     if (found == entries_.end() || found->second.key != answer.key) {
@@ -44,7 +44,7 @@
     return { isWhole ? Delivery::Deliver : Delivery::Incomplete, id };
 }
 
-std::optional<AttemptId> AnswerBook::redirect(const BalancerInstance& from, const ForwardToken& token)
+std::optional<AttemptId> PendingForwardTable::redirect(const BalancerInstance& from, const ForwardToken& token)
 {
     const auto found = find(from, token);
     if (found == entries_.end())
@@ -54,7 +54,7 @@
     return id;
 }
 
-std::optional<AnswerBook::Forward> AnswerBook::cancel(AttemptId id)
+std::optional<PendingForwardTable::Forward> PendingForwardTable::cancel(AttemptId id)
 {
     for (auto entry = entries_.begin(); entry != entries_.end(); ++entry) {
         if (entry->second.id != id)
@@ -66,7 +66,7 @@
     return std::nullopt;
 }
 
-std::vector<AbandonedForward> AnswerBook::loseOwner(const BalancerInstance& owner)
+std::vector<AbandonedForward> PendingForwardTable::removeOwner(const BalancerInstance& owner)
 {
     std::vector<AbandonedForward> abandoned;
     std::erase_if(entries_, [&](const auto& item) {
@@ -78,7 +78,7 @@
     return abandoned;
 }
 
-std::vector<AbandonedForward> AnswerBook::expire(TimePoint now)
+std::vector<AbandonedForward> PendingForwardTable::expire(TimePoint now)
 {
     std::vector<AbandonedForward> abandoned;
     std::erase_if(entries_, [&](const auto& item) {
--- a/Source/Request/AnswerBook.h
+++ b/Source/Request/PendingForwardTable.h
@@ -45,9 +45,9 @@
 // Tries that one balancer forwarded to the owners of their keys, and who gets which answer.
 // Called by the shell of the balancer that took the requests in. The owner acknowledges a forwarded try at once, so
 // that one that is dead or paused is noticed after the timeout and not at the request's deadline.
-class AnswerBook {
+class PendingForwardTable {
 public:
-    AnswerBook(const BalancerInstance& self, std::chrono::milliseconds acknowledgeTimeout);
+    PendingForwardTable(const BalancerInstance& self, std::chrono::milliseconds acknowledgeTimeout);
 
     ForwardToken open(AttemptId, const KeyDigest&, const BalancerInstance& owner, TimePoint deadline, TimePoint now);
     void acknowledge(const BalancerInstance& from, const ForwardToken&);
@@ -69,7 +69,7 @@
     std::optional<Forward> cancel(AttemptId);
 
     // The owner is dead as far as the members' view goes; all it had is given up at once.
-    std::vector<AbandonedForward> loseOwner(const BalancerInstance&);
+    std::vector<AbandonedForward> removeOwner(const BalancerInstance&);
     // Gives up what was not acknowledged in time or is past its deadline.
     std::vector<AbandonedForward> expire(TimePoint now);
 
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -109,7 +109,7 @@
     settings.seed = cluster_.world.draw(1'000'000);
     life_->runner = std::make_unique<RequestRunner>(settings);
     life_->router = std::make_unique<RequestRouter>(holder(), cluster_.zones);
-    life_->book = std::make_unique<AnswerBook>(holder(), milliseconds(300));
+    life_->book = std::make_unique<PendingForwardTable>(holder(), milliseconds(300));
     life_->terms = std::make_unique<TermKeeper>(zone_, id_, TermTimes {});
     life_->lastBeat = cluster_.world.now();
 }
@@ -185,7 +185,7 @@
     for (const Member& member : view.members) {
         if (member.state != MemberState::Dead)
             continue;
-        for (const AbandonedForward& lost : life_->book->loseOwner({ member.id, member.incarnation }))
+        for (const AbandonedForward& lost : life_->book->removeOwner({ member.id, member.incarnation }))
             refuseUnknown(lost.id, lost.reason);
     }
     life_->terms->learnMembers(view, now);
@@ -273,7 +273,7 @@
     const BalancerInstance& from, const ForwardToken& token, const KeyDigest& key, const FakeReply& reply)
 {
     const std::uint64_t bytes = reply.answer ? reply.answer->body.size() : 0;
-    const AnswerBook::Settled settled = life_->book->settle(from, { token, key, bytes, bytes });
+    const PendingForwardTable::Settled settled = life_->book->settle(from, { token, key, bytes, bytes });
     if (settled.delivery == Delivery::Deliver)
         finish(settled.id, reply);
 }
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -4,7 +4,7 @@
 #include "FakePlatform.h"
 #include "FakeWorld.h"
 
-#include "Request/AnswerBook.h"
+#include "Request/PendingForwardTable.h"
 #include "Request/RequestRouter.h"
 #include "Request/RequestRunner.h"
 #include "Request/TermKeeper.h"
@@ -110,7 +110,7 @@
     struct Life {
         std::unique_ptr<RequestRunner> runner;
         std::unique_ptr<RequestRouter> router;
-        std::unique_ptr<AnswerBook> book;
+        std::unique_ptr<PendingForwardTable> book;
         std::unique_ptr<TermKeeper> terms;
         std::map<AttemptId, Local> tries;
         MembersView view;
--- a/Tests/Request/AnswerBookTest.cpp
+++ b/Tests/Request/PendingForwardTableTest.cpp
@@ -1,4 +1,4 @@
-#include "Request/AnswerBook.h"
+#include "Request/PendingForwardTable.h"
 
 #include <gtest/gtest.h>
 
@@ -21,10 +21,10 @@
 
 // Symptom: a caller gets another caller's answer. Sequence: answers come late, twice, out of order, after a
 // cancellation or to an earlier life of the balancer. Cause: matching answers by place in a line instead of by token.
-TEST(AnswerBook, GivesEachAnswerToItsOwnTryOnly)
+TEST(PendingForwardTable, GivesEachAnswerToItsOwnTryOnly)
 {
     ManualClock clock;
-    AnswerBook book(self, milliseconds(300));
+    PendingForwardTable book(self, milliseconds(300));
     std::vector<std::pair<AttemptId, ForwardToken>> open;
     for (AttemptId id = 1; id <= 100; ++id)
         open.emplace_back(id, book.open(id, keyOf(id), owner, clock.now() + seconds(5), clock.now()));
@@ -37,7 +37,7 @@
         EXPECT_EQ(book.settle(owner, { token, keyOf(id + 1), 3, 3 }).delivery, Delivery::Drop);
         EXPECT_EQ(book.settle(BalancerInstance { { 3 }, 9 }, { token, keyOf(id), 3, 3 }).delivery, Delivery::Drop);
         EXPECT_EQ(book.settle(owner, { { { { 1 }, 4 }, token.number }, keyOf(id), 3, 3 }).delivery, Delivery::Drop);
-        const AnswerBook::Settled settled = book.settle(owner, { token, keyOf(id), 3, 3 });
+        const PendingForwardTable::Settled settled = book.settle(owner, { token, keyOf(id), 3, 3 });
         EXPECT_EQ(settled.delivery, isCancelled ? Delivery::Drop : Delivery::Deliver);
         EXPECT_EQ(settled.id, isCancelled ? 0 : id);
         EXPECT_EQ(book.settle(owner, { token, keyOf(id), 3, 3 }).delivery, Delivery::Drop);
@@ -45,21 +45,21 @@
     EXPECT_EQ(book.open(), 0u);
 }
 
-TEST(AnswerBook, TurnsACutAnswerIntoAnError)
+TEST(PendingForwardTable, TurnsACutAnswerIntoAnError)
 {
     ManualClock clock;
-    AnswerBook book(self, milliseconds(300));
+    PendingForwardTable book(self, milliseconds(300));
     const ForwardToken token = book.open(1, keyOf(1), owner, clock.now() + seconds(5), clock.now());
-    const AnswerBook::Settled settled = book.settle(owner, { token, keyOf(1), 1000, 999 });
+    const PendingForwardTable::Settled settled = book.settle(owner, { token, keyOf(1), 1000, 999 });
     EXPECT_EQ(settled.delivery, Delivery::Incomplete);
     EXPECT_EQ(settled.id, 1u);
 }
 
 // Symptom: a caller waits until its deadline for a balancer that is dead. Cause: noticing it by the deadline only.
-TEST(AnswerBook, GivesUpOnASilentOrDeadOwnerAtOnce)
+TEST(PendingForwardTable, GivesUpOnASilentOrDeadOwnerAtOnce)
 {
     ManualClock clock;
-    AnswerBook book(self, milliseconds(300));
+    PendingForwardTable book(self, milliseconds(300));
     book.open(1, keyOf(1), owner, clock.now() + seconds(5), clock.now());
     const ForwardToken heard = book.open(2, keyOf(2), owner, clock.now() + seconds(5), clock.now());
     book.acknowledge(owner, heard);
@@ -67,7 +67,7 @@
     const auto silent = book.expire(clock.now());
     ASSERT_EQ(silent.size(), 1u);
     EXPECT_EQ(silent[0].id, 1u);
-    const auto lost = book.loseOwner(owner);
+    const auto lost = book.removeOwner(owner);
     ASSERT_EQ(lost.size(), 1u);
     EXPECT_EQ(lost[0].id, 2u);
 }
