--- a/Source/Balancer/TermControl.h
+++ b/Source/Balancer/TermControl.h
@@ -4,7 +4,7 @@
 #include "Core/Clock.h"
 #include "Core/Log.h"
 #include "KeyValue/PlatformClient.h"
-#include "Request/TermKeeper.h"
+#include "Request/TermReconciler.h"
 
 #include <cstdint>
 #include <functional>
@@ -17,9 +17,9 @@
 
 class RequestRouter;
 
-// Keeps the ownership records of all availability zones: writes the own zone's to the platform when the TermKeeper says
-// so, and learns the others' from other balancers. News goes to a few random balancers from each that learns it, and
-// each compares epochs with a random one now and then, so the cost per balancer does not grow with the fleet. The
+// Keeps the ownership records of all availability zones: writes the own zone's to the platform when the TermReconciler
+// says so, and learns the others' from other balancers. News goes to a few random balancers from each that learns it,
+// and each compares epochs with a random one now and then, so the cost per balancer does not grow with the fleet. The
 // platform is read only by those that miss something.
 class TermControl {
 public:
@@ -62,7 +62,7 @@
     BalancerInstance self_;
     std::mt19937_64 random_;
     AdoptHandler onAdopted_;
-    TermKeeper keeper_;
+    TermReconciler keeper_;
     // Set while a read waits for its jitter.
     std::optional<TimePoint> readAt_;
     // When the platform is read if no balancer has told a record newer than this epoch by then.
--- a/Source/Request/BucketKeeper.cpp
+++ b/Source/Request/BucketManager.cpp
@@ -1,4 +1,4 @@
-#include "Request/BucketKeeper.h"
+#include "Request/BucketManager.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,7 +14,7 @@
 
 }
 
-BucketKeeper::BucketKeeper(const BalancerInstance& self, const ClaimLimits& limits, Duration maxDeadline)
+BucketManager::BucketManager(const BalancerInstance& self, const ClaimLimits& limits, Duration maxDeadline)
     : self_(self)
     , maxDeadline_(maxDeadline)
     , table_(limits)
@@ -22,7 +22,7 @@
 {
 }
 
-void BucketKeeper::learnTerm(const ClaimTerm& term, TimePoint now)
+void BucketManager::learnTerm(const ClaimTerm& term, TimePoint now)
 {
     if (term_ && term.epoch <= term_->epoch)
         return;
@@ -40,7 +40,7 @@
     }
 }
 
-void BucketKeeper::startOwning(std::uint32_t index, TimePoint now)
+void BucketManager::startOwning(std::uint32_t index, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
     bucket.ownership = Ownership::Recovering;
@@ -51,7 +51,7 @@
     advance(index, now);
 }
 
-void BucketKeeper::tick(TimePoint now)
+void BucketManager::tick(TimePoint now)
 {
     if (!term_)
         return;
@@ -60,7 +60,7 @@
     table_.forget(term_->epoch, now);
 }
 
-void BucketKeeper::advance(std::uint32_t index, TimePoint now)
+void BucketManager::advance(std::uint32_t index, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
     if (bucket.lostUntil && now >= *bucket.lostUntil)
@@ -75,7 +75,7 @@
         tryToHeal(index, now);
 }
 
-void BucketKeeper::recover(std::uint32_t index, TimePoint now)
+void BucketManager::recover(std::uint32_t index, TimePoint now)
 {
     const RecoveryState state = buckets_[index].recovery.decide(terminated_, now);
     if (state == RecoveryState::Waiting)
@@ -83,7 +83,7 @@
     takeIn(index, state, now);
 }
 
-void BucketKeeper::askEarlierHolders(std::uint32_t index, TimePoint now)
+void BucketManager::askEarlierHolders(std::uint32_t index, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
     if (now < bucket.sendAt)
@@ -93,7 +93,7 @@
         send(holder, RecoverBucket { term_->epoch, index });
 }
 
-void BucketKeeper::takeIn(std::uint32_t index, RecoveryState state, TimePoint now)
+void BucketManager::takeIn(std::uint32_t index, RecoveryState state, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
     const bool isWhole = state == RecoveryState::Whole;
@@ -111,7 +111,7 @@
     setOwnership(bucket, bucket.pair->backup ? Ownership::Installing : Ownership::Active);
 }
 
-void BucketKeeper::mergeSource(std::uint32_t index, bool isWhole, TimePoint now)
+void BucketManager::mergeSource(std::uint32_t index, bool isWhole, TimePoint now)
 {
     const BucketSnapshot* source = buckets_[index].recovery.source();
     const BucketContents contents = source ? source->contents : BucketContents();
@@ -122,7 +122,7 @@
 }
 
 // A whole copy replaces what is held here from earlier times, except how this balancer's own work went.
-void BucketKeeper::replaceContents(std::uint32_t index, const BucketContents& contents, TimePoint now)
+void BucketManager::replaceContents(std::uint32_t index, const BucketContents& contents, TimePoint now)
 {
     BucketContents own { table_.copy(index, now), 0, std::nullopt };
     std::erase_if(own.claims,
@@ -132,7 +132,7 @@
     table_.merge(index, own, now);
 }
 
-void BucketKeeper::noteLoss(
+void BucketManager::noteLoss(
     Bucket& bucket, RecoveryState state, const std::optional<LostClaims>& inherited, TimePoint now)
 {
     if (state == RecoveryState::Whole) {
@@ -153,7 +153,7 @@
     bucket.recovery.add(self_, { term_->epoch, 0, term_->epoch, {} });
 }
 
-void BucketKeeper::setLoss(Bucket& bucket, const std::optional<LostClaims>& lost, TimePoint now)
+void BucketManager::setLoss(Bucket& bucket, const std::optional<LostClaims>& lost, TimePoint now)
 {
     bucket.lost = lost;
     bucket.lostUntil.reset();
@@ -161,7 +161,7 @@
         bucket.lostUntil = now + *lost->remaining;
 }
 
-void BucketKeeper::tryToHeal(std::uint32_t index, TimePoint now)
+void BucketManager::tryToHeal(std::uint32_t index, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
     const RecoveryState state = bucket.recovery.decide(terminated_, now);
@@ -182,7 +182,7 @@
     askEarlierHolders(index, now);
 }
 
-void BucketKeeper::install(std::uint32_t index, TimePoint now)
+void BucketManager::install(std::uint32_t index, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
     if (now < bucket.sendAt)
@@ -193,7 +193,7 @@
             term_->epoch, index, bucket.baseEpoch, bucket.sendsWhole, contentsOf(index, bucket.sendsWhole, now) });
 }
 
-BucketContents BucketKeeper::contentsOf(std::uint32_t index, bool withClaims, TimePoint now) const
+BucketContents BucketManager::contentsOf(std::uint32_t index, bool withClaims, TimePoint now) const
 {
     const Bucket& bucket = buckets_[index];
     BucketContents contents;
@@ -206,7 +206,7 @@
     return contents;
 }
 
-void BucketKeeper::hearOf(std::uint64_t epoch)
+void BucketManager::hearOf(std::uint64_t epoch)
 {
     if (epoch <= newestEpoch_)
         return;
@@ -215,7 +215,7 @@
     hasOwnershipChanged_ = true;
 }
 
-bool BucketKeeper::isPresent(const BalancerInstance& from, std::uint64_t epoch)
+bool BucketManager::isPresent(const BalancerInstance& from, std::uint64_t epoch)
 {
     hearOf(epoch);
     if (term_ && epoch < term_->epoch)
@@ -223,7 +223,7 @@
     return mayAct() && epoch == newestEpoch_;
 }
 
-void BucketKeeper::handle(const BalancerInstance& from, const RecoverBucket& message, TimePoint now)
+void BucketManager::handle(const BalancerInstance& from, const RecoverBucket& message, TimePoint now)
 {
     hearOf(message.epoch);
     if (message.epoch < newestEpoch_) {
@@ -237,7 +237,7 @@
             contentsOf(message.bucket, true, now) });
 }
 
-void BucketKeeper::handle(const BalancerInstance& from, const BucketSnapshot& message, TimePoint now)
+void BucketManager::handle(const BalancerInstance& from, const BucketSnapshot& message, TimePoint now)
 {
     if (!isPresent(from, message.epoch))
         return;
@@ -248,7 +248,7 @@
     advance(message.bucket, now);
 }
 
-void BucketKeeper::handle(const BalancerInstance& from, const InstallBucket& message, TimePoint now)
+void BucketManager::handle(const BalancerInstance& from, const InstallBucket& message, TimePoint now)
 {
     if (!isPresent(from, message.epoch))
         return;
@@ -274,7 +274,7 @@
     send(from, BucketInstalled { message.epoch, message.bucket, true });
 }
 
-void BucketKeeper::handle(const BalancerInstance& from, const BucketInstalled& message, TimePoint now)
+void BucketManager::handle(const BalancerInstance& from, const BucketInstalled& message, TimePoint now)
 {
     if (!isPresent(from, message.epoch))
         return;
@@ -288,7 +288,7 @@
     install(message.bucket, now);
 }
 
-void BucketKeeper::handle(const BalancerInstance& from, const ClaimKey& message, TimePoint now)
+void BucketManager::handle(const BalancerInstance& from, const ClaimKey& message, TimePoint now)
 {
     const Bucket& bucket = buckets_[message.bucket];
     bool accepted = isPresent(from, message.epoch) && bucket.pair && bucket.pair->owner == from
@@ -303,7 +303,7 @@
     send(from, ClaimReply { newestEpoch_, message.sequence, accepted });
 }
 
-void BucketKeeper::handle(const BalancerInstance& from, const WithdrawClaim& message, TimePoint)
+void BucketManager::handle(const BalancerInstance& from, const WithdrawClaim& message, TimePoint)
 {
     const ClaimRecord* known = table_.find(message.bucket, message.digest);
     const bool isThisClaim = known && known->runner == from && known->sequence == message.sequence;
@@ -311,7 +311,7 @@
         table_.erase(message.bucket, message.digest);
 }
 
-void BucketKeeper::handle(const BalancerInstance& from, const ClaimOutcome& message, TimePoint now)
+void BucketManager::handle(const BalancerInstance& from, const ClaimOutcome& message, TimePoint now)
 {
     const ClaimRecord* known = table_.find(message.bucket, message.digest);
     if (!known || known->runner != from || known->sequence != message.sequence)
@@ -323,18 +323,18 @@
     table_.put(message.bucket, message.digest, std::move(record));
 }
 
-void BucketKeeper::handle(const BalancerInstance& from, const CheckEpoch& message, TimePoint)
+void BucketManager::handle(const BalancerInstance& from, const CheckEpoch& message, TimePoint)
 {
     const bool accepted = isPresent(from, message.epoch);
     send(from, EpochChecked { message.epoch, message.nonce, accepted });
 }
 
-Ownership BucketKeeper::ownership(std::uint32_t bucket) const
+Ownership BucketManager::ownership(std::uint32_t bucket) const
 {
     return mayAct() ? buckets_[bucket].ownership : Ownership::NotOwner;
 }
 
-KeyKnowledge BucketKeeper::knowledgeOf(std::uint32_t bucket, const RequestKey& key) const
+KeyKnowledge BucketManager::knowledgeOf(std::uint32_t bucket, const RequestKey& key) const
 {
     if (table_.mayHaveForgotten(bucket, key))
         return KeyKnowledge::TooOld;
@@ -344,7 +344,7 @@
     return KeyKnowledge::Fresh;
 }
 
-bool BucketKeeper::isReleased(TimePoint now) const
+bool BucketManager::isReleased(TimePoint now) const
 {
     if (!term_)
         return true;
@@ -352,27 +352,27 @@
     return !isHolder && now - termLearnedAt_ >= handOverTime;
 }
 
-std::size_t BucketKeeper::lostBuckets() const
+std::size_t BucketManager::lostBuckets() const
 {
     return std::count_if(buckets_.begin(), buckets_.end(),
         [](const Bucket& bucket) { return bucket.ownership != Ownership::NotOwner && bucket.lost; });
 }
 
-void BucketKeeper::setOwnership(Bucket& bucket, Ownership ownership)
+void BucketManager::setOwnership(Bucket& bucket, Ownership ownership)
 {
     bucket.ownership = ownership;
     hasOwnershipChanged_ = true;
 }
 
-void BucketKeeper::send(const BalancerInstance& to, RequestMessage message)
+void BucketManager::send(const BalancerInstance& to, RequestMessage message)
 {
     messages_.push_back({ to, std::move(message) });
 }
 
-std::vector<OutgoingMessage> BucketKeeper::takeMessages() { return std::exchange(messages_, {}); }
+std::vector<OutgoingMessage> BucketManager::takeMessages() { return std::exchange(messages_, {}); }
 
-bool BucketKeeper::takeTermWanted() { return std::exchange(isTermWanted_, false); }
+bool BucketManager::takeTermWanted() { return std::exchange(isTermWanted_, false); }
 
-bool BucketKeeper::takeOwnershipChanged() { return std::exchange(hasOwnershipChanged_, false); }
+bool BucketManager::takeOwnershipChanged() { return std::exchange(hasOwnershipChanged_, false); }
 
 }
--- a/Source/Request/BucketKeeper.h
+++ b/Source/Request/BucketManager.h
@@ -31,9 +31,9 @@
 // A balancer that has heard of a newer epoch acts under none before it knows that epoch's holders. Of an older epoch
 // it accepts nothing, so an owner that was paused while it was replaced finds its backup refusing it.
 // Called by the RequestRunner; sends nothing itself but leaves messages to be taken.
-class BucketKeeper {
+class BucketManager {
 public:
-    BucketKeeper(const BalancerInstance& self, const ClaimLimits& limits, Duration maxDeadline);
+    BucketManager(const BalancerInstance& self, const ClaimLimits& limits, Duration maxDeadline);
 
     void learnTerm(const ClaimTerm&, TimePoint now);
     // Notes that an epoch exists; this balancer acts no more until it knows the epoch's holders.
--- a/Source/Request/KeyDecision.cpp
+++ b/Source/Request/KeyDecision.cpp
@@ -25,7 +25,7 @@
         return { KeyStep::Join, {}, {}, nullptr };
     }
 
-    KeyDecision decideFresh(const KeyedAttempt& attempt, const BucketKeeper& keeper)
+    KeyDecision decideFresh(const KeyedAttempt& attempt, const BucketManager& keeper)
     {
         switch (keeper.knowledgeOf(claimBucketOf(attempt.key.digest), attempt.key)) {
         case KeyKnowledge::TooOld:
@@ -56,7 +56,7 @@
 
 }
 
-KeyDecision decideKey(const KeyedAttempt& attempt, const BucketKeeper& keeper, const WorkTable& works, TimePoint now)
+KeyDecision decideKey(const KeyedAttempt& attempt, const BucketManager& keeper, const WorkTable& works, TimePoint now)
 {
     const bool isBehind = !keeper.mayAct() || attempt.key.issuedEpoch > keeper.newestEpoch();
     if (isBehind)
--- a/Source/Request/KeyDecision.h
+++ b/Source/Request/KeyDecision.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "Request/BucketKeeper.h"
+#include "Request/BucketManager.h"
 #include "Request/RequestActions.h"
 #include "Request/WorkTable.h"
 
@@ -30,6 +30,6 @@
 };
 
 // Decides on one try by what this balancer holds of its key. Changes nothing.
-KeyDecision decideKey(const KeyedAttempt&, const BucketKeeper&, const WorkTable&, TimePoint now);
+KeyDecision decideKey(const KeyedAttempt&, const BucketManager&, const WorkTable&, TimePoint now);
 
 }
--- a/Source/Request/RefusalWriter.cpp
+++ b/Source/Request/RefusalWriter.cpp
@@ -28,7 +28,7 @@
 
 }
 
-RefusalWriter::RefusalWriter(BucketKeeper& keeper, WorkTable& works, Duration backupTimeout, std::uint64_t seed)
+RefusalWriter::RefusalWriter(BucketManager& keeper, WorkTable& works, Duration backupTimeout, std::uint64_t seed)
     : keeper_(keeper)
     , works_(works)
     , fence_(backupTimeout)
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "Request/BucketKeeper.h"
+#include "Request/BucketManager.h"
 #include "Request/RefusalFence.h"
 #include "Request/RequestActions.h"
 #include "Request/WorkTable.h"
@@ -15,7 +15,7 @@
 // Writes the refusals of one RequestRunner, whose parts it looks at, and makes sure that "not run" is true of the key.
 class RefusalWriter {
 public:
-    RefusalWriter(BucketKeeper&, WorkTable&, Duration backupTimeout, std::uint64_t seed);
+    RefusalWriter(BucketManager&, WorkTable&, Duration backupTimeout, std::uint64_t seed);
 
     void refuse(AttemptId, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
     void refuseAll(const std::vector<WorkWaiter>&, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
@@ -37,7 +37,7 @@
 private:
     void refuseNotRun(const FencedRefusal&, TimePoint now);
 
-    BucketKeeper& keeper_;
+    BucketManager& keeper_;
     WorkTable& works_;
     RefusalFence fence_;
     std::mt19937_64 random_;
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -2,7 +2,7 @@
 
 #include "Core/Clock.h"
 #include "Request/Admission.h"
-#include "Request/BucketKeeper.h"
+#include "Request/BucketManager.h"
 #include "Request/KeyDecision.h"
 #include "Request/ParkedAttempts.h"
 #include "Request/RefusalWriter.h"
@@ -78,7 +78,7 @@
     // their second copy, not their first.
     bool mayStop(TimePoint now) const { return workUnderWay() == 0 && keeper_.isReleased(now); }
     std::size_t workUnderWay() const { return works_.size() + parked_.size() + refusals_.waiting(); }
-    const BucketKeeper& keeper() const { return keeper_; }
+    const BucketManager& keeper() const { return keeper_; }
     const Admission& admission() const { return admission_; }
 
 private:
@@ -108,7 +108,7 @@
     void expireClaims(TimePoint now);
 
     RunnerSettings settings_;
-    BucketKeeper keeper_;
+    BucketManager keeper_;
     Admission admission_;
     RetryPolicy retries_;
     WorkTable works_;
--- a/Source/Request/TermKeeper.cpp
+++ b/Source/Request/TermReconciler.cpp
@@ -1,24 +1,24 @@
-#include "Request/TermKeeper.h"
+#include "Request/TermReconciler.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace wisteriadock {
 
-TermKeeper::TermKeeper(std::string zone, BalancerId self, const TermTimes& times)
+TermReconciler::TermReconciler(std::string zone, BalancerId self, const TermTimes& times)
     : zone_(std::move(zone))
     , self_(self)
     , times_(times)
 {
 }
 
-void TermKeeper::learnMembers(const MembersView& view, TimePoint now)
+void TermReconciler::learnMembers(const MembersView& view, TimePoint now)
 {
     view_ = view;
     tick(now);
 }
 
-void TermKeeper::adopt(const ClaimTerm& term, TimePoint now)
+void TermReconciler::adopt(const ClaimTerm& term, TimePoint now)
 {
     // A platform restored from an older copy shows epochs of the past: they are never taken up again, and the next
     // write puts a newer one over them.
@@ -30,7 +30,7 @@
     actions_.emplace_back(AdoptTerm { term });
 }
 
-void TermKeeper::learnRecord(const ClaimTerm& term, std::uint64_t revision, TimePoint now)
+void TermReconciler::learnRecord(const ClaimTerm& term, std::uint64_t revision, TimePoint now)
 {
     isReading_ = false;
     revision_ = revision;
@@ -38,14 +38,14 @@
     tick(now);
 }
 
-void TermKeeper::learnAbsent(TimePoint now)
+void TermReconciler::learnAbsent(TimePoint now)
 {
     isReading_ = false;
     revision_ = 0;
     tick(now);
 }
 
-void TermKeeper::learnFromPeer(const ClaimTerm& term, TimePoint now)
+void TermReconciler::learnFromPeer(const ClaimTerm& term, TimePoint now)
 {
     if (term_ && term.epoch <= term_->epoch)
         return;
@@ -53,7 +53,7 @@
     adopt(term, now);
 }
 
-void TermKeeper::writeEnded(TermWrite outcome, std::uint64_t newRevision, TimePoint now)
+void TermReconciler::writeEnded(TermWrite outcome, std::uint64_t newRevision, TimePoint now)
 {
     const std::optional<ClaimTerm> written = std::exchange(writing_, std::nullopt);
     nextCallAt_ = now + times_.retry;
@@ -67,13 +67,13 @@
         read(now);
 }
 
-void TermKeeper::readFailed(TimePoint now)
+void TermReconciler::readFailed(TimePoint now)
 {
     isReading_ = false;
     nextCallAt_ = now + times_.retry;
 }
 
-void TermKeeper::read(TimePoint now)
+void TermReconciler::read(TimePoint now)
 {
     revision_.reset();
     isReading_ = true;
@@ -81,7 +81,7 @@
     actions_.emplace_back(ReadTerm {});
 }
 
-std::optional<ClaimTerm> TermKeeper::wanted(TimePoint now) const
+std::optional<ClaimTerm> TermReconciler::wanted(TimePoint now) const
 {
     if (auto next = nextClaimTerm(term_, zone_, view_))
         return next;
@@ -93,14 +93,14 @@
     return std::nullopt;
 }
 
-std::size_t TermKeeper::rankOf(const ClaimTerm& next) const
+std::size_t TermReconciler::rankOf(const ClaimTerm& next) const
 {
     const auto self = std::find_if(
         next.holders.begin(), next.holders.end(), [&](const BalancerInstance& holder) { return holder.id == self_; });
     return self - next.holders.begin();
 }
 
-void TermKeeper::tick(TimePoint now)
+void TermReconciler::tick(TimePoint now)
 {
     const std::optional<ClaimTerm> next = wanted(now);
     if (!next) {
@@ -118,6 +118,6 @@
     actions_.emplace_back(WriteTerm { *next, *revision_ });
 }
 
-std::vector<TermAction> TermKeeper::takeActions() { return std::exchange(actions_, {}); }
+std::vector<TermAction> TermReconciler::takeActions() { return std::exchange(actions_, {}); }
 
 }
--- a/Source/Request/TermKeeper.h
+++ b/Source/Request/TermReconciler.h
@@ -50,9 +50,9 @@
 // Keeps the ownership record of one availability zone right: sees that its holders are the balancers that serve there.
 // It writes a few times for each change of members, never for a request. While the platform is out, the record stays,
 // and with it every owner whose backup answers.
-class TermKeeper {
+class TermReconciler {
 public:
-    TermKeeper(std::string zone, BalancerId self, const TermTimes& times);
+    TermReconciler(std::string zone, BalancerId self, const TermTimes& times);
 
     void learnMembers(const MembersView&, TimePoint now);
     // What the platform holds now.
--- a/Source/Request/WorkClaims.cpp
+++ b/Source/Request/WorkClaims.cpp
@@ -4,7 +4,7 @@
 
 namespace wisteriadock {
 
-WorkClaims::WorkClaims(const BalancerInstance& self, BucketKeeper& keeper, WorkTable& works)
+WorkClaims::WorkClaims(const BalancerInstance& self, BucketManager& keeper, WorkTable& works)
     : self_(self)
     , keeper_(keeper)
     , works_(works)
--- a/Source/Request/WorkClaims.h
+++ b/Source/Request/WorkClaims.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "Request/BucketKeeper.h"
+#include "Request/BucketManager.h"
 #include "Request/ClaimMessages.h"
 #include "Request/WorkTable.h"
 
@@ -22,7 +22,7 @@
 // which has no key, nothing happens.
 class WorkClaims {
 public:
-    WorkClaims(const BalancerInstance& self, BucketKeeper&, WorkTable&);
+    WorkClaims(const BalancerInstance& self, BucketManager&, WorkTable&);
 
     ClaimStart begin(Work&, TimePoint now);
     void recordSent(const Work&, TimePoint now);
@@ -37,7 +37,7 @@
     void tellHolders(std::uint32_t bucket, const RequestMessage&);
 
     BalancerInstance self_;
-    BucketKeeper& keeper_;
+    BucketManager& keeper_;
     WorkTable& works_;
     std::uint64_t lastSequence_ = 0;
     std::vector<OutgoingMessage> messages_;
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -110,7 +110,7 @@
     life_->runner = std::make_unique<RequestRunner>(settings);
     life_->router = std::make_unique<RequestRouter>(holder(), cluster_.zones);
     life_->book = std::make_unique<PendingForwardTable>(holder(), milliseconds(300));
-    life_->terms = std::make_unique<TermKeeper>(zone_, id_, TermTimes {});
+    life_->terms = std::make_unique<TermReconciler>(zone_, id_, TermTimes {});
     life_->lastBeat = cluster_.world.now();
 }
 
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -7,7 +7,7 @@
 #include "Request/PendingForwardTable.h"
 #include "Request/RequestRouter.h"
 #include "Request/RequestRunner.h"
-#include "Request/TermKeeper.h"
+#include "Request/TermReconciler.h"
 
 #include <functional>
 #include <map>
@@ -111,7 +111,7 @@
         std::unique_ptr<RequestRunner> runner;
         std::unique_ptr<RequestRouter> router;
         std::unique_ptr<PendingForwardTable> book;
-        std::unique_ptr<TermKeeper> terms;
+        std::unique_ptr<TermReconciler> terms;
         std::map<AttemptId, Local> tries;
         MembersView view;
         std::map<BalancerId, std::pair<Member, TimePoint>> heard;
--- a/Tests/Request/FakePlatform.h
+++ b/Tests/Request/FakePlatform.h
@@ -2,7 +2,7 @@
 
 #include "FakeWorld.h"
 
-#include "Request/TermKeeper.h"
+#include "Request/TermReconciler.h"
 
 #include <functional>
 #include <map>
--- a/Tests/Request/TermKeeperTest.cpp
+++ b/Tests/Request/TermReconcilerTest.cpp
@@ -1,4 +1,4 @@
-#include "Request/TermKeeper.h"
+#include "Request/TermReconciler.h"
 #include "Request/BucketRecovery.h"
 #include "Request/ClaimTable.h"
 
@@ -28,7 +28,7 @@
         return view;
     }
 
-    class TermKeeperTest : public ::testing::Test {
+    class TermReconcilerTest : public ::testing::Test {
     public:
         template <typename Action> std::vector<Action> take()
         {
@@ -46,7 +46,7 @@
             keeper.tick(clock.now());
         }
 
-        TermKeeper keeper { "walu", balancerIdOf("a"), {} };
+        TermReconciler keeper { "walu", balancerIdOf("a"), {} };
         ManualClock clock;
     };
 
@@ -54,7 +54,7 @@
 
 }
 
-TEST_F(TermKeeperTest, WritesTheFirstRecordAndRepeatsNoWriteWhoseAnswerIsLost)
+TEST_F(TermReconcilerTest, WritesTheFirstRecordAndRepeatsNoWriteWhoseAnswerIsLost)
 {
     keeper.learnMembers(viewOf({ serving("a"), serving("b") }), clock.now());
     advance(seconds(1));
@@ -76,7 +76,7 @@
 }
 
 // Symptom: an epoch is used twice. Sequence: the platform comes back from an older copy. Cause: believing its record.
-TEST_F(TermKeeperTest, NeverGoesBackToAnEarlierEpoch)
+TEST_F(TermReconcilerTest, NeverGoesBackToAnEarlierEpoch)
 {
     const std::vector<BalancerInstance> holders { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } };
     keeper.learnRecord({ "walu", 7, holders, {}, true }, 30, clock.now());
@@ -90,7 +90,7 @@
     EXPECT_EQ(write[0].baseRevision, 12u);
 }
 
-TEST_F(TermKeeperTest, DoesNotActOnFlickerOrWhenIsolated)
+TEST_F(TermReconcilerTest, DoesNotActOnFlickerOrWhenIsolated)
 {
     keeper.learnRecord({ "walu", 1, { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } }, {}, true }, 1, clock.now());
     const MembersView both = viewOf({ serving("a"), serving("b") });
