--- a/Source/Request/PendingRefusals.cpp
+++ b/Source/Request/PendingRefusals.cpp
@@ -1,4 +1,4 @@
-#include "Request/RefusalFence.h"
+#include "Request/PendingRefusals.h"
 
 #include <utility>
 
@@ -6,24 +6,24 @@
 
 namespace {
 
-    void append(std::vector<FencedRefusal>& all, std::vector<FencedRefusal> more)
+    void append(std::vector<PendingRefusal>& all, std::vector<PendingRefusal> more)
     {
         all.insert(all.end(), std::make_move_iterator(more.begin()), std::make_move_iterator(more.end()));
     }
 
 }
 
-RefusalFence::RefusalFence(Duration timeout)
+PendingRefusals::PendingRefusals(Duration timeout)
     : timeout_(timeout)
 {
 }
 
-void RefusalFence::add(const BalancerInstance& backup, const FencedRefusal& refusal)
+void PendingRefusals::add(const BalancerInstance& backup, const PendingRefusal& refusal)
 {
     lines_[backup].next.push_back(refusal);
 }
 
-std::vector<OutgoingMessage> RefusalFence::takeQuestions(std::uint64_t epoch, TimePoint now)
+std::vector<OutgoingMessage> PendingRefusals::takeEpochChecks(std::uint64_t epoch, TimePoint now)
 {
     std::vector<OutgoingMessage> questions;
     for (auto& [backup, line] : lines_) {
@@ -37,7 +37,7 @@
     return questions;
 }
 
-std::vector<FencedRefusal> RefusalFence::takeAnswered(const BalancerInstance& from, const EpochChecked& answer)
+std::vector<PendingRefusal> PendingRefusals::takeAnswered(const BalancerInstance& from, const EpochChecked& answer)
 {
     const auto line = lines_.find(from);
     if (line == lines_.end() || line->second.asked.empty() || line->second.nonce != answer.nonce)
@@ -45,9 +45,9 @@
     return std::exchange(line->second.asked, {});
 }
 
-std::vector<FencedRefusal> RefusalFence::takeExpired(TimePoint now)
+std::vector<PendingRefusal> PendingRefusals::takeExpired(TimePoint now)
 {
-    std::vector<FencedRefusal> expired;
+    std::vector<PendingRefusal> expired;
     for (auto& [backup, line] : lines_) {
         if (!line.asked.empty() && now >= line.until)
             append(expired, std::exchange(line.asked, {}));
@@ -55,9 +55,9 @@
     return expired;
 }
 
-std::vector<FencedRefusal> RefusalFence::takeAll()
+std::vector<PendingRefusal> PendingRefusals::takeAll()
 {
-    std::vector<FencedRefusal> all;
+    std::vector<PendingRefusal> all;
     for (auto& [backup, line] : lines_) {
         append(all, std::move(line.asked));
         append(all, std::move(line.next));
@@ -66,7 +66,7 @@
     return all;
 }
 
-std::size_t RefusalFence::size() const
+std::size_t PendingRefusals::size() const
 {
     std::size_t count = 0;
     for (const auto& [backup, line] : lines_)
--- a/Source/Request/PendingRefusals.h
+++ b/Source/Request/PendingRefusals.h
@@ -12,7 +12,7 @@
 namespace wisteriadock {
 
 // A refusal that may say "not run" once the backup has confirmed that its sender still owns the key.
-struct FencedRefusal {
+struct PendingRefusal {
     AttemptId id = 0;
     RequestKey key;
     RefusalReason reason = RefusalReason::Overloaded;
@@ -24,31 +24,31 @@
 // What goes wrong without it: an owner is replaced while it is paused; the new owner runs a key; the old one wakes and,
 // finding no record, tells a caller that the key was not run. All refusals that wait for one backup share a question,
 // so an overload costs one message a round trip and not one a refusal.
-class RefusalFence {
+class PendingRefusals {
 public:
-    explicit RefusalFence(Duration timeout);
+    explicit PendingRefusals(Duration timeout);
 
-    void add(const BalancerInstance& backup, const FencedRefusal&);
+    void add(const BalancerInstance& backup, const PendingRefusal&);
     // Questions to send now: at most one open for each backup.
-    std::vector<OutgoingMessage> takeQuestions(std::uint64_t epoch, TimePoint now);
+    std::vector<OutgoingMessage> takeEpochChecks(std::uint64_t epoch, TimePoint now);
 
     // Refusals that an answer settles; empty when the answer is to no open question.
-    std::vector<FencedRefusal> takeAnswered(const BalancerInstance& from, const EpochChecked&);
+    std::vector<PendingRefusal> takeAnswered(const BalancerInstance& from, const EpochChecked&);
     // Refusals whose backup was silent for too long.
-    std::vector<FencedRefusal> takeExpired(TimePoint now);
+    std::vector<PendingRefusal> takeExpired(TimePoint now);
     // All of them, because the epoch changed.
-    std::vector<FencedRefusal> takeAll();
+    std::vector<PendingRefusal> takeAll();
 
     std::size_t size() const;
 
 private:
     struct Line {
         // Asked about by the open question.
-        std::vector<FencedRefusal> asked;
+        std::vector<PendingRefusal> asked;
         std::uint64_t nonce = 0;
         TimePoint until;
         // Came since.
-        std::vector<FencedRefusal> next;
+        std::vector<PendingRefusal> next;
     };
 
     Duration timeout_;
--- a/Source/Request/RefusalWriter.cpp
+++ b/Source/Request/RefusalWriter.cpp
@@ -49,7 +49,7 @@
         refuse(waiter.id, reason, executed, comeBackIn);
 }
 
-void RefusalWriter::refuseFenced(const FencedRefusal& refusal, TimePoint now)
+void RefusalWriter::refuseWhenConfirmed(const PendingRefusal& refusal, TimePoint now)
 {
     const std::uint32_t bucket = claimBucketOf(refusal.key.digest);
     if (keeper_.ownership(bucket) != Ownership::Active)
@@ -58,10 +58,10 @@
     if (backup)
         fence_.add(*backup, refusal);
     else
-        refuseOwn(refusal, now);
+        refuseAtOnce(refusal, now);
 }
 
-void RefusalWriter::refuseOwn(const FencedRefusal& refusal, TimePoint now)
+void RefusalWriter::refuseAtOnce(const PendingRefusal& refusal, TimePoint now)
 {
     // Another try of the key may have started while the question was on its way.
     const ClaimRecord* record = keeper_.table().find(claimBucketOf(refusal.key.digest), refusal.key.digest);
@@ -71,7 +71,7 @@
     refuseNotRun(refusal, now);
 }
 
-void RefusalWriter::refuseNotRun(const FencedRefusal& refusal, TimePoint now)
+void RefusalWriter::refuseNotRun(const PendingRefusal& refusal, TimePoint now)
 {
     const bool isFinalReason = isFinal(refusal.reason);
     const auto retryAfter = isFinalReason ? std::chrono::seconds(0) : drawRetryAfter(refusal.comeBackIn, random_);
@@ -90,29 +90,29 @@
 
 void RefusalWriter::takeEpochChecked(const BalancerInstance& from, const EpochChecked& answer, TimePoint now)
 {
-    for (const FencedRefusal& refusal : fence_.takeAnswered(from, answer)) {
+    for (const PendingRefusal& refusal : fence_.takeAnswered(from, answer)) {
         if (answer.accepted)
-            refuseOwn(refusal, now);
+            refuseAtOnce(refusal, now);
         else
             refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.comeBackIn);
     }
 }
 
-void RefusalWriter::abandonFenced()
+void RefusalWriter::abandonPending()
 {
-    for (const FencedRefusal& refusal : fence_.takeAll())
+    for (const PendingRefusal& refusal : fence_.takeAll())
         refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.comeBackIn);
 }
 
-void RefusalWriter::expireFenced(TimePoint now)
+void RefusalWriter::expirePending(TimePoint now)
 {
-    for (const FencedRefusal& refusal : fence_.takeExpired(now))
+    for (const PendingRefusal& refusal : fence_.takeExpired(now))
         refuse(refusal.id, RefusalReason::BackupUnreachable, Executed::Unknown, refusal.comeBackIn);
 }
 
 std::vector<RequestAction> RefusalWriter::takeActions(TimePoint now)
 {
-    for (OutgoingMessage& question : fence_.takeQuestions(keeper_.newestEpoch(), now))
+    for (OutgoingMessage& question : fence_.takeEpochChecks(keeper_.newestEpoch(), now))
         actions_.emplace_back(std::move(question));
     return std::exchange(actions_, {});
 }
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -2,7 +2,7 @@
 
 #include "Core/Clock.h"
 #include "Request/BucketManager.h"
-#include "Request/RefusalFence.h"
+#include "Request/PendingRefusals.h"
 #include "Request/RequestActions.h"
 #include "Request/WorkTable.h"
 
@@ -21,25 +21,25 @@
     void refuseAll(const std::vector<WorkWaiter>&, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
 
     // Refuses as not run after the bucket's backup confirmed that this balancer still owns the key.
-    void refuseFenced(const FencedRefusal&, TimePoint now);
+    void refuseWhenConfirmed(const PendingRefusal&, TimePoint now);
     // The same at once. For keys whose claim was held in this balancer's name: nobody else can have run them.
-    void refuseOwn(const FencedRefusal&, TimePoint now);
+    void refuseAtOnce(const PendingRefusal&, TimePoint now);
 
     void takeEpochChecked(const BalancerInstance& from, const EpochChecked&, TimePoint now);
     // The epoch has changed: what waits can't be confirmed any more.
-    void abandonFenced();
-    void expireFenced(TimePoint now);
+    void abandonPending();
+    void expirePending(TimePoint now);
 
     // Refusals and questions to backups.
     std::vector<RequestAction> takeActions(TimePoint now);
     std::size_t waiting() const { return fence_.size(); }
 
 private:
-    void refuseNotRun(const FencedRefusal&, TimePoint now);
+    void refuseNotRun(const PendingRefusal&, TimePoint now);
 
     BucketManager& keeper_;
     WorkTable& works_;
-    RefusalFence fence_;
+    PendingRefusals fence_;
     std::mt19937_64 random_;
     std::vector<RequestAction> actions_;
 };
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -78,7 +78,7 @@
     case KeyStep::RefuseUnknown:
         return refusals_.refuse(attempt.id, decision.reason, Executed::Unknown, decision.comeBackIn);
     case KeyStep::RefuseNotRun:
-        return refusals_.refuseFenced({ attempt.id, attempt.key, decision.reason, decision.comeBackIn }, now);
+        return refusals_.refuseWhenConfirmed({ attempt.id, attempt.key, decision.reason, decision.comeBackIn }, now);
     case KeyStep::Start:
         return start(makeWork(attempt), now);
     }
@@ -173,11 +173,11 @@
     if (!ended.key)
         return refusals_.refuseAll(ended.waiters, reason, Executed::No, comeBackIn);
     for (const WorkWaiter& waiter : ended.waiters) {
-        const FencedRefusal refusal { waiter.id, *ended.key, reason, comeBackIn };
+        const PendingRefusal refusal { waiter.id, *ended.key, reason, comeBackIn };
         if (ended.isClaimHeld)
-            refusals_.refuseOwn(refusal, now);
+            refusals_.refuseAtOnce(refusal, now);
         else
-            refusals_.refuseFenced(refusal, now);
+            refusals_.refuseWhenConfirmed(refusal, now);
     }
 }
 
@@ -300,7 +300,7 @@
         if (work && work->key && !work->isClaimHeld)
             parkWork(*work, now);
     }
-    refusals_.abandonFenced();
+    refusals_.abandonPending();
 }
 
 void RequestRunner::parkWork(Work& work, TimePoint now)
@@ -353,7 +353,7 @@
     expireWaiters(now);
     for (const AttemptId id : parked_.takeExpired(now))
         refusals_.refuse(id, RefusalReason::NotReady, Executed::Unknown, shortWait);
-    refusals_.expireFenced(now);
+    refusals_.expirePending(now);
     admission_.tick(now);
     collect(now);
 }
