--- a/Benchmarks/RequestBenchmark.cpp
+++ b/Benchmarks/RequestBenchmark.cpp
@@ -123,7 +123,7 @@
     TimePoint now = TimePoint(std::chrono::hours(1));
     std::vector<BalancerInstance> holders;
     std::vector<std::unique_ptr<RequestRunner>> runners;
-    WholeAnswer answer = std::make_shared<HttpResponse>(HttpResponse { 200, {}, "confirmed" });
+    SharedResponse answer = std::make_shared<HttpResponse>(HttpResponse { 200, {}, "confirmed" });
     WorkId started = 0;
     AttemptId lastTry = 0;
 };
--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -121,7 +121,7 @@
             reader.fail();
     }
 
-    template <typename Archive> void wholeAnswer(Archive& archive, WholeAnswer& value)
+    template <typename Archive> void wholeAnswer(Archive& archive, SharedResponse& value)
     {
         bool isPresent = value != nullptr;
         flag(archive, isPresent);
@@ -169,7 +169,7 @@
             text(archive, value);
         else if constexpr (std::same_as<Field, ClaimState>)
             claimState(archive, value);
-        else if constexpr (std::same_as<Field, WholeAnswer>)
+        else if constexpr (std::same_as<Field, SharedResponse>)
             wholeAnswer(archive, value);
         else if constexpr (std::same_as<Field, Duration>) {
             std::int64_t count = value.count();
--- a/Source/Request/ClaimMessages.h
+++ b/Source/Request/ClaimMessages.h
@@ -75,7 +75,7 @@
     std::uint64_t sequence = 0;
     bool isAnswered = false;
     // Set when the answer is small enough to be kept.
-    WholeAnswer answer;
+    SharedResponse answer;
 };
 
 // Owner to backup: is this epoch still the newest that you know? One such question serves all refusals that wait.
--- a/Source/Request/ClaimTable.cpp
+++ b/Source/Request/ClaimTable.cpp
@@ -18,7 +18,7 @@
         { ClaimState::Answered, "answered" },
     });
 
-    std::size_t bytesOf(const WholeAnswer& answer)
+    std::size_t bytesOf(const SharedResponse& answer)
     {
         if (!answer)
             return 0;
--- a/Source/Request/ClaimTable.h
+++ b/Source/Request/ClaimTable.h
@@ -33,7 +33,7 @@
     BalancerInstance runner;
     TimePoint since; // When it last changed; for Refused, when it may run.
     ClaimState state = ClaimState::Claimed;
-    WholeAnswer answer;
+    SharedResponse answer;
 };
 
 // A record on its way to another holder. Clocks of two machines don't compare, so it carries ages.
--- a/Source/Request/KeyDecision.h
+++ b/Source/Request/KeyDecision.h
@@ -26,7 +26,7 @@
     RefusalReason reason = RefusalReason::NotReady;
     std::chrono::milliseconds comeBackIn { 0 };
     // For Answer.
-    WholeAnswer answer;
+    SharedResponse answer;
 };
 
 // Decides on one try by what this balancer holds of its key. Changes nothing.
--- a/Source/Request/RequestActions.h
+++ b/Source/Request/RequestActions.h
@@ -47,7 +47,7 @@
 // The final answer of a try: what the backend server said, whole.
 struct AnswerAttempt {
     AttemptId id = 0;
-    WholeAnswer answer;
+    SharedResponse answer;
 };
 
 // The final answer of a try: a refusal.
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -127,7 +127,7 @@
     collect(now);
 }
 
-void RequestRunner::workAnswered(WorkId id, const WholeAnswer& answer, TimePoint now)
+void RequestRunner::workAnswered(WorkId id, const SharedResponse& answer, TimePoint now)
 {
     const Work* work = works_.find(id);
     if (!work)
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -55,7 +55,7 @@
     // idempotent work that nobody waits for is cancelled.
     void cancel(AttemptId, TimePoint now);
 
-    void workAnswered(WorkId, const WholeAnswer&, TimePoint now);
+    void workAnswered(WorkId, const SharedResponse&, TimePoint now);
     void workFailed(WorkId, HttpFailureKind, TimePoint now);
     // The server named a time for which it has no room. Call it before workFailed, which pauses a server that refused
     // or could not be reached by itself.
--- a/Source/Request/RequestTypes.h
+++ b/Source/Request/RequestTypes.h
@@ -63,7 +63,7 @@
 };
 
 // A whole answer of a backend server, shared by all who get it.
-using WholeAnswer = std::shared_ptr<const HttpResponse>;
+using SharedResponse = std::shared_ptr<const HttpResponse>;
 
 // One start of one balancer. A balancer that starts again is another holder: it has lost what the earlier one held.
 struct BalancerInstance {
--- a/Source/Request/WorkClaims.cpp
+++ b/Source/Request/WorkClaims.cpp
@@ -39,7 +39,7 @@
         keeper_.table().put(claimBucketOf(work.key->digest), work.key->digest, recordOf(work, ClaimState::Sent, now));
 }
 
-void WorkClaims::recordEnd(const Work& work, bool isAnswered, const WholeAnswer& answer, TimePoint now)
+void WorkClaims::recordEnd(const Work& work, bool isAnswered, const SharedResponse& answer, TimePoint now)
 {
     if (!work.key)
         return;
@@ -48,7 +48,7 @@
     record.answer = answer;
     keeper_.table().put(bucket, work.key->digest, std::move(record));
     const ClaimRecord* kept = keeper_.table().find(bucket, work.key->digest);
-    const WholeAnswer keptAnswer = kept ? kept->answer : nullptr;
+    const SharedResponse keptAnswer = kept ? kept->answer : nullptr;
     tellHolders(bucket, ClaimOutcome { bucket, work.key->digest, work.sequence, isAnswered, keptAnswer });
 }
 
--- a/Source/Request/WorkClaims.h
+++ b/Source/Request/WorkClaims.h
@@ -26,7 +26,7 @@
 
     ClaimStart begin(Work&, TimePoint now);
     void recordSent(const Work&, TimePoint now);
-    void recordEnd(const Work&, bool isAnswered, const WholeAnswer&, TimePoint now);
+    void recordEnd(const Work&, bool isAnswered, const SharedResponse&, TimePoint now);
     // The claim will not be used (any more).
     void withdraw(const Work&);
 
--- a/Tests/Request/ClaimStory.h
+++ b/Tests/Request/ClaimStory.h
@@ -9,7 +9,7 @@
 
 // What several stories about claims are told with.
 
-inline WholeAnswer answerOf(const std::string& body)
+inline SharedResponse answerOf(const std::string& body)
 {
     return std::make_shared<HttpResponse>(HttpResponse { 200, {}, body });
 }
--- a/Tests/Request/FakeBackends.h
+++ b/Tests/Request/FakeBackends.h
@@ -19,7 +19,7 @@
     FakeBackends(FakeWorld&, FakeCuts&, const std::vector<std::string>& zones, std::uint32_t serversPerZone);
 
     struct Reply {
-        WholeAnswer answer; // Null on failure.
+        SharedResponse answer; // Null on failure.
         HttpFailureKind failure = HttpFailureKind::NotSent;
     };
     // Runs the work called name, which must be a caller's key, and replies later.
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -20,7 +20,7 @@
 
 // What callers get.
 struct FakeReply {
-    WholeAnswer answer; // Null for a refusal.
+    SharedResponse answer; // Null for a refusal.
     Refusal refusal;
     // When the refusal was decided; what ran later doesn't make it false.
     TimePoint decidedAt;
--- a/Tests/Request/FakeCallers.cpp
+++ b/Tests/Request/FakeCallers.cpp
@@ -109,7 +109,7 @@
     cluster_.world.after(wait, [=, this] { attempt(caller); });
 }
 
-void FakeCallers::checkAnswer(const Caller& caller, const WholeAnswer& answer)
+void FakeCallers::checkAnswer(const Caller& caller, const SharedResponse& answer)
 {
     const std::string expected = answerBodyOf(caller.request.name);
     if (answer->body == expected)
--- a/Tests/Request/FakeCallers.h
+++ b/Tests/Request/FakeCallers.h
@@ -57,7 +57,7 @@
     void attempt(const std::shared_ptr<Caller>&);
     void hear(const std::shared_ptr<Caller>&, const FakeReply&);
     void retryIn(const std::shared_ptr<Caller>&, Duration);
-    void checkAnswer(const Caller&, const WholeAnswer&);
+    void checkAnswer(const Caller&, const SharedResponse&);
 
     FakeCluster& cluster_;
     std::vector<std::shared_ptr<Caller>> callers_;
