--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -162,7 +162,7 @@
         terms_.compare(from, *digest);
     } else {
         const auto& request = std::get<RequestMessage>(message);
-        if (const auto* news = std::get_if<TermNews>(&request))
+        if (const auto* news = std::get_if<TermUpdate>(&request))
             terms_.learn(news->term, now);
         else
             runner_.receive(from, request, now);
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -109,7 +109,7 @@
     void perform(const RefuseAttempt& refusal) { tries_.refuse(refusal.id, refusal.refusal); }
     void perform(const RedirectAttempt&);
     void perform(const OutgoingMessage& message) { link_.send(message.to, message.message); }
-    void perform(const WantTerm&) { terms_.want(Clock::now()); }
+    void perform(const FetchTerm&) { terms_.want(Clock::now()); }
     void finishWork(WorkId, BackendServerId, HttpOutcome);
 
     void refuseUnknown(AttemptId, RefusalReason);
--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -76,7 +76,7 @@
     }
     void describe(auto& archive, CheckEpoch& value) { fields(archive, value.epoch, value.nonce); }
     void describe(auto& archive, EpochChecked& value) { fields(archive, value.epoch, value.nonce, value.accepted); }
-    void describe(auto& archive, TermNews& value) { fields(archive, value.term); }
+    void describe(auto& archive, TermUpdate& value) { fields(archive, value.term); }
     void describe(auto& archive, BorrowSlot& value) { fields(archive, value.service, value.nonce); }
     void describe(auto& archive, SlotReply& value) { fields(archive, value.nonce, value.isLent, value.server); }
     void describe(auto& archive, ReturnSlot& value) { fields(archive, value.nonce, value.server); }
--- a/Source/Balancer/TermControl.cpp
+++ b/Source/Balancer/TermControl.cpp
@@ -97,7 +97,7 @@
         for (const TermDigest::Row& row : theirs.rows)
             epoch = row.zone == zone ? row.epoch : epoch;
         if (ownEpoch > epoch)
-            link_.send(from, RequestMessage(TermNews { *own }));
+            link_.send(from, RequestMessage(TermUpdate { *own }));
         isBehind = isBehind || epoch > ownEpoch;
     }
     if (isBehind)
@@ -128,7 +128,7 @@
 {
     for (int i = 0; i < newsReceivers; ++i) {
         if (const auto other = randomOther())
-            link_.send(*other, RequestMessage(TermNews { term }));
+            link_.send(*other, RequestMessage(TermUpdate { term }));
     }
 }
 
--- a/Source/Request/BucketManager.cpp
+++ b/Source/Request/BucketManager.cpp
@@ -211,7 +211,7 @@
     if (epoch <= newestEpoch_)
         return;
     newestEpoch_ = epoch;
-    isTermWanted_ = true;
+    isFetchNeeded_ = true;
     hasOwnershipChanged_ = true;
 }
 
@@ -219,7 +219,7 @@
 {
     hearOf(epoch);
     if (term_ && epoch < term_->epoch)
-        send(from, TermNews { *term_ });
+        send(from, TermUpdate { *term_ });
     return mayAct() && epoch == newestEpoch_;
 }
 
@@ -228,7 +228,7 @@
     hearOf(message.epoch);
     if (message.epoch < newestEpoch_) {
         if (term_ && term_->epoch > message.epoch)
-            send(from, TermNews { *term_ });
+            send(from, TermUpdate { *term_ });
         return;
     }
     // From here on nothing of an older epoch is accepted, so the copy that goes out is the last word on it.
@@ -371,7 +371,7 @@
 
 std::vector<OutgoingMessage> BucketManager::takeMessages() { return std::exchange(messages_, {}); }
 
-bool BucketManager::takeTermWanted() { return std::exchange(isTermWanted_, false); }
+bool BucketManager::takeFetchNeeded() { return std::exchange(isFetchNeeded_, false); }
 
 bool BucketManager::takeOwnershipChanged() { return std::exchange(hasOwnershipChanged_, false); }
 
--- a/Source/Request/BucketManager.h
+++ b/Source/Request/BucketManager.h
@@ -69,7 +69,7 @@
 
     std::vector<OutgoingMessage> takeMessages();
     // True once after each time it heard of an epoch whose holders it doesn't know.
-    bool takeTermWanted();
+    bool takeFetchNeeded();
     // True once after ownership of any bucket changed.
     bool takeOwnershipChanged();
 
@@ -114,7 +114,7 @@
     std::vector<Bucket> buckets_;
     TerminatedInstances terminated_;
     std::vector<OutgoingMessage> messages_;
-    bool isTermWanted_ = false;
+    bool isFetchNeeded_ = false;
     bool hasOwnershipChanged_ = false;
 };
 
--- a/Source/Request/ClaimMessages.h
+++ b/Source/Request/ClaimMessages.h
@@ -91,7 +91,7 @@
 };
 
 // Anybody to a balancer that seems to be behind.
-struct TermNews {
+struct TermUpdate {
     ClaimTerm term;
 };
 
@@ -113,7 +113,7 @@
 };
 
 using RequestMessage = std::variant<RecoverBucket, BucketSnapshot, InstallBucket, BucketInstalled, ClaimKey, ClaimReply,
-    WithdrawClaim, ClaimOutcome, CheckEpoch, EpochChecked, TermNews, BorrowSlot, SlotReply, ReturnSlot>;
+    WithdrawClaim, ClaimOutcome, CheckEpoch, EpochChecked, TermUpdate, BorrowSlot, SlotReply, ReturnSlot>;
 
 // A message that the shell must send.
 struct OutgoingMessage {
--- a/Source/Request/RequestActions.h
+++ b/Source/Request/RequestActions.h
@@ -64,9 +64,9 @@
 };
 
 // Read the zone's ownership record, from the platform or a peer: a newer one exists.
-struct WantTerm { };
+struct FetchTerm { };
 
 using RequestAction
-    = std::variant<StartWork, CancelWork, AnswerAttempt, RefuseAttempt, RedirectAttempt, OutgoingMessage, WantTerm>;
+    = std::variant<StartWork, CancelWork, AnswerAttempt, RefuseAttempt, RedirectAttempt, OutgoingMessage, FetchTerm>;
 
 }
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     constexpr std::chrono::milliseconds shortWait { 1000 };
-    constexpr std::chrono::milliseconds wantTermInterval { 500 };
+    constexpr std::chrono::milliseconds fetchTermInterval { 500 };
 
     RefusalReason reasonFor(HttpFailureKind kind)
     {
@@ -90,10 +90,10 @@
         return refusals_.refuse(attempt.id, RefusalReason::NotReady, Executed::Unknown, shortWait);
     const bool isBehind = !keeper_.mayAct() || attempt.key.issuedEpoch > keeper_.newestEpoch();
     // Anybody can write an epoch into a key; it must not become a storm of reads.
-    if (!isBehind || now < wantTermAt_)
+    if (!isBehind || now < nextFetchAt_)
         return;
-    wantTermAt_ = now + wantTermInterval;
-    actions_.emplace_back(WantTerm {});
+    nextFetchAt_ = now + fetchTermInterval;
+    actions_.emplace_back(FetchTerm {});
 }
 
 void RequestRunner::join(const KeyedAttempt& attempt)
@@ -202,8 +202,8 @@
     addMessages(claims_.takeMessages());
     addMessages(keeper_.takeMessages());
     addMessages(admission_.takeMessages());
-    if (keeper_.takeTermWanted())
-        actions_.emplace_back(WantTerm {});
+    if (keeper_.takeFetchNeeded())
+        actions_.emplace_back(FetchTerm {});
 }
 
 void RequestRunner::addMessages(std::vector<OutgoingMessage> messages)
@@ -328,7 +328,7 @@
                 takeClaimReply(content, now);
             else if constexpr (std::is_same_v<Content, EpochChecked>)
                 refusals_.takeEpochChecked(from, content, now);
-            else if constexpr (std::is_same_v<Content, TermNews>)
+            else if constexpr (std::is_same_v<Content, TermUpdate>)
                 learnTerm(content.term, now);
             else if constexpr (requires { admission_.handle(from, content, now); })
                 admission_.handle(from, content, now);
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -115,7 +115,7 @@
     WorkClaims claims_;
     RefusalWriter refusals_;
     ParkedAttempts parked_;
-    TimePoint wantTermAt_;
+    TimePoint nextFetchAt_;
     std::vector<RequestAction> actions_;
 };
 
--- a/Tests/Balancer/RequestMessageCodecTest.cpp
+++ b/Tests/Balancer/RequestMessageCodecTest.cpp
@@ -50,8 +50,8 @@
         {
             SCOPED_TRACE("a record, also as the platform holds it");
             const auto read
-                = decodeRequestMessage(encodeRequestMessage({ 5, RequestMessage(TermNews { exampleTerm() }) }));
-            EXPECT_EQ(std::get<TermNews>(std::get<RequestMessage>(read.value().message)).term, exampleTerm());
+                = decodeRequestMessage(encodeRequestMessage({ 5, RequestMessage(TermUpdate { exampleTerm() }) }));
+            EXPECT_EQ(std::get<TermUpdate>(std::get<RequestMessage>(read.value().message)).term, exampleTerm());
             EXPECT_EQ(readClaimTerm(writeClaimTerm(exampleTerm())).value(), exampleTerm());
             EXPECT_FALSE(readClaimTerm(R"({"epoch":1})"));
         }
--- a/Tests/Request/ClaimDoubtStoryTest.cpp
+++ b/Tests/Request/ClaimDoubtStoryTest.cpp
@@ -116,7 +116,7 @@
     group.arrive(0, ticket);
     group.deliver();
     EXPECT_TRUE(group.take<StartWork>(0).empty());
-    EXPECT_EQ(group.take<WantTerm>(0).size(), 1u);
+    EXPECT_EQ(group.take<FetchTerm>(0).size(), 1u);
     group.advance(seconds(3));
     group.deliver();
     const Refusal refusal = group.takeRefusal(0);
--- a/Tests/Request/ClaimStoryTest.cpp
+++ b/Tests/Request/ClaimStoryTest.cpp
@@ -151,7 +151,7 @@
 
     // The news of the epoch is lost, so the backup's answer alone must do.
     group.arriveBad(0, key, RefusalReason::AbsurdDeadline);
-    group.deliver(without<TermNews>());
+    group.deliver(without<TermUpdate>());
     EXPECT_EQ(group.takeRefusal(0).executed, Executed::Unknown);
 }
 
