--- a/Source/Request/BucketManager.cpp
+++ b/Source/Request/BucketManager.cpp
@@ -334,14 +334,14 @@
     return mayAct() ? buckets_[bucket].ownership : Ownership::NotOwner;
 }
 
-KeyKnowledge BucketManager::knowledgeOf(std::uint32_t bucket, const RequestKey& key) const
+KeyFreshness BucketManager::freshnessOf(std::uint32_t bucket, const RequestKey& key) const
 {
     if (table_.mayHaveForgotten(bucket, key))
-        return KeyKnowledge::TooOld;
+        return KeyFreshness::TooOld;
     const std::optional<LostClaims>& lost = buckets_[bucket].lost;
     if (lost && key.issuedEpoch < lost->floorEpoch)
-        return KeyKnowledge::Lost;
-    return KeyKnowledge::Fresh;
+        return KeyFreshness::Lost;
+    return KeyFreshness::Fresh;
 }
 
 bool BucketManager::isReleased(TimePoint now) const
--- a/Source/Request/BucketManager.h
+++ b/Source/Request/BucketManager.h
@@ -20,7 +20,7 @@
 };
 
 // What an owner can say of a key without a record.
-enum class KeyKnowledge {
+enum class KeyFreshness {
     Fresh, // It was never sent.
     TooOld, // It may have been forgotten.
     Lost, // It may be among claims that nobody could hand over.
@@ -58,7 +58,7 @@
     bool mayAct() const { return term_ && term_->epoch == newestEpoch_; }
     Ownership ownership(std::uint32_t bucket) const;
     const std::optional<ClaimPair>& pairOf(std::uint32_t bucket) const { return buckets_[bucket].pair; }
-    KeyKnowledge knowledgeOf(std::uint32_t bucket, const RequestKey&) const;
+    KeyFreshness freshnessOf(std::uint32_t bucket, const RequestKey&) const;
     // Whether the newest term names other holders only, and these have had time to fetch what this balancer holds.
     bool isReleased(TimePoint now) const;
     ClaimTable& table() { return table_; }
--- a/Source/Request/KeyDecision.cpp
+++ b/Source/Request/KeyDecision.cpp
@@ -27,12 +27,12 @@
 
     KeyDecision decideFresh(const KeyedAttempt& attempt, const BucketManager& keeper)
     {
-        switch (keeper.knowledgeOf(claimBucketOf(attempt.key.digest), attempt.key)) {
-        case KeyKnowledge::TooOld:
+        switch (keeper.freshnessOf(claimBucketOf(attempt.key.digest), attempt.key)) {
+        case KeyFreshness::TooOld:
             return refuseUnknown(RefusalReason::KeyTooOld);
-        case KeyKnowledge::Lost:
+        case KeyFreshness::Lost:
             return refuseUnknown(RefusalReason::ClaimsLost, inProgressWait);
-        case KeyKnowledge::Fresh:
+        case KeyFreshness::Fresh:
             break;
         }
         if (attempt.problem)
