--- a/Source/Request/BucketManager.cpp
+++ b/Source/Request/BucketManager.cpp
@@ -9,8 +9,8 @@
 
     constexpr std::chrono::milliseconds resendInterval { 100 };
     // Lost claims are asked for at leisure: whoever has them was not there when it mattered.
-    constexpr std::chrono::milliseconds healInterval { 1000 };
-    constexpr std::chrono::milliseconds handOverTime { 1000 };
+    constexpr std::chrono::milliseconds lostRecoveryInterval { 1000 };
+    constexpr std::chrono::milliseconds handoverTime { 1000 };
 
 }
 
@@ -65,35 +65,35 @@
     Bucket& bucket = buckets_[index];
     if (bucket.lostUntil && now >= *bucket.lostUntil)
         setLoss(bucket, std::nullopt, now);
-    if (!mayAct())
+    if (!knowsNewestTerm())
         return;
     if (bucket.ownership == Ownership::Recovering)
         recover(index, now);
     if (bucket.ownership == Ownership::Installing)
         install(index, now);
     if (bucket.ownership == Ownership::Active && bucket.lost)
-        tryToHeal(index, now);
+        retryRecovery(index, now);
 }
 
 void BucketManager::recover(std::uint32_t index, TimePoint now)
 {
     const RecoveryState state = buckets_[index].recovery.decide(terminated_, now);
     if (state == RecoveryState::Waiting)
-        return askEarlierHolders(index, now);
-    takeIn(index, state, now);
+        return requestSnapshots(index, now);
+    applyRecovery(index, state, now);
 }
 
-void BucketManager::askEarlierHolders(std::uint32_t index, TimePoint now)
+void BucketManager::requestSnapshots(std::uint32_t index, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
     if (now < bucket.sendAt)
         return;
-    bucket.sendAt = now + (bucket.lost ? Duration(healInterval) : Duration(resendInterval));
+    bucket.sendAt = now + (bucket.lost ? Duration(lostRecoveryInterval) : Duration(resendInterval));
     for (const BalancerInstance& holder : bucket.recovery.unanswered(terminated_))
         send(holder, RecoverBucket { term_->epoch, index });
 }
 
-void BucketManager::takeIn(std::uint32_t index, RecoveryState state, TimePoint now)
+void BucketManager::applyRecovery(std::uint32_t index, RecoveryState state, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
     const bool isWhole = state == RecoveryState::Whole;
@@ -104,9 +104,9 @@
     bucket.baseEpoch = source && isWhole ? source->installedEpoch : 0;
     if (!isOwnCopy)
         mergeSource(index, isWhole, now);
-    noteLoss(bucket, state, inherited, now);
+    recordLoss(bucket, state, inherited, now);
     bucket.installedEpoch = term_->epoch;
-    bucket.sendsWhole = bucket.baseEpoch == 0;
+    bucket.sendsContents = bucket.baseEpoch == 0;
     bucket.sendAt = now;
     setOwnership(bucket, bucket.pair->backup ? Ownership::Installing : Ownership::Active);
 }
@@ -132,7 +132,7 @@
     table_.merge(index, own, now);
 }
 
-void BucketManager::noteLoss(
+void BucketManager::recordLoss(
     Bucket& bucket, RecoveryState state, const std::optional<LostClaims>& inherited, TimePoint now)
 {
     if (state == RecoveryState::Whole) {
@@ -161,7 +161,7 @@
         bucket.lostUntil = now + *lost->remaining;
 }
 
-void BucketManager::tryToHeal(std::uint32_t index, TimePoint now)
+void BucketManager::retryRecovery(std::uint32_t index, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
     const RecoveryState state = bucket.recovery.decide(terminated_, now);
@@ -170,16 +170,16 @@
         if (source)
             table_.merge(index, source->contents, now);
         const std::optional<LostClaims> inherited = source ? source->contents.lost : std::nullopt;
-        noteLoss(bucket, state, inherited, now);
-        bucket.sendsWhole = true;
+        recordLoss(bucket, state, inherited, now);
+        bucket.sendsContents = true;
         bucket.sendAt = now;
         setOwnership(bucket, bucket.pair->backup ? Ownership::Installing : Ownership::Active);
         return;
     }
-    const bool canStartClock = state == RecoveryState::Lost && bucket.recovery.allStopped();
-    if (!bucket.lostUntil && canStartClock)
+    const bool canStartExpiry = state == RecoveryState::Lost && bucket.recovery.allStopped();
+    if (!bucket.lostUntil && canStartExpiry)
         bucket.lostUntil = now + table_.limits().rememberFor + maxDeadline_;
-    askEarlierHolders(index, now);
+    requestSnapshots(index, now);
 }
 
 void BucketManager::install(std::uint32_t index, TimePoint now)
@@ -189,8 +189,8 @@
         return;
     bucket.sendAt = now + resendInterval;
     send(*bucket.pair->backup,
-        InstallBucket {
-            term_->epoch, index, bucket.baseEpoch, bucket.sendsWhole, contentsOf(index, bucket.sendsWhole, now) });
+        InstallBucket { term_->epoch, index, bucket.baseEpoch, bucket.sendsContents,
+            contentsOf(index, bucket.sendsContents, now) });
 }
 
 BucketContents BucketManager::contentsOf(std::uint32_t index, bool withClaims, TimePoint now) const
@@ -206,7 +206,7 @@
     return contents;
 }
 
-void BucketManager::hearOf(std::uint64_t epoch)
+void BucketManager::noteEpoch(std::uint64_t epoch)
 {
     if (epoch <= newestEpoch_)
         return;
@@ -215,17 +215,17 @@
     hasOwnershipChanged_ = true;
 }
 
-bool BucketManager::isPresent(const BalancerInstance& from, std::uint64_t epoch)
+bool BucketManager::isCurrentEpoch(const BalancerInstance& from, std::uint64_t epoch)
 {
-    hearOf(epoch);
+    noteEpoch(epoch);
     if (term_ && epoch < term_->epoch)
         send(from, TermUpdate { *term_ });
-    return mayAct() && epoch == newestEpoch_;
+    return knowsNewestTerm() && epoch == newestEpoch_;
 }
 
 void BucketManager::handle(const BalancerInstance& from, const RecoverBucket& message, TimePoint now)
 {
-    hearOf(message.epoch);
+    noteEpoch(message.epoch);
     if (message.epoch < newestEpoch_) {
         if (term_ && term_->epoch > message.epoch)
             send(from, TermUpdate { *term_ });
@@ -239,7 +239,7 @@
 
 void BucketManager::handle(const BalancerInstance& from, const BucketSnapshot& message, TimePoint now)
 {
-    if (!isPresent(from, message.epoch))
+    if (!isCurrentEpoch(from, message.epoch))
         return;
     Bucket& bucket = buckets_[message.bucket];
     if (bucket.ownership == Ownership::NotOwner)
@@ -250,7 +250,7 @@
 
 void BucketManager::handle(const BalancerInstance& from, const InstallBucket& message, TimePoint now)
 {
-    if (!isPresent(from, message.epoch))
+    if (!isCurrentEpoch(from, message.epoch))
         return;
     Bucket& bucket = buckets_[message.bucket];
     if (!bucket.pair || bucket.pair->owner != from || bucket.pair->backup != self_)
@@ -276,14 +276,14 @@
 
 void BucketManager::handle(const BalancerInstance& from, const BucketInstalled& message, TimePoint now)
 {
-    if (!isPresent(from, message.epoch))
+    if (!isCurrentEpoch(from, message.epoch))
         return;
     Bucket& bucket = buckets_[message.bucket];
     if (bucket.ownership != Ownership::Installing || bucket.pair->backup != from)
         return;
     if (message.accepted)
         return setOwnership(bucket, Ownership::Active);
-    bucket.sendsWhole = true;
+    bucket.sendsContents = true;
     bucket.sendAt = now;
     install(message.bucket, now);
 }
@@ -291,7 +291,7 @@
 void BucketManager::handle(const BalancerInstance& from, const ClaimKey& message, TimePoint now)
 {
     const Bucket& bucket = buckets_[message.bucket];
-    bool accepted = isPresent(from, message.epoch) && bucket.pair && bucket.pair->owner == from
+    bool accepted = isCurrentEpoch(from, message.epoch) && bucket.pair && bucket.pair->owner == from
         && bucket.pair->backup == self_ && bucket.installedEpoch == message.epoch;
     if (accepted) {
         const ClaimRecord* known = table_.find(message.bucket, message.digest);
@@ -325,13 +325,13 @@
 
 void BucketManager::handle(const BalancerInstance& from, const CheckEpoch& message, TimePoint)
 {
-    const bool accepted = isPresent(from, message.epoch);
+    const bool accepted = isCurrentEpoch(from, message.epoch);
     send(from, EpochChecked { message.epoch, message.nonce, accepted });
 }
 
 Ownership BucketManager::ownership(std::uint32_t bucket) const
 {
-    return mayAct() ? buckets_[bucket].ownership : Ownership::NotOwner;
+    return knowsNewestTerm() ? buckets_[bucket].ownership : Ownership::NotOwner;
 }
 
 KeyFreshness BucketManager::freshnessOf(std::uint32_t bucket, const RequestKey& key) const
@@ -349,7 +349,7 @@
     if (!term_)
         return true;
     const bool isHolder = std::find(term_->holders.begin(), term_->holders.end(), self_) != term_->holders.end();
-    return !isHolder && now - termLearnedAt_ >= handOverTime;
+    return !isHolder && now - termLearnedAt_ >= handoverTime;
 }
 
 std::size_t BucketManager::lostBuckets() const
--- a/Source/Request/BucketManager.h
+++ b/Source/Request/BucketManager.h
@@ -37,7 +37,7 @@
 
     void learnTerm(const ClaimTerm&, TimePoint now);
     // Notes that an epoch exists; this balancer acts no more until it knows the epoch's holders.
-    void hearOf(std::uint64_t epoch);
+    void noteEpoch(std::uint64_t epoch);
     // Proofs that holders run no more (TerminatedInstances.h).
     void learnTerminated(const BalancerInstance& holder) { terminated_.learnTerminated(holder); }
     void learnStart(const BalancerInstance& holder) { terminated_.learnStart(holder); }
@@ -55,7 +55,7 @@
     const std::optional<ClaimTerm>& term() const { return term_; }
     std::uint64_t newestEpoch() const { return newestEpoch_; }
     // Whether the newest epoch heard of is also known.
-    bool mayAct() const { return term_ && term_->epoch == newestEpoch_; }
+    bool knowsNewestTerm() const { return term_ && term_->epoch == newestEpoch_; }
     Ownership ownership(std::uint32_t bucket) const;
     const std::optional<ClaimPair>& pairOf(std::uint32_t bucket) const { return buckets_[bucket].pair; }
     KeyFreshness freshnessOf(std::uint32_t bucket, const RequestKey&) const;
@@ -84,22 +84,22 @@
         std::optional<TimePoint> lostUntil;
         BucketRecovery recovery;
         std::uint64_t baseEpoch = 0;
-        bool sendsWhole = false;
+        bool sendsContents = false;
         TimePoint sendAt;
     };
 
     void send(const BalancerInstance& to, RequestMessage);
     // Handles a message's epoch; returns whether it is the epoch under which this balancer acts.
-    bool isPresent(const BalancerInstance& from, std::uint64_t epoch);
+    bool isCurrentEpoch(const BalancerInstance& from, std::uint64_t epoch);
     void startOwning(std::uint32_t index, TimePoint now);
     void advance(std::uint32_t index, TimePoint now);
     void recover(std::uint32_t index, TimePoint now);
-    void takeIn(std::uint32_t index, RecoveryState, TimePoint now);
-    void noteLoss(Bucket&, RecoveryState, const std::optional<LostClaims>& inherited, TimePoint now);
+    void applyRecovery(std::uint32_t index, RecoveryState, TimePoint now);
+    void recordLoss(Bucket&, RecoveryState, const std::optional<LostClaims>& inherited, TimePoint now);
     void mergeSource(std::uint32_t index, bool isWhole, TimePoint now);
     void replaceContents(std::uint32_t index, const BucketContents&, TimePoint now);
-    void tryToHeal(std::uint32_t index, TimePoint now);
-    void askEarlierHolders(std::uint32_t index, TimePoint now);
+    void retryRecovery(std::uint32_t index, TimePoint now);
+    void requestSnapshots(std::uint32_t index, TimePoint now);
     void install(std::uint32_t index, TimePoint now);
     void setOwnership(Bucket&, Ownership);
     void setLoss(Bucket&, const std::optional<LostClaims>&, TimePoint now);
--- a/Source/Request/KeyDecision.cpp
+++ b/Source/Request/KeyDecision.cpp
@@ -58,7 +58,7 @@
 
 KeyDecision decideKey(const KeyedAttempt& attempt, const BucketManager& keeper, const WorkTable& works, TimePoint now)
 {
-    const bool isBehind = !keeper.mayAct() || attempt.key.issuedEpoch > keeper.newestEpoch();
+    const bool isBehind = !keeper.knowsNewestTerm() || attempt.key.issuedEpoch > keeper.newestEpoch();
     if (isBehind)
         return { KeyStep::Park, {}, {}, nullptr };
     const std::uint32_t bucket = claimBucketOf(attempt.key.digest);
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -88,7 +88,7 @@
 {
     if (!parked_.add(attempt, now))
         return refusals_.refuse(attempt.id, RefusalReason::NotReady, Executed::Unknown, shortWait);
-    const bool isBehind = !keeper_.mayAct() || attempt.key.issuedEpoch > keeper_.newestEpoch();
+    const bool isBehind = !keeper_.knowsNewestTerm() || attempt.key.issuedEpoch > keeper_.newestEpoch();
     // Anybody can write an epoch into a key; it must not become a storm of reads.
     if (!isBehind || now < nextFetchAt_)
         return;
@@ -258,7 +258,7 @@
     }
     if (reply.epoch > keeper_.newestEpoch()) {
         leaveEpoch(now);
-        return keeper_.hearOf(reply.epoch);
+        return keeper_.noteEpoch(reply.epoch);
     }
     refuseUnclaimed(*work, now);
 }
@@ -341,7 +341,7 @@
 
 std::optional<std::string> RequestRunner::issueTicket(std::uint64_t high, std::uint64_t low) const
 {
-    if (!keeper_.mayAct())
+    if (!keeper_.knowsNewestTerm())
         return std::nullopt;
     return makeTicket(keeper_.term()->zone, keeper_.newestEpoch(), high, low);
 }
