--- a/Source/Request/Admission.h
+++ b/Source/Request/Admission.h
@@ -28,7 +28,7 @@
 struct SlotRefusal {
     WorkId work = 0;
     RefusalReason reason = RefusalReason::Overloaded;
-    std::chrono::milliseconds comeBackIn { 0 };
+    std::chrono::milliseconds retryDelay { 0 };
 };
 
 struct AdmissionLimits {
--- a/Source/Request/KeyDecision.cpp
+++ b/Source/Request/KeyDecision.cpp
@@ -4,16 +4,16 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds inProgressWait { 1000 };
+    constexpr std::chrono::milliseconds inProgressRetryDelay { 1000 };
 
-    KeyDecision refuseUnknown(RefusalReason reason, std::chrono::milliseconds comeBackIn = {})
+    KeyDecision refuseUnknown(RefusalReason reason, std::chrono::milliseconds retryDelay = {})
     {
-        return { KeyStep::RefuseUnknown, reason, comeBackIn, nullptr };
+        return { KeyStep::RefuseUnknown, reason, retryDelay, nullptr };
     }
 
-    KeyDecision refuseNotRun(RefusalReason reason, std::chrono::milliseconds comeBackIn = {})
+    KeyDecision refuseNotRun(RefusalReason reason, std::chrono::milliseconds retryDelay = {})
     {
-        return { KeyStep::RefuseNotRun, reason, comeBackIn, nullptr };
+        return { KeyStep::RefuseNotRun, reason, retryDelay, nullptr };
     }
 
     KeyDecision decideJoin(const KeyedAttempt& attempt, const Work& work)
@@ -31,7 +31,7 @@
         case KeyFreshness::TooOld:
             return refuseUnknown(RefusalReason::KeyTooOld);
         case KeyFreshness::Lost:
-            return refuseUnknown(RefusalReason::ClaimsLost, inProgressWait);
+            return refuseUnknown(RefusalReason::ClaimsLost, inProgressRetryDelay);
         case KeyFreshness::Fresh:
             break;
         }
@@ -48,7 +48,7 @@
             return refuseUnknown(RefusalReason::OutcomeUnknown);
         // Claimed or sent by another balancer, or by an earlier owner of the bucket.
         if (record.state != ClaimState::Answered)
-            return refuseUnknown(RefusalReason::InProgress, inProgressWait);
+            return refuseUnknown(RefusalReason::InProgress, inProgressRetryDelay);
         if (!record.answer)
             return refuseUnknown(RefusalReason::AnswerNotKept);
         return { KeyStep::Answer, {}, {}, record.answer };
--- a/Source/Request/KeyDecision.h
+++ b/Source/Request/KeyDecision.h
@@ -24,7 +24,7 @@
     KeyStep step = KeyStep::Park;
     // For the refusing steps.
     RefusalReason reason = RefusalReason::NotReady;
-    std::chrono::milliseconds comeBackIn { 0 };
+    std::chrono::milliseconds retryDelay { 0 };
     // For Answer.
     SharedResponse answer;
 };
--- a/Source/Request/PendingRefusals.h
+++ b/Source/Request/PendingRefusals.h
@@ -16,7 +16,7 @@
     AttemptId id = 0;
     RequestKey key;
     RefusalReason reason = RefusalReason::Overloaded;
-    std::chrono::milliseconds comeBackIn { 0 };
+    std::chrono::milliseconds retryDelay { 0 };
 };
 
 // Holds refusals until the backup answered one question about the epoch.
--- a/Source/Request/RefusalWriter.cpp
+++ b/Source/Request/RefusalWriter.cpp
@@ -36,24 +36,24 @@
 {
 }
 
-void RefusalWriter::refuse(AttemptId id, RefusalReason reason, Executed executed, std::chrono::milliseconds comeBackIn)
+void RefusalWriter::refuse(AttemptId id, RefusalReason reason, Executed executed, std::chrono::milliseconds retryDelay)
 {
-    const auto retryAfter = isFinal(reason) ? std::chrono::seconds(0) : drawRetryAfter(comeBackIn, random_);
+    const auto retryAfter = isFinal(reason) ? std::chrono::seconds(0) : drawRetryAfter(retryDelay, random_);
     actions_.emplace_back(RefuseAttempt { id, { reason, executed, retryAfter } });
 }
 
 void RefusalWriter::refuseAll(const std::vector<WorkWaiter>& waiters, RefusalReason reason, Executed executed,
-    std::chrono::milliseconds comeBackIn)
+    std::chrono::milliseconds retryDelay)
 {
     for (const WorkWaiter& waiter : waiters)
-        refuse(waiter.id, reason, executed, comeBackIn);
+        refuse(waiter.id, reason, executed, retryDelay);
 }
 
 void RefusalWriter::refuseWhenConfirmed(const PendingRefusal& refusal, TimePoint now)
 {
     const std::uint32_t bucket = claimBucketOf(refusal.key.digest);
     if (keeper_.ownership(bucket) != Ownership::Active)
-        return refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.comeBackIn);
+        return refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.retryDelay);
     const std::optional<BalancerInstance>& backup = keeper_.pairOf(bucket)->backup;
     if (backup)
         fence_.add(*backup, refusal);
@@ -67,14 +67,14 @@
     const ClaimRecord* record = keeper_.table().find(claimBucketOf(refusal.key.digest), refusal.key.digest);
     const bool mayRun = works_.findByKey(refusal.key.digest) || (record && record->state != ClaimState::Refused);
     if (mayRun)
-        return refuse(refusal.id, RefusalReason::InProgress, Executed::Unknown, refusal.comeBackIn);
+        return refuse(refusal.id, RefusalReason::InProgress, Executed::Unknown, refusal.retryDelay);
     refuseNotRun(refusal, now);
 }
 
 void RefusalWriter::refuseNotRun(const PendingRefusal& refusal, TimePoint now)
 {
     const bool isFinalReason = isFinal(refusal.reason);
-    const auto retryAfter = isFinalReason ? std::chrono::seconds(0) : drawRetryAfter(refusal.comeBackIn, random_);
+    const auto retryAfter = isFinalReason ? std::chrono::seconds(0) : drawRetryAfter(refusal.retryDelay, random_);
     actions_.emplace_back(RefuseAttempt { refusal.id, { refusal.reason, Executed::No, retryAfter } });
 
     // Until the caller was told to come back, no other try of the key makes this answer false. Repeating the refusal
@@ -94,20 +94,20 @@
         if (answer.accepted)
             refuseAtOnce(refusal, now);
         else
-            refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.comeBackIn);
+            refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.retryDelay);
     }
 }
 
 void RefusalWriter::abandonPending()
 {
     for (const PendingRefusal& refusal : fence_.takeAll())
-        refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.comeBackIn);
+        refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.retryDelay);
 }
 
 void RefusalWriter::expirePending(TimePoint now)
 {
     for (const PendingRefusal& refusal : fence_.takeExpired(now))
-        refuse(refusal.id, RefusalReason::BackupUnreachable, Executed::Unknown, refusal.comeBackIn);
+        refuse(refusal.id, RefusalReason::BackupUnreachable, Executed::Unknown, refusal.retryDelay);
 }
 
 std::vector<RequestAction> RefusalWriter::takeActions(TimePoint now)
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -17,8 +17,8 @@
 public:
     RefusalWriter(BucketManager&, WorkTable&, Duration backupTimeout, std::uint64_t seed);
 
-    void refuse(AttemptId, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
-    void refuseAll(const std::vector<WorkWaiter>&, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
+    void refuse(AttemptId, RefusalReason, Executed, std::chrono::milliseconds retryDelay = {});
+    void refuseAll(const std::vector<WorkWaiter>&, RefusalReason, Executed, std::chrono::milliseconds retryDelay = {});
 
     // Refuses as not run after the bucket's backup confirmed that this balancer still owns the key.
     void refuseWhenConfirmed(const PendingRefusal&, TimePoint now);
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds shortWait { 1000 };
+    constexpr std::chrono::milliseconds defaultRetryDelay { 1000 };
     constexpr std::chrono::milliseconds fetchTermInterval { 500 };
 
     RefusalReason reasonFor(HttpFailureKind kind)
@@ -76,9 +76,9 @@
         actions_.emplace_back(AnswerAttempt { attempt.id, decision.answer });
         return;
     case KeyStep::RefuseUnknown:
-        return refusals_.refuse(attempt.id, decision.reason, Executed::Unknown, decision.comeBackIn);
+        return refusals_.refuse(attempt.id, decision.reason, Executed::Unknown, decision.retryDelay);
     case KeyStep::RefuseNotRun:
-        return refusals_.refuseWhenConfirmed({ attempt.id, attempt.key, decision.reason, decision.comeBackIn }, now);
+        return refusals_.refuseWhenConfirmed({ attempt.id, attempt.key, decision.reason, decision.retryDelay }, now);
     case KeyStep::Start:
         return start(makeWork(attempt), now);
     }
@@ -87,7 +87,7 @@
 void RequestRunner::park(const KeyedAttempt& attempt, TimePoint now)
 {
     if (!parked_.add(attempt, now))
-        return refusals_.refuse(attempt.id, RefusalReason::NotReady, Executed::Unknown, shortWait);
+        return refusals_.refuse(attempt.id, RefusalReason::NotReady, Executed::Unknown, defaultRetryDelay);
     const bool isBehind = !keeper_.knowsNewestTerm() || attempt.key.issuedEpoch > keeper_.newestEpoch();
     // Anybody can write an epoch into a key; it must not become a storm of reads.
     if (!isBehind || now < nextFetchAt_)
@@ -155,25 +155,25 @@
         work->stage = WorkStage::Queued;
         admission_.request(id, work->service, work->deadline, now);
     } else
-        giveUp(*work, reasonFor(kind), shortWait, now);
+        giveUp(*work, reasonFor(kind), defaultRetryDelay, now);
     collect(now);
 }
 
 // Ends work without an answer, whatever its stage, with what is known of it.
-void RequestRunner::giveUp(Work& work, RefusalReason reason, std::chrono::milliseconds comeBackIn, TimePoint now)
+void RequestRunner::giveUp(Work& work, RefusalReason reason, std::chrono::milliseconds retryDelay, TimePoint now)
 {
     const Work ended = work;
     if (ended.mayHaveRun) {
         claims_.recordEnd(ended, false, nullptr, now);
         works_.erase(ended.id);
         admission_.withdraw(ended.id, now);
-        return refusals_.refuseAll(ended.waiters, reason, Executed::Unknown, comeBackIn);
+        return refusals_.refuseAll(ended.waiters, reason, Executed::Unknown, retryDelay);
     }
     drop(work, now);
     if (!ended.key)
-        return refusals_.refuseAll(ended.waiters, reason, Executed::No, comeBackIn);
+        return refusals_.refuseAll(ended.waiters, reason, Executed::No, retryDelay);
     for (const WorkWaiter& waiter : ended.waiters) {
-        const PendingRefusal refusal { waiter.id, *ended.key, reason, comeBackIn };
+        const PendingRefusal refusal { waiter.id, *ended.key, reason, retryDelay };
         if (ended.isClaimHeld)
             refusals_.refuseAtOnce(refusal, now);
         else
@@ -227,7 +227,7 @@
 void RequestRunner::takeSlotRefusal(const SlotRefusal& refusal, TimePoint now)
 {
     if (Work* work = works_.find(refusal.work))
-        giveUp(*work, work->mayHaveRun ? RefusalReason::OutcomeUnknown : refusal.reason, refusal.comeBackIn, now);
+        giveUp(*work, work->mayHaveRun ? RefusalReason::OutcomeUnknown : refusal.reason, refusal.retryDelay, now);
 }
 
 void RequestRunner::claim(Work& work, TimePoint now)
@@ -243,7 +243,7 @@
     case ClaimStart::NotOwner:
         return parkWork(work, now);
     case ClaimStart::NoRoom:
-        return giveUp(work, RefusalReason::TableFull, shortWait, now);
+        return giveUp(work, RefusalReason::TableFull, defaultRetryDelay, now);
     }
 }
 
@@ -267,7 +267,7 @@
 {
     const std::vector<WorkWaiter> waiters = work.waiters;
     drop(work, now);
-    refusals_.refuseAll(waiters, RefusalReason::BackupUnreachable, Executed::Unknown, shortWait);
+    refusals_.refuseAll(waiters, RefusalReason::BackupUnreachable, Executed::Unknown, defaultRetryDelay);
 }
 
 void RequestRunner::send(Work& work, TimePoint now)
@@ -276,7 +276,7 @@
         return drop(work, now);
     // The last look before the work leaves: a balancer that was paused here must not send what nobody waits for.
     if (now >= work.deadline)
-        return giveUp(work, RefusalReason::DeadlinePassed, shortWait, now);
+        return giveUp(work, RefusalReason::DeadlinePassed, defaultRetryDelay, now);
     work.stage = WorkStage::Sent;
     ++work.attempts;
     claims_.recordSent(work, now);
@@ -352,7 +352,7 @@
     expireClaims(now);
     expireWaiters(now);
     for (const AttemptId id : parked_.takeExpired(now))
-        refusals_.refuse(id, RefusalReason::NotReady, Executed::Unknown, shortWait);
+        refusals_.refuse(id, RefusalReason::NotReady, Executed::Unknown, defaultRetryDelay);
     refusals_.expirePending(now);
     admission_.tick(now);
     collect(now);
@@ -386,9 +386,9 @@
 {
     const bool isLast = work.waiters.size() == 1;
     if (isLast && work.stage != WorkStage::Sent)
-        return giveUp(work, RefusalReason::DeadlinePassed, shortWait, now);
+        return giveUp(work, RefusalReason::DeadlinePassed, defaultRetryDelay, now);
     works_.removeWaiter(work, id);
-    refusals_.refuse(id, RefusalReason::DeadlinePassed, Executed::Unknown, shortWait);
+    refusals_.refuse(id, RefusalReason::DeadlinePassed, Executed::Unknown, defaultRetryDelay);
     if (isLast && !work.key)
         actions_.emplace_back(CancelWork { work.id });
 }
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -95,7 +95,7 @@
     void takeClaimReply(const ClaimReply&, TimePoint now);
     void send(Work&, TimePoint now);
 
-    void giveUp(Work&, RefusalReason, std::chrono::milliseconds comeBackIn, TimePoint now);
+    void giveUp(Work&, RefusalReason, std::chrono::milliseconds retryDelay, TimePoint now);
     // Forgets work that was not sent, with its slot and claim.
     void drop(Work&, TimePoint now);
     void parkWork(Work&, TimePoint now);
