--- a/Source/Request/Admission.cpp
+++ b/Source/Request/Admission.cpp
@@ -119,7 +119,7 @@
         if (Server* server = freeServer(service, now))
             return grant(work, service, server->settings.id, now);
     }
-    if (queue.size() >= limits_.queueLength || !queue.canMake(deadline, openSlots(service, now), now))
+    if (queue.size() >= limits_.queueLength || !queue.canMeet(deadline, openSlots(service, now), now))
         return refuse(work, service, RefusalReason::Overloaded, now);
     queue.add(work, deadline);
     dispatch(service, now);
@@ -141,7 +141,7 @@
 void Admission::dispatch(ServiceId service, TimePoint now)
 {
     ServiceQueue& queue = queues_[service];
-    for (const WorkId work : queue.removeHopeless(now))
+    for (const WorkId work : queue.removeInfeasible(now))
         refuse(work, service, RefusalReason::Overloaded, now);
     while (!queue.isEmpty()) {
         Server* server = freeServer(service, now);
@@ -172,7 +172,7 @@
     const Running running = found->second;
     running_.erase(found);
     if (isAnswered) {
-        queues_[running.service].learnDuration(now - running.startedAt);
+        queues_[running.service].recordDuration(now - running.startedAt);
         const auto server = servers_.find(running.server);
         if (server != servers_.end())
             server->second.backOff = std::chrono::milliseconds(0);
@@ -239,7 +239,7 @@
     const auto server = servers_.find(message.server);
     const bool isUsable = server == servers_.end() || now >= server->second.closedUntil;
     if (service && isUsable) {
-        for (const WorkId work : queues_[*service].removeHopeless(now))
+        for (const WorkId work : queues_[*service].removeInfeasible(now))
             refuse(work, *service, RefusalReason::Overloaded, now);
         entry = queues_[*service].takeNext();
     }
--- a/Source/Request/ServiceQueue.cpp
+++ b/Source/Request/ServiceQueue.cpp
@@ -31,7 +31,7 @@
     return entry;
 }
 
-std::vector<WorkId> ServiceQueue::removeHopeless(TimePoint now)
+std::vector<WorkId> ServiceQueue::removeInfeasible(TimePoint now)
 {
     std::vector<WorkId> hopeless;
     std::erase_if(entries_, [&](const Entry& entry) {
@@ -43,7 +43,7 @@
     return hopeless;
 }
 
-void ServiceQueue::learnDuration(Duration sample)
+void ServiceQueue::recordDuration(Duration sample)
 {
     // The first samples weigh more: they replace a guess.
     samples_ = std::min(samples_ + 1, meanWeight);
@@ -57,7 +57,7 @@
     return mean_ * static_cast<std::int64_t>(entries_.size() + 1) / std::max<std::uint32_t>(slots, 1);
 }
 
-bool ServiceQueue::canMake(TimePoint deadline, std::uint32_t slots, TimePoint now) const
+bool ServiceQueue::canMeet(TimePoint deadline, std::uint32_t slots, TimePoint now) const
 {
     const Duration wait = expectedWait(slots);
     return now + wait + wait / waitMargin + longDuration() <= deadline;
--- a/Source/Request/ServiceQueue.h
+++ b/Source/Request/ServiceQueue.h
@@ -26,16 +26,16 @@
     std::optional<Entry> takeNext();
 
     // Removes what can no longer be done in time.
-    std::vector<WorkId> removeHopeless(TimePoint now);
+    std::vector<WorkId> removeInfeasible(TimePoint now);
 
-    void learnDuration(Duration);
+    void recordDuration(Duration);
     // What one piece of work takes: on average, and when it takes long.
-    Duration usualDuration() const { return mean_; }
+    Duration meanDuration() const { return mean_; }
     Duration longDuration() const { return mean_ + 2 * deviation_; }
 
     // How long one more entry would wait with so many slots.
     Duration expectedWait(std::uint32_t slots) const;
-    bool canMake(TimePoint deadline, std::uint32_t slots, TimePoint now) const;
+    bool canMeet(TimePoint deadline, std::uint32_t slots, TimePoint now) const;
 
 private:
     std::deque<Entry> entries_;
