--- a/Source/Request/Admission.cpp
+++ b/Source/Request/Admission.cpp
@@ -12,7 +12,7 @@
 
     constexpr std::chrono::milliseconds shortestBackOff { 50 };
     constexpr std::chrono::milliseconds longestBackOff { 2000 };
-    constexpr std::chrono::milliseconds doubtTime { 2000 };
+    constexpr std::chrono::milliseconds suspectTime { 2000 };
 
 }
 
@@ -49,9 +49,9 @@
     tick(now);
 }
 
-std::uint32_t Admission::openSlots(const Server& server, TimePoint now) const
+std::uint32_t Admission::usableSlots(const Server& server, TimePoint now) const
 {
-    if (!server.isConfigured || server.settings.state != BackendServerState::Active || now < server.closedUntil)
+    if (!server.isConfigured || server.settings.state != BackendServerState::Active || now < server.pausedUntil)
         return 0;
     const std::uint32_t ramp = server.settings.slowStartSeconds;
     const double age = std::chrono::duration<double>(now - server.addedAt).count();
@@ -62,12 +62,12 @@
     return std::min(server.share, std::max<std::uint32_t>(warm, 1));
 }
 
-std::uint32_t Admission::openSlots(ServiceId service, TimePoint now) const
+std::uint32_t Admission::usableSlots(ServiceId service, TimePoint now) const
 {
     std::uint32_t slots = 0;
     for (const auto& [id, server] : servers_) {
         if (server.settings.service == service)
-            slots += openSlots(server, now);
+            slots += usableSlots(server, now);
     }
     return slots;
 }
@@ -76,24 +76,24 @@
 Admission::Server* Admission::freeServer(ServiceId service, TimePoint now)
 {
     Server* best = nullptr;
-    double bestUse = 2;
-    std::uint32_t equals = 0;
+    double bestLoad = 2;
+    std::uint32_t tied = 0;
     for (auto& [id, server] : servers_) {
         if (server.settings.service != service)
             continue;
-        const std::uint32_t slots = openSlots(server, now);
+        const std::uint32_t slots = usableSlots(server, now);
         if (server.inUse >= slots)
             continue;
         // One that failed lately is taken only when no other is free, so that few attempts are spent on finding out.
-        const bool isDoubtful = server.backOff > std::chrono::milliseconds(0) && now < server.closedUntil + doubtTime;
-        const double doubt = isDoubtful ? 1 : 0;
-        const double use = doubt + static_cast<double>(server.inUse) / slots;
-        if (use > bestUse)
+        const bool isSuspect = server.backOff > std::chrono::milliseconds(0) && now < server.pausedUntil + suspectTime;
+        const double penalty = isSuspect ? 1 : 0;
+        const double use = penalty + static_cast<double>(server.inUse) / slots;
+        if (use > bestLoad)
             continue;
-        equals = use < bestUse ? 1 : equals + 1;
-        if (use < bestUse || random_() % equals == 0) {
+        tied = use < bestLoad ? 1 : tied + 1;
+        if (use < bestLoad || random_() % tied == 0) {
             best = &server;
-            bestUse = use;
+            bestLoad = use;
         }
     }
     return best;
@@ -119,7 +119,7 @@
         if (Server* server = freeServer(service, now))
             return grant(work, service, server->settings.id, now);
     }
-    if (queue.size() >= limits_.queueLength || !queue.canMeet(deadline, openSlots(service, now), now))
+    if (queue.size() >= limits_.queueLength || !queue.canMeet(deadline, usableSlots(service, now), now))
         return refuse(work, service, RefusalReason::Overloaded, now);
     queue.add(work, deadline);
     dispatch(service, now);
@@ -134,7 +134,7 @@
 
 void Admission::refuse(WorkId work, ServiceId service, RefusalReason reason, TimePoint now)
 {
-    const Duration wait = queues_[service].expectedWait(openSlots(service, now));
+    const Duration wait = queues_[service].expectedWait(usableSlots(service, now));
     refusals_.push_back({ work, reason, std::chrono::duration_cast<std::chrono::milliseconds>(wait) });
 }
 
@@ -201,7 +201,7 @@
     server.backOff = std::clamp(server.backOff * 2, shortestBackOff, longestBackOff);
     const std::chrono::milliseconds pause = std::max(retryAfter, server.backOff);
     const std::uint64_t spread = static_cast<std::uint64_t>(pause.count()) / 2 + 1;
-    server.closedUntil = now + pause + std::chrono::milliseconds(random_() % spread);
+    server.pausedUntil = now + pause + std::chrono::milliseconds(random_() % spread);
 }
 
 void Admission::tick(TimePoint now)
@@ -237,7 +237,7 @@
     std::optional<ServiceQueue::Entry> entry;
     // A server that this balancer can't reach may well be reached by the lender; its slot is of no use here.
     const auto server = servers_.find(message.server);
-    const bool isUsable = server == servers_.end() || now >= server->second.closedUntil;
+    const bool isUsable = server == servers_.end() || now >= server->second.pausedUntil;
     if (service && isUsable) {
         for (const WorkId work : queues_[*service].removeInfeasible(now))
             refuse(work, *service, RefusalReason::Overloaded, now);
--- a/Source/Request/Admission.h
+++ b/Source/Request/Admission.h
@@ -39,7 +39,7 @@
 
 // Gives the slots of backend servers to work. Every balancer has a fixed share of each server's slots (SlotShares.h)
 // and borrows free ones from others while its own queue waits. Work that can't make its deadline is refused at once,
-// when it comes or when waiting has made it hopeless. Called by the RequestRunner, which takes grants, refusals and
+// when it comes or when waiting has made it infeasible. Called by the RequestRunner, which takes grants, refusals and
 // messages after each call.
 class Admission {
 public:
@@ -75,7 +75,7 @@
         // By own work and by balancers that borrowed.
         std::uint32_t inUse = 0;
         TimePoint addedAt;
-        TimePoint closedUntil;
+        TimePoint pausedUntil;
         std::chrono::milliseconds backOff {};
         bool isConfigured = true;
     };
@@ -89,8 +89,8 @@
         std::uint64_t nonce = 0;
     };
 
-    std::uint32_t openSlots(const Server&, TimePoint now) const;
-    std::uint32_t openSlots(ServiceId, TimePoint now) const;
+    std::uint32_t usableSlots(const Server&, TimePoint now) const;
+    std::uint32_t usableSlots(ServiceId, TimePoint now) const;
     Server* freeServer(ServiceId, TimePoint now);
     bool hasServer(ServiceId) const;
     void grant(WorkId, ServiceId, BackendServerId, TimePoint now);
--- a/Source/Request/ServiceQueue.cpp
+++ b/Source/Request/ServiceQueue.cpp
@@ -33,14 +33,14 @@
 
 std::vector<WorkId> ServiceQueue::removeInfeasible(TimePoint now)
 {
-    std::vector<WorkId> hopeless;
+    std::vector<WorkId> infeasible;
     std::erase_if(entries_, [&](const Entry& entry) {
         if (now + longDuration() <= entry.deadline)
             return false;
-        hopeless.push_back(entry.work);
+        infeasible.push_back(entry.work);
         return true;
     });
-    return hopeless;
+    return infeasible;
 }
 
 void ServiceQueue::recordDuration(Duration sample)
--- a/Source/Request/SlotShares.cpp
+++ b/Source/Request/SlotShares.cpp
@@ -11,7 +11,7 @@
 
     constexpr std::uint64_t rendezvousSeed = 0x736c6f74;
 
-    std::vector<BalancerId> dealers(const BackendServer& server, const MembersView& view)
+    std::vector<BalancerId> sharingBalancers(const BackendServer& server, const MembersView& view)
     {
         std::vector<BalancerId> local;
         std::vector<BalancerId> all;
@@ -29,7 +29,7 @@
 
 std::uint32_t slotShareOf(const BackendServer& server, const MembersView& view, BalancerId balancer)
 {
-    const std::vector<BalancerId> balancers = dealers(server, view);
+    const std::vector<BalancerId> balancers = sharingBalancers(server, view);
     if (std::find(balancers.begin(), balancers.end(), balancer) == balancers.end())
         return 0;
     const auto score = [&](BalancerId id) { return hashPair(hashPair(rendezvousSeed, server.id.value), id.value); };
