--- a/Source/Request/Admission.cpp
+++ b/Source/Request/Admission.cpp
@@ -151,8 +151,8 @@
     }
     if (queue.isEmpty())
         return;
-    if (const auto question = loans_.nextQuestion(service, now, random_))
-        messages_.push_back({ question->to, BorrowSlot { service, question->nonce } });
+    if (const auto borrowRequest = loans_.nextBorrowRequest(service, now, random_))
+        messages_.push_back({ borrowRequest->to, BorrowSlot { service, borrowRequest->nonce } });
 }
 
 void Admission::withdraw(WorkId work, TimePoint now)
--- a/Source/Request/SlotLoans.cpp
+++ b/Source/Request/SlotLoans.cpp
@@ -21,34 +21,35 @@
 
 void SlotLoans::setPeers(std::vector<BalancerInstance> peers) { peers_ = std::move(peers); }
 
-std::optional<SlotLoans::Question> SlotLoans::nextQuestion(ServiceId service, TimePoint now, std::mt19937_64& random)
+std::optional<SlotLoans::BorrowRequest> SlotLoans::nextBorrowRequest(
+    ServiceId service, TimePoint now, std::mt19937_64& random)
 {
     if (peers_.empty())
         return std::nullopt;
-    const auto [entry, isNew] = asking_.try_emplace(service);
-    Asking& asking = entry->second;
+    const auto [entry, isNew] = borrowStates_.try_emplace(service);
+    BorrowState& state = entry->second;
     if (isNew)
-        asking.nextPeer = random();
-    if (now < asking.askAgainAt)
+        state.nextPeer = random();
+    if (now < state.nextRequestAt)
         return std::nullopt;
-    // A question whose answer never came counts as refused.
-    if (asking.isWaiting)
-        ++asking.refusals;
-    asking.nonce = ++lastNonce_;
-    asking.to = peers_[asking.nextPeer++ % peers_.size()];
-    asking.isWaiting = true;
-    asking.askAgainAt = now + replyTimeout;
-    return Question { asking.to, asking.nonce };
+    // A borrowRequest whose answer never came counts as refused.
+    if (state.isReplyPending)
+        ++state.refusals;
+    state.nonce = ++lastNonce_;
+    state.to = peers_[state.nextPeer++ % peers_.size()];
+    state.isReplyPending = true;
+    state.nextRequestAt = now + replyTimeout;
+    return BorrowRequest { state.to, state.nonce };
 }
 
 std::optional<ServiceId> SlotLoans::takeReply(const BalancerInstance& from, const SlotReply& reply, TimePoint now)
 {
-    for (auto& [service, asking] : asking_) {
-        if (!asking.isWaiting || asking.nonce != reply.nonce || asking.to != from)
+    for (auto& [service, state] : borrowStates_) {
+        if (!state.isReplyPending || state.nonce != reply.nonce || state.to != from)
             continue;
-        asking.isWaiting = false;
-        asking.refusals = reply.isLent ? 0 : asking.refusals + 1;
-        asking.askAgainAt = now + pauseAfter(asking.refusals, peers_.size());
+        state.isReplyPending = false;
+        state.refusals = reply.isLent ? 0 : state.refusals + 1;
+        state.nextRequestAt = now + pauseAfter(state.refusals, peers_.size());
         return service;
     }
     return std::nullopt;
--- a/Source/Request/SlotLoans.h
+++ b/Source/Request/SlotLoans.h
@@ -18,12 +18,12 @@
 public:
     void setPeers(std::vector<BalancerInstance> peers);
 
-    // Whom to ask for a slot of the service now, if anybody; the caller sends the question with the number.
-    struct Question {
+    // Whom to ask for a slot of the service now, if anybody; the caller sends the borrowRequest with the number.
+    struct BorrowRequest {
         BalancerInstance to;
         std::uint64_t nonce = 0;
     };
-    std::optional<Question> nextQuestion(ServiceId, TimePoint now, std::mt19937_64&);
+    std::optional<BorrowRequest> nextBorrowRequest(ServiceId, TimePoint now, std::mt19937_64&);
     // Takes an answer; returns the service it was asked for if it still is of use.
     std::optional<ServiceId> takeReply(const BalancerInstance& from, const SlotReply&, TimePoint now);
 
@@ -34,11 +34,11 @@
     std::vector<BackendServerId> takeExpired(TimePoint now);
 
 private:
-    struct Asking {
+    struct BorrowState {
         std::uint64_t nonce = 0;
         BalancerInstance to;
-        bool isWaiting = false;
-        TimePoint askAgainAt;
+        bool isReplyPending = false;
+        TimePoint nextRequestAt;
         std::size_t nextPeer = 0;
         std::size_t refusals = 0;
     };
@@ -48,7 +48,7 @@
     };
 
     std::vector<BalancerInstance> peers_;
-    std::map<ServiceId, Asking> asking_;
+    std::map<ServiceId, BorrowState> borrowStates_;
     std::map<std::pair<BalancerInstance, std::uint64_t>, Loan> loans_;
     std::uint64_t lastNonce_ = 0;
 };
