--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -132,7 +132,7 @@
     const Work* work = works_.find(id);
     if (!work)
         return;
-    claims_.recordEnd(*work, true, answer, now);
+    claims_.recordOutcome(*work, true, answer, now);
     for (const WorkWaiter& waiter : work->waiters)
         actions_.emplace_back(AnswerAttempt { waiter.id, answer });
     works_.erase(id);
@@ -164,7 +164,7 @@
 {
     const Work ended = work;
     if (ended.mayHaveRun) {
-        claims_.recordEnd(ended, false, nullptr, now);
+        claims_.recordOutcome(ended, false, nullptr, now);
         works_.erase(ended.id);
         admission_.withdraw(ended.id, now);
         return refusals_.refuseAll(ended.waiters, reason, Executed::Unknown, retryDelay);
@@ -233,16 +233,16 @@
 void RequestRunner::claim(Work& work, TimePoint now)
 {
     switch (claims_.begin(work, now)) {
-    case ClaimStart::Held:
+    case ClaimResult::Held:
         work.isClaimHeld = true;
         return send(work, now);
-    case ClaimStart::Asked:
+    case ClaimResult::Pending:
         work.stage = WorkStage::Claiming;
         work.claimUntil = now + settings_.backupTimeout;
         return;
-    case ClaimStart::NotOwner:
+    case ClaimResult::NotOwner:
         return parkWork(work, now);
-    case ClaimStart::NoRoom:
+    case ClaimResult::TableFull:
         return giveUp(work, RefusalReason::TableFull, defaultRetryDelay, now);
     }
 }
--- a/Source/Request/WorkClaims.cpp
+++ b/Source/Request/WorkClaims.cpp
@@ -16,21 +16,21 @@
     return { work.fingerprint, work.key->issuedEpoch, work.sequence, self_, now, state, nullptr };
 }
 
-ClaimStart WorkClaims::begin(Work& work, TimePoint now)
+ClaimResult WorkClaims::begin(Work& work, TimePoint now)
 {
     const std::uint32_t bucket = claimBucketOf(work.key->digest);
     if (keeper_.ownership(bucket) != Ownership::Active)
-        return ClaimStart::NotOwner;
+        return ClaimResult::NotOwner;
     works_.setClaim(work, ++lastSequence_);
     if (!keeper_.table().put(bucket, work.key->digest, recordOf(work, ClaimState::Claimed, now)))
-        return ClaimStart::NoRoom;
+        return ClaimResult::TableFull;
     const std::optional<BalancerInstance>& backup = keeper_.pairOf(bucket)->backup;
     if (!backup)
-        return ClaimStart::Held;
+        return ClaimResult::Held;
     const ClaimKey message { keeper_.newestEpoch(), bucket, work.sequence, work.key->digest, work.fingerprint,
         work.key->issuedEpoch };
     messages_.push_back({ *backup, message });
-    return ClaimStart::Asked;
+    return ClaimResult::Pending;
 }
 
 void WorkClaims::recordSent(const Work& work, TimePoint now)
@@ -39,7 +39,7 @@
         keeper_.table().put(claimBucketOf(work.key->digest), work.key->digest, recordOf(work, ClaimState::Sent, now));
 }
 
-void WorkClaims::recordEnd(const Work& work, bool isAnswered, const SharedResponse& answer, TimePoint now)
+void WorkClaims::recordOutcome(const Work& work, bool isAnswered, const SharedResponse& answer, TimePoint now)
 {
     if (!work.key)
         return;
@@ -49,7 +49,7 @@
     keeper_.table().put(bucket, work.key->digest, std::move(record));
     const ClaimRecord* kept = keeper_.table().find(bucket, work.key->digest);
     const SharedResponse keptAnswer = kept ? kept->answer : nullptr;
-    tellHolders(bucket, ClaimOutcome { bucket, work.key->digest, work.sequence, isAnswered, keptAnswer });
+    notifyHolders(bucket, ClaimOutcome { bucket, work.key->digest, work.sequence, isAnswered, keptAnswer });
 }
 
 void WorkClaims::withdraw(const Work& work)
@@ -60,10 +60,10 @@
     const ClaimRecord* record = keeper_.table().find(bucket, work.key->digest);
     if (record && record->runner == self_ && record->sequence == work.sequence)
         keeper_.table().erase(bucket, work.key->digest);
-    tellHolders(bucket, WithdrawClaim { bucket, work.key->digest, work.sequence });
+    notifyHolders(bucket, WithdrawClaim { bucket, work.key->digest, work.sequence });
 }
 
-void WorkClaims::tellHolders(std::uint32_t bucket, const RequestMessage& message)
+void WorkClaims::notifyHolders(std::uint32_t bucket, const RequestMessage& message)
 {
     const std::optional<ClaimPair>& pair = keeper_.pairOf(bucket);
     if (!pair)
--- a/Source/Request/WorkClaims.h
+++ b/Source/Request/WorkClaims.h
@@ -11,11 +11,11 @@
 namespace wisteriadock {
 
 // What became of the wish to claim a key.
-enum class ClaimStart {
+enum class ClaimResult {
     Held, // The zone has one holder: the claim is held.
-    Asked, // The backup has been asked.
+    Pending, // The backup has been asked.
     NotOwner,
-    NoRoom,
+    TableFull,
 };
 
 // Writes the claims of one RequestRunner's own work into its table and tells the other holders. For idempotent work,
@@ -24,9 +24,9 @@
 public:
     WorkClaims(const BalancerInstance& self, BucketManager&, WorkTable&);
 
-    ClaimStart begin(Work&, TimePoint now);
+    ClaimResult begin(Work&, TimePoint now);
     void recordSent(const Work&, TimePoint now);
-    void recordEnd(const Work&, bool isAnswered, const SharedResponse&, TimePoint now);
+    void recordOutcome(const Work&, bool isAnswered, const SharedResponse&, TimePoint now);
     // The claim will not be used (any more).
     void withdraw(const Work&);
 
@@ -34,7 +34,7 @@
 
 private:
     ClaimRecord recordOf(const Work&, ClaimState, TimePoint now) const;
-    void tellHolders(std::uint32_t bucket, const RequestMessage&);
+    void notifyHolders(std::uint32_t bucket, const RequestMessage&);
 
     BalancerInstance self_;
     BucketManager& keeper_;
