--- a/Source/Request/TermReconciler.cpp
+++ b/Source/Request/TermReconciler.cpp
@@ -26,7 +26,7 @@
         return;
     term_ = term;
     adoptedAt_ = now;
-    wrongSince_.reset();
+    mismatchSince_.reset();
     actions_.emplace_back(AdoptTerm { term });
 }
 
@@ -81,7 +81,7 @@
     actions_.emplace_back(ReadTerm {});
 }
 
-std::optional<ClaimTerm> TermReconciler::wanted(TimePoint now) const
+std::optional<ClaimTerm> TermReconciler::desiredTerm(TimePoint now) const
 {
     if (auto next = nextClaimTerm(term_, zone_, view_))
         return next;
@@ -102,15 +102,15 @@
 
 void TermReconciler::tick(TimePoint now)
 {
-    const std::optional<ClaimTerm> next = wanted(now);
+    const std::optional<ClaimTerm> next = desiredTerm(now);
     if (!next) {
-        wrongSince_.reset();
+        mismatchSince_.reset();
         return;
     }
-    if (!wrongSince_)
-        wrongSince_ = now;
-    const Duration wait = times_.settle + times_.perRank * static_cast<std::int64_t>(rankOf(*next));
-    if (writing_ || isReading_ || now < nextCallAt_ || now - *wrongSince_ < wait)
+    if (!mismatchSince_)
+        mismatchSince_ = now;
+    const Duration wait = times_.debounce + times_.rankDelay * static_cast<std::int64_t>(rankOf(*next));
+    if (writing_ || isReading_ || now < nextCallAt_ || now - *mismatchSince_ < wait)
         return;
     if (!revision_)
         return read(now);
--- a/Source/Request/TermReconciler.h
+++ b/Source/Request/TermReconciler.h
@@ -39,9 +39,9 @@
 
 struct TermTimes {
     // How long the holders must look wrong before the record is written, so that one that flickers moves nothing.
-    std::chrono::milliseconds settle { 300 };
+    std::chrono::milliseconds debounce { 300 };
     // Added for each balancer of the zone that comes earlier in the order, so that one writes and the others see it.
-    std::chrono::milliseconds perRank { 200 };
+    std::chrono::milliseconds rankDelay { 200 };
     std::chrono::milliseconds retry { 1000 };
     // A record is renewed at this age, so that tickets carry an epoch of about their age.
     std::chrono::minutes renewal { 30 };
@@ -69,7 +69,7 @@
     const std::optional<ClaimTerm>& term() const { return term_; }
 
 private:
-    std::optional<ClaimTerm> wanted(TimePoint now) const;
+    std::optional<ClaimTerm> desiredTerm(TimePoint now) const;
     std::size_t rankOf(const ClaimTerm& next) const;
     void adopt(const ClaimTerm&, TimePoint now);
     void read(TimePoint now);
@@ -85,7 +85,7 @@
     std::optional<ClaimTerm> writing_;
     bool isReading_ = false;
     TimePoint nextCallAt_;
-    std::optional<TimePoint> wrongSince_;
+    std::optional<TimePoint> mismatchSince_;
     std::vector<TermAction> actions_;
 };
 
