--- a/Source/Request/PendingRefusals.cpp
+++ b/Source/Request/PendingRefusals.cpp
@@ -20,37 +20,37 @@
 
 void PendingRefusals::add(const BalancerInstance& backup, const PendingRefusal& refusal)
 {
-    lines_[backup].next.push_back(refusal);
+    queues_[backup].waiting.push_back(refusal);
 }
 
 std::vector<OutgoingMessage> PendingRefusals::takeEpochChecks(std::uint64_t epoch, TimePoint now)
 {
-    std::vector<OutgoingMessage> questions;
-    for (auto& [backup, line] : lines_) {
-        if (!line.asked.empty() || line.next.empty())
+    std::vector<OutgoingMessage> checks;
+    for (auto& [backup, queue] : queues_) {
+        if (!queue.inCheck.empty() || queue.waiting.empty())
             continue;
-        line.asked = std::exchange(line.next, {});
-        line.nonce = ++lastNonce_;
-        line.until = now + timeout_;
-        questions.push_back({ backup, CheckEpoch { epoch, line.nonce } });
+        queue.inCheck = std::exchange(queue.waiting, {});
+        queue.nonce = ++lastNonce_;
+        queue.checkDeadline = now + timeout_;
+        checks.push_back({ backup, CheckEpoch { epoch, queue.nonce } });
     }
-    return questions;
+    return checks;
 }
 
-std::vector<PendingRefusal> PendingRefusals::takeAnswered(const BalancerInstance& from, const EpochChecked& answer)
+std::vector<PendingRefusal> PendingRefusals::takeChecked(const BalancerInstance& from, const EpochChecked& answer)
 {
-    const auto line = lines_.find(from);
-    if (line == lines_.end() || line->second.asked.empty() || line->second.nonce != answer.nonce)
+    const auto queue = queues_.find(from);
+    if (queue == queues_.end() || queue->second.inCheck.empty() || queue->second.nonce != answer.nonce)
         return {};
-    return std::exchange(line->second.asked, {});
+    return std::exchange(queue->second.inCheck, {});
 }
 
 std::vector<PendingRefusal> PendingRefusals::takeExpired(TimePoint now)
 {
     std::vector<PendingRefusal> expired;
-    for (auto& [backup, line] : lines_) {
-        if (!line.asked.empty() && now >= line.until)
-            append(expired, std::exchange(line.asked, {}));
+    for (auto& [backup, queue] : queues_) {
+        if (!queue.inCheck.empty() && now >= queue.checkDeadline)
+            append(expired, std::exchange(queue.inCheck, {}));
     }
     return expired;
 }
@@ -58,19 +58,19 @@
 std::vector<PendingRefusal> PendingRefusals::takeAll()
 {
     std::vector<PendingRefusal> all;
-    for (auto& [backup, line] : lines_) {
-        append(all, std::move(line.asked));
-        append(all, std::move(line.next));
+    for (auto& [backup, queue] : queues_) {
+        append(all, std::move(queue.inCheck));
+        append(all, std::move(queue.waiting));
     }
-    lines_.clear();
+    queues_.clear();
     return all;
 }
 
 std::size_t PendingRefusals::size() const
 {
     std::size_t count = 0;
-    for (const auto& [backup, line] : lines_)
-        count += line.asked.size() + line.next.size();
+    for (const auto& [backup, queue] : queues_)
+        count += queue.inCheck.size() + queue.waiting.size();
     return count;
 }
 
--- a/Source/Request/PendingRefusals.h
+++ b/Source/Request/PendingRefusals.h
@@ -19,10 +19,10 @@
     std::chrono::milliseconds retryDelay { 0 };
 };
 
-// Holds refusals until the backup answered one question about the epoch.
+// Holds refusals checkDeadline the backup answered one check about the epoch.
 //
 // What goes wrong without it: an owner is replaced while it is paused; the new owner runs a key; the old one wakes and,
-// finding no record, tells a caller that the key was not run. All refusals that wait for one backup share a question,
+// finding no record, tells a caller that the key was not run. All refusals that wait for one backup share a check,
 // so an overload costs one message a round trip and not one a refusal.
 class PendingRefusals {
 public:
@@ -32,8 +32,8 @@
     // Questions to send now: at most one open for each backup.
     std::vector<OutgoingMessage> takeEpochChecks(std::uint64_t epoch, TimePoint now);
 
-    // Refusals that an answer settles; empty when the answer is to no open question.
-    std::vector<PendingRefusal> takeAnswered(const BalancerInstance& from, const EpochChecked&);
+    // Refusals that an answer settles; empty when the answer is to no open check.
+    std::vector<PendingRefusal> takeChecked(const BalancerInstance& from, const EpochChecked&);
     // Refusals whose backup was silent for too long.
     std::vector<PendingRefusal> takeExpired(TimePoint now);
     // All of them, because the epoch changed.
@@ -42,17 +42,17 @@
     std::size_t size() const;
 
 private:
-    struct Line {
-        // Asked about by the open question.
-        std::vector<PendingRefusal> asked;
+    struct BackupQueue {
+        // Asked about by the open check.
+        std::vector<PendingRefusal> inCheck;
         std::uint64_t nonce = 0;
-        TimePoint until;
+        TimePoint checkDeadline;
         // Came since.
-        std::vector<PendingRefusal> next;
+        std::vector<PendingRefusal> waiting;
     };
 
     Duration timeout_;
-    std::map<BalancerInstance, Line> lines_;
+    std::map<BalancerInstance, BackupQueue> queues_;
     std::uint64_t lastNonce_ = 0;
 };
 
--- a/Source/Request/RefusalWriter.cpp
+++ b/Source/Request/RefusalWriter.cpp
@@ -31,7 +31,7 @@
 RefusalWriter::RefusalWriter(BucketManager& keeper, WorkTable& works, Duration backupTimeout, std::uint64_t seed)
     : keeper_(keeper)
     , works_(works)
-    , fence_(backupTimeout)
+    , pending_(backupTimeout)
     , random_(seed)
 {
 }
@@ -56,14 +56,14 @@
         return refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.retryDelay);
     const std::optional<BalancerInstance>& backup = keeper_.pairOf(bucket)->backup;
     if (backup)
-        fence_.add(*backup, refusal);
+        pending_.add(*backup, refusal);
     else
         refuseAtOnce(refusal, now);
 }
 
 void RefusalWriter::refuseAtOnce(const PendingRefusal& refusal, TimePoint now)
 {
-    // Another try of the key may have started while the question was on its way.
+    // Another try of the key may have started while the check was on its way.
     const ClaimRecord* record = keeper_.table().find(claimBucketOf(refusal.key.digest), refusal.key.digest);
     const bool mayRun = works_.findByKey(refusal.key.digest) || (record && record->state != ClaimState::Refused);
     if (mayRun)
@@ -88,9 +88,9 @@
         { 0, refusal.key.issuedEpoch, 0, BalancerInstance {}, now + retryAfter, ClaimState::Refused, nullptr });
 }
 
-void RefusalWriter::takeEpochChecked(const BalancerInstance& from, const EpochChecked& answer, TimePoint now)
+void RefusalWriter::handleEpochChecked(const BalancerInstance& from, const EpochChecked& answer, TimePoint now)
 {
-    for (const PendingRefusal& refusal : fence_.takeAnswered(from, answer)) {
+    for (const PendingRefusal& refusal : pending_.takeChecked(from, answer)) {
         if (answer.accepted)
             refuseAtOnce(refusal, now);
         else
@@ -100,20 +100,20 @@
 
 void RefusalWriter::abandonPending()
 {
-    for (const PendingRefusal& refusal : fence_.takeAll())
+    for (const PendingRefusal& refusal : pending_.takeAll())
         refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.retryDelay);
 }
 
 void RefusalWriter::expirePending(TimePoint now)
 {
-    for (const PendingRefusal& refusal : fence_.takeExpired(now))
+    for (const PendingRefusal& refusal : pending_.takeExpired(now))
         refuse(refusal.id, RefusalReason::BackupUnreachable, Executed::Unknown, refusal.retryDelay);
 }
 
 std::vector<RequestAction> RefusalWriter::takeActions(TimePoint now)
 {
-    for (OutgoingMessage& question : fence_.takeEpochChecks(keeper_.newestEpoch(), now))
-        actions_.emplace_back(std::move(question));
+    for (OutgoingMessage& check : pending_.takeEpochChecks(keeper_.newestEpoch(), now))
+        actions_.emplace_back(std::move(check));
     return std::exchange(actions_, {});
 }
 
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -25,21 +25,21 @@
     // The same at once. For keys whose claim was held in this balancer's name: nobody else can have run them.
     void refuseAtOnce(const PendingRefusal&, TimePoint now);
 
-    void takeEpochChecked(const BalancerInstance& from, const EpochChecked&, TimePoint now);
+    void handleEpochChecked(const BalancerInstance& from, const EpochChecked&, TimePoint now);
     // The epoch has changed: what waits can't be confirmed any more.
     void abandonPending();
     void expirePending(TimePoint now);
 
-    // Refusals and questions to backups.
+    // Refusals and checks to backups.
     std::vector<RequestAction> takeActions(TimePoint now);
-    std::size_t waiting() const { return fence_.size(); }
+    std::size_t waiting() const { return pending_.size(); }
 
 private:
     void refuseNotRun(const PendingRefusal&, TimePoint now);
 
     BucketManager& keeper_;
     WorkTable& works_;
-    PendingRefusals fence_;
+    PendingRefusals pending_;
     std::mt19937_64 random_;
     std::vector<RequestAction> actions_;
 };
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -181,7 +181,7 @@
     }
 }
 
-// Carries out what the parts decided, until nothing more follows from it.
+// Carries out what the parts decided, checkDeadline nothing more follows from it.
 void RequestRunner::collect(TimePoint now)
 {
     for (bool isSettled = false; !isSettled;) {
@@ -327,7 +327,7 @@
             if constexpr (std::is_same_v<Content, ClaimReply>)
                 takeClaimReply(content, now);
             else if constexpr (std::is_same_v<Content, EpochChecked>)
-                refusals_.takeEpochChecked(from, content, now);
+                refusals_.handleEpochChecked(from, content, now);
             else if constexpr (std::is_same_v<Content, TermUpdate>)
                 learnTerm(content.term, now);
             else if constexpr (requires { admission_.handle(from, content, now); })
