--- a/Source/Request/BucketRecovery.cpp
+++ b/Source/Request/BucketRecovery.cpp
@@ -82,7 +82,7 @@
         }
         if (wasNeverActive(pair))
             continue;
-        if (mayStillAnswer(pair, terminated) && now - start_ < patience)
+        if (mayStillAnswer(pair, terminated) && now - start_ < answerTimeout)
             return RecoveryState::Waiting;
         lostPairs_.push_back(pair);
         allStopped_ = allStopped_ && isStopped(pair, terminated);
--- a/Source/Request/BucketRecovery.h
+++ b/Source/Request/BucketRecovery.h
@@ -50,7 +50,7 @@
     std::vector<BalancerInstance> unanswered(const TerminatedInstances& terminated) const;
 
     // How long holders that are not known to be gone are waited for.
-    static constexpr std::chrono::milliseconds patience { 1500 };
+    static constexpr std::chrono::milliseconds answerTimeout { 1500 };
     // How long the earlier owner is preferred to the earlier backup, whose copy may name claims that were withdrawn.
     static constexpr std::chrono::milliseconds ownerPreference { 100 };
 
