--- a/Benchmarks/RequestBenchmark.cpp
+++ b/Benchmarks/RequestBenchmark.cpp
@@ -91,7 +91,7 @@
     void run(const RequestKey& key)
     {
         const std::size_t owner
-            = runners[0]->keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
+            = runners[0]->buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
         runners[owner]->arrive(
             KeyedAttempt { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
         exchange(owner);
@@ -105,7 +105,7 @@
     double runTimed(const RequestKey& key)
     {
         const std::size_t owner
-            = runners[0]->keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
+            = runners[0]->buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
         const TimePoint start = Clock::now();
         runners[owner]->arrive(
             KeyedAttempt { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
@@ -195,7 +195,7 @@
     for (const RequestKey& key : keys)
         pair.run(key);
     const std::size_t owner
-        = pair.runners[0]->keeper().ownership(claimBucketOf(keys[0].digest)) == Ownership::Active ? 0 : 1;
+        = pair.runners[0]->buckets().ownership(claimBucketOf(keys[0].digest)) == Ownership::Active ? 0 : 1;
     for (auto _ : state) {
         pair.runners[owner]->arrive(
             KeyedAttempt { ++pair.lastTry, keys[0], 7, service, pair.now + std::chrono::seconds(10), std::nullopt },
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -374,17 +374,17 @@
     const bool hasHeir = std::ranges::any_of(view.members, [&](const Member& member) {
         return member.id != view.self && member.state == MemberState::Serving && member.availabilityZone == homeZone_;
     });
-    return !hasHeir || runner_.keeper().isReleased(now);
+    return !hasHeir || runner_.buckets().isReleased(now);
 }
 
 RequestFigures RequestControl::figures() const
 {
     RequestFigures figures;
     figures.endings = tries_.counts();
-    figures.claimsHeld = runner_.keeper().table().size();
-    figures.bucketsLost = runner_.keeper().lostBuckets();
+    figures.claimsHeld = runner_.buckets().table().size();
+    figures.bucketsLost = runner_.buckets().lostBuckets();
     for (std::uint32_t bucket = 0; bucket < claimBucketCount; ++bucket)
-        figures.bucketsRecovering += runner_.keeper().ownership(bucket) == Ownership::Recovering ? 1 : 0;
+        figures.bucketsRecovering += runner_.buckets().ownership(bucket) == Ownership::Recovering ? 1 : 0;
     figures.recoveries = recoveries_;
     for (const Service& service : configuration_->services)
         figures.queued += runner_.admission().queued(service.id);
--- a/Source/Request/KeyDecision.cpp
+++ b/Source/Request/KeyDecision.cpp
@@ -25,9 +25,9 @@
         return { KeyStep::Join, {}, {}, nullptr };
     }
 
-    KeyDecision decideFresh(const KeyedAttempt& attempt, const BucketManager& keeper)
+    KeyDecision decideFresh(const KeyedAttempt& attempt, const BucketManager& buckets)
     {
-        switch (keeper.freshnessOf(claimBucketOf(attempt.key.digest), attempt.key)) {
+        switch (buckets.freshnessOf(claimBucketOf(attempt.key.digest), attempt.key)) {
         case KeyFreshness::TooOld:
             return refuseUnknown(RefusalReason::KeyTooOld);
         case KeyFreshness::Lost:
@@ -56,26 +56,26 @@
 
 }
 
-KeyDecision decideKey(const KeyedAttempt& attempt, const BucketManager& keeper, const WorkTable& works, TimePoint now)
+KeyDecision decideKey(const KeyedAttempt& attempt, const BucketManager& buckets, const WorkTable& works, TimePoint now)
 {
-    const bool isBehind = !keeper.knowsNewestTerm() || attempt.key.issuedEpoch > keeper.newestEpoch();
+    const bool isBehind = !buckets.knowsNewestTerm() || attempt.key.issuedEpoch > buckets.newestEpoch();
     if (isBehind)
         return { KeyStep::Park, {}, {}, nullptr };
     const std::uint32_t bucket = claimBucketOf(attempt.key.digest);
-    const Ownership ownership = keeper.ownership(bucket);
+    const Ownership ownership = buckets.ownership(bucket);
     if (ownership == Ownership::NotOwner)
         return { KeyStep::Redirect, {}, {}, nullptr };
     if (ownership != Ownership::Active)
         return { KeyStep::Park, {}, {}, nullptr };
     if (const Work* work = works.findByKey(attempt.key.digest))
         return decideJoin(attempt, *work);
-    const ClaimRecord* record = keeper.table().find(bucket, attempt.key.digest);
+    const ClaimRecord* record = buckets.table().find(bucket, attempt.key.digest);
     if (!record)
-        return decideFresh(attempt, keeper);
+        return decideFresh(attempt, buckets);
     if (record->state != ClaimState::Refused)
         return decideKnown(attempt, *record);
     if (now >= record->since)
-        return decideFresh(attempt, keeper);
+        return decideFresh(attempt, buckets);
     // A try of the same key that was on its way when the key was refused must not make that refusal false.
     return refuseNotRun(
         RefusalReason::ComeBackLater, std::chrono::ceil<std::chrono::milliseconds>(record->since - now));
--- a/Source/Request/RefusalWriter.cpp
+++ b/Source/Request/RefusalWriter.cpp
@@ -28,8 +28,8 @@
 
 }
 
-RefusalWriter::RefusalWriter(BucketManager& keeper, WorkTable& works, Duration backupTimeout, std::uint64_t seed)
-    : keeper_(keeper)
+RefusalWriter::RefusalWriter(BucketManager& buckets, WorkTable& works, Duration backupTimeout, std::uint64_t seed)
+    : buckets_(buckets)
     , works_(works)
     , pending_(backupTimeout)
     , random_(seed)
@@ -52,9 +52,9 @@
 void RefusalWriter::refuseWhenConfirmed(const PendingRefusal& refusal, TimePoint now)
 {
     const std::uint32_t bucket = claimBucketOf(refusal.key.digest);
-    if (keeper_.ownership(bucket) != Ownership::Active)
+    if (buckets_.ownership(bucket) != Ownership::Active)
         return refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.retryDelay);
-    const std::optional<BalancerInstance>& backup = keeper_.pairOf(bucket)->backup;
+    const std::optional<BalancerInstance>& backup = buckets_.pairOf(bucket)->backup;
     if (backup)
         pending_.add(*backup, refusal);
     else
@@ -64,7 +64,7 @@
 void RefusalWriter::refuseAtOnce(const PendingRefusal& refusal, TimePoint now)
 {
     // Another try of the key may have started while the check was on its way.
-    const ClaimRecord* record = keeper_.table().find(claimBucketOf(refusal.key.digest), refusal.key.digest);
+    const ClaimRecord* record = buckets_.table().find(claimBucketOf(refusal.key.digest), refusal.key.digest);
     const bool mayRun = works_.findByKey(refusal.key.digest) || (record && record->state != ClaimState::Refused);
     if (mayRun)
         return refuse(refusal.id, RefusalReason::InProgress, Executed::Unknown, refusal.retryDelay);
@@ -80,7 +80,7 @@
     // Until the caller was told to come back, no other try of the key makes this answer false. Repeating the refusal
     // does not put the time off. Refusals get at most half of the table.
     const std::uint32_t bucket = claimBucketOf(refusal.key.digest);
-    ClaimTable& table = keeper_.table();
+    ClaimTable& table = buckets_.table();
     const bool hasRoom = table.size() < table.limits().claims / 2;
     if (isFinalReason || refusal.reason == RefusalReason::ComeBackLater || !hasRoom)
         return;
@@ -112,7 +112,7 @@
 
 std::vector<RequestAction> RefusalWriter::takeActions(TimePoint now)
 {
-    for (OutgoingMessage& check : pending_.takeEpochChecks(keeper_.newestEpoch(), now))
+    for (OutgoingMessage& check : pending_.takeEpochChecks(buckets_.newestEpoch(), now))
         actions_.emplace_back(std::move(check));
     return std::exchange(actions_, {});
 }
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -37,7 +37,7 @@
 private:
     void refuseNotRun(const PendingRefusal&, TimePoint now);
 
-    BucketManager& keeper_;
+    BucketManager& buckets_;
     WorkTable& works_;
     PendingRefusals pending_;
     std::mt19937_64 random_;
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -23,28 +23,28 @@
 
 RequestRunner::RequestRunner(const RunnerSettings& settings)
     : settings_(settings)
-    , keeper_(settings.self, settings.claims, settings.maxDeadline)
+    , buckets_(settings.self, settings.claims, settings.maxDeadline)
     , admission_(settings.self, settings.admission, settings.seed)
     , retries_(settings.retries)
-    , claims_(settings.self, keeper_, works_)
-    , refusals_(keeper_, works_, settings.backupTimeout, settings.seed + 1)
+    , claims_(settings.self, buckets_, works_)
+    , refusals_(buckets_, works_, settings.backupTimeout, settings.seed + 1)
     , parked_(settings.maxParked, settings.recoveryWait)
 {
 }
 
 void RequestRunner::learnTerm(const ClaimTerm& term, TimePoint now)
 {
-    if (keeper_.term() && term.epoch <= keeper_.term()->epoch)
+    if (buckets_.term() && term.epoch <= buckets_.term()->epoch)
         return;
     leaveEpoch(now);
-    keeper_.learnTerm(term, now);
+    buckets_.learnTerm(term, now);
     collect(now);
 }
 
 void RequestRunner::configure(const Configuration& configuration, const MembersView& view, TimePoint now)
 {
     for (const Member& member : view.members)
-        keeper_.learnStart({ member.id, member.incarnation });
+        buckets_.learnStart({ member.id, member.incarnation });
     admission_.configure(configuration, view, now);
     collect(now);
 }
@@ -63,12 +63,12 @@
 
 void RequestRunner::decide(const KeyedAttempt& attempt, TimePoint now)
 {
-    const KeyDecision decision = decideKey(attempt, keeper_, works_, now);
+    const KeyDecision decision = decideKey(attempt, buckets_, works_, now);
     switch (decision.step) {
     case KeyStep::Park:
         return park(attempt, now);
     case KeyStep::Redirect:
-        actions_.emplace_back(RedirectAttempt { attempt.id, keeper_.newestEpoch() });
+        actions_.emplace_back(RedirectAttempt { attempt.id, buckets_.newestEpoch() });
         return;
     case KeyStep::Join:
         return join(attempt);
@@ -88,7 +88,7 @@
 {
     if (!parked_.add(attempt, now))
         return refusals_.refuse(attempt.id, RefusalReason::NotReady, Executed::Unknown, defaultRetryDelay);
-    const bool isBehind = !keeper_.knowsNewestTerm() || attempt.key.issuedEpoch > keeper_.newestEpoch();
+    const bool isBehind = !buckets_.knowsNewestTerm() || attempt.key.issuedEpoch > buckets_.newestEpoch();
     // Anybody can write an epoch into a key; it must not become a storm of reads.
     if (!isBehind || now < nextFetchAt_)
         return;
@@ -185,7 +185,7 @@
 void RequestRunner::collect(TimePoint now)
 {
     for (bool isSettled = false; !isSettled;) {
-        if (keeper_.takeOwnershipChanged()) {
+        if (buckets_.takeOwnershipChanged()) {
             for (const KeyedAttempt& attempt : parked_.takeAll())
                 decide(attempt, now);
         }
@@ -200,9 +200,9 @@
     std::vector<RequestAction> refused = refusals_.takeActions(now);
     actions_.insert(actions_.end(), std::make_move_iterator(refused.begin()), std::make_move_iterator(refused.end()));
     addMessages(claims_.takeMessages());
-    addMessages(keeper_.takeMessages());
+    addMessages(buckets_.takeMessages());
     addMessages(admission_.takeMessages());
-    if (keeper_.takeFetchNeeded())
+    if (buckets_.takeFetchNeeded())
         actions_.emplace_back(FetchTerm {});
 }
 
@@ -256,9 +256,9 @@
         work->isClaimHeld = true;
         return send(*work, now);
     }
-    if (reply.epoch > keeper_.newestEpoch()) {
+    if (reply.epoch > buckets_.newestEpoch()) {
         leaveEpoch(now);
-        return keeper_.noteEpoch(reply.epoch);
+        return buckets_.noteEpoch(reply.epoch);
     }
     refuseUnclaimed(*work, now);
 }
@@ -314,7 +314,7 @@
 void RequestRunner::receive(const BalancerInstance& from, const RequestMessage& message, TimePoint now)
 {
     if (const auto* recover = std::get_if<RecoverBucket>(&message)) {
-        if (recover->epoch > keeper_.newestEpoch())
+        if (recover->epoch > buckets_.newestEpoch())
             leaveEpoch(now);
     }
     std::visit(
@@ -333,7 +333,7 @@
             else if constexpr (requires { admission_.handle(from, content, now); })
                 admission_.handle(from, content, now);
             else
-                keeper_.handle(from, content, now);
+                buckets_.handle(from, content, now);
         },
         message);
     collect(now);
@@ -341,14 +341,14 @@
 
 std::optional<std::string> RequestRunner::issueTicket(std::uint64_t high, std::uint64_t low) const
 {
-    if (!keeper_.knowsNewestTerm())
+    if (!buckets_.knowsNewestTerm())
         return std::nullopt;
-    return makeTicket(keeper_.term()->zone, keeper_.newestEpoch(), high, low);
+    return makeTicket(buckets_.term()->zone, buckets_.newestEpoch(), high, low);
 }
 
 void RequestRunner::tick(TimePoint now)
 {
-    keeper_.tick(now);
+    buckets_.tick(now);
     expireClaims(now);
     expireWaiters(now);
     for (const AttemptId id : parked_.takeExpired(now))
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -46,7 +46,7 @@
 
     void learnTerm(const ClaimTerm&, TimePoint now);
     // A holder that certainly runs no more: its VM is gone for good. Restarts are noticed from the members.
-    void learnTerminated(const BalancerInstance& holder) { keeper_.learnTerminated(holder); }
+    void learnTerminated(const BalancerInstance& holder) { buckets_.learnTerminated(holder); }
     void configure(const Configuration&, const MembersView&, TimePoint now);
 
     void arrive(const KeyedAttempt&, TimePoint now);
@@ -76,9 +76,9 @@
     // A planned stop: first let the members know that this balancer leaves, then wait until this is true. While the
     // platform is out, the second condition can't come true; a stop after workUnderWay() is zero then costs its claims
     // their second copy, not their first.
-    bool mayStop(TimePoint now) const { return workUnderWay() == 0 && keeper_.isReleased(now); }
+    bool mayStop(TimePoint now) const { return workUnderWay() == 0 && buckets_.isReleased(now); }
     std::size_t workUnderWay() const { return works_.size() + parked_.size() + refusals_.waiting(); }
-    const BucketManager& keeper() const { return keeper_; }
+    const BucketManager& buckets() const { return buckets_; }
     const Admission& admission() const { return admission_; }
 
 private:
@@ -108,7 +108,7 @@
     void expireClaims(TimePoint now);
 
     RunnerSettings settings_;
-    BucketManager keeper_;
+    BucketManager buckets_;
     Admission admission_;
     RetryPolicy retries_;
     WorkTable works_;
--- a/Source/Request/WorkClaims.cpp
+++ b/Source/Request/WorkClaims.cpp
@@ -4,9 +4,9 @@
 
 namespace wisteriadock {
 
-WorkClaims::WorkClaims(const BalancerInstance& self, BucketManager& keeper, WorkTable& works)
+WorkClaims::WorkClaims(const BalancerInstance& self, BucketManager& buckets, WorkTable& works)
     : self_(self)
-    , keeper_(keeper)
+    , buckets_(buckets)
     , works_(works)
 {
 }
@@ -19,15 +19,15 @@
 ClaimResult WorkClaims::begin(Work& work, TimePoint now)
 {
     const std::uint32_t bucket = claimBucketOf(work.key->digest);
-    if (keeper_.ownership(bucket) != Ownership::Active)
+    if (buckets_.ownership(bucket) != Ownership::Active)
         return ClaimResult::NotOwner;
     works_.setClaim(work, ++lastSequence_);
-    if (!keeper_.table().put(bucket, work.key->digest, recordOf(work, ClaimState::Claimed, now)))
+    if (!buckets_.table().put(bucket, work.key->digest, recordOf(work, ClaimState::Claimed, now)))
         return ClaimResult::TableFull;
-    const std::optional<BalancerInstance>& backup = keeper_.pairOf(bucket)->backup;
+    const std::optional<BalancerInstance>& backup = buckets_.pairOf(bucket)->backup;
     if (!backup)
         return ClaimResult::Held;
-    const ClaimKey message { keeper_.newestEpoch(), bucket, work.sequence, work.key->digest, work.fingerprint,
+    const ClaimKey message { buckets_.newestEpoch(), bucket, work.sequence, work.key->digest, work.fingerprint,
         work.key->issuedEpoch };
     messages_.push_back({ *backup, message });
     return ClaimResult::Pending;
@@ -36,7 +36,7 @@
 void WorkClaims::recordSent(const Work& work, TimePoint now)
 {
     if (work.key)
-        keeper_.table().put(claimBucketOf(work.key->digest), work.key->digest, recordOf(work, ClaimState::Sent, now));
+        buckets_.table().put(claimBucketOf(work.key->digest), work.key->digest, recordOf(work, ClaimState::Sent, now));
 }
 
 void WorkClaims::recordOutcome(const Work& work, bool isAnswered, const SharedResponse& answer, TimePoint now)
@@ -46,8 +46,8 @@
     const std::uint32_t bucket = claimBucketOf(work.key->digest);
     ClaimRecord record = recordOf(work, isAnswered ? ClaimState::Answered : ClaimState::Unknown, now);
     record.answer = answer;
-    keeper_.table().put(bucket, work.key->digest, std::move(record));
-    const ClaimRecord* kept = keeper_.table().find(bucket, work.key->digest);
+    buckets_.table().put(bucket, work.key->digest, std::move(record));
+    const ClaimRecord* kept = buckets_.table().find(bucket, work.key->digest);
     const SharedResponse keptAnswer = kept ? kept->answer : nullptr;
     notifyHolders(bucket, ClaimOutcome { bucket, work.key->digest, work.sequence, isAnswered, keptAnswer });
 }
@@ -57,15 +57,15 @@
     if (!work.key || work.sequence == 0)
         return;
     const std::uint32_t bucket = claimBucketOf(work.key->digest);
-    const ClaimRecord* record = keeper_.table().find(bucket, work.key->digest);
+    const ClaimRecord* record = buckets_.table().find(bucket, work.key->digest);
     if (record && record->runner == self_ && record->sequence == work.sequence)
-        keeper_.table().erase(bucket, work.key->digest);
+        buckets_.table().erase(bucket, work.key->digest);
     notifyHolders(bucket, WithdrawClaim { bucket, work.key->digest, work.sequence });
 }
 
 void WorkClaims::notifyHolders(std::uint32_t bucket, const RequestMessage& message)
 {
-    const std::optional<ClaimPair>& pair = keeper_.pairOf(bucket);
+    const std::optional<ClaimPair>& pair = buckets_.pairOf(bucket);
     if (!pair)
         return;
     if (pair->owner != self_)
--- a/Source/Request/WorkClaims.h
+++ b/Source/Request/WorkClaims.h
@@ -37,7 +37,7 @@
     void notifyHolders(std::uint32_t bucket, const RequestMessage&);
 
     BalancerInstance self_;
-    BucketManager& keeper_;
+    BucketManager& buckets_;
     WorkTable& works_;
     std::uint64_t lastSequence_ = 0;
     std::vector<OutgoingMessage> messages_;
--- a/Tests/Request/ClaimDoubtStoryTest.cpp
+++ b/Tests/Request/ClaimDoubtStoryTest.cpp
@@ -32,7 +32,7 @@
         }
     };
     wait(seconds(2));
-    const std::size_t owner = group[2].keeper().ownership(claimBucketOf(old.digest)) == Ownership::Active ? 2 : 3;
+    const std::size_t owner = group[2].buckets().ownership(claimBucketOf(old.digest)) == Ownership::Active ? 2 : 3;
     {
         SCOPED_TRACE("a key of the caller's own making may have run");
         group.arrive(owner, old);
@@ -90,13 +90,13 @@
     group.advance(seconds(2));
     group.deliver(nobody);
     group.arrive(2, fresh);
-    EXPECT_GT(group[2].keeper().lostBuckets(), 0u);
+    EXPECT_GT(group[2].buckets().lostBuckets(), 0u);
     group.deliver(nobody);
     EXPECT_EQ(group.takeRefusal(2).reason, RefusalReason::ClaimsLost);
 
     group.advance(seconds(2));
     group.deliver(cutOff(0));
-    EXPECT_EQ(group[2].keeper().lostBuckets(), 0u);
+    EXPECT_EQ(group[2].buckets().lostBuckets(), 0u);
     group.arrive(2, fresh);
     group.arrive(2, ran);
     group.deliver(cutOff(0));
@@ -145,7 +145,7 @@
     EXPECT_EQ(group.take<AnswerAttempt>(0).size(), 1u);
     EXPECT_TRUE(group[0].mayStop(group.now()));
 
-    const std::size_t owner = group[1].keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 1 : 2;
+    const std::size_t owner = group[1].buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 1 : 2;
     group.arrive(owner, key);
     group.deliver();
     EXPECT_EQ(group.take<AnswerAttempt>(owner).size(), 1u);
--- a/Tests/Request/ClaimStoryTest.cpp
+++ b/Tests/Request/ClaimStoryTest.cpp
@@ -110,7 +110,7 @@
     group.releaseKept();
     EXPECT_TRUE(group.take<StartWork>(0).empty());
     ASSERT_EQ(group.take<RedirectAttempt>(0).size(), 1u);
-    const std::size_t owner = group[2].keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 2 : 3;
+    const std::size_t owner = group[2].buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 2 : 3;
     group.arrive(owner, key);
     group.deliver();
     EXPECT_EQ(group.take<StartWork>(owner).size(), 1u);
@@ -235,6 +235,6 @@
     group.deliver();
     ASSERT_EQ(group.take<StartWork>(0).size(), 1u);
     group.releaseKept();
-    EXPECT_TRUE(group[1].keeper().table().find(claimBucketOf(key.digest), key.digest));
+    EXPECT_TRUE(group[1].buckets().table().find(claimBucketOf(key.digest), key.digest));
 }
 }
--- a/Tests/Request/TermReconcilerTest.cpp
+++ b/Tests/Request/TermReconcilerTest.cpp
@@ -33,7 +33,7 @@
         template <typename Action> std::vector<Action> take()
         {
             std::vector<Action> taken;
-            for (const TermAction& action : keeper.takeActions()) {
+            for (const TermAction& action : reconciler.takeActions()) {
                 if (const auto* wanted = std::get_if<Action>(&action))
                     taken.push_back(*wanted);
             }
@@ -43,10 +43,10 @@
         void advance(Duration time)
         {
             clock.advance(time);
-            keeper.tick(clock.now());
+            reconciler.tick(clock.now());
         }
 
-        TermReconciler keeper { "walu", balancerIdOf("a"), {} };
+        TermReconciler reconciler { "walu", balancerIdOf("a"), {} };
         ManualClock clock;
     };
 
@@ -56,10 +56,10 @@
 
 TEST_F(TermReconcilerTest, WritesTheFirstRecordAndRepeatsNoWriteWhoseAnswerIsLost)
 {
-    keeper.learnMembers(viewOf({ serving("a"), serving("b") }), clock.now());
+    reconciler.learnMembers(viewOf({ serving("a"), serving("b") }), clock.now());
     advance(seconds(1));
     ASSERT_EQ(take<ReadTerm>().size(), 1u);
-    keeper.learnAbsent(clock.now());
+    reconciler.learnAbsent(clock.now());
     advance(seconds(1));
     const auto first = take<WriteTerm>();
     ASSERT_EQ(first.size(), 1u);
@@ -67,9 +67,9 @@
     EXPECT_EQ(first[0].term.epoch, 1u);
 
     SCOPED_TRACE("the answer is lost: the record is read, and turns out to be ours");
-    keeper.writeEnded(TermWrite::Unknown, 0, clock.now());
+    reconciler.writeEnded(TermWrite::Unknown, 0, clock.now());
     ASSERT_EQ(take<ReadTerm>().size(), 1u);
-    keeper.learnRecord(first[0].term, 1, clock.now());
+    reconciler.learnRecord(first[0].term, 1, clock.now());
     EXPECT_EQ(take<AdoptTerm>().size(), 1u);
     advance(seconds(10));
     EXPECT_TRUE(take<WriteTerm>().empty());
@@ -79,10 +79,10 @@
 TEST_F(TermReconcilerTest, NeverGoesBackToAnEarlierEpoch)
 {
     const std::vector<BalancerInstance> holders { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } };
-    keeper.learnRecord({ "walu", 7, holders, {}, true }, 30, clock.now());
-    keeper.learnRecord({ "walu", 4, holders, {}, true }, 12, clock.now());
-    EXPECT_EQ(keeper.term()->epoch, 7u);
-    keeper.learnMembers(viewOf({ serving("a"), serving("b", 2) }), clock.now());
+    reconciler.learnRecord({ "walu", 7, holders, {}, true }, 30, clock.now());
+    reconciler.learnRecord({ "walu", 4, holders, {}, true }, 12, clock.now());
+    EXPECT_EQ(reconciler.term()->epoch, 7u);
+    reconciler.learnMembers(viewOf({ serving("a"), serving("b", 2) }), clock.now());
     advance(seconds(1));
     const auto write = take<WriteTerm>();
     ASSERT_EQ(write.size(), 1u);
@@ -92,16 +92,17 @@
 
 TEST_F(TermReconcilerTest, DoesNotActOnFlickerOrWhenIsolated)
 {
-    keeper.learnRecord({ "walu", 1, { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } }, {}, true }, 1, clock.now());
+    reconciler.learnRecord(
+        { "walu", 1, { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } }, {}, true }, 1, clock.now());
     const MembersView both = viewOf({ serving("a"), serving("b") });
     MembersView alone = viewOf({ serving("a") });
-    keeper.learnMembers(alone, clock.now());
+    reconciler.learnMembers(alone, clock.now());
     advance(milliseconds(200));
-    keeper.learnMembers(both, clock.now());
+    reconciler.learnMembers(both, clock.now());
     advance(seconds(5));
     EXPECT_TRUE(take<WriteTerm>().empty());
     alone.isolated = true;
-    keeper.learnMembers(alone, clock.now());
+    reconciler.learnMembers(alone, clock.now());
     advance(seconds(5));
     EXPECT_TRUE(take<WriteTerm>().empty());
 }
