--- a/Source/Request/BucketManager.cpp
+++ b/Source/Request/BucketManager.cpp
@@ -178,7 +178,7 @@
     }
     const bool canStartExpiry = state == RecoveryState::Lost && bucket.recovery.allStopped();
     if (!bucket.lostUntil && canStartExpiry)
-        bucket.lostUntil = now + table_.limits().rememberFor + maxDeadline_;
+        bucket.lostUntil = now + table_.limits().retention + maxDeadline_;
     requestSnapshots(index, now);
 }
 
--- a/Source/Request/ClaimTable.cpp
+++ b/Source/Request/ClaimTable.cpp
@@ -66,7 +66,7 @@
 void ClaimTable::dropLargeAnswer(ClaimRecord& record)
 {
     const std::size_t bytes = bytesOf(record.answer);
-    if (bytes > limits_.keptAnswerBytes || answerBytes_ + bytes > limits_.answerBytes)
+    if (bytes > limits_.maxKeptAnswerBytes || answerBytes_ + bytes > limits_.answerBytes)
         record.answer.reset();
 }
 
@@ -133,7 +133,7 @@
     for (auto entry = bucket.records.begin(); entry != bucket.records.end();) {
         const ClaimRecord& record = entry->second;
         const bool isRefused = record.state == ClaimState::Refused;
-        const bool isOld = isRefused ? now >= record.since : now - record.since >= limits_.rememberFor;
+        const bool isOld = isRefused ? now >= record.since : now - record.since >= limits_.retention;
         const bool mustStay = !isRefused && record.issuedEpoch >= currentEpoch;
         if (!isOld || mustStay) {
             ++entry;
--- a/Source/Request/ClaimTable.h
+++ b/Source/Request/ClaimTable.h
@@ -69,9 +69,9 @@
     std::size_t claims = 200'000;
     std::size_t answerBytes = 32UL * 1024 * 1024;
     // Longer answers are not kept; a retry is then told that the outcome can't be repeated.
-    std::size_t keptAnswerBytes = 4096;
+    std::size_t maxKeptAnswerBytes = 4096;
     // For how long a key is remembered after it last changed.
-    std::chrono::seconds rememberFor { 3600 };
+    std::chrono::seconds retention { 3600 };
 };
 
 // The claims that one balancer holds as owner or backup, in buckets. Bounded: a full table takes no new key rather than
--- a/Source/Request/ParkedAttempts.h
+++ b/Source/Request/ParkedAttempts.h
@@ -13,9 +13,9 @@
 // Tries that wait until the claims of their bucket have moved, for a short time and in bounded number.
 class ParkedAttempts {
 public:
-    ParkedAttempts(std::size_t capacity, Duration longestWait)
+    ParkedAttempts(std::size_t capacity, Duration maxWait)
         : capacity_(capacity)
-        , longestWait_(longestWait)
+        , maxWait_(maxWait)
     {
     }
 
@@ -24,7 +24,7 @@
     {
         if (tries_.size() >= capacity_)
             return false;
-        tries_.push_back({ attempt, std::min(attempt.deadline, now + longestWait_) });
+        tries_.push_back({ attempt, std::min(attempt.deadline, now + maxWait_) });
         return true;
     }
 
@@ -62,7 +62,7 @@
     };
 
     std::size_t capacity_;
-    Duration longestWait_;
+    Duration maxWait_;
     std::vector<Entry> tries_;
 };
 
--- a/Source/Request/PendingForwardTable.cpp
+++ b/Source/Request/PendingForwardTable.cpp
@@ -83,7 +83,7 @@
     std::vector<AbandonedForward> abandoned;
     std::erase_if(entries_, [&](const auto& item) {
         const Entry& entry = item.second;
-        const bool isSilent = !entry.isAcknowledged && now >= entry.acknowledgeUntil;
+        const bool isSilent = !entry.isAcknowledged && now >= entry.acknowledgeDeadline;
         const bool isLate = now >= entry.deadline;
         if (!isSilent && !isLate)
             return false;
--- a/Source/Request/PendingForwardTable.h
+++ b/Source/Request/PendingForwardTable.h
@@ -82,7 +82,7 @@
         KeyDigest key;
         BalancerInstance owner;
         TimePoint deadline;
-        TimePoint acknowledgeUntil;
+        TimePoint acknowledgeDeadline;
         bool isAcknowledged = false;
     };
 
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -151,7 +151,7 @@
         admission_.shed(work->server, std::chrono::milliseconds(0), now);
     admission_.release(id, false, now);
     const bool isWanted = !work->waiters.empty() && now < work->deadline;
-    if (isWanted && retries_.takeRetry(kind, !work->key, work->attempts)) {
+    if (isWanted && retries_.takeRetry(kind, !work->key, work->sendCount)) {
         work->stage = WorkStage::Queued;
         admission_.request(id, work->service, work->deadline, now);
     } else
@@ -238,7 +238,7 @@
         return send(work, now);
     case ClaimResult::Pending:
         work.stage = WorkStage::Claiming;
-        work.claimUntil = now + settings_.backupTimeout;
+        work.claimDeadline = now + settings_.backupTimeout;
         return;
     case ClaimResult::NotOwner:
         return parkWork(work, now);
@@ -278,7 +278,7 @@
     if (now >= work.deadline)
         return giveUp(work, RefusalReason::DeadlinePassed, defaultRetryDelay, now);
     work.stage = WorkStage::Sent;
-    ++work.attempts;
+    ++work.sendCount;
     claims_.recordSent(work, now);
     actions_.emplace_back(StartWork { work.id, work.waiters.front().id, work.server, work.deadline });
 }
@@ -362,7 +362,7 @@
 {
     for (const WorkId id : works_.ids()) {
         Work* work = works_.find(id);
-        if (work && work->stage == WorkStage::Claiming && now >= work->claimUntil)
+        if (work && work->stage == WorkStage::Claiming && now >= work->claimDeadline)
             refuseUnclaimed(*work, now);
     }
 }
--- a/Source/Request/TermReconciler.cpp
+++ b/Source/Request/TermReconciler.cpp
@@ -88,7 +88,7 @@
     const bool isHolder = term_
         && std::any_of(term_->holders.begin(), term_->holders.end(),
             [&](const BalancerInstance& holder) { return holder.id == self_; });
-    if (isHolder && !view_.isolated && now - adoptedAt_ >= times_.renewal)
+    if (isHolder && !view_.isolated && now - adoptedAt_ >= times_.renewalInterval)
         return renewedClaimTerm(*term_);
     return std::nullopt;
 }
--- a/Source/Request/TermReconciler.h
+++ b/Source/Request/TermReconciler.h
@@ -44,7 +44,7 @@
     std::chrono::milliseconds rankDelay { 200 };
     std::chrono::milliseconds retry { 1000 };
     // A record is renewed at this age, so that tickets carry an epoch of about their age.
-    std::chrono::minutes renewal { 30 };
+    std::chrono::minutes renewalInterval { 30 };
 };
 
 // Keeps the ownership record of one availability zone right: sees that its holders are the balancers that serve there.
--- a/Source/Request/WorkTable.h
+++ b/Source/Request/WorkTable.h
@@ -41,8 +41,8 @@
     std::uint64_t sequence = 0;
     // The backup holds the claim. From then on nobody else runs the key, whatever becomes of the ownership.
     bool isClaimHeld = false;
-    TimePoint claimUntil;
-    std::uint32_t attempts = 0;
+    TimePoint claimDeadline;
+    std::uint32_t sendCount = 0;
     // An attempt may have been acted on; then no refusal says "not run".
     bool mayHaveRun = false;
 };
