--- a/Source/Balancer/TryForwarder.cpp
+++ b/Source/Balancer/TryForwarder.cpp
@@ -135,8 +135,8 @@
         return;
     }
     const std::uint64_t received = answer.response.body.size();
-    const PendingForwardTable::Settled settled
-        = book_.settle(answer.owner, { token, hop.key, answer.declaredBytes, received });
+    const PendingForwardTable::Resolved settled
+        = book_.resolve(answer.owner, { token, hop.key, answer.declaredBytes, received });
     if (settled.delivery != Delivery::Deliver || answer.ending == HopEnding::Redirect) {
         book_.cancel(hop.id);
         ends_.onLost(hop.id, RefusalReason::OutcomeUnknown);
--- a/Source/Request/PendingForwardTable.cpp
+++ b/Source/Request/PendingForwardTable.cpp
@@ -31,7 +31,7 @@
         found->second.isAcknowledged = true;
 }
 
-PendingForwardTable::Settled PendingForwardTable::settle(const BalancerInstance& from, const ForwardedAnswer& answer)
+PendingForwardTable::Resolved PendingForwardTable::resolve(const BalancerInstance& from, const ForwardedAnswer& answer)
 {
     const auto found = find(from, answer.token);
     if (found == entries_.end() || found->second.key != answer.key) {
--- a/Source/Request/PendingForwardTable.h
+++ b/Source/Request/PendingForwardTable.h
@@ -53,11 +53,11 @@
     void acknowledge(const BalancerInstance& from, const ForwardToken&);
 
     // Finds out whose answer this is; try id is set for Deliver and Incomplete. The try is closed then.
-    struct Settled {
+    struct Resolved {
         Delivery delivery = Delivery::Drop;
         AttemptId id = 0;
     };
-    Settled settle(const BalancerInstance& from, const ForwardedAnswer&);
+    Resolved resolve(const BalancerInstance& from, const ForwardedAnswer&);
     // The owner refused to own the key: the try is open again for another open().
     std::optional<AttemptId> redirect(const BalancerInstance& from, const ForwardToken&);
 
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -109,7 +109,7 @@
     settings.seed = cluster_.world.draw(1'000'000);
     life_->runner = std::make_unique<RequestRunner>(settings);
     life_->router = std::make_unique<RequestRouter>(holder(), cluster_.zones);
-    life_->book = std::make_unique<PendingForwardTable>(holder(), milliseconds(300));
+    life_->forwards = std::make_unique<PendingForwardTable>(holder(), milliseconds(300));
     life_->terms = std::make_unique<TermReconciler>(zone_, id_, TermTimes {});
     life_->lastBeat = cluster_.world.now();
 }
@@ -185,7 +185,7 @@
     for (const Member& member : view.members) {
         if (member.state != MemberState::Dead)
             continue;
-        for (const AbandonedForward& lost : life_->book->removeOwner({ member.id, member.incarnation }))
+        for (const AbandonedForward& lost : life_->forwards->removeOwner({ member.id, member.incarnation }))
             refuseUnknown(lost.id, lost.reason);
     }
     life_->terms->learnMembers(view, now);
@@ -197,7 +197,7 @@
     const TimePoint now = cluster_.world.now();
     life_->terms->tick(now);
     life_->runner->tick(now);
-    for (const AbandonedForward& lost : life_->book->expire(now))
+    for (const AbandonedForward& lost : life_->forwards->expire(now))
         refuseUnknown(lost.id, lost.reason);
     act();
     if (isLeaving_ && life_->runner->mayStop(now) && life_->tries.empty())
@@ -227,7 +227,7 @@
         return act();
     }
     const ForwardToken token
-        = life_->book->open(id, local.request.key.digest, found.owner, local.request.deadline, now);
+        = life_->forwards->open(id, local.request.key.digest, found.owner, local.request.deadline, now);
     cluster_.carry(
         *this, found.owner,
         [entry = holder(), token, request = local.request](
@@ -239,7 +239,7 @@
 {
     const TimePoint now = cluster_.world.now();
     cluster_.carry(*this, entry,
-        [owner = holder(), token](FakeBalancer& balancer) { balancer.life_->book->acknowledge(owner, token); });
+        [owner = holder(), token](FakeBalancer& balancer) { balancer.life_->forwards->acknowledge(owner, token); });
     const AttemptId id = ++life_->lastTry;
     life_->tries[id] = { request, {}, entry, token, 0 };
     if (now >= request.deadline)
@@ -273,14 +273,14 @@
     const BalancerInstance& from, const ForwardToken& token, const KeyDigest& key, const FakeReply& reply)
 {
     const std::uint64_t bytes = reply.answer ? reply.answer->body.size() : 0;
-    const PendingForwardTable::Settled settled = life_->book->settle(from, { token, key, bytes, bytes });
+    const PendingForwardTable::Resolved settled = life_->forwards->resolve(from, { token, key, bytes, bytes });
     if (settled.delivery == Delivery::Deliver)
         finish(settled.id, reply);
 }
 
 void FakeBalancer::settleRedirect(const BalancerInstance& from, const ForwardToken& token)
 {
-    if (const auto id = life_->book->redirect(from, token))
+    if (const auto id = life_->forwards->redirect(from, token))
         routeLater(*id);
 }
 
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -110,7 +110,7 @@
     struct Life {
         std::unique_ptr<RequestRunner> runner;
         std::unique_ptr<RequestRouter> router;
-        std::unique_ptr<PendingForwardTable> book;
+        std::unique_ptr<PendingForwardTable> forwards;
         std::unique_ptr<TermReconciler> terms;
         std::map<AttemptId, Local> tries;
         MembersView view;
