--- a/Tests/Request/ClaimDoubtStoryTest.cpp
+++ b/Tests/Request/ClaimDoubtStoryTest.cpp
@@ -124,7 +124,7 @@
     EXPECT_EQ(refusal.executed, Executed::Unknown);
 }
 
-// Symptom: a planned stop cuts requests. Sequence: an owner leaves while it waits for a server's answer.
+// Symptom: a planned stop partitions requests. Sequence: an owner leaves while it waits for a server's answer.
 // Cause: stopping before the work has ended, or before its outcome is known to the new owner.
 TEST(ClaimStory, LeavingOwnerFinishesItsWorkAndHandsTheAnswerOn)
 {
--- a/Tests/Request/FakeWorld.h
+++ b/Tests/Request/EventSimulator.h
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 
 // Events in virtual time, and the seeded lot that everything in a test draws from.
-class FakeWorld {
+class EventSimulator {
 public:
-    explicit FakeWorld(std::uint64_t seed)
+    explicit EventSimulator(std::uint64_t seed)
         : random_(seed)
     {
     }
@@ -48,18 +48,18 @@
 };
 
 // Who is cut off from whom. Places are zones by name; "platform" is one more.
-class FakeCuts {
+class FakePartitions {
 public:
-    void cut(const std::string& from, const std::string& to) { cuts_[{ from, to }]++; }
-    void heal(const std::string& from, const std::string& to) { cuts_[{ from, to }]--; }
-    bool isCut(const std::string& from, const std::string& to) const
+    void cut(const std::string& from, const std::string& to) { partitions_[{ from, to }]++; }
+    void heal(const std::string& from, const std::string& to) { partitions_[{ from, to }]--; }
+    bool isBlocked(const std::string& from, const std::string& to) const
     {
-        const auto found = cuts_.find({ from, to });
-        return found != cuts_.end() && found->second > 0;
+        const auto found = partitions_.find({ from, to });
+        return found != partitions_.end() && found->second > 0;
     }
 
 private:
-    std::map<std::pair<std::string, std::string>, int> cuts_;
+    std::map<std::pair<std::string, std::string>, int> partitions_;
 };
 
 }
--- a/Tests/Request/FakeBackends.cpp
+++ b/Tests/Request/FakeBackends.cpp
@@ -6,10 +6,10 @@
 
 std::string answerBodyOf(const std::string& name) { return "confirmed " + name + " end"; }
 
-FakeBackends::FakeBackends(
-    FakeWorld& world, FakeCuts& cuts, const std::vector<std::string>& zones, std::uint32_t serversPerZone)
-    : world_(world)
-    , cuts_(cuts)
+FakeBackends::FakeBackends(EventSimulator& simulator, FakePartitions& partitions, const std::vector<std::string>& zones,
+    std::uint32_t serversPerZone)
+    : simulator_(simulator)
+    , partitions_(partitions)
 {
     Service service;
     service.name = "tryon";
@@ -32,14 +32,14 @@
 {
     const auto server = std::find_if(configuration_.backendServers.begin(), configuration_.backendServers.end(),
         [&](const BackendServer& candidate) { return candidate.id == id; });
-    world_.after(world_.between(microseconds(500), microseconds(1500)), [=, this, &settings = *server] {
-        if (cuts_.isCut(fromZone, settings.availabilityZone))
+    simulator_.after(simulator_.between(microseconds(500), microseconds(1500)), [=, this, &settings = *server] {
+        if (partitions_.isBlocked(fromZone, settings.availabilityZone))
             return reply({ nullptr, HttpFailureKind::NotSent });
         if (busy_[id] >= settings.slots)
             return reply({ nullptr, HttpFailureKind::Refused });
         ++busy_[id];
-        runs[name].push_back(world_.now());
-        world_.after(world_.between(milliseconds(10), milliseconds(120)),
+        runs[name].push_back(simulator_.now());
+        simulator_.after(simulator_.between(milliseconds(10), milliseconds(120)),
             [=, this, &settings] { finish(fromZone, settings, name, deadline, reply); });
     });
 }
@@ -48,9 +48,9 @@
     TimePoint deadline, const std::function<void(Reply)>& reply)
 {
     --busy_[server.id];
-    if (world_.now() > deadline)
+    if (simulator_.now() > deadline)
         return reply({ nullptr, HttpFailureKind::DeadlineExceeded });
-    if (cuts_.isCut(server.availabilityZone, fromZone) || world_.chance(lostAnswers))
+    if (partitions_.isBlocked(server.availabilityZone, fromZone) || simulator_.chance(lostAnswers))
         return reply({ nullptr, HttpFailureKind::Lost });
     reply({ std::make_shared<HttpResponse>(HttpResponse { 200, {}, answerBodyOf(name) }), {} });
 }
--- a/Tests/Request/FakeBackends.h
+++ b/Tests/Request/FakeBackends.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "FakeWorld.h"
+#include "EventSimulator.h"
 
 #include "Configuration/Configuration.h"
 #include "Net/Http2Client.h"
@@ -16,7 +16,7 @@
 // Backend servers that shed when full, lose answers, and write down what they ran.
 class FakeBackends {
 public:
-    FakeBackends(FakeWorld&, FakeCuts&, const std::vector<std::string>& zones, std::uint32_t serversPerZone);
+    FakeBackends(EventSimulator&, FakePartitions&, const std::vector<std::string>& zones, std::uint32_t serversPerZone);
 
     struct Reply {
         SharedResponse answer; // Null on failure.
@@ -36,8 +36,8 @@
     void finish(const std::string& fromZone, const BackendServer&, const std::string& name, TimePoint deadline,
         const std::function<void(Reply)>&);
 
-    FakeWorld& world_;
-    FakeCuts& cuts_;
+    EventSimulator& simulator_;
+    FakePartitions& partitions_;
     Configuration configuration_;
     std::map<BackendServerId, std::uint32_t> busy_;
 };
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -13,9 +13,9 @@
 }
 
 FakeCluster::FakeCluster(std::uint64_t seed, std::uint32_t balancersPerZone, std::uint32_t serversPerZone)
-    : world(seed)
-    , backends(world, cuts, zones, serversPerZone)
-    , platform(world, cuts)
+    : simulator(seed)
+    , backends(simulator, partitions, zones, serversPerZone)
+    , platform(simulator, partitions)
 {
     for (const std::string& zone : zones) {
         for (std::uint32_t i = 0; i < balancersPerZone; ++i)
@@ -31,17 +31,17 @@
 {
     for (const auto& balancer : balancers)
         balancer->kill(milliseconds(0));
-    beat();
+    sendHeartbeats();
     tick();
 }
 
-void FakeCluster::beat()
+void FakeCluster::sendHeartbeats()
 {
     for (const auto& from : balancers) {
         for (const auto& to : balancers) {
-            const bool isHeard = from->isUp() && !from->isPaused() && to->isUp() && !to->isPaused()
-                && !cuts.isCut(from->zone(), to->zone());
-            if (isHeard)
+            const bool isDelivered = from->isUp() && !from->isPaused() && to->isUp() && !to->isPaused()
+                && !partitions.isBlocked(from->zone(), to->zone());
+            if (isDelivered)
                 to->hear(*from);
         }
     }
@@ -49,7 +49,7 @@
         if (balancer->isUp() && !balancer->isPaused())
             balancer->publishView();
     }
-    world.after(heartbeatInterval, [this] { beat(); });
+    simulator.after(heartbeatInterval, [this] { sendHeartbeats(); });
 }
 
 void FakeCluster::tick()
@@ -58,18 +58,18 @@
         if (balancer->isUp() && !balancer->isPaused())
             balancer->tick();
     }
-    world.after(milliseconds(20), [this] { tick(); });
+    simulator.after(milliseconds(20), [this] { tick(); });
 }
 
-void FakeCluster::carry(const FakeBalancer& from, const BalancerInstance& to,
+void FakeCluster::transmit(const FakeBalancer& from, const BalancerInstance& to,
     const std::function<void(FakeBalancer&)>& event, bool isReliable)
 {
     const std::string& fromZone = from.zone();
-    const int copies = isReliable ? 1 : (world.chance(lostMessages) ? 0 : (world.chance(lostMessages) ? 2 : 1));
+    const int copies = isReliable ? 1 : (simulator.chance(lostMessages) ? 0 : (simulator.chance(lostMessages) ? 2 : 1));
     for (int i = 0; i < copies; ++i) {
-        world.after(world.between(microseconds(300), microseconds(1500)), [=, this] {
+        simulator.after(simulator.between(microseconds(300), microseconds(1500)), [=, this] {
             FakeBalancer* balancer = byId.at(to.id);
-            if (!balancer->isUp() || balancer->holder() != to || cuts.isCut(fromZone, balancer->zone()))
+            if (!balancer->isUp() || balancer->holder() != to || partitions.isBlocked(fromZone, balancer->zone()))
                 return;
             balancer->perform([=] { event(*balancer); });
         });
@@ -102,29 +102,29 @@
     isUp_ = true;
     isLeaving_ = false;
     pausedUntil_ = TimePoint();
-    life_ = std::make_unique<Life>();
+    state_ = std::make_unique<ProcessState>();
     RunnerSettings settings;
     settings.self = holder();
     settings.retries.rule = cluster_.retryRule;
-    settings.seed = cluster_.world.draw(1'000'000);
-    life_->runner = std::make_unique<RequestRunner>(settings);
-    life_->router = std::make_unique<RequestRouter>(holder(), cluster_.zones);
-    life_->forwards = std::make_unique<PendingForwardTable>(holder(), milliseconds(300));
-    life_->terms = std::make_unique<TermReconciler>(zone_, id_, TermTimes {});
-    life_->lastBeat = cluster_.world.now();
+    settings.seed = cluster_.simulator.draw(1'000'000);
+    state_->runner = std::make_unique<RequestRunner>(settings);
+    state_->router = std::make_unique<RequestRouter>(holder(), cluster_.zones);
+    state_->forwards = std::make_unique<PendingForwardTable>(holder(), milliseconds(300));
+    state_->terms = std::make_unique<TermReconciler>(zone_, id_, TermTimes {});
+    state_->lastHeartbeat = cluster_.simulator.now();
 }
 
 void FakeBalancer::kill(Duration downTime)
 {
     isUp_ = false;
     const std::uint64_t killed = incarnation_;
-    cluster_.world.after(downTime, [this, killed] {
+    cluster_.simulator.after(downTime, [this, killed] {
         if (!isUp_ && incarnation_ == killed)
             start();
     });
 }
 
-void FakeBalancer::pause(Duration time) { pausedUntil_ = std::max(pausedUntil_, cluster_.world.now() + time); }
+void FakeBalancer::pause(Duration time) { pausedUntil_ = std::max(pausedUntil_, cluster_.simulator.now() + time); }
 
 void FakeBalancer::leave() { isLeaving_ = true; }
 
@@ -136,7 +136,7 @@
     if (!isPaused())
         return event();
     // A paused process finds all that reached it when it wakes.
-    cluster_.world.after(pausedUntil_ - cluster_.world.now(), [=, this] {
+    cluster_.simulator.after(pausedUntil_ - cluster_.simulator.now(), [=, this] {
         if (isUp_ && incarnation_ == life)
             perform(event);
     });
@@ -150,85 +150,85 @@
     member.availabilityZone = other.zone_;
     member.incarnation = other.incarnation_;
     member.state = other.isLeaving_ ? MemberState::Leaving : MemberState::Serving;
-    life_->heard[other.id_] = { member, cluster_.world.now() };
+    state_->heartbeats[other.id_] = { member, cluster_.simulator.now() };
     // Records travel with some heartbeats here, so that balancers disagree for a while.
-    if (!cluster_.world.chance(cluster_.newsShare))
+    if (!cluster_.simulator.chance(cluster_.termGossipProbability))
         return;
     for (const std::string& zone : cluster_.zones) {
         const ClaimTerm* term = other.termOf(zone);
-        if (!term || !life_->router->learnTerm(*term) || zone != zone_)
+        if (!term || !state_->router->learnTerm(*term) || zone != zone_)
             continue;
-        life_->terms->learnFromPeer(*term, cluster_.world.now());
-        life_->runner->learnTerm(*term, cluster_.world.now());
+        state_->terms->learnFromPeer(*term, cluster_.simulator.now());
+        state_->runner->learnTerm(*term, cluster_.simulator.now());
     }
 }
 
 void FakeBalancer::publishView()
 {
-    const TimePoint now = cluster_.world.now();
-    MembersView& view = life_->view;
+    const TimePoint now = cluster_.simulator.now();
+    MembersView& view = state_->view;
     view.self = id_;
-    view.isolated = now - life_->lastBeat > memberLease;
-    life_->lastBeat = now;
+    view.isolated = now - state_->lastHeartbeat > memberLease;
+    state_->lastHeartbeat = now;
     std::vector<Member> members;
-    for (const auto& [id, heard] : life_->heard) {
-        Member member = heard.first;
-        if (now - heard.second > memberLease)
+    for (const auto& [id, heartbeats] : state_->heartbeats) {
+        Member member = heartbeats.first;
+        if (now - heartbeats.second > memberLease)
             member.state = MemberState::Dead;
         members.push_back(member);
     }
     if (members != view.members) {
         view.members = std::move(members);
         ++view.revision;
-        life_->runner->configure(cluster_.backends.configuration(), view, now);
+        state_->runner->configure(cluster_.backends.configuration(), view, now);
     }
     for (const Member& member : view.members) {
         if (member.state != MemberState::Dead)
             continue;
-        for (const AbandonedForward& lost : life_->forwards->removeOwner({ member.id, member.incarnation }))
+        for (const AbandonedForward& lost : state_->forwards->removeOwner({ member.id, member.incarnation }))
             refuseUnknown(lost.id, lost.reason);
     }
-    life_->terms->learnMembers(view, now);
+    state_->terms->learnMembers(view, now);
     act();
 }
 
 void FakeBalancer::tick()
 {
-    const TimePoint now = cluster_.world.now();
-    life_->terms->tick(now);
-    life_->runner->tick(now);
-    for (const AbandonedForward& lost : life_->forwards->expire(now))
+    const TimePoint now = cluster_.simulator.now();
+    state_->terms->tick(now);
+    state_->runner->tick(now);
+    for (const AbandonedForward& lost : state_->forwards->expire(now))
         refuseUnknown(lost.id, lost.reason);
     act();
-    if (isLeaving_ && life_->runner->mayStop(now) && life_->tries.empty())
+    if (isLeaving_ && state_->runner->mayStop(now) && state_->attempts.empty())
         kill(milliseconds(300));
 }
 
 void FakeBalancer::request(const FakeRequest& request, const FakeReplyTo& reply)
 {
-    const AttemptId id = ++life_->lastTry;
-    life_->tries[id] = { request, reply, {}, {}, 0 };
+    const AttemptId id = ++state_->lastAttempt;
+    state_->attempts[id] = { request, reply, {}, {}, 0 };
     route(id);
 }
 
 void FakeBalancer::route(AttemptId id)
 {
-    Local& local = life_->tries[id];
-    const TimePoint now = cluster_.world.now();
+    Local& local = state_->attempts[id];
+    const TimePoint now = cluster_.simulator.now();
     if (now >= local.request.deadline)
         return refuseUnknown(id, RefusalReason::DeadlinePassed);
-    const Route found = life_->router->route(local.request.key, life_->view);
+    const Route found = state_->router->route(local.request.key, state_->view);
     if (found.kind == AttemptRouteKind::Unreachable || ++local.hops > maxHops)
         return refuseUnknown(id, RefusalReason::HomeUnreachable);
     if (found.kind == AttemptRouteKind::Local) {
         KeyedAttempt attempt { id, local.request.key, hashString(local.request.name),
             cluster_.backends.configuration().services[0].id, local.request.deadline, std::nullopt };
-        life_->runner->arrive(attempt, now);
+        state_->runner->arrive(attempt, now);
         return act();
     }
     const ForwardToken token
-        = life_->forwards->open(id, local.request.key.digest, found.owner, local.request.deadline, now);
-    cluster_.carry(
+        = state_->forwards->open(id, local.request.key.digest, found.owner, local.request.deadline, now);
+    cluster_.transmit(
         *this, found.owner,
         [entry = holder(), token, request = local.request](
             FakeBalancer& owner) { owner.arriveForwarded(entry, token, request); },
@@ -237,34 +237,34 @@
 
 void FakeBalancer::arriveForwarded(const BalancerInstance& entry, const ForwardToken& token, const FakeRequest& request)
 {
-    const TimePoint now = cluster_.world.now();
-    cluster_.carry(*this, entry,
-        [owner = holder(), token](FakeBalancer& balancer) { balancer.life_->forwards->acknowledge(owner, token); });
-    const AttemptId id = ++life_->lastTry;
-    life_->tries[id] = { request, {}, entry, token, 0 };
+    const TimePoint now = cluster_.simulator.now();
+    cluster_.transmit(*this, entry,
+        [owner = holder(), token](FakeBalancer& balancer) { balancer.state_->forwards->acknowledge(owner, token); });
+    const AttemptId id = ++state_->lastAttempt;
+    state_->attempts[id] = { request, {}, entry, token, 0 };
     if (now >= request.deadline)
         return refuseUnknown(id, RefusalReason::DeadlinePassed);
     KeyedAttempt attempt { id, request.key, hashString(request.name), cluster_.backends.configuration().services[0].id,
         request.deadline, std::nullopt };
-    life_->runner->arrive(attempt, now);
+    state_->runner->arrive(attempt, now);
     act();
 }
 
 void FakeBalancer::refuseUnknown(AttemptId id, RefusalReason reason)
 {
-    finish(id, { nullptr, { reason, Executed::Unknown, std::chrono::seconds(1) }, cluster_.world.now() });
+    finish(id, { nullptr, { reason, Executed::Unknown, std::chrono::seconds(1) }, cluster_.simulator.now() });
 }
 
 void FakeBalancer::finish(AttemptId id, const FakeReply& reply)
 {
-    const auto found = life_->tries.find(id);
-    if (found == life_->tries.end())
+    const auto found = state_->attempts.find(id);
+    if (found == state_->attempts.end())
         return;
     const Local local = found->second;
-    life_->tries.erase(found);
+    state_->attempts.erase(found);
     if (local.reply)
         return local.reply(reply);
-    cluster_.carry(*this, local.entry,
+    cluster_.transmit(*this, local.entry,
         [owner = holder(), token = local.token, key = local.request.key.digest, reply](
             FakeBalancer& balancer) { balancer.settle(owner, token, key, reply); });
 }
@@ -273,23 +273,23 @@
     const BalancerInstance& from, const ForwardToken& token, const KeyDigest& key, const FakeReply& reply)
 {
     const std::uint64_t bytes = reply.answer ? reply.answer->body.size() : 0;
-    const PendingForwardTable::Resolved settled = life_->forwards->resolve(from, { token, key, bytes, bytes });
+    const PendingForwardTable::Resolved settled = state_->forwards->resolve(from, { token, key, bytes, bytes });
     if (settled.delivery == Delivery::Deliver)
         finish(settled.id, reply);
 }
 
 void FakeBalancer::settleRedirect(const BalancerInstance& from, const ForwardToken& token)
 {
-    if (const auto id = life_->forwards->redirect(from, token))
+    if (const auto id = state_->forwards->redirect(from, token))
         routeLater(*id);
 }
 
 void FakeBalancer::routeLater(AttemptId id)
 {
     // The newer record comes with the next heartbeat.
-    cluster_.world.after(milliseconds(110), [this, id, life = incarnation_] {
+    cluster_.simulator.after(milliseconds(110), [this, id, life = incarnation_] {
         perform([=, this] {
-            if (incarnation_ == life && life_->tries.contains(id))
+            if (incarnation_ == life && state_->attempts.contains(id))
                 route(id);
         });
     });
@@ -297,23 +297,23 @@
 
 void FakeBalancer::receive(const BalancerInstance& from, const RequestMessage& message)
 {
-    life_->runner->receive(from, message, cluster_.world.now());
+    state_->runner->receive(from, message, cluster_.simulator.now());
     act();
 }
 
 void FakeBalancer::act()
 {
-    for (const RequestAction& action : life_->runner->takeActions())
+    for (const RequestAction& action : state_->runner->takeActions())
         act(action);
-    for (const TermAction& action : life_->terms->takeActions())
+    for (const TermAction& action : state_->terms->takeActions())
         act(action);
 }
 
 void FakeBalancer::act(const RequestAction& action)
 {
-    const TimePoint now = cluster_.world.now();
+    const TimePoint now = cluster_.simulator.now();
     if (const auto* message = std::get_if<OutgoingMessage>(&action))
-        cluster_.carry(*this, message->to,
+        cluster_.transmit(*this, message->to,
             [from = holder(), content = message->message](FakeBalancer& balancer) { balancer.receive(from, content); });
     else if (const auto* start = std::get_if<StartWork>(&action))
         startWork(*start);
@@ -322,26 +322,26 @@
     else if (const auto* refusal = std::get_if<RefuseAttempt>(&action))
         finish(refusal->id, { nullptr, refusal->refusal, now });
     else if (const auto* redirect = std::get_if<RedirectAttempt>(&action)) {
-        const auto found = life_->tries.find(redirect->id);
-        if (found == life_->tries.end())
+        const auto found = state_->attempts.find(redirect->id);
+        if (found == state_->attempts.end())
             return;
         const Local local = found->second;
         if (local.reply)
             return routeLater(redirect->id);
-        life_->tries.erase(found);
-        cluster_.carry(*this, local.entry,
+        state_->attempts.erase(found);
+        cluster_.transmit(*this, local.entry,
             [owner = holder(), token = local.token](FakeBalancer& balancer) { balancer.settleRedirect(owner, token); });
     }
 }
 
 void FakeBalancer::startWork(const StartWork& start)
 {
-    const auto found = life_->tries.find(start.content);
-    if (found == life_->tries.end())
+    const auto found = state_->attempts.find(start.content);
+    if (found == state_->attempts.end())
         return;
     // The moment between the decision and the socket, in which a pause may fall.
     const FakeRequest request = found->second.request;
-    cluster_.world.after(microseconds(cluster_.world.draw(200)), [=, this, life = incarnation_] {
+    cluster_.simulator.after(microseconds(cluster_.simulator.draw(200)), [=, this, life = incarnation_] {
         perform([=, this] {
             if (incarnation_ != life)
                 return;
@@ -349,11 +349,11 @@
                 perform([=, this] {
                     if (incarnation_ != life)
                         return;
-                    const TimePoint now = cluster_.world.now();
+                    const TimePoint now = cluster_.simulator.now();
                     if (reply.answer)
-                        life_->runner->workAnswered(start.work, reply.answer, now);
+                        state_->runner->workAnswered(start.work, reply.answer, now);
                     else
-                        life_->runner->workFailed(start.work, reply.failure, now);
+                        state_->runner->workFailed(start.work, reply.failure, now);
                     act();
                 });
             });
@@ -373,22 +373,22 @@
     };
     if (const auto* write = std::get_if<WriteTerm>(&action))
         cluster_.platform.write(zone_, *write, [=, this](TermWrite outcome, std::uint64_t revision) {
-            ifAlive([=, this] { life_->terms->writeEnded(outcome, revision, cluster_.world.now()); });
+            ifAlive([=, this] { state_->terms->writeEnded(outcome, revision, cluster_.simulator.now()); });
         });
     else if (std::get_if<ReadTerm>(&action))
         cluster_.platform.read(zone_, zone_, [=, this](const std::optional<FakePlatform::Record>& record) {
             ifAlive([=, this] {
                 if (!record)
-                    life_->terms->readFailed(cluster_.world.now());
+                    state_->terms->readFailed(cluster_.simulator.now());
                 else if (record->term)
-                    life_->terms->learnRecord(*record->term, record->revision, cluster_.world.now());
+                    state_->terms->learnRecord(*record->term, record->revision, cluster_.simulator.now());
                 else
-                    life_->terms->learnAbsent(cluster_.world.now());
+                    state_->terms->learnAbsent(cluster_.simulator.now());
             });
         });
     else if (const auto* adopt = std::get_if<AdoptTerm>(&action)) {
-        life_->router->learnTerm(adopt->term);
-        life_->runner->learnTerm(adopt->term, cluster_.world.now());
+        state_->router->learnTerm(adopt->term);
+        state_->runner->learnTerm(adopt->term, cluster_.simulator.now());
     }
 }
 
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "EventSimulator.h"
 #include "FakeBackends.h"
 #include "FakePlatform.h"
-#include "FakeWorld.h"
 
 #include "Request/PendingForwardTable.h"
 #include "Request/RequestRouter.h"
@@ -40,29 +40,29 @@
     explicit FakeCluster(std::uint64_t seed, std::uint32_t balancersPerZone = 2, std::uint32_t serversPerZone = 3);
     ~FakeCluster();
 
-    FakeWorld world;
-    FakeCuts cuts;
+    EventSimulator simulator;
+    FakePartitions partitions;
     std::vector<std::string> zones { "walu", "laucala", "nabua" };
     FakeBackends backends;
     FakePlatform platform;
     RetryRule retryRule = RetryRule::Safe;
     double lostMessages = 0;
-    double newsShare = 1;
+    double termGossipProbability = 1;
     std::vector<std::unique_ptr<FakeBalancer>> balancers;
     std::map<BalancerId, FakeBalancer*> byId;
 
     // Heartbeats and views every 100 ms, ticks every 20 ms.
     void start();
-    void run(Duration time) { world.runUntil(world.now() + time); }
+    void run(Duration time) { simulator.runUntil(simulator.now() + time); }
     // Carries a closure to a balancer's present life, if the network lets it.
-    void carry(const FakeBalancer& from, const BalancerInstance& to, const std::function<void(FakeBalancer&)>&,
+    void transmit(const FakeBalancer& from, const BalancerInstance& to, const std::function<void(FakeBalancer&)>&,
         bool isReliable = false);
     FakeBalancer& balancer(std::size_t index) { return *balancers[index]; }
     // The balancer that owns the key by the newest record known to anybody; null when there is none.
     FakeBalancer* ownerOf(const RequestKey&);
 
 private:
-    void beat();
+    void sendHeartbeats();
     void tick();
 };
 
@@ -78,8 +78,8 @@
 
     bool isUp() const { return isUp_; }
     // Takes callers: one that has just started knows nobody yet and listens later.
-    bool isListening() const { return isUp_ && !life_->view.members.empty(); }
-    bool isPaused() const { return cluster_.world.now() < pausedUntil_; }
+    bool isListening() const { return isUp_ && !state_->view.members.empty(); }
+    bool isPaused() const { return cluster_.simulator.now() < pausedUntil_; }
     bool isLeaving() const { return isLeaving_; }
 
     // A caller's request; the reply is not called when this balancer dies first.
@@ -95,8 +95,8 @@
     BalancerInstance holder() const { return { id_, incarnation_ }; }
     const std::string& zone() const { return zone_; }
     BalancerId id() const { return id_; }
-    RequestRunner& runner() { return *life_->runner; }
-    const ClaimTerm* termOf(const std::string& zone) const { return life_->router->termOf(zone); }
+    RequestRunner& runner() { return *state_->runner; }
+    const ClaimTerm* termOf(const std::string& zone) const { return state_->router->termOf(zone); }
 
 private:
     struct Local {
@@ -107,16 +107,16 @@
         int hops = 0;
     };
     // What a crash forgets.
-    struct Life {
+    struct ProcessState {
         std::unique_ptr<RequestRunner> runner;
         std::unique_ptr<RequestRouter> router;
         std::unique_ptr<PendingForwardTable> forwards;
         std::unique_ptr<TermReconciler> terms;
-        std::map<AttemptId, Local> tries;
+        std::map<AttemptId, Local> attempts;
         MembersView view;
-        std::map<BalancerId, std::pair<Member, TimePoint>> heard;
-        TimePoint lastBeat;
-        AttemptId lastTry = 0;
+        std::map<BalancerId, std::pair<Member, TimePoint>> heartbeats;
+        TimePoint lastHeartbeat;
+        AttemptId lastAttempt = 0;
     };
 
     void start();
@@ -140,7 +140,7 @@
     bool isUp_ = false;
     bool isLeaving_ = false;
     TimePoint pausedUntil_;
-    std::unique_ptr<Life> life_;
+    std::unique_ptr<ProcessState> state_;
 };
 
 }
--- a/Tests/Request/FakeCallers.cpp
+++ b/Tests/Request/FakeCallers.cpp
@@ -2,17 +2,17 @@
 
 namespace wisteriadock::testing {
 
-FakeTally& FakeTally::operator+=(const FakeTally& other)
+FakeStatistics& FakeStatistics::operator+=(const FakeStatistics& other)
 {
     keys += other.keys;
-    tries += other.tries;
+    attempts += other.attempts;
     answered += other.answered;
     refusedNotRun += other.refusedNotRun;
     refusedUnknown += other.refusedUnknown;
-    unheard += other.unheard;
+    unanswered += other.unanswered;
     doubleRuns += other.doubleRuns;
     falseRefusals += other.falseRefusals;
-    finallyFalse += other.finallyFalse;
+    finalFalseRefusals += other.finalFalseRefusals;
     mixedAnswers += other.mixedAnswers;
     incompleteAnswers += other.incompleteAnswers;
     faults += other.faults;
@@ -24,14 +24,14 @@
 {
 }
 
-void FakeCallers::begin(int tries)
+void FakeCallers::begin(int attempts)
 {
     auto caller = std::make_shared<Caller>();
-    caller->triesLeft = tries;
-    std::string name = "key-" + std::to_string(tally_.keys++);
-    FakeBalancer& issuer = *cluster_.balancers[cluster_.world.draw(cluster_.balancers.size())];
-    if (cluster_.world.chance(ticketShare) && issuer.isUp()) {
-        if (const auto ticket = issuer.runner().issueTicket(cluster_.world.draw(1ULL << 60), tally_.keys))
+    caller->attemptsLeft = attempts;
+    std::string name = "key-" + std::to_string(statistics_.keys++);
+    FakeBalancer& issuer = *cluster_.balancers[cluster_.simulator.draw(cluster_.balancers.size())];
+    if (cluster_.simulator.chance(ticketShare) && issuer.isUp()) {
+        if (const auto ticket = issuer.runner().issueTicket(cluster_.simulator.draw(1ULL << 60), statistics_.keys))
             name = *ticket;
     }
     caller->request.name = name;
@@ -42,71 +42,71 @@
 
 void FakeCallers::attempt(const std::shared_ptr<Caller>& caller)
 {
-    if (caller->isDone || caller->triesLeft == 0)
+    if (caller->isDone || caller->attemptsLeft == 0)
         return;
-    --caller->triesLeft;
-    ++caller->triesOpen;
-    ++tally_.tries;
-    caller->request.deadline = cluster_.world.now() + patience;
-    FakeBalancer& entry = *cluster_.balancers[cluster_.world.draw(cluster_.balancers.size())];
+    --caller->attemptsLeft;
+    ++caller->openAttempts;
+    ++statistics_.attempts;
+    caller->request.deadline = cluster_.simulator.now() + patience;
+    FakeBalancer& entry = *cluster_.balancers[cluster_.simulator.draw(cluster_.balancers.size())];
     const FakeRequest request = caller->request;
     const auto isOpen = std::make_shared<bool>(true);
     const auto close = [caller, isOpen] {
         if (!*isOpen)
             return false;
         *isOpen = false;
-        --caller->triesOpen;
+        --caller->openAttempts;
         return true;
     };
-    cluster_.world.after(milliseconds(1), [=, this, &entry] {
+    cluster_.simulator.after(milliseconds(1), [=, this, &entry] {
         // Nobody accepts the connection: the caller knows that the try went nowhere, and takes another balancer.
         if (!entry.isListening() && close()) {
-            ++caller->triesLeft;
+            ++caller->attemptsLeft;
             return retryIn(caller, milliseconds(20));
         }
         entry.perform([=, this, &entry] {
             entry.request(request, [=, this](const FakeReply& reply) {
-                cluster_.world.after(milliseconds(1), [=, this] {
+                cluster_.simulator.after(milliseconds(1), [=, this] {
                     if (close())
                         hear(caller, reply);
                 });
             });
         });
     });
-    cluster_.world.after(patience + milliseconds(100), [=, this] {
+    cluster_.simulator.after(patience + milliseconds(100), [=, this] {
         if (!close())
             return;
-        ++tally_.unheard;
-        caller->isLastWordNotRun = false;
+        ++statistics_.unanswered;
+        caller->isLastReplyNotRun = false;
         retryIn(caller, milliseconds(10));
     });
-    if (cluster_.world.chance(impatience))
+    if (cluster_.simulator.chance(duplicateProbability))
         retryIn(caller, milliseconds(100));
 }
 
 void FakeCallers::hear(const std::shared_ptr<Caller>& caller, const FakeReply& reply)
 {
-    caller->isLastWordNotRun = false;
+    caller->isLastReplyNotRun = false;
     if (reply.answer) {
-        ++tally_.answered;
+        ++statistics_.answered;
         caller->isDone = true;
         return checkAnswer(*caller, reply.answer);
     }
     if (reply.refusal.executed == Executed::Unknown) {
-        ++tally_.refusedUnknown;
+        ++statistics_.refusedUnknown;
         return retryIn(caller, reply.refusal.retryAfter);
     }
-    ++tally_.refusedNotRun;
+    ++statistics_.refusedNotRun;
     const auto runs = cluster_.backends.runs.find(caller->request.name);
     if (runs != cluster_.backends.runs.end() && runs->second.front() <= reply.decidedAt)
-        ++tally_.falseRefusals;
-    caller->isLastWordNotRun = caller->triesOpen == 0;
+        ++statistics_.falseRefusals;
+    caller->isLastReplyNotRun = caller->openAttempts == 0;
     retryIn(caller, reply.refusal.retryAfter);
 }
 
 void FakeCallers::retryIn(const std::shared_ptr<Caller>& caller, Duration wait)
 {
-    cluster_.world.after(wait, [=, this] { attempt(caller); });
+    cluster_.simulator.after(wait, [=, this] { attempt(caller); });
 }
 
 void FakeCallers::checkAnswer(const Caller& caller, const SharedResponse& answer)
@@ -115,19 +115,19 @@
     if (answer->body == expected)
         return;
     if (expected.starts_with(answer->body))
-        ++tally_.incompleteAnswers;
+        ++statistics_.incompleteAnswers;
     else
-        ++tally_.mixedAnswers;
+        ++statistics_.mixedAnswers;
 }
 
-FakeTally FakeCallers::tally()
+FakeStatistics FakeCallers::statistics()
 {
-    FakeTally result = tally_;
+    FakeStatistics result = statistics_;
     for (const auto& [name, runs] : cluster_.backends.runs)
         result.doubleRuns += runs.size() - 1;
     for (const auto& caller : callers_) {
-        if (caller->isLastWordNotRun && cluster_.backends.runs.contains(caller->request.name))
-            ++result.finallyFalse;
+        if (caller->isLastReplyNotRun && cluster_.backends.runs.contains(caller->request.name))
+            ++result.finalFalseRefusals;
     }
     return result;
 }
--- a/Tests/Request/FakePlatform.h
+++ b/Tests/Request/FakePlatform.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "FakeWorld.h"
+#include "EventSimulator.h"
 
 #include "Request/TermReconciler.h"
 
@@ -11,12 +11,12 @@
 
 namespace wisteriadock::testing {
 
-// Ownership records under compare-and-swap, with outages, cuts and lost answers.
+// Ownership records under compare-and-swap, with outages, partitions and lost answers.
 class FakePlatform {
 public:
-    FakePlatform(FakeWorld& world, FakeCuts& cuts)
-        : world_(world)
-        , cuts_(cuts)
+    FakePlatform(EventSimulator& simulator, FakePartitions& partitions)
+        : simulator_(simulator)
+        , partitions_(partitions)
     {
     }
 
@@ -28,8 +28,8 @@
     void read(
         const std::string& fromZone, const std::string& zone, const std::function<void(std::optional<Record>)>& reply)
     {
-        world_.after(milliseconds(2), [=, this] {
-            if (isAway(fromZone))
+        simulator_.after(milliseconds(2), [=, this] {
+            if (isUnreachable(fromZone))
                 return reply(std::nullopt);
             reply(records_[zone]);
         });
@@ -38,15 +38,15 @@
     void write(const std::string& fromZone, const WriteTerm& request,
         const std::function<void(TermWrite, std::uint64_t)>& reply)
     {
-        world_.after(milliseconds(2), [=, this] {
-            if (isAway(fromZone))
+        simulator_.after(milliseconds(2), [=, this] {
+            if (isUnreachable(fromZone))
                 return reply(TermWrite::Unreached, 0);
             Record& record = records_[request.term.zone];
             if (record.revision != request.baseRevision)
                 return reply(TermWrite::Conflict, 0);
             record.term = request.term;
             ++record.revision;
-            if (world_.chance(0.1))
+            if (simulator_.chance(0.1))
                 return reply(TermWrite::Unknown, 0);
             reply(TermWrite::Written, record.revision);
         });
@@ -55,13 +55,13 @@
     bool isOut = false;
 
 private:
-    bool isAway(const std::string& zone) const
+    bool isUnreachable(const std::string& zone) const
     {
-        return isOut || cuts_.isCut(zone, "platform") || cuts_.isCut("platform", zone);
+        return isOut || partitions_.isBlocked(zone, "platform") || partitions_.isBlocked("platform", zone);
     }
 
-    FakeWorld& world_;
-    FakeCuts& cuts_;
+    EventSimulator& simulator_;
+    FakePartitions& partitions_;
     std::map<std::string, Record> records_;
 };
 
--- a/Tests/Request/PendingForwardTableTest.cpp
+++ b/Tests/Request/PendingForwardTableTest.cpp
@@ -62,8 +62,8 @@
     ManualClock clock;
     PendingForwardTable forwards(self, milliseconds(300));
     forwards.open(1, keyOf(1), owner, clock.now() + seconds(5), clock.now());
-    const ForwardToken heard = forwards.open(2, keyOf(2), owner, clock.now() + seconds(5), clock.now());
-    forwards.acknowledge(owner, heard);
+    const ForwardToken heartbeats = forwards.open(2, keyOf(2), owner, clock.now() + seconds(5), clock.now());
+    forwards.acknowledge(owner, heartbeats);
     clock.advance(milliseconds(300));
     const auto silent = forwards.expire(clock.now());
     ASSERT_EQ(silent.size(), 1u);
--- a/Tests/Request/RandomFaultsTest.cpp
+++ b/Tests/Request/RandomFaultsTest.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-    void breakSomething(FakeCluster& cluster)
+    void injectFault(FakeCluster& cluster)
     {
-        FakeWorld& world = cluster.world;
-        FakeBalancer& victim = *cluster.balancers[world.draw(cluster.balancers.size())];
-        const std::string zone = cluster.zones[world.draw(cluster.zones.size())];
-        const std::string other = cluster.zones[world.draw(cluster.zones.size())];
-        const Duration time = world.between(milliseconds(50), milliseconds(3000));
+        EventSimulator& simulator = cluster.simulator;
+        FakeBalancer& victim = *cluster.balancers[simulator.draw(cluster.balancers.size())];
+        const std::string zone = cluster.zones[simulator.draw(cluster.zones.size())];
+        const std::string other = cluster.zones[simulator.draw(cluster.zones.size())];
+        const Duration time = simulator.between(milliseconds(50), milliseconds(3000));
         const auto cut = [&](const std::string& from, const std::string& to) {
-            cluster.cuts.cut(from, to);
-            world.after(time, [&cluster, from, to] { cluster.cuts.heal(from, to); });
+            cluster.partitions.cut(from, to);
+            simulator.after(time, [&cluster, from, to] { cluster.partitions.heal(from, to); });
         };
-        switch (world.draw(8)) {
+        switch (simulator.draw(8)) {
         case 0:
             return victim.kill(time);
         case 1:
@@ -37,36 +37,36 @@
             return cut(zone, "platform");
         default:
             cluster.platform.isOut = true;
-            world.after(time, [&cluster] { cluster.platform.isOut = false; });
+            simulator.after(time, [&cluster] { cluster.platform.isOut = false; });
         }
     }
 
     class RandomFaults : public ::testing::TestWithParam<int> { };
 
     // Twelve seconds of callers while something breaks about every 300 ms, then quiet until all have ended.
-    FakeTally runSchedule(std::uint64_t seed, RetryRule rule)
+    FakeStatistics runSchedule(std::uint64_t seed, RetryRule rule)
     {
         FakeCluster cluster(seed, 2 + seed % 2);
         cluster.retryRule = rule;
         cluster.lostMessages = std::array { 0.0, 0.01, 0.1 }[seed / 2 % 3];
-        cluster.newsShare = seed % 5 == 0 ? 0.05 : 0.3;
+        cluster.termGossipProbability = seed % 5 == 0 ? 0.05 : 0.3;
         cluster.start();
         cluster.run(milliseconds(2000));
         FakeCallers callers(cluster);
         std::uint64_t faults = 0;
         for (int step = 0; step < 600; ++step) {
-            if (cluster.world.chance(0.8))
+            if (cluster.simulator.chance(0.8))
                 callers.begin(6);
-            if (cluster.world.chance(0.06)) {
-                breakSomething(cluster);
+            if (cluster.simulator.chance(0.06)) {
+                injectFault(cluster);
                 ++faults;
             }
             cluster.run(milliseconds(20));
         }
         cluster.run(std::chrono::seconds(30));
-        FakeTally tally = callers.tally();
-        tally.faults = faults;
-        return tally;
+        FakeStatistics statistics = callers.statistics();
+        statistics.faults = faults;
+        return statistics;
     }
 
     // Seeds of each of the four parts; more can be asked for.
@@ -76,13 +76,14 @@
         return wanted ? std::atoi(wanted) : 50;
     }
 
-    void print(const char* name, const FakeTally& tally)
+    void print(const char* name, const FakeStatistics& statistics)
     {
-        std::cout << name << ": keys " << tally.keys << ", tries " << tally.tries << ", answered " << tally.answered
-                  << ", not run " << tally.refusedNotRun << ", unknown " << tally.refusedUnknown << ", unheard "
-                  << tally.unheard << ", double runs " << tally.doubleRuns << ", false refusals " << tally.falseRefusals
-                  << ", finally false " << tally.finallyFalse << ", mixed " << tally.mixedAnswers << ", incomplete "
-                  << tally.incompleteAnswers << ", faults " << tally.faults << '\n';
+        std::cout << name << ": keys " << statistics.keys << ", attempts " << statistics.attempts << ", answered "
+                  << statistics.answered << ", not run " << statistics.refusedNotRun << ", unknown "
+                  << statistics.refusedUnknown << ", unanswered " << statistics.unanswered << ", double runs "
+                  << statistics.doubleRuns << ", false refusals " << statistics.falseRefusals << ", finally false "
+                  << statistics.finalFalseRefusals << ", mixed " << statistics.mixedAnswers << ", incomplete "
+                  << statistics.incompleteAnswers << ", faults " << statistics.faults << '\n';
     }
 
 }
@@ -93,19 +94,19 @@
 // key is theirs, or one forget that it was sent.
 TEST_P(RandomFaults, RunNothingTwiceAndRefuseTruthfully)
 {
-    FakeTally total;
+    FakeStatistics total;
     const int first = GetParam() * seedCount();
     for (int seed = first + 1; seed <= first + seedCount(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        const FakeTally tally = runSchedule(seed, RetryRule::Safe);
-        EXPECT_EQ(tally.doubleRuns, 0u);
-        EXPECT_EQ(tally.falseRefusals, 0u);
-        EXPECT_EQ(tally.finallyFalse, 0u);
-        EXPECT_EQ(tally.mixedAnswers, 0u);
-        EXPECT_EQ(tally.incompleteAnswers, 0u);
-        EXPECT_GT(tally.faults, 0u);
-        EXPECT_GT(tally.answered, 0u);
-        total += tally;
+        const FakeStatistics statistics = runSchedule(seed, RetryRule::Safe);
+        EXPECT_EQ(statistics.doubleRuns, 0u);
+        EXPECT_EQ(statistics.falseRefusals, 0u);
+        EXPECT_EQ(statistics.finalFalseRefusals, 0u);
+        EXPECT_EQ(statistics.mixedAnswers, 0u);
+        EXPECT_EQ(statistics.incompleteAnswers, 0u);
+        EXPECT_GT(statistics.faults, 0u);
+        EXPECT_GT(statistics.answered, 0u);
+        total += statistics;
     }
     print("safe", total);
     EXPECT_GT(total.answered, total.keys / 2);
@@ -122,19 +123,19 @@
         cluster.start();
         cluster.run(milliseconds(2000));
         FakeCallers callers(cluster);
-        callers.impatience = 0;
+        callers.duplicateProbability = 0;
         for (int step = 0; step < 600; ++step) {
-            if (cluster.world.chance(0.8))
+            if (cluster.simulator.chance(0.8))
                 callers.begin(6);
             if (step % 100 == 50)
                 cluster.balancer(step / 100).leave();
             cluster.run(milliseconds(20));
         }
         cluster.run(std::chrono::seconds(30));
-        const FakeTally tally = callers.tally();
-        EXPECT_GE(tally.answered, tally.keys);
-        EXPECT_EQ(tally.refusedNotRun + tally.refusedUnknown + tally.unheard, 0u);
-        EXPECT_EQ(tally.doubleRuns, 0u);
+        const FakeStatistics statistics = callers.statistics();
+        EXPECT_GE(statistics.answered, statistics.keys);
+        EXPECT_EQ(statistics.refusedNotRun + statistics.refusedUnknown + statistics.unanswered, 0u);
+        EXPECT_EQ(statistics.doubleRuns, 0u);
     }
 }
 
@@ -144,7 +145,7 @@
 
 TEST(RandomFaultsBaseline, BlindRetryRunsWorkTwice)
 {
-    FakeTally total;
+    FakeStatistics total;
     for (int seed = 1; seed <= 20; ++seed)
         total += runSchedule(seed, RetryRule::Blind);
     print("blind", total);
