--- a/Tests/Request/AdmissionTest.cpp
+++ b/Tests/Request/AdmissionTest.cpp
@@ -65,24 +65,24 @@
             for (bool isQuiet = false; !isQuiet;) {
                 isQuiet = true;
                 for (std::size_t from = 0; from < admissions.size(); ++from) {
-                    for (const OutgoingMessage& letter : admissions[from].takeMessages()) {
+                    for (const OutgoingMessage& envelope : admissions[from].takeMessages()) {
                         isQuiet = false;
-                        Admission& to = admissions[letter.to == holders[0] ? 0 : 1];
+                        Admission& to = admissions[envelope.to == holders[0] ? 0 : 1];
                         std::visit(
                             [&](const auto& message) {
                                 if constexpr (requires { to.handle(holders[from], message, clock.now()); })
                                     to.handle(holders[from], message, clock.now());
                             },
-                            letter.message);
+                            envelope.message);
                     }
                 }
             }
         }
 
-        std::size_t ask(std::size_t at, int count, Duration patience = seconds(10))
+        std::size_t requestSlots(std::size_t at, int count, Duration timeout = seconds(10))
         {
             for (int i = 0; i < count; ++i)
-                admissions[at].request(++lastWork, service, clock.now() + patience, clock.now());
+                admissions[at].request(++lastWork, service, clock.now() + timeout, clock.now());
             return admissions[at].takeGrants().size();
         }
 
@@ -115,11 +115,11 @@
 {
     configure(makeConfiguration(2, 1, "walu"));
     ASSERT_EQ(admissions[0].shareOf({ 1 }), 1u);
-    ASSERT_EQ(ask(1, 1), 0u);
+    ASSERT_EQ(requestSlots(1, 1), 0u);
     deliver();
     const auto grants = admissions[1].takeGrants();
     ASSERT_EQ(grants.size(), 1u);
-    EXPECT_EQ(ask(0, 2), 1u);
+    EXPECT_EQ(requestSlots(0, 2), 1u);
     admissions[1].release(grants[0].work, true, clock.now());
     deliver();
     EXPECT_EQ(admissions[0].takeGrants().size(), 1u);
@@ -129,7 +129,7 @@
 TEST_F(AdmissionTest, LoanOfAVanishedBorrowerRunsOut)
 {
     configure(makeConfiguration(1, 1, "walu"));
-    ask(1, 1);
+    requestSlots(1, 1);
     deliver();
     ASSERT_EQ(admissions[0].slotsInUse({ 1 }), 1u);
     clock.advance(seconds(66));
@@ -140,13 +140,13 @@
 TEST_F(AdmissionTest, RefusesAtOnceWhatCannotBeDoneInTime)
 {
     configure(makeConfiguration(1, 2, "walu"));
-    ask(0, 2);
+    requestSlots(0, 2);
     for (WorkId work = 1; work <= 2; ++work) {
         clock.advance(milliseconds(100));
         admissions[0].release(work, true, clock.now());
     }
-    ASSERT_EQ(ask(0, 2), 2u);
-    EXPECT_EQ(ask(0, 100, milliseconds(1000)), 0u);
+    ASSERT_EQ(requestSlots(0, 2), 2u);
+    EXPECT_EQ(requestSlots(0, 100, milliseconds(1000)), 0u);
     const std::size_t queued = admissions[0].queued(service);
     EXPECT_GT(queued, 5u);
     EXPECT_LT(queued, 50u);
@@ -166,7 +166,7 @@
     {
         SCOPED_TRACE("a server that sheds gets nothing for a while");
         admissions[0].shed({ 1 }, milliseconds(200), clock.now());
-        EXPECT_EQ(ask(0, 1), 0u);
+        EXPECT_EQ(requestSlots(0, 1), 0u);
         clock.advance(milliseconds(400));
         admissions[0].tick(clock.now());
         EXPECT_EQ(admissions[0].takeGrants().size(), 1u);
@@ -178,14 +178,14 @@
         cold.slowStartSeconds = 100;
         configuration.backendServers = { cold };
         configure(configuration);
-        EXPECT_EQ(ask(0, 4, seconds(10)), 1u);
+        EXPECT_EQ(requestSlots(0, 4, seconds(10)), 1u);
         clock.advance(seconds(1));
         configuration.backendServers[0].state = BackendServerState::Draining;
         configure(configuration);
         admissions[0].release(lastWork - 3, true, clock.now());
         EXPECT_TRUE(admissions[0].takeGrants().empty());
     }
-    EXPECT_EQ(ask(0, 1), 0u);
+    EXPECT_EQ(requestSlots(0, 1), 0u);
     EXPECT_EQ(admissions[0].takeRefusals().back().reason, RefusalReason::NoServer);
 }
 
--- a/Tests/Request/ClaimDoubtStoryTest.cpp
+++ b/Tests/Request/ClaimDoubtStoryTest.cpp
@@ -23,7 +23,7 @@
     const RequestKey old = group.keyOf(0, 1);
     group.learn(group.makeTerm({ 2, 3 }), { 2, 3 });
     const auto onlyNew = [](std::size_t from, std::size_t to, const RequestMessage&) {
-        return from >= 2 && to >= 2 ? RunnerGroup::Fate::Deliver : RunnerGroup::Fate::Lose;
+        return from >= 2 && to >= 2 ? RunnerGroup::Verdict::Deliver : RunnerGroup::Verdict::Lose;
     };
     const auto wait = [&](Duration time) {
         for (Duration passed {}; passed < time; passed += time / 20) {
@@ -85,7 +85,7 @@
     group.deliver();
     ASSERT_EQ(group.take<StartWork>(0).size(), 1u);
     group.learn(group.makeTerm({ 2 }), { 2 });
-    const auto nobody = [](std::size_t, std::size_t, const RequestMessage&) { return RunnerGroup::Fate::Lose; };
+    const auto nobody = [](std::size_t, std::size_t, const RequestMessage&) { return RunnerGroup::Verdict::Lose; };
     group.deliver(nobody);
     group.advance(seconds(2));
     group.deliver(nobody);
@@ -95,11 +95,11 @@
     EXPECT_EQ(group.takeRefusal(2).reason, RefusalReason::ClaimsLost);
 
     group.advance(seconds(2));
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
     EXPECT_EQ(group[2].buckets().lostBuckets(), 0u);
     group.arrive(2, fresh);
     group.arrive(2, ran);
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
     EXPECT_EQ(group.take<StartWork>(2).size(), 1u);
     EXPECT_EQ(group.takeRefusal(2).reason, RefusalReason::InProgress);
 }
@@ -179,7 +179,7 @@
     std::size_t questions = 0;
     group.deliver([&](std::size_t, std::size_t, const RequestMessage& message) {
         questions += std::holds_alternative<CheckEpoch>(message);
-        return RunnerGroup::Fate::Deliver;
+        return RunnerGroup::Verdict::Deliver;
     });
     EXPECT_EQ(questions, 2u);
     const auto refusals = group.take<RefuseAttempt>(0);
--- a/Tests/Request/ClaimStory.h
+++ b/Tests/Request/ClaimStory.h
@@ -15,10 +15,10 @@
 }
 
 // All messages from and to this balancer are lost.
-inline RunnerGroup::Filter cutOff(std::size_t index)
+inline RunnerGroup::Filter isolate(std::size_t index)
 {
     return [index](std::size_t from, std::size_t to, const RequestMessage&) {
-        return from == index || to == index ? RunnerGroup::Fate::Lose : RunnerGroup::Fate::Deliver;
+        return from == index || to == index ? RunnerGroup::Verdict::Lose : RunnerGroup::Verdict::Deliver;
     };
 }
 
--- a/Tests/Request/ClaimStoryTest.cpp
+++ b/Tests/Request/ClaimStoryTest.cpp
@@ -11,10 +11,11 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    template <typename Message> RunnerGroup::Filter without()
+    template <typename Message> RunnerGroup::Filter hold()
     {
         return [](std::size_t, std::size_t, const RequestMessage& message) {
-            return std::holds_alternative<Message>(message) ? RunnerGroup::Fate::Keep : RunnerGroup::Fate::Deliver;
+            return std::holds_alternative<Message>(message) ? RunnerGroup::Verdict::Keep
+                                                            : RunnerGroup::Verdict::Deliver;
         };
     }
 
@@ -28,9 +29,9 @@
 
     SCOPED_TRACE("nothing is sent before the backup's acknowledgement");
     group.arrive(0, key);
-    group.deliver(without<ClaimReply>());
+    group.deliver(hold<ClaimReply>());
     EXPECT_TRUE(group.take<StartWork>(0).empty());
-    group.releaseKept();
+    group.releaseHeld();
     const auto started = group.take<StartWork>(0);
     ASSERT_EQ(started.size(), 1u);
     {
@@ -49,9 +50,9 @@
         EXPECT_EQ(group.take<AnswerAttempt>(0).size(), 2u);
         group.learn(group.makeTerm({ 1 }), { 1 });
         group.arrive(1, key);
-        group.deliver(cutOff(0));
+        group.deliver(isolate(0));
         group.advance(milliseconds(150));
-        group.deliver(cutOff(0));
+        group.deliver(isolate(0));
         const auto answers = group.take<AnswerAttempt>(1);
         ASSERT_EQ(answers.size(), 1u);
         EXPECT_EQ(answers[0].answer->body, "done");
@@ -68,29 +69,29 @@
     group.settle({ 0, 1 });
     const RequestKey key = group.keyOf(0, 1);
     group.arrive(0, key);
-    group.deliver(without<ClaimKey>());
+    group.deliver(hold<ClaimKey>());
 
     group.learn(group.makeTerm({ 1, 2 }), { 1, 2 });
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
     group.advance(milliseconds(150));
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
 
-    group.releaseKept();
+    group.releaseHeld();
     EXPECT_TRUE(group.take<StartWork>(0).empty());
 }
 
 // Symptom: work runs long after its caller was refused.
 // Sequence: an owner is paused after it asked its backup, and finds the acknowledgement when it wakes.
-// Cause: sending without looking at the clock again.
+// Cause: sending hold looking at the clock again.
 TEST(ClaimStory, OwnerThatWakesAfterTheDeadlineSendsNothing)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
     const RequestKey key = group.keyOf(0, 1);
     group.arrive(0, key, seconds(1));
-    group.deliver(without<ClaimReply>());
+    group.deliver(hold<ClaimReply>());
     group.pauseAll(seconds(30));
-    group.releaseKept();
+    group.releaseHeld();
     EXPECT_TRUE(group.take<StartWork>(0).empty());
     EXPECT_EQ(group.takeRefusal(0).executed, Executed::No);
 }
@@ -104,10 +105,10 @@
     group.settle({ 0, 1 });
     const RequestKey key = group.keyOf(0, 1);
     group.arrive(0, key);
-    group.deliver(without<ClaimReply>());
+    group.deliver(hold<ClaimReply>());
     group.learn(group.makeTerm({ 2, 3 }), { 0, 1, 2, 3 });
     group.deliver();
-    group.releaseKept();
+    group.releaseHeld();
     EXPECT_TRUE(group.take<StartWork>(0).empty());
     ASSERT_EQ(group.take<RedirectAttempt>(0).size(), 1u);
     const std::size_t owner = group[2].buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 2 : 3;
@@ -119,7 +120,7 @@
 // Symptom: work runs twice.
 // Sequence: a new owner asks the old backup for claims and gets a copy; the old backup then acknowledges a claim of the
 // old owner, before it has read the new record itself.
-// Cause: handing a bucket over without ceasing to act under the older epoch.
+// Cause: handing a bucket over hold ceasing to act under the older epoch.
 TEST(ClaimStory, WhoHandedABucketOverAcknowledgesNoMoreOldClaims)
 {
     RunnerGroup group(4);
@@ -127,9 +128,9 @@
     const RequestKey key = group.keyOf(0, 1);
     group.learn(group.makeTerm({ 2, 3 }), { 2, 3 });
     // Balancer 1 hears of the new epoch only by being asked; balancer 0 hears nothing.
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
     group.advance(milliseconds(150));
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
 
     group.arrive(0, key);
     group.deliver();
@@ -138,20 +139,20 @@
 
 // Symptom: a caller is told "not run" of a registration that was made.
 // Sequence: an owner is cut off, a new one takes over and runs the key; the old one is overloaded, knows no record of
-// the key, and refuses a retry. Cause: saying "not run" without asking whether one still owns the key.
+// the key, and refuses a retry. Cause: saying "not run" hold asking whether one still owns the key.
 TEST(ClaimStory, ReplacedOwnerDoesNotSayNotRun)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1 });
     const RequestKey key = group.keyOf(0, 1);
     group.learn(group.makeTerm({ 1, 2 }), { 1, 2 });
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
     group.advance(milliseconds(150));
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
 
     // The news of the epoch is lost, so the backup's answer alone must do.
-    group.arriveBad(0, key, RefusalReason::AbsurdDeadline);
-    group.deliver(without<TermUpdate>());
+    group.arriveInvalid(0, key, RefusalReason::AbsurdDeadline);
+    group.deliver(hold<TermUpdate>());
     EXPECT_EQ(group.takeRefusal(0).executed, Executed::Unknown);
 }
 
@@ -163,12 +164,12 @@
     RunnerGroup group(2);
     group.settle({ 0, 1 });
     const RequestKey key = group.keyOf(0, 1);
-    group.arriveBad(0, key, RefusalReason::AbsurdDeadline);
-    group.deliver(without<EpochChecked>());
+    group.arriveInvalid(0, key, RefusalReason::AbsurdDeadline);
+    group.deliver(hold<EpochChecked>());
     group.arrive(0, key);
-    group.deliver(without<EpochChecked>());
+    group.deliver(hold<EpochChecked>());
     ASSERT_EQ(group.take<StartWork>(0).size(), 1u);
-    group.releaseKept();
+    group.releaseHeld();
     EXPECT_EQ(group.takeRefusal(0).executed, Executed::Unknown);
 }
 
@@ -214,10 +215,10 @@
     group[1].receive(group.holder(0), InstallBucket { 1, claimBucketOf(key.digest), 0, true, {} }, group.now());
 
     group.learn(group.makeTerm({ 1 }), { 1 });
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
     group.advance(milliseconds(150));
     group.arrive(1, key);
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
     EXPECT_TRUE(group.take<StartWork>(1).empty());
     EXPECT_EQ(group.takeRefusal(1).reason, RefusalReason::InProgress);
 }
@@ -230,11 +231,11 @@
     group.settle({ 0, 1 });
     const RequestKey key = group.keyOf(0, 1);
     group[0].cancel(group.arrive(0, key), group.now());
-    group.deliver(without<WithdrawClaim>());
+    group.deliver(hold<WithdrawClaim>());
     group.arrive(0, key);
     group.deliver();
     ASSERT_EQ(group.take<StartWork>(0).size(), 1u);
-    group.releaseKept();
+    group.releaseHeld();
     EXPECT_TRUE(group[1].buckets().table().find(claimBucketOf(key.digest), key.digest));
 }
 }
--- a/Tests/Request/FakeCallers.cpp
+++ b/Tests/Request/FakeCallers.cpp
@@ -47,7 +47,7 @@
     --caller->attemptsLeft;
     ++caller->openAttempts;
     ++statistics_.attempts;
-    caller->request.deadline = cluster_.simulator.now() + patience;
+    caller->request.deadline = cluster_.simulator.now() + timeout;
     FakeBalancer& entry = *cluster_.balancers[cluster_.simulator.draw(cluster_.balancers.size())];
     const FakeRequest request = caller->request;
     const auto isOpen = std::make_shared<bool>(true);
@@ -73,7 +73,7 @@
             });
         });
     });
-    cluster_.simulator.after(patience + milliseconds(100), [=, this] {
+    cluster_.simulator.after(timeout + milliseconds(100), [=, this] {
         if (!close())
             return;
         ++statistics_.unanswered;
--- a/Tests/Request/FakeCallers.h
+++ b/Tests/Request/FakeCallers.h
@@ -29,8 +29,8 @@
     FakeStatistics& operator+=(const FakeStatistics&);
 };
 
-// Callers who ask any balancer and repeat the same key at another one until it is answered. Some are impatient and ask
-// again while the first try is still under way.
+// Callers who requestSlots any balancer and repeat the same key at another one until it is answered. Some are impatient
+// and requestSlots again while the first try is still under way.
 class FakeCallers {
 public:
     explicit FakeCallers(FakeCluster&);
@@ -43,7 +43,7 @@
     // How often a caller asks again while its try is still under way. Such a second try may rightly be told that the
     // work is in progress.
     double duplicateProbability = 0.3;
-    Duration patience = milliseconds(1500);
+    Duration timeout = milliseconds(1500);
 
 private:
     struct Caller {
--- a/Tests/Request/RunnerGroup.cpp
+++ b/Tests/Request/RunnerGroup.cpp
@@ -67,38 +67,38 @@
     return found - nodes_.begin();
 }
 
-std::vector<RunnerGroup::Letter> RunnerGroup::collect()
+std::vector<RunnerGroup::Envelope> RunnerGroup::collect()
 {
-    std::vector<Letter> letters;
+    std::vector<Envelope> envelopes;
     for (std::size_t index = 0; index < nodes_.size(); ++index) {
         for (const RequestAction& action : nodes_[index].runner->takeActions()) {
             if (const auto* message = std::get_if<OutgoingMessage>(&action))
-                letters.push_back({ index, message->to, message->message });
+                envelopes.push_back({ index, message->to, message->message });
             else
                 nodes_[index].actions.push_back(action);
         }
     }
-    return letters;
+    return envelopes;
 }
 
 void RunnerGroup::deliver(const Filter& filter)
 {
-    for (std::vector<Letter> letters = collect(); !letters.empty(); letters = collect()) {
-        for (const Letter& letter : letters) {
-            const std::size_t to = indexOf(letter.to);
-            const Fate fate = filter ? filter(letter.from, to, letter.message) : Fate::Deliver;
-            if (fate == Fate::Keep)
-                kept_.push_back(letter);
-            else if (fate == Fate::Deliver)
-                nodes_[to].runner->receive(nodes_[letter.from].holder, letter.message, now());
+    for (std::vector<Envelope> envelopes = collect(); !envelopes.empty(); envelopes = collect()) {
+        for (const Envelope& envelope : envelopes) {
+            const std::size_t to = indexOf(envelope.to);
+            const Verdict verdict = filter ? filter(envelope.from, to, envelope.message) : Verdict::Deliver;
+            if (verdict == Verdict::Keep)
+                held_.push_back(envelope);
+            else if (verdict == Verdict::Deliver)
+                nodes_[to].runner->receive(nodes_[envelope.from].holder, envelope.message, now());
         }
     }
 }
 
-void RunnerGroup::releaseKept()
+void RunnerGroup::releaseHeld()
 {
-    for (const Letter& letter : std::exchange(kept_, {}))
-        nodes_[indexOf(letter.to)].runner->receive(nodes_[letter.from].holder, letter.message, now());
+    for (const Envelope& envelope : std::exchange(held_, {}))
+        nodes_[indexOf(envelope.to)].runner->receive(nodes_[envelope.from].holder, envelope.message, now());
     deliver();
 }
 
@@ -119,14 +119,14 @@
     }
 }
 
-AttemptId RunnerGroup::arrive(std::size_t at, const RequestKey& key, Duration patience)
+AttemptId RunnerGroup::arrive(std::size_t at, const RequestKey& key, Duration timeout)
 {
     nodes_[at].runner->arrive(
-        KeyedAttempt { ++lastAttempt_, key, 7, testService(), now() + patience, std::nullopt }, now());
+        KeyedAttempt { ++lastAttempt_, key, 7, testService(), now() + timeout, std::nullopt }, now());
     return lastAttempt_;
 }
 
-AttemptId RunnerGroup::arriveBad(std::size_t at, const RequestKey& key, RefusalReason problem)
+AttemptId RunnerGroup::arriveInvalid(std::size_t at, const RequestKey& key, RefusalReason problem)
 {
     KeyedAttempt attempt { ++lastAttempt_, key, 7, testService(), now() + std::chrono::seconds(10), problem };
     nodes_[at].runner->arrive(attempt, now());
--- a/Tests/Request/RunnerGroup.h
+++ b/Tests/Request/RunnerGroup.h
@@ -23,19 +23,19 @@
     ClaimTerm settle(const std::vector<std::size_t>& holders);
 
     // What the network does with a message.
-    enum class Fate { Deliver, Keep, Lose };
-    using Filter = std::function<Fate(std::size_t from, std::size_t to, const RequestMessage&)>;
+    enum class Verdict { Deliver, Keep, Lose };
+    using Filter = std::function<Verdict(std::size_t from, std::size_t to, const RequestMessage&)>;
     // Carries messages until nobody has any.
     void deliver(const Filter& filter = {});
-    void releaseKept();
+    void releaseHeld();
     void advance(Duration time);
     // Time passes and nobody notices.
     void pauseAll(Duration time) { clock_.advance(time); }
 
     // A key of the caller's own making whose owner and backup under the newest record are these.
     RequestKey keyOf(std::size_t owner, std::size_t backup, const std::string& prefix = "key");
-    AttemptId arrive(std::size_t at, const RequestKey&, Duration patience = std::chrono::seconds(10));
-    AttemptId arriveBad(std::size_t at, const RequestKey&, RefusalReason);
+    AttemptId arrive(std::size_t at, const RequestKey&, Duration timeout = std::chrono::seconds(10));
+    AttemptId arriveInvalid(std::size_t at, const RequestKey&, RefusalReason);
 
     RequestRunner& operator[](std::size_t index) { return *nodes_[index].runner; }
     BalancerInstance holder(std::size_t index) const { return nodes_[index].holder; }
@@ -62,19 +62,19 @@
         std::unique_ptr<RequestRunner> runner;
         std::vector<RequestAction> actions;
     };
-    struct Letter {
+    struct Envelope {
         std::size_t from = 0;
         BalancerInstance to;
         RequestMessage message;
     };
 
-    std::vector<Letter> collect();
+    std::vector<Envelope> collect();
     std::size_t indexOf(const BalancerInstance&) const;
 
     std::vector<Node> nodes_;
     ManualClock clock_;
     ClaimTerm term_;
-    std::vector<Letter> kept_;
+    std::vector<Envelope> held_;
     AttemptId lastAttempt_ = 0;
 };
 
