--- a/Tests/Request/ClaimStoryTest.cpp
+++ b/Tests/Request/ClaimProtocolTest.cpp
@@ -1,4 +1,4 @@
-#include "ClaimStory.h"
+#include "ClaimTestHelpers.h"
 
 #include <gtest/gtest.h>
 
@@ -21,7 +21,7 @@
 
 }
 
-TEST(ClaimStory, WorkGoesOutOnceItsClaimIsHeldTwice)
+TEST(ClaimProtocol, WorkGoesOutOnceItsClaimIsHeldTwice)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -63,7 +63,7 @@
 // Sequence: an owner is paused after it asked its backup; a new record names another owner, which runs the key; the old
 // owner's message reaches the old backup late.
 // Cause: the backup acknowledges a claim of an epoch that is over.
-TEST(ClaimStory, BackupRefusesAnOwnerOfAnOlderEpoch)
+TEST(ClaimProtocol, BackupRefusesAnOwnerOfAnOlderEpoch)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1 });
@@ -83,7 +83,7 @@
 // Symptom: work runs long after its caller was refused.
 // Sequence: an owner is paused after it asked its backup, and finds the acknowledgement when it wakes.
 // Cause: sending hold looking at the clock again.
-TEST(ClaimStory, OwnerThatWakesAfterTheDeadlineSendsNothing)
+TEST(ClaimProtocol, OwnerThatWakesAfterTheDeadlineSendsNothing)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -99,7 +99,7 @@
 // Symptom: a key that nobody ran is refused as in progress after a planned change.
 // Sequence: an owner waits for its backup's acknowledgement when the record changes; the acknowledgement comes late.
 // Cause: handing a claim over that was never used, instead of the try.
-TEST(ClaimStory, TryWhoseClaimWasNotHeldYetMovesToTheNewOwner)
+TEST(ClaimProtocol, TryWhoseClaimWasNotHeldYetMovesToTheNewOwner)
 {
     RunnerGroup group(4);
     group.settle({ 0, 1 });
@@ -121,7 +121,7 @@
 // Sequence: a new owner asks the old backup for claims and gets a copy; the old backup then acknowledges a claim of the
 // old owner, before it has read the new record itself.
 // Cause: handing a bucket over hold ceasing to act under the older epoch.
-TEST(ClaimStory, WhoHandedABucketOverAcknowledgesNoMoreOldClaims)
+TEST(ClaimProtocol, WhoHandedABucketOverAcknowledgesNoMoreOldClaims)
 {
     RunnerGroup group(4);
     group.settle({ 0, 1 });
@@ -140,7 +140,7 @@
 // Symptom: a caller is told "not run" of a registration that was made.
 // Sequence: an owner is cut off, a new one takes over and runs the key; the old one is overloaded, knows no record of
 // the key, and refuses a retry. Cause: saying "not run" hold asking whether one still owns the key.
-TEST(ClaimStory, ReplacedOwnerDoesNotSayNotRun)
+TEST(ClaimProtocol, ReplacedOwnerDoesNotSayNotRun)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1 });
@@ -159,7 +159,7 @@
 // Symptom: "not run" of a key that runs a moment later.
 // Sequence: a hopeless try is about to be refused; while the backup is asked, another try of the key comes and is sent.
 // Cause: not looking at the key again when the backup's answer is there.
-TEST(ClaimStory, TryThatComesWhileTheBackupIsAskedMakesTheRefusalUnknown)
+TEST(ClaimProtocol, TryThatComesWhileTheBackupIsAskedMakesTheRefusalUnknown)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -176,7 +176,7 @@
 // Symptom: "not run", and then the work runs after all.
 // Sequence: a caller's first try is still on its way when the second one is refused; the first one arrives.
 // Cause: forgetting the refusal as soon as it is given.
-TEST(ClaimStory, RefusedKeyIsNotRunBeforeItsTimeToComeBack)
+TEST(ClaimProtocol, RefusedKeyIsNotRunBeforeItsTimeToComeBack)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -204,7 +204,7 @@
 // Symptom: work runs twice.
 // Sequence: the message that installs a bucket at its backup is repeated by the network after a claim was made.
 // Cause: wiping the bucket out each time it is installed; the claim then lives at the owner alone.
-TEST(ClaimStory, RepeatedInstallKeepsLaterClaims)
+TEST(ClaimProtocol, RepeatedInstallKeepsLaterClaims)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -225,7 +225,7 @@
 
 // Symptom: work runs twice. Sequence: a claim is withdrawn and made anew; the withdrawal arrives after the new claim.
 // Cause: withdrawing by key and not by claim.
-TEST(ClaimStory, LateWithdrawalLeavesANewerClaim)
+TEST(ClaimProtocol, LateWithdrawalLeavesANewerClaim)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
--- a/Tests/Request/ClaimDoubtStoryTest.cpp
+++ b/Tests/Request/ClaimRecoveryTest.cpp
@@ -1,4 +1,4 @@
-#include "ClaimStory.h"
+#include "ClaimTestHelpers.h"
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 // Symptom: work runs twice.
 // Sequence: owner and backup die together; the key comes back to a new owner, which knows nothing of it.
 // Cause: taking an empty table for an empty past.
-TEST(ClaimStory, BothHoldersLostLeavesOldKeysInDoubt)
+TEST(ClaimProtocol, BothHoldersLostLeavesOldKeysInDoubt)
 {
     RunnerGroup group(4);
     group.settle({ 0, 1 });
@@ -75,7 +75,7 @@
 }
 
 // Symptom: keys stay in doubt although one who holds their claims is back. Cause: asking only once.
-TEST(ClaimStory, HolderThatComesBackEndsTheDoubt)
+TEST(ClaimProtocol, HolderThatComesBackEndsTheDoubt)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1 });
@@ -107,7 +107,7 @@
 // Symptom: a ticket runs twice. Sequence: a new owner runs a ticket of its own epoch, whose predecessors are lost; the
 // caller repeats it at an old owner that is cut off with its backup.
 // Cause: an owner that runs tickets issued under an epoch that it does not know.
-TEST(ClaimStory, TicketOfAnUnknownEpochWaits)
+TEST(ClaimProtocol, TicketOfAnUnknownEpochWaits)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -126,7 +126,7 @@
 
 // Symptom: a planned stop partitions requests. Sequence: an owner leaves while it waits for a server's answer.
 // Cause: stopping before the work has ended, or before its outcome is known to the new owner.
-TEST(ClaimStory, LeavingOwnerFinishesItsWorkAndHandsTheAnswerOn)
+TEST(ClaimProtocol, LeavingOwnerFinishesItsWorkAndHandsTheAnswerOn)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1, 2 });
@@ -154,7 +154,7 @@
 // Symptom: a zone that is cut off refuses most of its own work as overloaded.
 // Sequence: servers beyond the cut can't be reached; each request is sent there three times within a millisecond.
 // Cause: choosing a server again at once that has just proved unreachable.
-TEST(ClaimStory, ServerThatCannotBeReachedIsLeftAloneForAWhile)
+TEST(ClaimProtocol, ServerThatCannotBeReachedIsLeftAloneForAWhile)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -170,7 +170,7 @@
     EXPECT_EQ(group.take<StartWork>(0).size(), 1u);
 }
 
-TEST(ClaimStory, RefusalsUnderAnOverloadShareOneQuestion)
+TEST(ClaimProtocol, RefusalsUnderAnOverloadShareOneQuestion)
 {
     RunnerGroup group(2, {}, 2);
     group.settle({ 0, 1 });
