--- a/Tests/Request/ClaimProtocolTest.cpp
+++ b/Tests/Request/ClaimProtocolTest.cpp
@@ -14,7 +14,7 @@
     template <typename Message> RunnerGroup::Filter hold()
     {
         return [](std::size_t, std::size_t, const RequestMessage& message) {
-            return std::holds_alternative<Message>(message) ? RunnerGroup::Verdict::Keep
+            return std::holds_alternative<Message>(message) ? RunnerGroup::Verdict::Hold
                                                             : RunnerGroup::Verdict::Deliver;
         };
     }
--- a/Tests/Request/ClaimRecoveryTest.cpp
+++ b/Tests/Request/ClaimRecoveryTest.cpp
@@ -23,7 +23,7 @@
     const RequestKey old = group.keyOf(0, 1);
     group.learn(group.makeTerm({ 2, 3 }), { 2, 3 });
     const auto onlyNew = [](std::size_t from, std::size_t to, const RequestMessage&) {
-        return from >= 2 && to >= 2 ? RunnerGroup::Verdict::Deliver : RunnerGroup::Verdict::Lose;
+        return from >= 2 && to >= 2 ? RunnerGroup::Verdict::Deliver : RunnerGroup::Verdict::Drop;
     };
     const auto wait = [&](Duration time) {
         for (Duration passed {}; passed < time; passed += time / 20) {
@@ -85,7 +85,7 @@
     group.deliver();
     ASSERT_EQ(group.take<StartWork>(0).size(), 1u);
     group.learn(group.makeTerm({ 2 }), { 2 });
-    const auto nobody = [](std::size_t, std::size_t, const RequestMessage&) { return RunnerGroup::Verdict::Lose; };
+    const auto nobody = [](std::size_t, std::size_t, const RequestMessage&) { return RunnerGroup::Verdict::Drop; };
     group.deliver(nobody);
     group.advance(seconds(2));
     group.deliver(nobody);
--- a/Tests/Request/ClaimTestHelpers.h
+++ b/Tests/Request/ClaimTestHelpers.h
@@ -18,7 +18,7 @@
 inline RunnerGroup::Filter isolate(std::size_t index)
 {
     return [index](std::size_t from, std::size_t to, const RequestMessage&) {
-        return from == index || to == index ? RunnerGroup::Verdict::Lose : RunnerGroup::Verdict::Deliver;
+        return from == index || to == index ? RunnerGroup::Verdict::Drop : RunnerGroup::Verdict::Deliver;
     };
 }
 
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -42,7 +42,7 @@
             const bool isDelivered = from->isUp() && !from->isPaused() && to->isUp() && !to->isPaused()
                 && !partitions.isBlocked(from->zone(), to->zone());
             if (isDelivered)
-                to->hear(*from);
+                to->receiveHeartbeat(*from);
         }
     }
     for (const auto& balancer : balancers) {
@@ -142,7 +142,7 @@
     });
 }
 
-void FakeBalancer::hear(const FakeBalancer& other)
+void FakeBalancer::receiveHeartbeat(const FakeBalancer& other)
 {
     Member member;
     member.id = other.id_;
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -88,7 +88,7 @@
     // Runs an event in this life, once it is not paused.
     void perform(const std::function<void()>&);
     void receive(const BalancerInstance& from, const RequestMessage&);
-    void hear(const FakeBalancer& other);
+    void receiveHeartbeat(const FakeBalancer& other);
     void publishView();
     void tick();
 
--- a/Tests/Request/FakeCallers.cpp
+++ b/Tests/Request/FakeCallers.cpp
@@ -68,7 +68,7 @@
             entry.request(request, [=, this](const FakeReply& reply) {
                 cluster_.simulator.after(milliseconds(1), [=, this] {
                     if (close())
-                        hear(caller, reply);
+                        receiveReply(caller, reply);
                 });
             });
         });
@@ -84,7 +84,7 @@
         retryIn(caller, milliseconds(100));
 }
 
-void FakeCallers::hear(const std::shared_ptr<Caller>& caller, const FakeReply& reply)
+void FakeCallers::receiveReply(const std::shared_ptr<Caller>& caller, const FakeReply& reply)
 {
     caller->isLastReplyNotRun = false;
     if (reply.answer) {
--- a/Tests/Request/FakeCallers.h
+++ b/Tests/Request/FakeCallers.h
@@ -55,7 +55,7 @@
     };
 
     void attempt(const std::shared_ptr<Caller>&);
-    void hear(const std::shared_ptr<Caller>&, const FakeReply&);
+    void receiveReply(const std::shared_ptr<Caller>&, const FakeReply&);
     void retryIn(const std::shared_ptr<Caller>&, Duration);
     void checkAnswer(const Caller&, const SharedResponse&);
 
--- a/Tests/Request/RunnerGroup.cpp
+++ b/Tests/Request/RunnerGroup.cpp
@@ -87,7 +87,7 @@
         for (const Envelope& envelope : envelopes) {
             const std::size_t to = indexOf(envelope.to);
             const Verdict verdict = filter ? filter(envelope.from, to, envelope.message) : Verdict::Deliver;
-            if (verdict == Verdict::Keep)
+            if (verdict == Verdict::Hold)
                 held_.push_back(envelope);
             else if (verdict == Verdict::Deliver)
                 nodes_[to].runner->receive(nodes_[envelope.from].holder, envelope.message, now());
--- a/Tests/Request/RunnerGroup.h
+++ b/Tests/Request/RunnerGroup.h
@@ -23,7 +23,7 @@
     ClaimTerm settle(const std::vector<std::size_t>& holders);
 
     // What the network does with a message.
-    enum class Verdict { Deliver, Keep, Lose };
+    enum class Verdict { Deliver, Hold, Drop };
     using Filter = std::function<Verdict(std::size_t from, std::size_t to, const RequestMessage&)>;
     // Carries messages until nobody has any.
     void deliver(const Filter& filter = {});
