--- a/Source/Request/Admission.h
+++ b/Source/Request/Admission.h
@@ -18,13 +18,13 @@
 
 namespace wisteriadock {
 
-// A slot was given: the work may be sent to this server.
+// A slot was granted: the work may be sent to this server.
 struct SlotGrant {
     WorkId work = 0;
     BackendServerId server;
 };
 
-// The work gets no slot in time.
+// The work gets no slot before its deadline.
 struct SlotRefusal {
     WorkId work = 0;
     RefusalReason reason = RefusalReason::Overloaded;
@@ -33,14 +33,14 @@
 
 struct AdmissionLimits {
     std::size_t queueLength = 1000;
-    // How long a lent slot is waited for when its borrower vanishes; at least the longest deadline.
+    // How long a lent slot stays reserved when its borrower fails; at least the longest request deadline.
     std::chrono::milliseconds longestLoan { 65'000 };
 };
 
-// Gives the slots of backend servers to work. Every balancer has a fixed share of each server's slots (SlotShares.h)
-// and borrows free ones from others while its own queue waits. Work that can't make its deadline is refused at once,
-// when it comes or when waiting has made it infeasible. Called by the RequestRunner, which takes grants, refusals and
-// messages after each call.
+// Admission control: grants slots of backend servers to work. Every balancer has a fixed share of each server's slots
+// (SlotShares.h) and borrows free slots from other balancers while its own queue waits. Work that can't meet its
+// deadline is refused on arrival or as soon as waiting makes the deadline infeasible. Called by the RequestRunner,
+// which takes grants, refusals and messages after each call.
 class Admission {
 public:
     Admission(const BalancerInstance& self, const AdmissionLimits& limits, std::uint64_t seed);
@@ -48,11 +48,12 @@
     void configure(const Configuration&, const MembersView&, TimePoint now);
 
     void request(WorkId, ServiceId, TimePoint deadline, TimePoint now);
-    // Forgets work that waits; its slot, if it has one, is given back.
+    // Removes queued work; if the work holds a slot, releases it.
     void withdraw(WorkId, TimePoint now);
-    // The work ended and its slot is free. Only work that a server answered teaches how long work takes.
+    // Releases the slot of work that ended. Only answered work contributes to the duration estimate.
     void release(WorkId, bool isAnswered, TimePoint now);
-    // The server said that it has no room: nothing is sent to it for a while.
+    // Records that the server rejected work for lack of capacity: it gets no work for retryAfter or its back-off,
+    // whichever is longer.
     void shed(BackendServerId, std::chrono::milliseconds retryAfter, TimePoint now);
     void tick(TimePoint now);
 
@@ -72,7 +73,7 @@
     struct Server {
         BackendServer settings;
         std::uint32_t share = 0;
-        // By own work and by balancers that borrowed.
+        // Slots used by own work and lent to other balancers.
         std::uint32_t inUse = 0;
         TimePoint addedAt;
         TimePoint pausedUntil;
@@ -84,7 +85,7 @@
         ServiceId service;
         BackendServerId server;
         TimePoint startedAt;
-        // Set when the slot was borrowed: from whom, and under which number.
+        // Set when the slot was borrowed: the lender and the nonce of the loan.
         std::optional<BalancerInstance> lender;
         std::uint64_t nonce = 0;
     };
--- a/Source/Request/BucketManager.h
+++ b/Source/Request/BucketManager.h
@@ -11,34 +11,34 @@
 
 namespace wisteriadock {
 
-// What a balancer is to a bucket under the newest epoch that it knows.
+// The role of a balancer for a bucket under the newest epoch that it knows.
 enum class Ownership {
     NotOwner,
-    Recovering, // Looking for the claims of earlier epochs.
+    Recovering, // Collecting the claims of earlier epochs.
     Installing, // Waiting until the backup holds them too.
-    Active, // May claim keys and vouch for them.
+    Active, // May claim keys and tell what happened to them.
 };
 
-// What an owner can say of a key without a record.
+// What an owner knows about a key that has no record.
 enum class KeyFreshness {
     Fresh, // It was never sent.
-    TooOld, // It may have been forgotten.
-    Lost, // It may be among claims that nobody could hand over.
+    TooOld, // It may have been removed after its retention time.
+    Lost, // It may be among claims that could not be recovered.
 };
 
 // Holds the claims of one balancer as owner and backup, and moves them when the epoch changes.
 //
-// A balancer that has heard of a newer epoch acts under none before it knows that epoch's holders. Of an older epoch
-// it accepts nothing, so an owner that was paused while it was replaced finds its backup refusing it.
-// Called by the RequestRunner; sends nothing itself but leaves messages to be taken.
+// Once a balancer knows that a newer epoch exists, it acts under no epoch until it knows the holders of the newest one.
+// It rejects all messages of older epochs, so an owner that was replaced while it was paused is refused by its backup.
+// Called by the RequestRunner; queues outgoing messages for takeMessages().
 class BucketManager {
 public:
     BucketManager(const BalancerInstance& self, const ClaimLimits& limits, Duration maxDeadline);
 
     void learnTerm(const ClaimTerm&, TimePoint now);
-    // Notes that an epoch exists; this balancer acts no more until it knows the epoch's holders.
+    // Records that an epoch exists; the balancer stops acting until it knows the holders of that epoch.
     void noteEpoch(std::uint64_t epoch);
-    // Proofs that holders run no more (TerminatedInstances.h).
+    // Evidence that instances have terminated (TerminatedInstances.h).
     void learnTerminated(const BalancerInstance& holder) { terminated_.learnTerminated(holder); }
     void learnStart(const BalancerInstance& holder) { terminated_.learnStart(holder); }
     void tick(TimePoint now);
@@ -54,33 +54,33 @@
 
     const std::optional<ClaimTerm>& term() const { return term_; }
     std::uint64_t newestEpoch() const { return newestEpoch_; }
-    // Whether the newest epoch heard of is also known.
+    // Whether the record of the newest known epoch is available.
     bool knowsNewestTerm() const { return term_ && term_->epoch == newestEpoch_; }
     Ownership ownership(std::uint32_t bucket) const;
     const std::optional<ClaimPair>& pairOf(std::uint32_t bucket) const { return buckets_[bucket].pair; }
     KeyFreshness freshnessOf(std::uint32_t bucket, const RequestKey&) const;
-    // Whether the newest term names other holders only, and these have had time to fetch what this balancer holds.
+    // Whether the newest term names only other holders, and these have had time to fetch the claims held here.
     bool isReleased(TimePoint now) const;
     ClaimTable& table() { return table_; }
     const ClaimTable& table() const { return table_; }
 
-    // Buckets of this owner whose earlier claims are in doubt.
+    // Number of buckets owned here whose earlier claims are not all recovered.
     std::size_t lostBuckets() const;
 
     std::vector<OutgoingMessage> takeMessages();
-    // True once after each time it heard of an epoch whose holders it doesn't know.
+    // True once after each time that an epoch without a known record was reported.
     bool takeFetchNeeded();
-    // True once after ownership of any bucket changed.
+    // True once after the ownership of any bucket changed.
     bool takeOwnershipChanged();
 
 private:
     struct Bucket {
         std::optional<ClaimPair> pair;
         Ownership ownership = Ownership::NotOwner;
-        // The newest epoch for which the copy held here is whole.
+        // The newest epoch for which the local copy is complete.
         std::uint64_t installedEpoch = 0;
         std::optional<LostClaims> lost;
-        // When lost claims of callers' own keys stop to matter.
+        // When the loss expires, because all lost claims are past their retention time.
         std::optional<TimePoint> lostUntil;
         BucketRecovery recovery;
         std::uint64_t baseEpoch = 0;
@@ -89,7 +89,7 @@
     };
 
     void send(const BalancerInstance& to, RequestMessage);
-    // Handles a message's epoch; returns whether it is the epoch under which this balancer acts.
+    // Records the epoch of a message; returns whether this balancer acts under it.
     bool isCurrentEpoch(const BalancerInstance& from, std::uint64_t epoch);
     void startOwning(std::uint32_t index, TimePoint now);
     void advance(std::uint32_t index, TimePoint now);
--- a/Source/Request/BucketRecovery.h
+++ b/Source/Request/BucketRecovery.h
@@ -10,48 +10,48 @@
 
 namespace wisteriadock {
 
-// How far a new owner has come in finding the claims of a bucket.
+// Progress of a new owner in recovering the claims of a bucket.
 enum class RecoveryState {
-    Waiting, // Somebody who may hold them can still answer.
-    Whole, // A copy that holds every claim that was ever sent.
-    Lost, // Nobody who may hold the newest claims answered; older copies may have been found.
+    Waiting, // A holder that may have the claims can still answer.
+    Whole, // Found a copy with every claim that was ever sent.
+    Lost, // No holder that may have the newest claims answered; older copies may have been found.
 };
 
-// Finds the claims of one bucket among those who held it under earlier epochs.
+// Recovers the claims of one bucket from the holders of earlier epochs.
 //
-// What can go wrong: the newest epoch may have been active under holders that are all dead, paused or cut off. Taking
-// an older copy for whole would run work again that these had run. So the search goes from the newest epoch backwards,
-// and passes an epoch by only when one of its two holders says that it never held a whole copy under it: an epoch
-// becomes active only after both do, and who has answered will not act under an older epoch any more.
+// The holders of the newest epoch may all be terminated, paused or partitioned. Taking an older copy as complete would
+// then run work twice. The search therefore goes from the newest epoch backwards and skips an epoch only when one of
+// its two holders reports that it never had a complete copy under it: an epoch becomes active only after both holders
+// have one, and a holder that has answered no longer acts under an older epoch.
 class BucketRecovery {
 public:
     BucketRecovery() = default;
-    // Copies that were installed under the ceiling epoch or later descend from what this search found; they prove
+    // Copies that were installed under the ceiling epoch or later derive from the result of this search, so they prove
     // nothing about earlier epochs.
     BucketRecovery(std::vector<ClaimPair> pairs, bool isHistoryWhole, std::uint64_t ceilingEpoch, TimePoint start);
 
-    // Takes the answer of an earlier holder.
+    // Adds the answer of an earlier holder.
     void add(const BalancerInstance& from, const BucketSnapshot&);
 
-    // Decides by what has been heard. Gone are holders that certainly run no more.
+    // Evaluates the answers so far. Terminated instances are not waited for.
     RecoveryState decide(const TerminatedInstances& terminated, TimePoint now);
 
-    // The copy to start from, and who sent it, once whole or lost; null when there is none.
+    // The copy to start from and its sender, once decided; null when there is none.
     const BucketSnapshot* source() const { return source_ ? &source_->second : nullptr; }
     const BalancerInstance* sourceHolder() const { return source_ ? &source_->first : nullptr; }
-    // Pairs that may have held newer claims than the source; empty when whole.
+    // Pairs that may have held newer claims than the source; empty when the copy is complete.
     const std::vector<ClaimPair>& lostPairs() const { return lostPairs_; }
-    // Whether nobody can act under an earlier epoch any more: each lost pair has a member that is certainly gone or has
-    // answered. Claims take both members.
+    // Whether nobody can act under an earlier epoch any more: each lost pair has a member that has terminated or
+    // answered. A claim needs both members.
     bool allStopped() const { return allStopped_; }
     bool isHistoryWhole() const { return isHistoryWhole_; }
 
-    // Whom to ask (again).
+    // Holders to ask, also repeatedly.
     std::vector<BalancerInstance> unanswered(const TerminatedInstances& terminated) const;
 
-    // How long holders that are not known to be gone are waited for.
+    // How long holders that may still be running are waited for.
     static constexpr std::chrono::milliseconds answerTimeout { 1500 };
-    // How long the earlier owner is preferred to the earlier backup, whose copy may name claims that were withdrawn.
+    // How long the earlier owner is preferred to the earlier backup, whose copy may contain withdrawn claims.
     static constexpr std::chrono::milliseconds ownerPreference { 100 };
 
 private:
--- a/Source/Request/ClaimMessages.h
+++ b/Source/Request/ClaimMessages.h
@@ -9,26 +9,27 @@
 
 namespace wisteriadock {
 
-// What holders of claims say to each other. Messages may be lost, repeated and reordered. The shell adds who sent one,
-// with the sender's incarnation, and drops messages of an incarnation older than the newest it knows.
+// Messages between balancers that hold claims. Messages may be lost, repeated and reordered. The transport adds the
+// sender with its incarnation, and drops messages of an incarnation older than the newest known one.
 
-// New owner to an earlier holder: stop acting under older epochs, and say what you hold of this bucket.
+// New owner to an earlier holder: stop acting under older epochs and send the contents of this bucket.
 struct RecoverBucket {
     std::uint64_t epoch = 0;
     std::uint32_t bucket = 0;
 };
 
-// The answer. Contents are whole when installedEpoch is not zero. Can be large; goes by HTTP/2, not by datagram.
+// Answer to RecoverBucket. The contents are complete when installedEpoch is not zero. Can be large, so it is sent by
+// HTTP/2 instead of a datagram.
 struct BucketSnapshot {
     std::uint64_t epoch = 0;
     std::uint32_t bucket = 0;
-    // The newest epoch for which the sender's copy was whole; 0 for none.
+    // The newest epoch for which the sender's copy was complete; 0 for none.
     std::uint64_t installedEpoch = 0;
     BucketContents contents;
 };
 
-// Owner to backup: hold this bucket under this epoch. Without whole contents it only asks whether the backup's copy
-// is the one of baseEpoch already, which spares sending the claims again.
+// Owner to backup: hold this bucket under this epoch. Without the full contents it only asks whether the backup already
+// has the copy of baseEpoch, which saves sending the claims again.
 struct InstallBucket {
     std::uint64_t epoch = 0;
     std::uint32_t bucket = 0;
@@ -40,11 +41,11 @@
 struct BucketInstalled {
     std::uint64_t epoch = 0;
     std::uint32_t bucket = 0;
-    // False when the backup needs the whole contents.
+    // False when the backup needs the full contents.
     bool accepted = false;
 };
 
-// Owner to backup, before the work is sent.
+// Owner to backup, before the work is sent to a backend server.
 struct ClaimKey {
     std::uint64_t epoch = 0;
     std::uint32_t bucket = 0;
@@ -55,20 +56,20 @@
 };
 
 struct ClaimReply {
-    // The newest epoch that the backup knows of.
+    // The newest epoch that the backup knows.
     std::uint64_t epoch = 0;
     std::uint64_t sequence = 0;
     bool accepted = false;
 };
 
-// Owner to backup: the claim with this number will not be used.
+// Owner to backup: the claim with this sequence number will not be used.
 struct WithdrawClaim {
     std::uint32_t bucket = 0;
     KeyDigest digest;
     std::uint64_t sequence = 0;
 };
 
-// Runner to the bucket's present holders: how the work ended.
+// Sent by the balancer that ran the work to the bucket's current holders: the outcome of the work.
 struct ClaimOutcome {
     std::uint32_t bucket = 0;
     KeyDigest digest;
@@ -78,7 +79,7 @@
     SharedResponse answer;
 };
 
-// Owner to backup: is this epoch still the newest that you know? One such question serves all refusals that wait.
+// Owner to backup: checks that this epoch is the newest that the backup knows. One check serves all pending refusals.
 struct CheckEpoch {
     std::uint64_t epoch = 0;
     std::uint64_t nonce = 0;
@@ -90,12 +91,12 @@
     bool accepted = false;
 };
 
-// Anybody to a balancer that seems to be behind.
+// Sends a newer ownership record to a balancer whose record is outdated.
 struct TermUpdate {
     ClaimTerm term;
 };
 
-// One balancer asks another for the use of a free slot of a service.
+// Asks another balancer for the use of a free slot of a service.
 struct BorrowSlot {
     ServiceId service;
     std::uint64_t nonce = 0;
@@ -115,7 +116,7 @@
 using RequestMessage = std::variant<RecoverBucket, BucketSnapshot, InstallBucket, BucketInstalled, ClaimKey, ClaimReply,
     WithdrawClaim, ClaimOutcome, CheckEpoch, EpochChecked, TermUpdate, BorrowSlot, SlotReply, ReturnSlot>;
 
-// A message that the shell must send.
+// A message to be sent by the caller of the RequestRunner.
 struct OutgoingMessage {
     BalancerInstance to;
     RequestMessage message;
--- a/Source/Request/ClaimTerm.h
+++ b/Source/Request/ClaimTerm.h
@@ -11,7 +11,7 @@
 
 namespace wisteriadock {
 
-// Claims of one availability zone are divided into this many buckets by the key's digest.
+// Number of buckets into which the claims of one availability zone are divided by key digest.
 constexpr std::uint32_t claimBucketCount = 256;
 
 std::uint32_t claimBucketOf(const KeyDigest&);
@@ -26,7 +26,7 @@
     bool operator==(const ClaimPair&) const = default;
 };
 
-// Who held claims under an earlier epoch.
+// The holders of an earlier epoch.
 struct PastTerm {
     std::uint64_t epoch = 0;
     std::vector<BalancerInstance> holders;
@@ -34,8 +34,8 @@
     bool operator==(const PastTerm&) const = default;
 };
 
-// The ownership record of one availability zone. It is written to the platform by compare-and-swap, so there is one
-// list of holders for each epoch, and everybody who knows the epoch agrees on every bucket's owner and backup.
+// The ownership record of one availability zone. It is written to the platform by compare-and-swap, so each epoch has
+// exactly one list of holders, and all balancers that know the epoch agree on every bucket's owner and backup.
 struct ClaimTerm {
     std::string zone;
     std::uint64_t epoch = 0;
@@ -43,12 +43,12 @@
     std::vector<BalancerInstance> holders;
     // Newest first, at most maxPastTerms.
     std::vector<PastTerm> previous;
-    // True while previous reaches back to the first epoch ever.
+    // True while previous reaches back to the first epoch.
     bool isHistoryWhole = true;
 
     static constexpr std::size_t maxPastTerms = 16;
 
-    // The pair of a bucket by rendezvous over the holders; nothing when there are none.
+    // The pair of a bucket by rendezvous hashing over the holders; empty when there are no holders.
     std::optional<ClaimPair> pairOf(std::uint32_t bucket) const;
     // The pairs of a bucket under the previous epochs, newest first.
     std::vector<ClaimPair> pastPairsOf(std::uint32_t bucket) const;
@@ -56,12 +56,12 @@
     bool operator==(const ClaimTerm&) const = default;
 };
 
-// The term that should follow, given who serves in the zone now; nothing when the holders are the right ones already or
-// nobody serves. The caller writes it by compare-and-swap on the record that it read.
+// The next ownership record for the balancers that serve in the zone now; empty when the holders are up to date or no
+// balancer serves. The caller writes it by compare-and-swap on the record that it read.
 std::optional<ClaimTerm> nextClaimTerm(
     const std::optional<ClaimTerm>& current, std::string_view zone, const MembersView&);
 
-// The same holders under the next epoch: written now and then so that tickets age.
+// The same holders under the next epoch. Written periodically so that old tickets can be told from new ones.
 ClaimTerm renewedClaimTerm(const ClaimTerm& current);
 
 }
--- a/Source/Request/KeyDecision.h
+++ b/Source/Request/KeyDecision.h
@@ -9,27 +9,27 @@
 
 namespace wisteriadock {
 
-// What is done with a try that reached this balancer.
+// What to do with an attempt that reached this balancer.
 enum class KeyStep {
-    Park, // Wait until the claims are here, or the newest epoch is known.
+    Park, // Wait until the claims are recovered or the newest epoch is known.
     Redirect, // Another balancer owns the key.
-    Join, // The work is under way here; share its end.
-    Answer, // The kept answer.
+    Join, // Work for the key is in progress here; wait for its outcome.
+    Answer, // Send the kept answer.
     RefuseUnknown,
-    RefuseNotRun, // Once the backup has confirmed the ownership.
-    Start, // New work.
+    RefuseNotRun, // After the backup has confirmed the ownership.
+    Start, // Start new work.
 };
 
 struct KeyDecision {
     KeyStep step = KeyStep::Park;
-    // For the refusing steps.
+    // For RefuseUnknown and RefuseNotRun.
     RefusalReason reason = RefusalReason::NotReady;
     std::chrono::milliseconds retryDelay { 0 };
     // For Answer.
     SharedResponse answer;
 };
 
-// Decides on one try by what this balancer holds of its key. Changes nothing.
+// Decides how to handle an attempt from the local records of its key. Has no side effects.
 KeyDecision decideKey(const KeyedAttempt&, const BucketManager&, const WorkTable&, TimePoint now);
 
 }
--- a/Source/Request/ParkedAttempts.h
+++ b/Source/Request/ParkedAttempts.h
@@ -10,7 +10,7 @@
 
 namespace wisteriadock {
 
-// Tries that wait until the claims of their bucket have moved, for a short time and in bounded number.
+// A bounded list of attempts that wait for a limited time until the claims of their bucket have moved.
 class ParkedAttempts {
 public:
     ParkedAttempts(std::size_t capacity, Duration maxWait)
@@ -19,24 +19,24 @@
     {
     }
 
-    // False when there is no room.
+    // False when the list is full.
     bool add(const KeyedAttempt& attempt, TimePoint now)
     {
-        if (tries_.size() >= capacity_)
+        if (attempts_.size() >= capacity_)
             return false;
-        tries_.push_back({ attempt, std::min(attempt.deadline, now + maxWait_) });
+        attempts_.push_back({ attempt, std::min(attempt.deadline, now + maxWait_) });
         return true;
     }
 
     void remove(AttemptId id)
     {
-        std::erase_if(tries_, [&](const Entry& entry) { return entry.attempt.id == id; });
+        std::erase_if(attempts_, [&](const Entry& entry) { return entry.attempt.id == id; });
     }
 
     std::vector<KeyedAttempt> takeAll()
     {
         std::vector<KeyedAttempt> attempts;
-        for (const Entry& entry : std::exchange(tries_, {}))
+        for (const Entry& entry : std::exchange(attempts_, {}))
             attempts.push_back(entry.attempt);
         return attempts;
     }
@@ -44,7 +44,7 @@
     std::vector<AttemptId> takeExpired(TimePoint now)
     {
         std::vector<AttemptId> expired;
-        std::erase_if(tries_, [&](const Entry& entry) {
+        std::erase_if(attempts_, [&](const Entry& entry) {
             if (now < entry.until)
                 return false;
             expired.push_back(entry.attempt.id);
@@ -53,7 +53,7 @@
         return expired;
     }
 
-    std::size_t size() const { return tries_.size(); }
+    std::size_t size() const { return attempts_.size(); }
 
 private:
     struct Entry {
@@ -63,7 +63,7 @@
 
     std::size_t capacity_;
     Duration maxWait_;
-    std::vector<Entry> tries_;
+    std::vector<Entry> attempts_;
 };
 
 }
--- a/Source/Request/PendingForwardTable.h
+++ b/Source/Request/PendingForwardTable.h
@@ -12,8 +12,8 @@
 
 namespace wisteriadock {
 
-// Names one forwarded try to the owner, which repeats it in everything that it says about the try. A balancer that
-// starts again has another incarnation, so an answer to its earlier life matches nothing.
+// Identifies one forwarded attempt. The owner repeats the token in all replies. A restarted balancer has another
+// incarnation, so replies to its earlier instance match nothing.
 struct ForwardToken {
     BalancerInstance entry;
     std::uint64_t number = 0;
@@ -21,30 +21,30 @@
     auto operator<=>(const ForwardToken&) const = default;
 };
 
-// What is said of a forwarded try, without its body.
+// Describes the answer to a forwarded attempt, without its body.
 struct ForwardedAnswer {
     ForwardToken token;
     KeyDigest key;
-    // What the answer was declared to hold, and what arrived.
+    // Size announced by the answer, and bytes received.
     std::uint64_t declaredBytes = 0;
     std::uint64_t receivedBytes = 0;
 };
 
 enum class Delivery {
     Deliver,
-    Drop, // Late, repeated, or somebody else's: nobody gets it.
-    Incomplete, // Cut short: the caller gets an error that says "unknown", never a short success.
+    Drop, // Late, repeated or for another attempt: delivered to nobody.
+    Incomplete, // Truncated: the caller gets an error that says "unknown", never a truncated success.
 };
 
-// A try that ends without the owner's answer. The work may have run: these are refused as unknown.
+// A forward that ended without the owner's answer. The work may have run, so the attempt is refused as unknown.
 struct AbandonedForward {
     AttemptId id = 0;
     RefusalReason reason = RefusalReason::HomeUnreachable;
 };
 
-// Tries that one balancer forwarded to the owners of their keys, and who gets which answer.
-// Called by the shell of the balancer that took the requests in. The owner acknowledges a forwarded try at once, so
-// that one that is dead or paused is noticed after the timeout and not at the request's deadline.
+// Attempts that this balancer has forwarded to the owners of their keys. Matches answers to attempts. Called by the
+// balancer that received the requests. The owner acknowledges a forwarded attempt at once, so an unresponsive owner is
+// detected after acknowledgeTimeout and not at the request's deadline.
 class PendingForwardTable {
 public:
     PendingForwardTable(const BalancerInstance& self, std::chrono::milliseconds acknowledgeTimeout);
@@ -52,25 +52,26 @@
     ForwardToken open(AttemptId, const KeyDigest&, const BalancerInstance& owner, TimePoint deadline, TimePoint now);
     void acknowledge(const BalancerInstance& from, const ForwardToken&);
 
-    // Finds out whose answer this is; try id is set for Deliver and Incomplete. The try is closed then.
+    // Matches an answer to its attempt and removes the entry; id is set for Deliver and Incomplete.
     struct Resolved {
         Delivery delivery = Delivery::Drop;
         AttemptId id = 0;
     };
     Resolved resolve(const BalancerInstance& from, const ForwardedAnswer&);
-    // The owner refused to own the key: the try is open again for another open().
+    // The owner rejected the attempt because it does not own the key. Removes the entry; the caller may open() it
+    // again.
     std::optional<AttemptId> redirect(const BalancerInstance& from, const ForwardToken&);
 
-    // The caller left. Returns whom to tell.
+    // Removes the entry of an attempt whose caller disconnected. Returns the owner to notify.
     struct Forward {
         BalancerInstance owner;
         ForwardToken token;
     };
     std::optional<Forward> cancel(AttemptId);
 
-    // The owner is dead as far as the members' view goes; all it had is given up at once.
+    // Abandons all forwards to an owner that the members' view reports dead.
     std::vector<AbandonedForward> removeOwner(const BalancerInstance&);
-    // Gives up what was not acknowledged in time or is past its deadline.
+    // Abandons forwards that were not acknowledged in time or are past their deadline.
     std::vector<AbandonedForward> expire(TimePoint now);
 
     std::size_t open() const { return entries_.size(); }
--- a/Source/Request/PendingRefusals.h
+++ b/Source/Request/PendingRefusals.h
@@ -19,35 +19,35 @@
     std::chrono::milliseconds retryDelay { 0 };
 };
 
-// Holds refusals checkDeadline the backup answered one check about the epoch.
+// Holds refusals until the backup has answered an epoch check.
 //
-// What goes wrong without it: an owner is replaced while it is paused; the new owner runs a key; the old one wakes and,
-// finding no record, tells a caller that the key was not run. All refusals that wait for one backup share a check,
-// so an overload costs one message a round trip and not one a refusal.
+// Guards against a false "not run": an owner is replaced while it is paused, the new owner runs a key, and the old
+// owner resumes, finds no record and refuses the key as not run. All refusals that wait for one backup share a check,
+// so an overload costs one message per round trip instead of one per refusal.
 class PendingRefusals {
 public:
     explicit PendingRefusals(Duration timeout);
 
     void add(const BalancerInstance& backup, const PendingRefusal&);
-    // Questions to send now: at most one open for each backup.
+    // Epoch checks to send now; at most one in flight for each backup.
     std::vector<OutgoingMessage> takeEpochChecks(std::uint64_t epoch, TimePoint now);
 
-    // Refusals that an answer settles; empty when the answer is to no open check.
+    // Refusals that the reply decides; empty when the reply matches no check in flight.
     std::vector<PendingRefusal> takeChecked(const BalancerInstance& from, const EpochChecked&);
-    // Refusals whose backup was silent for too long.
+    // Refusals whose backup did not reply in time.
     std::vector<PendingRefusal> takeExpired(TimePoint now);
-    // All of them, because the epoch changed.
+    // All refusals, because the epoch changed.
     std::vector<PendingRefusal> takeAll();
 
     std::size_t size() const;
 
 private:
     struct BackupQueue {
-        // Asked about by the open check.
+        // Covered by the check in flight.
         std::vector<PendingRefusal> inCheck;
         std::uint64_t nonce = 0;
         TimePoint checkDeadline;
-        // Came since.
+        // Added since that check was sent.
         std::vector<PendingRefusal> waiting;
     };
 
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -12,7 +12,8 @@
 
 namespace wisteriadock {
 
-// Writes the refusals of one RequestRunner, whose parts it looks at, and makes sure that "not run" is true of the key.
+// Writes the refusals of one RequestRunner. Reads the runner's claims and work to make sure that "not run" is true of
+// the key.
 class RefusalWriter {
 public:
     RefusalWriter(BucketManager&, WorkTable&, Duration backupTimeout, std::uint64_t seed);
@@ -22,15 +23,16 @@
 
     // Refuses as not run after the bucket's backup confirmed that this balancer still owns the key.
     void refuseWhenConfirmed(const PendingRefusal&, TimePoint now);
-    // The same at once. For keys whose claim was held in this balancer's name: nobody else can have run them.
+    // Refuses as not run without asking the backup. For keys whose claim the backup acknowledged: no other balancer can
+    // have run them.
     void refuseAtOnce(const PendingRefusal&, TimePoint now);
 
     void handleEpochChecked(const BalancerInstance& from, const EpochChecked&, TimePoint now);
-    // The epoch has changed: what waits can't be confirmed any more.
+    // The epoch has changed: pending refusals can't be confirmed any more and are sent as unknown.
     void abandonPending();
     void expirePending(TimePoint now);
 
-    // Refusals and checks to backups.
+    // Refusals and epoch checks to send.
     std::vector<RequestAction> takeActions(TimePoint now);
     std::size_t waiting() const { return pending_.size(); }
 
--- a/Source/Request/RequestCheck.h
+++ b/Source/Request/RequestCheck.h
@@ -11,7 +11,7 @@
 
 namespace wisteriadock {
 
-// Bounds on what a caller may ask for.
+// Limits on requests.
 struct RequestLimits {
     std::size_t headerBytes = 16UL * 1024;
     std::size_t bodyBytes = 16UL * 1024 * 1024;
@@ -19,31 +19,31 @@
     std::chrono::milliseconds maxDeadline { 60'000 };
 };
 
-// What the check looks at. The views live as long as the request that they come from.
+// The checked fields of a request. The views live as long as the request.
 struct RequestFields {
     std::string_view method;
-    // Value of Idempotency-Key, empty when absent.
+    // Value of Idempotency-Key; empty when absent.
     std::string_view key;
-    // Milliseconds that the caller waits, as text; empty when absent.
+    // The caller's timeout in milliseconds, as text; empty when absent.
     std::string_view deadline;
     std::size_t headerBytes = 0;
     std::size_t bodyBytes = 0;
 };
 
-// What is known of a request before anybody decides on it.
+// Result of checkRequest().
 struct CheckedRequest {
-    // May be sent again without harm; needs no claim.
+    // May be sent repeatedly without harm; needs no claim.
     bool isIdempotent = false;
-    // Set for non-idempotent work with a readable key.
+    // Set for a non-idempotent request with a valid key.
     std::optional<RequestKey> key;
     Duration timeLeft {};
-    // Set when the request must be refused. If key is set as well, only the key's owner knows whether an earlier try
-    // with the key ran: route the request to it with this reason, and it will answer truthfully.
+    // Set when the request must be refused. If key is set as well, only the key's owner knows whether an earlier
+    // attempt with the key ran: route the request to the owner together with this reason.
     std::optional<RefusalReason> problem;
     std::string detail;
 };
 
-// Whether the method may be repeated (RFC 9110, 9.2.2).
+// Whether the method is idempotent (RFC 9110, 9.2.2).
 bool isIdempotentMethod(std::string_view method);
 
 CheckedRequest checkRequest(const RequestFields&, const std::vector<std::string>& zones, const RequestLimits&);
--- a/Source/Request/RequestRouter.h
+++ b/Source/Request/RequestRouter.h
@@ -11,11 +11,11 @@
 
 namespace wisteriadock {
 
-// Where a keyed request goes.
+// The destination of a keyed request.
 enum class AttemptRouteKind {
-    Local, // This balancer owns the key: give it to the RequestRunner.
+    Local, // This balancer owns the key: pass it to the RequestRunner.
     Forward, // To the owner, over its request address.
-    Unreachable, // Nobody who can vouch for the key can be reached: refuse at once as unknown.
+    Unreachable, // No owner of the key can be reached: refuse at once as unknown.
 };
 
 struct Route {
@@ -23,16 +23,16 @@
     BalancerInstance owner;
 };
 
-// Finds the owner of a key by the ownership records of all availability zones.
+// Finds the owner of a key from the ownership records of all availability zones.
 //
-// A key whose owner can't be reached is refused as unknown, not as "not run": this balancer can't see whether an
-// earlier try got through elsewhere. Tickets of a zone that can be reached never meet this.
+// A key whose owner is unreachable is refused as unknown, not as "not run": this balancer can't see whether an earlier
+// attempt reached the owner by another way.
 class RequestRouter {
 public:
-    // The zones are the fixed list of the settings, the same on every balancer.
+    // The zones are the fixed list of the settings, identical on every balancer.
     RequestRouter(const BalancerInstance& self, std::vector<std::string> zones);
 
-    // Keeps the newest record of each zone; returns whether this one is new.
+    // Keeps the newest record of each zone; returns whether this one is newer than the known one.
     bool learnTerm(const ClaimTerm&);
     const ClaimTerm* termOf(const std::string& zone) const;
 
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -19,13 +19,13 @@
 
 namespace wisteriadock {
 
-// Everything that a runner is set up with.
+// Settings of a RequestRunner.
 struct RunnerSettings {
     BalancerInstance self;
     ClaimLimits claims;
     AdmissionLimits admission;
     RetryLimits retries;
-    // How long a backup is waited for, and how long a request waits for claims to move to a new owner.
+    // How long to wait for a backup's reply, and how long a request waits for claims to move to a new owner.
     std::chrono::milliseconds backupTimeout { 300 };
     std::chrono::milliseconds recoveryWait { 2000 };
     std::chrono::milliseconds maxDeadline { 60'000 };
@@ -33,11 +33,12 @@
     std::uint64_t seed = 0;
 };
 
-// Decides about requests at one balancer: non-idempotent ones whose keys it owns, and idempotent ones that it took in.
+// Runs the requests of one balancer: non-idempotent ones whose keys it owns, and idempotent ones that it received.
 //
-// Keyed work goes: slot, claim at the backup, acknowledgement, last check, send. Tries with the same key join the work
-// that is under way. A refusal that says "not run" first asks the backup whether this balancer still owns the key.
-// The shell calls one of the functions below for each event and then carries out takeActions(). Not thread-safe.
+// The steps of keyed work are: get a slot, send the claim to the backup, wait for its acknowledgement, check the
+// deadline again, send the work. Attempts with the same key join the work in progress. A refusal that says "not run"
+// first asks the backup whether this balancer still owns the key. The balancer's request control calls one of the
+// functions below for each event and then executes takeActions(). Not thread-safe.
 class RequestRunner {
 public:
     explicit RequestRunner(const RunnerSettings& settings);
@@ -45,20 +46,20 @@
     RequestRunner& operator=(const RequestRunner&) = delete;
 
     void learnTerm(const ClaimTerm&, TimePoint now);
-    // A holder that certainly runs no more: its VM is gone for good. Restarts are noticed from the members.
+    // Reports an instance as terminated because its VM was removed. Restarts are detected from the members.
     void learnTerminated(const BalancerInstance& holder) { buckets_.learnTerminated(holder); }
     void configure(const Configuration&, const MembersView&, TimePoint now);
 
     void arrive(const KeyedAttempt&, TimePoint now);
     void arrive(const UnkeyedAttempt&, TimePoint now);
-    // The caller left or its balancer is gone. Work of a key that was sent goes on, so that a retry finds its answer;
-    // idempotent work that nobody waits for is cancelled.
+    // The caller disconnected or its balancer failed. Keyed work that was sent continues, so that a retry finds its
+    // answer; idempotent work without waiters is cancelled.
     void cancel(AttemptId, TimePoint now);
 
     void workAnswered(WorkId, const SharedResponse&, TimePoint now);
     void workFailed(WorkId, HttpFailureKind, TimePoint now);
-    // The server named a time for which it has no room. Call it before workFailed, which pauses a server that refused
-    // or could not be reached by itself.
+    // The server reported that it has no capacity for this time. Call it before workFailed, which itself pauses a
+    // server that refused the work or was unreachable.
     void serverShed(BackendServerId server, std::chrono::milliseconds retryAfter, TimePoint now)
     {
         admission_.shed(server, retryAfter, now);
@@ -70,12 +71,12 @@
 
     std::vector<RequestAction> takeActions() { return std::exchange(actions_, {}); }
 
-    // The text of a fresh ticket; nothing while this balancer knows no ownership epoch of its zone.
+    // The text of a new ticket; empty while this balancer doesn't know the newest ownership epoch of its zone.
     std::optional<std::string> issueTicket(std::uint64_t high, std::uint64_t low) const;
 
-    // A planned stop: first let the members know that this balancer leaves, then wait until this is true. While the
-    // platform is out, the second condition can't come true; a stop after workUnderWay() is zero then costs its claims
-    // their second copy, not their first.
+    // For a planned stop: first announce to the members that this balancer leaves, then wait until this is true. While
+    // the platform is unavailable, isReleased() can't become true; stopping when workUnderWay() is zero then loses the
+    // second copy of the claims held here, not the only one.
     bool mayStop(TimePoint now) const { return workUnderWay() == 0 && buckets_.isReleased(now); }
     std::size_t workUnderWay() const { return works_.size() + parked_.size() + refusals_.waiting(); }
     const BucketManager& buckets() const { return buckets_; }
@@ -96,11 +97,11 @@
     void send(Work&, TimePoint now);
 
     void giveUp(Work&, RefusalReason, std::chrono::milliseconds retryDelay, TimePoint now);
-    // Forgets work that was not sent, with its slot and claim.
+    // Removes work that was not sent, releases its slot and withdraws its claim.
     void drop(Work&, TimePoint now);
     void parkWork(Work&, TimePoint now);
     void refuseUnclaimed(Work&, TimePoint now);
-    // Before this balancer stops acting under an epoch.
+    // To be called before this balancer stops acting under an epoch.
     void leaveEpoch(TimePoint now);
 
     void expireWaiters(TimePoint now);
--- a/Source/Request/RequestTypes.h
+++ b/Source/Request/RequestTypes.h
@@ -11,61 +11,61 @@
 
 namespace wisteriadock {
 
-// One HTTP request of one caller as the shell numbers it; never used again while the balancer runs.
+// Identifies one HTTP request of one caller; not reused while the balancer runs.
 using AttemptId = std::uint64_t;
-// One piece of work that may be sent to a backend server; several tries with the same key share it.
+// Identifies one piece of work that may be sent to a backend server; attempts with the same key share it.
 using WorkId = std::uint64_t;
 
-// What a refusal says about the work that the key names. There is no third answer.
+// What a refusal says about whether the work of the key ran.
 enum class Executed {
-    No, // No try with this key was sent to a backend server, and none known to the key's owner may still be.
+    No, // No attempt with this key was sent to a backend server, and none known to the key's owner may still be.
     Unknown, // The work ran, may have run, or may still run.
 };
 
 std::string_view nameOf(Executed);
 
-// Why a request is answered by the balancer and not by a backend server.
+// Why a request is answered by the balancer instead of a backend server.
 enum class RefusalReason {
     MissingKey, // A non-idempotent method without Idempotency-Key.
     MalformedKey,
     AbsurdDeadline,
     OversizedHeaders,
     OversizedBody,
-    KeyReused, // The key came before with other content.
-    InProgress, // The same work runs elsewhere at this moment.
-    KeyTooOld, // Claims of the key's age have been forgotten.
-    ClaimsLost, // Every holder of the key's claims vanished, and the key is not provably younger than that.
+    KeyReused, // The key was used before with other content.
+    InProgress, // The same work is running elsewhere.
+    KeyTooOld, // Claims as old as the key have been removed.
+    ClaimsLost, // All holders of the key's claims were lost, and the key may be older than the loss.
     OutcomeUnknown, // The work was sent and its answer was lost.
-    AnswerNotKept, // The work ran and its answer is no longer, or never was, kept.
+    AnswerNotKept, // The work ran, but its answer is not kept.
     DeadlinePassed,
-    Overloaded, // The expected wait exceeds the deadline, or the queue's bound was reached.
-    NoServer, // No backend server of the service takes new work.
-    TableFull, // No room for another claim.
-    ComeBackLater, // The key was refused moments ago; its time to come back has not been reached.
-    NotReady, // The key's claims are on their way to a new owner.
-    HomeUnreachable, // The key's home availability zone, or its owner there, can't be reached.
-    BackupUnreachable, // The owner could not make sure that it still owns the key.
+    Overloaded, // The expected wait exceeds the deadline, or the queue is full.
+    NoServer, // No backend server of the service accepts new work.
+    TableFull, // The claim table is full.
+    ComeBackLater, // The key was refused recently and its retry time has not been reached.
+    NotReady, // The key's claims are being moved to a new owner.
+    HomeUnreachable, // The key's home availability zone, or its owner there, is unreachable.
+    BackupUnreachable, // The owner could not confirm that it still owns the key.
 };
 
 std::string_view nameOf(RefusalReason);
 
-// The HTTP status that a reason is answered with.
+// The HTTP status code for a reason.
 int statusOf(RefusalReason);
 
 // A final answer of the balancer itself.
 struct Refusal {
     RefusalReason reason = RefusalReason::Overloaded;
     Executed executed = Executed::Unknown;
-    // For Retry-After; zero when coming back cannot help.
+    // Value of Retry-After; zero when a retry cannot help.
     std::chrono::seconds retryAfter { 0 };
 
     bool operator==(const Refusal&) const = default;
 };
 
-// A whole answer of a backend server, shared by all who get it.
+// A complete response of a backend server, shared by all attempts that receive it.
 using SharedResponse = std::shared_ptr<const HttpResponse>;
 
-// One start of one balancer. A balancer that starts again is another holder: it has lost what the earlier one held.
+// One run of one balancer process. A restarted balancer is another instance: it has lost the claims of the earlier one.
 struct BalancerInstance {
     BalancerId id;
     std::uint64_t incarnation = 0;
--- a/Source/Request/RetryAfter.h
+++ b/Source/Request/RetryAfter.h
@@ -7,8 +7,8 @@
 
 namespace wisteriadock {
 
-// Draws when a refused caller should come back: whole seconds, evenly spread from the base to three times the base, so
-// that those who were refused together don't return together.
+// Draws the Retry-After of a refused caller: whole seconds, uniform between the base and three times the base, so that
+// callers refused together don't retry together. The base is limited to 1 to 30 s.
 inline std::chrono::seconds drawRetryAfter(std::chrono::milliseconds base, std::mt19937_64& random)
 {
     constexpr std::int64_t shortest = 1000;
--- a/Source/Request/RetryPolicy.h
+++ b/Source/Request/RetryPolicy.h
@@ -9,33 +9,33 @@
 // Defined in Net/Http2Client.h.
 enum class HttpFailureKind;
 
-// Which failures are followed by another attempt.
+// Which failures may be retried.
 enum class RetryRule {
-    Safe, // Never sends work again that may have run, unless it is idempotent.
-    Blind, // Sends anything again. Runs work twice; exists as the baseline of experiments and tests only.
+    Safe, // Never resends work that may have run, unless it is idempotent.
+    Blind, // Resends any work, so that work may run twice. Baseline for experiments and tests only.
 };
 
-// Bounds on attempts beyond the first.
+// Limits on retries.
 struct RetryLimits {
-    // Further attempts per request over time. A ratio keeps retries from multiplying load when everything fails.
+    // Retries per request on average. The ratio keeps retries from multiplying the load when everything fails.
     double ratio = 0.1;
-    // Attempts that may be saved up while nothing fails.
+    // Retries that can accumulate in the budget while nothing fails.
     double burst = 20;
     std::uint32_t attemptsPerRequest = 3;
     RetryRule rule = RetryRule::Safe;
 };
 
-// Whether a failed attempt may have been acted on by the server.
+// Whether the server may have processed work that failed this way.
 bool mayHaveRun(HttpFailureKind);
 
-// Decides on further attempts within a budget that first attempts fill.
+// Allows retries within a budget that grows with each request.
 class RetryPolicy {
 public:
     explicit RetryPolicy(const RetryLimits& limits);
 
     void countRequest();
 
-    // Takes one from the budget if another attempt is allowed. A cancelled attempt never is.
+    // Takes one retry from the budget if a retry is allowed. Cancelled work is never retried.
     bool takeRetry(HttpFailureKind, bool isIdempotent, std::uint32_t attemptsMade);
 
     double budget() const { return budget_; }
--- a/Source/Request/ServiceQueue.h
+++ b/Source/Request/ServiceQueue.h
@@ -10,7 +10,7 @@
 
 namespace wisteriadock {
 
-// Work of one service that waits for a slot, first come first served, and how long its work usually takes.
+// The FIFO queue of one service's work that waits for a slot, with an estimate of how long the work takes.
 class ServiceQueue {
 public:
     struct Entry {
@@ -22,18 +22,18 @@
     std::size_t size() const { return entries_.size(); }
     void add(WorkId, TimePoint deadline);
     bool remove(WorkId);
-    // Takes the first.
+    // Removes and returns the first entry; empty when the queue is empty.
     std::optional<Entry> takeNext();
 
-    // Removes what can no longer be done in time.
+    // Removes entries that can no longer meet their deadline.
     std::vector<WorkId> removeInfeasible(TimePoint now);
 
     void recordDuration(Duration);
-    // What one piece of work takes: on average, and when it takes long.
+    // Duration of one piece of work: the mean, and the mean plus two mean deviations.
     Duration meanDuration() const { return mean_; }
     Duration longDuration() const { return mean_ + 2 * deviation_; }
 
-    // How long one more entry would wait with so many slots.
+    // Expected wait of one more entry when this many slots serve the queue.
     Duration expectedWait(std::uint32_t slots) const;
     bool canMeet(TimePoint deadline, std::uint32_t slots, TimePoint now) const;
 
--- a/Source/Request/SlotLoans.h
+++ b/Source/Request/SlotLoans.h
@@ -12,25 +12,25 @@
 
 namespace wisteriadock {
 
-// Slots that pass between balancers: whom to ask for one and how often, and which own ones are lent out.
-// Refused questions are repeated ever more seldom, so that an overload of everybody costs few messages.
+// Slots lent between balancers: selects the peer to ask and the time of the next request, and tracks the own slots that
+// are lent out. Requests back off exponentially while peers refuse, so that a general overload causes few messages.
 class SlotLoans {
 public:
     void setPeers(std::vector<BalancerInstance> peers);
 
-    // Whom to ask for a slot of the service now, if anybody; the caller sends the borrowRequest with the number.
+    // The peer to ask for a slot of the service now, if any. The caller sends it a BorrowSlot with the nonce.
     struct BorrowRequest {
         BalancerInstance to;
         std::uint64_t nonce = 0;
     };
     std::optional<BorrowRequest> nextBorrowRequest(ServiceId, TimePoint now, std::mt19937_64&);
-    // Takes an answer; returns the service it was asked for if it still is of use.
+    // Handles a reply; returns the service of the matching request, or nothing when the reply matches none.
     std::optional<ServiceId> takeReply(const BalancerInstance& from, const SlotReply&, TimePoint now);
 
     void lend(const BalancerInstance& to, std::uint64_t nonce, BackendServerId, TimePoint expiry);
-    // Whether that loan was open; it is closed now.
+    // Ends a loan; returns whether it was open.
     bool takeBack(const BalancerInstance& from, std::uint64_t nonce);
-    // Servers whose loans ran out because the borrower vanished, one entry a slot.
+    // Servers of the loans that expired because the borrower failed, one entry per slot.
     std::vector<BackendServerId> takeExpired(TimePoint now);
 
 private:
--- a/Source/Request/SlotShares.h
+++ b/Source/Request/SlotShares.h
@@ -7,10 +7,11 @@
 
 namespace wisteriadock {
 
-// How many of a backend server's slots one balancer may use without asking anybody. Slots are dealt by rendezvous among
-// the balancers that serve in the server's availability zone, or among all when none serves there; so balancers with
-// the same view deal each slot exactly once, and a cut between zones changes no share. While views differ a slot may be
-// dealt twice for a moment; the backend server then sheds, which is provably not run.
+// Number of a backend server's slots that one balancer may use without borrowing. Slots are divided by rendezvous
+// hashing among the balancers that serve in the server's availability zone, or among all when none serves there.
+// Balancers with the same view therefore assign each slot exactly once, and a partition between zones changes no share.
+// While views differ, a slot may be assigned twice; the backend server then refuses the excess work, which has
+// certainly not run.
 std::uint32_t slotShareOf(const BackendServer&, const MembersView&, BalancerId balancer);
 
 }
--- a/Source/Request/TermReconciler.h
+++ b/Source/Request/TermReconciler.h
@@ -19,49 +19,51 @@
     std::uint64_t baseRevision = 0;
 };
 
-// Read the zone's record, then call learnRecord or learnAbsent.
+// Read the zone's record, then call learnRecord, learnAbsent or readFailed.
 struct ReadTerm { };
 
-// The record is in force: give it to the RequestRunner and the RequestRouter, and to the other balancers.
+// The record is in force: pass it to the RequestRunner, the RequestRouter and the other balancers.
 struct AdoptTerm {
     ClaimTerm term;
 };
 
 using TermAction = std::variant<WriteTerm, ReadTerm, AdoptTerm>;
 
-// How a compare-and-swap ended.
+// The result of a compare-and-swap.
 enum class TermWrite {
     Written,
     Conflict,
-    Unreached, // Nothing was done.
-    Unknown, // The answer was lost: it may have taken effect.
+    Unreached, // Nothing was written.
+    Unknown, // The reply was lost; the write may have taken effect.
 };
 
 struct TermTimes {
-    // How long the holders must look wrong before the record is written, so that one that flickers moves nothing.
+    // How long the holders must differ from the serving balancers before a record is written, so that short outages
+    // change nothing.
     std::chrono::milliseconds debounce { 300 };
-    // Added for each balancer of the zone that comes earlier in the order, so that one writes and the others see it.
+    // Added for each balancer of the zone that comes earlier in the order, so that one balancer writes and the others
+    // see it.
     std::chrono::milliseconds rankDelay { 200 };
     std::chrono::milliseconds retry { 1000 };
-    // A record is renewed at this age, so that tickets carry an epoch of about their age.
+    // A record is renewed at this age, so that a ticket's epoch tells its approximate age.
     std::chrono::minutes renewalInterval { 30 };
 };
 
-// Keeps the ownership record of one availability zone right: sees that its holders are the balancers that serve there.
-// It writes a few times for each change of members, never for a request. While the platform is out, the record stays,
-// and with it every owner whose backup answers.
+// Reconciles the ownership record of one availability zone with the balancers that serve there. It writes only when
+// members change and at renewals, never for a request. While the platform is unavailable, the record stays in force.
+// Makes the decisions for TermControl, which executes takeActions().
 class TermReconciler {
 public:
     TermReconciler(std::string zone, BalancerId self, const TermTimes& times);
 
     void learnMembers(const MembersView&, TimePoint now);
-    // What the platform holds now.
+    // Reports the record that the platform holds now.
     void learnRecord(const ClaimTerm&, std::uint64_t revision, TimePoint now);
     void learnAbsent(TimePoint now);
-    // What a peer says is in force; its revision is not known, so a write is preceded by a read.
+    // Reports a record that a peer has adopted. Its revision is unknown, so a write is preceded by a read.
     void learnFromPeer(const ClaimTerm&, TimePoint now);
     void writeEnded(TermWrite, std::uint64_t newRevision, TimePoint now);
-    // A read failed; it is repeated.
+    // Reports a failed read, which is repeated.
     void readFailed(TimePoint now);
     void tick(TimePoint now);
 
@@ -80,7 +82,7 @@
     MembersView view_;
     std::optional<ClaimTerm> term_;
     TimePoint adoptedAt_;
-    // Revision of the platform's record; unset when it must be read first.
+    // Revision of the platform's record; unset when the record must be read first.
     std::optional<std::uint64_t> revision_;
     std::optional<ClaimTerm> writing_;
     bool isReading_ = false;
--- a/Source/Request/TerminatedInstances.h
+++ b/Source/Request/TerminatedInstances.h
@@ -9,11 +9,11 @@
 
 namespace wisteriadock {
 
-// Holders that certainly run no more. Silence proves nothing: a balancer that is paused or cut off comes back. Proof is
-// a newer start of the same balancer, or that its VM is gone for good.
+// Balancer instances that have certainly terminated. An unresponsive balancer may be paused or partitioned and resume
+// later; only a newer start of the same balancer, or the removal of its VM, proves termination.
 class TerminatedInstances {
 public:
-    // The balancer runs with this incarnation, so all earlier ones are over.
+    // The balancer runs with this incarnation, so all earlier ones have terminated.
     void learnStart(const BalancerInstance& holder)
     {
         if (holder.incarnation > 0)
--- a/Source/Request/WorkClaims.h
+++ b/Source/Request/WorkClaims.h
@@ -10,16 +10,16 @@
 
 namespace wisteriadock {
 
-// What became of the wish to claim a key.
+// The result of begin().
 enum class ClaimResult {
     Held, // The zone has one holder: the claim is held.
-    Pending, // The backup has been asked.
+    Pending, // The claim was sent to the backup.
     NotOwner,
     TableFull,
 };
 
-// Writes the claims of one RequestRunner's own work into its table and tells the other holders. For idempotent work,
-// which has no key, nothing happens.
+// Writes the claims of one RequestRunner's own work into its claim table and sends them to the other holders. Does
+// nothing for idempotent work, which has no key.
 class WorkClaims {
 public:
     WorkClaims(const BalancerInstance& self, BucketManager&, WorkTable&);
--- a/Source/Request/WorkTable.h
+++ b/Source/Request/WorkTable.h
@@ -13,20 +13,20 @@
 
 namespace wisteriadock {
 
-// One try that waits for the end of some work.
+// An attempt that waits for the outcome of the work.
 struct WorkWaiter {
     AttemptId id = 0;
     TimePoint deadline;
 };
 
-// How far work has come at the balancer that does it.
+// Progress of the work at the balancer that runs it.
 enum class WorkStage {
     Queued, // Waits for a slot.
     Claiming, // Has a slot, waits for the backup's acknowledgement.
     Sent,
 };
 
-// Work that a balancer does for one or more tries.
+// Work that a balancer runs for one or more attempts.
 struct Work {
     WorkId id = 0;
     // Absent for idempotent work.
@@ -37,21 +37,21 @@
     std::vector<WorkWaiter> waiters;
     WorkStage stage = WorkStage::Queued;
     BackendServerId server;
-    // Number of the claim; 0 before there is one.
+    // Sequence number of the claim; 0 before there is one.
     std::uint64_t sequence = 0;
-    // The backup holds the claim. From then on nobody else runs the key, whatever becomes of the ownership.
+    // The backup holds the claim. From then on no other balancer runs the key, even if the ownership changes.
     bool isClaimHeld = false;
     TimePoint claimDeadline;
     std::uint32_t sendCount = 0;
-    // An attempt may have been acted on; then no refusal says "not run".
+    // A backend server may have processed the work; then no refusal says "not run".
     bool mayHaveRun = false;
 };
 
-// Work for one try, to be added to a table.
+// Creates work for one attempt, to be added to a table.
 Work makeWork(const KeyedAttempt&);
 Work makeWork(const UnkeyedAttempt&);
 
-// The work of one balancer, found by number, key, try and claim.
+// The work of one balancer, indexed by id, key, attempt and claim.
 class WorkTable {
 public:
     Work& add(Work);
@@ -68,7 +68,7 @@
     void setClaim(Work&, std::uint64_t sequence);
 
     std::size_t size() const { return works_.size(); }
-    // Numbers of all work, oldest first.
+    // Ids of all work, oldest first.
     std::vector<WorkId> ids() const;
 
 private:
