--- a/Source/Request/Admission.cpp
+++ b/Source/Request/Admission.cpp
@@ -30,7 +30,7 @@
     for (const BackendServer& settings : configuration.backendServers) {
         const auto [entry, isNew] = servers_.try_emplace(settings.id);
         Server& server = entry->second;
-        // What was there when this balancer started is warm for all it knows.
+        // Servers in the first configuration are taken as warm.
         if (isNew)
             server.addedAt = isFirstConfiguration_ ? now - std::chrono::seconds(settings.slowStartSeconds) : now;
         server.settings = settings;
@@ -57,7 +57,7 @@
     const double age = std::chrono::duration<double>(now - server.addedAt).count();
     if (ramp == 0 || age >= ramp)
         return server.share;
-    // A cold server gets its first slot at once, or it would never warm up.
+    // A cold server gets its first slot at once, because only work warms it up.
     const auto warm = static_cast<std::uint32_t>(std::ceil(server.share * age / ramp));
     return std::min(server.share, std::max<std::uint32_t>(warm, 1));
 }
@@ -72,7 +72,8 @@
     return slots;
 }
 
-// The least used server with a free slot of this balancer's share; equal ones by lot, so that balancers don't herd.
+// Returns the least loaded server with a free slot of this balancer's share. Ties are broken randomly, so that
+// balancers don't all choose the same server.
 Admission::Server* Admission::freeServer(ServiceId service, TimePoint now)
 {
     Server* best = nullptr;
@@ -84,16 +85,16 @@
         const std::uint32_t slots = usableSlots(server, now);
         if (server.inUse >= slots)
             continue;
-        // One that failed lately is taken only when no other is free, so that few attempts are spent on finding out.
+        // A server that failed recently is used only when no other is free, so that few attempts go to a failed server.
         const bool isSuspect = server.backOff > std::chrono::milliseconds(0) && now < server.pausedUntil + suspectTime;
         const double penalty = isSuspect ? 1 : 0;
-        const double use = penalty + static_cast<double>(server.inUse) / slots;
-        if (use > bestLoad)
+        const double load = penalty + static_cast<double>(server.inUse) / slots;
+        if (load > bestLoad)
             continue;
-        tied = use < bestLoad ? 1 : tied + 1;
-        if (use < bestLoad || random_() % tied == 0) {
+        tied = load < bestLoad ? 1 : tied + 1;
+        if (load < bestLoad || random_() % tied == 0) {
             best = &server;
-            bestLoad = use;
+            bestLoad = load;
         }
     }
     return best;
@@ -235,7 +236,7 @@
     if (!message.isLent)
         return;
     std::optional<ServiceQueue::Entry> entry;
-    // A server that this balancer can't reach may well be reached by the lender; its slot is of no use here.
+    // Servers that this balancer can't reach are paused here; the lender may still reach them, so the slot is returned.
     const auto server = servers_.find(message.server);
     const bool isUsable = server == servers_.end() || now >= server->second.pausedUntil;
     if (service && isUsable) {
--- a/Source/Request/BucketManager.cpp
+++ b/Source/Request/BucketManager.cpp
@@ -8,7 +8,7 @@
 namespace {
 
     constexpr std::chrono::milliseconds resendInterval { 100 };
-    // Lost claims are asked for at leisure: whoever has them was not there when it mattered.
+    // Lost claims are requested less often: their holders didn't answer during the recovery.
     constexpr std::chrono::milliseconds lostRecoveryInterval { 1000 };
     constexpr std::chrono::milliseconds handoverTime { 1000 };
 
@@ -45,7 +45,7 @@
     Bucket& bucket = buckets_[index];
     bucket.ownership = Ownership::Recovering;
     bucket.recovery = BucketRecovery(term_->pastPairsOf(index), term_->isHistoryWhole, term_->epoch, now);
-    // The contents stay in the table; only what they are worth is needed here.
+    // The contents are in the table already; the recovery needs only the installed epoch.
     bucket.recovery.add(self_, { term_->epoch, index, bucket.installedEpoch, {} });
     bucket.sendAt = now;
     advance(index, now);
@@ -121,7 +121,7 @@
         table_.merge(index, contents, now);
 }
 
-// A whole copy replaces what is held here from earlier times, except how this balancer's own work went.
+// A complete copy replaces the older local contents except for the outcomes of this balancer's own work.
 void BucketManager::replaceContents(std::uint32_t index, const BucketContents& contents, TimePoint now)
 {
     BucketContents own { table_.copy(index, now), 0, std::nullopt };
@@ -231,7 +231,7 @@
             send(from, TermUpdate { *term_ });
         return;
     }
-    // From here on nothing of an older epoch is accepted, so the copy that goes out is the last word on it.
+    // From here on messages of older epochs are rejected, so the copy that is sent stays final.
     send(from,
         BucketSnapshot { message.epoch, message.bucket, buckets_[message.bucket].installedEpoch,
             contentsOf(message.bucket, true, now) });
@@ -259,12 +259,12 @@
     const bool hasBase = bucket.installedEpoch != 0 && bucket.installedEpoch == message.baseEpoch;
     if (!isInstalled && !hasBase && !message.isWhole)
         return send(from, BucketInstalled { message.epoch, message.bucket, false });
-    // The owner could not reach this balancer when it looked for claims: it gets them now, before they are mixed.
+    // The owner did not get this balancer's copy during its recovery: send the copy before the contents are merged.
     if (message.contents.lost && bucket.installedEpoch != 0 && !isInstalled)
         send(from,
             BucketSnapshot {
                 message.epoch, message.bucket, bucket.installedEpoch, contentsOf(message.bucket, true, now) });
-    // A repeated message must not wipe out claims that were made since.
+    // A repeated message must not delete claims made since.
     if (message.isWhole && !isInstalled && !message.contents.lost)
         replaceContents(message.bucket, message.contents, now);
     else
--- a/Source/Request/BucketRecovery.cpp
+++ b/Source/Request/BucketRecovery.cpp
@@ -27,7 +27,7 @@
 
 void BucketRecovery::add(const BalancerInstance& from, const BucketSnapshot& snapshot)
 {
-    // The first answer counts: it was given when the holder stopped acting, and nothing was claimed there since.
+    // Only the first answer is valid: it dates from when the holder stopped acting under older epochs.
     answers_.try_emplace(from, snapshot);
 }
 
--- a/Source/Request/ClaimTerm.cpp
+++ b/Source/Request/ClaimTerm.cpp
@@ -10,7 +10,7 @@
 
     constexpr std::uint64_t rendezvousSeed = 0x636c61696d;
 
-    // The incarnation stays out of it, so that a balancer that starts again gets its buckets back.
+    // The incarnation is not hashed, so that a restarted balancer gets its buckets back.
     std::uint64_t score(const BalancerInstance& holder, std::uint32_t bucket)
     {
         return hashPair(hashPair(rendezvousSeed, holder.id.value), bucket);
@@ -75,7 +75,7 @@
 std::optional<ClaimTerm> nextClaimTerm(
     const std::optional<ClaimTerm>& current, std::string_view zone, const MembersView& view)
 {
-    // A balancer that hears nobody may have been paused: what it believes about the others is no ground to act on.
+    // An isolated balancer may have been paused, so its view of the others may be outdated.
     if (view.isolated)
         return std::nullopt;
     std::vector<BalancerInstance> holders = servingHolders(zone, view);
--- a/Source/Request/KeyDecision.cpp
+++ b/Source/Request/KeyDecision.cpp
@@ -76,7 +76,7 @@
         return decideKnown(attempt, *record);
     if (now >= record->since)
         return decideFresh(attempt, buckets);
-    // A try of the same key that was on its way when the key was refused must not make that refusal false.
+    // An attempt that was in transit when its key was refused as not run must not run before the retry time.
     return refuseNotRun(
         RefusalReason::ComeBackLater, std::chrono::ceil<std::chrono::milliseconds>(record->since - now));
 }
--- a/Source/Request/RefusalWriter.cpp
+++ b/Source/Request/RefusalWriter.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // Coming back with the same request at a later time can't help against these.
+    // Whether repeating the same request later can't succeed.
     bool isFinal(RefusalReason reason)
     {
         switch (reason) {
@@ -63,7 +63,7 @@
 
 void RefusalWriter::refuseAtOnce(const PendingRefusal& refusal, TimePoint now)
 {
-    // Another try of the key may have started while the check was on its way.
+    // Another attempt of the key may have started during the epoch check.
     const ClaimRecord* record = buckets_.table().find(claimBucketOf(refusal.key.digest), refusal.key.digest);
     const bool mayRun = works_.findByKey(refusal.key.digest) || (record && record->state != ClaimState::Refused);
     if (mayRun)
@@ -77,8 +77,8 @@
     const auto retryAfter = isFinalReason ? std::chrono::seconds(0) : drawRetryAfter(refusal.retryDelay, random_);
     actions_.emplace_back(RefuseAttempt { refusal.id, { refusal.reason, Executed::No, retryAfter } });
 
-    // Until the caller was told to come back, no other try of the key makes this answer false. Repeating the refusal
-    // does not put the time off. Refusals get at most half of the table.
+    // Records the refusal, so that no other attempt runs the key before the retry time. A repeated refusal doesn't
+    // extend that time. Refusals use at most half of the table.
     const std::uint32_t bucket = claimBucketOf(refusal.key.digest);
     ClaimTable& table = buckets_.table();
     const bool hasRoom = table.size() < table.limits().claims / 2;
--- a/Source/Request/RequestKey.cpp
+++ b/Source/Request/RequestKey.cpp
@@ -37,7 +37,7 @@
         return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'f');
     }
 
-    // Reads "e17.<32 hex digits>"; anything else is a caller's own text.
+    // Parses "e17.<32 hex digits>"; any other text is not a ticket.
     std::optional<std::uint64_t> readTicketEpoch(std::string_view text)
     {
         const auto dot = text.find('.');
--- a/Source/Request/RequestRouter.cpp
+++ b/Source/Request/RequestRouter.cpp
@@ -11,7 +11,7 @@
         return std::any_of(view.members.begin(), view.members.end(), [&](const Member& member) {
             if (member.id != holder.id)
                 return false;
-            // A record that names a later start than the view knows is the newer word on that balancer.
+            // A record that names a later incarnation is newer than the view.
             const bool isViewBehind = member.incarnation < holder.incarnation;
             return isViewBehind || (member.incarnation == holder.incarnation && member.state != MemberState::Dead);
         });
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -89,7 +89,7 @@
     if (!parked_.add(attempt, now))
         return refusals_.refuse(attempt.id, RefusalReason::NotReady, Executed::Unknown, defaultRetryDelay);
     const bool isBehind = !buckets_.knowsNewestTerm() || attempt.key.issuedEpoch > buckets_.newestEpoch();
-    // Anybody can write an epoch into a key; it must not become a storm of reads.
+    // Callers can write any epoch into a key, so the rate of fetches is limited.
     if (!isBehind || now < nextFetchAt_)
         return;
     nextFetchAt_ = now + fetchTermInterval;
@@ -146,7 +146,7 @@
     if (!work)
         return;
     work->mayHaveRun = work->mayHaveRun || mayHaveRun(kind);
-    // Unreachable or full: other work would fare no better there, and each attempt costs from the budget.
+    // Pauses the unreachable or full server: more work would fail there and use up the retry budget.
     if (!mayHaveRun(kind))
         admission_.shed(work->server, std::chrono::milliseconds(0), now);
     admission_.release(id, false, now);
@@ -159,7 +159,7 @@
     collect(now);
 }
 
-// Ends work without an answer, whatever its stage, with what is known of it.
+// Ends work without an answer, at any stage, and refuses its waiters according to whether it may have run.
 void RequestRunner::giveUp(Work& work, RefusalReason reason, std::chrono::milliseconds retryDelay, TimePoint now)
 {
     const Work ended = work;
@@ -181,7 +181,7 @@
     }
 }
 
-// Carries out what the parts decided, checkDeadline nothing more follows from it.
+// Processes the results of the components until no new ones follow.
 void RequestRunner::collect(TimePoint now)
 {
     for (bool isSettled = false; !isSettled;) {
@@ -274,7 +274,7 @@
 {
     if (work.waiters.empty())
         return drop(work, now);
-    // The last look before the work leaves: a balancer that was paused here must not send what nobody waits for.
+    // Checks the deadline immediately before sending, because the balancer may have been paused since the last check.
     if (now >= work.deadline)
         return giveUp(work, RefusalReason::DeadlinePassed, defaultRetryDelay, now);
     work.stage = WorkStage::Sent;
@@ -291,8 +291,8 @@
     admission_.withdraw(id, now);
 }
 
-// Work whose claim no backup holds yet goes back to where its tries came from, and its claim is withdrawn before the
-// bucket is handed on; otherwise the new owner would find a claim that nobody will ever use.
+// Parks attempts whose claim no backup holds yet, and withdraws the claim before the bucket is handed over; otherwise
+// the new owner would find a claim that is never used.
 void RequestRunner::leaveEpoch(TimePoint now)
 {
     for (const WorkId id : works_.ids()) {
--- a/Source/Request/ServiceQueue.cpp
+++ b/Source/Request/ServiceQueue.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    // Weights of the newest sample. The mean moves slowly: it is multiplied by the length of the queue, and with TCP's
-    // weight of an eighth (RFC 6298) its noise alone made 6 of 100 late at twice the capacity.
+    // Weights of the newest sample are 1 / weight. The mean changes slowly, because its noise is multiplied by the
+    // queue length.
     constexpr int meanWeight = 32;
     constexpr int deviationWeight = 16;
-    // Waits are estimated longer than they are on average by this part.
+    // The expected wait is increased by 1 / waitMargin.
     constexpr int waitMargin = 8;
 
 }
@@ -45,7 +45,7 @@
 
 void ServiceQueue::recordDuration(Duration sample)
 {
-    // The first samples weigh more: they replace a guess.
+    // The first samples weigh more, because they replace the initial values.
     samples_ = std::min(samples_ + 1, meanWeight);
     mean_ += (sample - mean_) / samples_;
     const Duration error = sample > mean_ ? sample - mean_ : mean_ - sample;
--- a/Source/Request/SlotLoans.cpp
+++ b/Source/Request/SlotLoans.cpp
@@ -32,7 +32,7 @@
         state.nextPeer = random();
     if (now < state.nextRequestAt)
         return std::nullopt;
-    // A borrowRequest whose answer never came counts as refused.
+    // A request without a reply counts as refused.
     if (state.isReplyPending)
         ++state.refusals;
     state.nonce = ++lastNonce_;
--- a/Source/Request/TermReconciler.cpp
+++ b/Source/Request/TermReconciler.cpp
@@ -20,8 +20,8 @@
 
 void TermReconciler::adopt(const ClaimTerm& term, TimePoint now)
 {
-    // A platform restored from an older copy shows epochs of the past: they are never taken up again, and the next
-    // write puts a newer one over them.
+    // A platform restored from a backup may return earlier epochs. They are not adopted, and the next write replaces
+    // them with a newer epoch.
     if (term_ && term.epoch <= term_->epoch)
         return;
     term_ = term;
@@ -62,7 +62,7 @@
         adopt(*written, now);
         return;
     }
-    // A lost answer is not repeated blindly: the record is read, and tells what is in force.
+    // After a conflict or a lost reply the record is read again before any further write.
     if (outcome != TermWrite::Unreached)
         read(now);
 }
