--- a/Tests/Request/AdmissionTest.cpp
+++ b/Tests/Request/AdmissionTest.cpp
@@ -59,7 +59,7 @@
                 admission.configure(configuration, view, clock.now());
         }
 
-        // Carries messages about loans between the two.
+        // Delivers messages between the two balancers.
         void deliver()
         {
             for (bool isQuiet = false; !isQuiet;) {
@@ -95,7 +95,7 @@
 
 }
 
-TEST(SlotShares, DealEachSlotOnceWithinTheServersZone)
+TEST(SlotShares, AssignEachSlotOnceWithinTheServersZone)
 {
     const MembersView view = makeView(7);
     for (const std::uint32_t slots : { 1u, 2u, 3u, 9u }) {
@@ -111,7 +111,7 @@
     }
 }
 
-TEST_F(AdmissionTest, BorrowsAFreeSlotAndGivesItBack)
+TEST_F(AdmissionTest, BorrowsAndReturnsAFreeSlot)
 {
     configure(makeConfiguration(2, 1, "walu"));
     ASSERT_EQ(admissions[0].shareOf({ 1 }), 1u);
@@ -125,8 +125,8 @@
     EXPECT_EQ(admissions[0].takeGrants().size(), 1u);
 }
 
-// Symptom: slots vanish one by one. Sequence: a balancer borrows a slot and dies. Cause: waiting for it for ever.
-TEST_F(AdmissionTest, LoanOfAVanishedBorrowerRunsOut)
+// Guards against slots that stay reserved after their borrower failed.
+TEST_F(AdmissionTest, LoanOfAFailedBorrowerExpires)
 {
     configure(makeConfiguration(1, 1, "walu"));
     requestSlots(1, 1);
@@ -137,7 +137,7 @@
     EXPECT_EQ(admissions[0].slotsInUse({ 1 }), 0u);
 }
 
-TEST_F(AdmissionTest, RefusesAtOnceWhatCannotBeDoneInTime)
+TEST_F(AdmissionTest, RefusesWorkThatCannotMeetItsDeadline)
 {
     configure(makeConfiguration(1, 2, "walu"));
     requestSlots(0, 2);
@@ -152,19 +152,19 @@
     EXPECT_LT(queued, 50u);
     EXPECT_EQ(admissions[0].takeRefusals().size(), 100 - queued);
 
-    SCOPED_TRACE("what waited too long goes when it becomes hopeless, not at its deadline");
+    SCOPED_TRACE("queued work is refused as soon as its deadline is infeasible");
     clock.advance(milliseconds(990));
     admissions[0].tick(clock.now());
     EXPECT_EQ(admissions[0].queued(service), 0u);
     EXPECT_EQ(admissions[0].takeRefusals().size(), queued);
 }
 
-TEST_F(AdmissionTest, LeavesDrainingSheddingAndColdServersAlone)
+TEST_F(AdmissionTest, LimitsDrainingSheddingAndColdServers)
 {
     Configuration configuration = makeConfiguration(1, 4, "walu");
     configure(configuration);
     {
-        SCOPED_TRACE("a server that sheds gets nothing for a while");
+        SCOPED_TRACE("a shedding server gets no work for a while");
         admissions[0].shed({ 1 }, milliseconds(200), clock.now());
         EXPECT_EQ(requestSlots(0, 1), 0u);
         clock.advance(milliseconds(400));
@@ -172,7 +172,7 @@
         EXPECT_EQ(admissions[0].takeGrants().size(), 1u);
     }
     {
-        SCOPED_TRACE("a server that is new starts with one slot");
+        SCOPED_TRACE("a new server starts with one slot, a draining one gets no work");
         BackendServer cold = configuration.backendServers[0];
         cold.id = { 2 };
         cold.slowStartSeconds = 100;
@@ -189,9 +189,8 @@
     EXPECT_EQ(admissions[0].takeRefusals().back().reason, RefusalReason::NoServer);
 }
 
-// Symptom: a failing service is hit with three times its load. Sequence: every attempt fails; each is repeated.
-// Cause: counting retries per request instead of against all requests.
-TEST(RetryPolicy, KeepsRetriesToARatioAndNeverRepeatsWhatMayHaveRun)
+// Guards against retry amplification when every attempt fails.
+TEST(RetryPolicy, LimitsRetriesAndNeverResendsWorkThatMayHaveRun)
 {
     RetryPolicy policy({});
     for (const auto kind : { HttpFailureKind::Lost, HttpFailureKind::DeadlineExceeded, HttpFailureKind::Incomplete }) {
--- a/Tests/Request/ClaimProtocolTest.cpp
+++ b/Tests/Request/ClaimProtocolTest.cpp
@@ -21,13 +21,13 @@
 
 }
 
-TEST(ClaimProtocol, WorkGoesOutOnceItsClaimIsHeldTwice)
+TEST(ClaimProtocol, WorkIsSentAfterTheBackupHoldsItsClaim)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
     const RequestKey key = group.keyOf(0, 1);
 
-    SCOPED_TRACE("nothing is sent before the backup's acknowledgement");
+    SCOPED_TRACE("no work is sent before the backup's acknowledgement");
     group.arrive(0, key);
     group.deliver(hold<ClaimReply>());
     EXPECT_TRUE(group.take<StartWork>(0).empty());
@@ -44,7 +44,7 @@
         EXPECT_EQ(group.takeRefusal(0), (Refusal { RefusalReason::KeyReused, Executed::Unknown, seconds(0) }));
     }
     {
-        SCOPED_TRACE("all get the whole answer, and so does a retry after the owner died");
+        SCOPED_TRACE("all attempts get the answer, also a retry after the owner failed");
         group[0].workAnswered(started[0].work, answerOf("done"), group.now());
         group.deliver();
         EXPECT_EQ(group.take<AnswerAttempt>(0).size(), 2u);
@@ -59,10 +59,7 @@
     }
 }
 
-// Symptom: work runs twice.
-// Sequence: an owner is paused after it asked its backup; a new record names another owner, which runs the key; the old
-// owner's message reaches the old backup late.
-// Cause: the backup acknowledges a claim of an epoch that is over.
+// Guards against a double run: the backup acknowledges a delayed claim of an owner that was replaced while paused.
 TEST(ClaimProtocol, BackupRefusesAnOwnerOfAnOlderEpoch)
 {
     RunnerGroup group(3);
@@ -80,10 +77,9 @@
     EXPECT_TRUE(group.take<StartWork>(0).empty());
 }
 
-// Symptom: work runs long after its caller was refused.
-// Sequence: an owner is paused after it asked its backup, and finds the acknowledgement when it wakes.
-// Cause: sending hold looking at the clock again.
-TEST(ClaimProtocol, OwnerThatWakesAfterTheDeadlineSendsNothing)
+// Guards against work that is sent after its caller was refused, because the owner was paused before the
+// acknowledgement.
+TEST(ClaimProtocol, OwnerThatResumesAfterTheDeadlineSendsNothing)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -96,10 +92,8 @@
     EXPECT_EQ(group.takeRefusal(0).executed, Executed::No);
 }
 
-// Symptom: a key that nobody ran is refused as in progress after a planned change.
-// Sequence: an owner waits for its backup's acknowledgement when the record changes; the acknowledgement comes late.
-// Cause: handing a claim over that was never used, instead of the try.
-TEST(ClaimProtocol, TryWhoseClaimWasNotHeldYetMovesToTheNewOwner)
+// Guards against refusing a key as in progress for a claim that was handed over but never used.
+TEST(ClaimProtocol, AttemptWithoutAHeldClaimMovesToTheNewOwner)
 {
     RunnerGroup group(4);
     group.settle({ 0, 1 });
@@ -117,17 +111,15 @@
     EXPECT_EQ(group.take<StartWork>(owner).size(), 1u);
 }
 
-// Symptom: work runs twice.
-// Sequence: a new owner asks the old backup for claims and gets a copy; the old backup then acknowledges a claim of the
-// old owner, before it has read the new record itself.
-// Cause: handing a bucket over hold ceasing to act under the older epoch.
-TEST(ClaimProtocol, WhoHandedABucketOverAcknowledgesNoMoreOldClaims)
+// Guards against a double run: an old backup acknowledges a claim of the old owner after it sent its copy to the new
+// one.
+TEST(ClaimProtocol, HolderThatSentItsSnapshotRejectsOlderClaims)
 {
     RunnerGroup group(4);
     group.settle({ 0, 1 });
     const RequestKey key = group.keyOf(0, 1);
     group.learn(group.makeTerm({ 2, 3 }), { 2, 3 });
-    // Balancer 1 hears of the new epoch only by being asked; balancer 0 hears nothing.
+    // Balancer 1 learns of the new epoch only from the new owner's request; balancer 0 does not learn of it.
     group.deliver(isolate(0));
     group.advance(milliseconds(150));
     group.deliver(isolate(0));
@@ -137,10 +129,8 @@
     EXPECT_TRUE(group.take<StartWork>(0).empty());
 }
 
-// Symptom: a caller is told "not run" of a registration that was made.
-// Sequence: an owner is cut off, a new one takes over and runs the key; the old one is overloaded, knows no record of
-// the key, and refuses a retry. Cause: saying "not run" hold asking whether one still owns the key.
-TEST(ClaimProtocol, ReplacedOwnerDoesNotSayNotRun)
+// Guards against a false "not run" by an owner that was replaced while partitioned.
+TEST(ClaimProtocol, ReplacedOwnerDoesNotRefuseAsNotRun)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1 });
@@ -150,16 +140,14 @@
     group.advance(milliseconds(150));
     group.deliver(isolate(0));
 
-    // The news of the epoch is lost, so the backup's answer alone must do.
+    // The newer record is lost, so only the backup's reply can prevent the false refusal.
     group.arriveInvalid(0, key, RefusalReason::AbsurdDeadline);
     group.deliver(hold<TermUpdate>());
     EXPECT_EQ(group.takeRefusal(0).executed, Executed::Unknown);
 }
 
-// Symptom: "not run" of a key that runs a moment later.
-// Sequence: a hopeless try is about to be refused; while the backup is asked, another try of the key comes and is sent.
-// Cause: not looking at the key again when the backup's answer is there.
-TEST(ClaimProtocol, TryThatComesWhileTheBackupIsAskedMakesTheRefusalUnknown)
+// Guards against a false "not run" when another attempt starts the key during the epoch check.
+TEST(ClaimProtocol, AttemptDuringTheEpochCheckMakesTheRefusalUnknown)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -173,10 +161,8 @@
     EXPECT_EQ(group.takeRefusal(0).executed, Executed::Unknown);
 }
 
-// Symptom: "not run", and then the work runs after all.
-// Sequence: a caller's first try is still on its way when the second one is refused; the first one arrives.
-// Cause: forgetting the refusal as soon as it is given.
-TEST(ClaimProtocol, RefusedKeyIsNotRunBeforeItsTimeToComeBack)
+// Guards against running a delayed attempt after its key was refused as not run.
+TEST(ClaimProtocol, RefusedKeyIsNotRunBeforeItsRetryTime)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -201,9 +187,7 @@
     EXPECT_EQ(group.take<StartWork>(0).size(), 1u);
 }
 
-// Symptom: work runs twice.
-// Sequence: the message that installs a bucket at its backup is repeated by the network after a claim was made.
-// Cause: wiping the bucket out each time it is installed; the claim then lives at the owner alone.
+// Guards against a double run: a repeated InstallBucket deletes a claim that was made after the first one.
 TEST(ClaimProtocol, RepeatedInstallKeepsLaterClaims)
 {
     RunnerGroup group(2);
@@ -223,9 +207,8 @@
     EXPECT_EQ(group.takeRefusal(1).reason, RefusalReason::InProgress);
 }
 
-// Symptom: work runs twice. Sequence: a claim is withdrawn and made anew; the withdrawal arrives after the new claim.
-// Cause: withdrawing by key and not by claim.
-TEST(ClaimProtocol, LateWithdrawalLeavesANewerClaim)
+// Guards against a double run: a late withdrawal of an earlier claim deletes a newer claim of the same key.
+TEST(ClaimProtocol, LateWithdrawalKeepsANewerClaim)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
--- a/Tests/Request/ClaimRecoveryTest.cpp
+++ b/Tests/Request/ClaimRecoveryTest.cpp
@@ -13,10 +13,8 @@
 
 }
 
-// Symptom: work runs twice.
-// Sequence: owner and backup die together; the key comes back to a new owner, which knows nothing of it.
-// Cause: taking an empty table for an empty past.
-TEST(ClaimProtocol, BothHoldersLostLeavesOldKeysInDoubt)
+// Guards against a double run: new owners take keys as never sent after both holders of their claims failed.
+TEST(ClaimProtocol, LossOfBothHoldersRefusesOldKeys)
 {
     RunnerGroup group(4);
     group.settle({ 0, 1 });
@@ -34,13 +32,13 @@
     wait(seconds(2));
     const std::size_t owner = group[2].buckets().ownership(claimBucketOf(old.digest)) == Ownership::Active ? 2 : 3;
     {
-        SCOPED_TRACE("a key of the caller's own making may have run");
+        SCOPED_TRACE("a key chosen by the caller may have run");
         group.arrive(owner, old);
         group.deliver(onlyNew);
         EXPECT_EQ(group.takeRefusal(owner).reason, RefusalReason::ClaimsLost);
     }
     {
-        SCOPED_TRACE("a ticket that was issued since is provably fresh; one that was issued before is not");
+        SCOPED_TRACE("a ticket issued after the loss is accepted, one issued before it is refused");
         RequestKey ticket = old;
         ticket.issuedEpoch = 1;
         group.arrive(owner, ticket);
@@ -52,16 +50,16 @@
         EXPECT_EQ(group.takeRefusal(owner).reason, RefusalReason::ClaimsLost);
     }
     {
-        SCOPED_TRACE("as long as the lost holders may be acting, time alone proves nothing");
+        SCOPED_TRACE("the loss does not expire while the lost holders may be acting");
         wait(seconds(2 * 3600));
-        // The ticket's caller has had no answer by its deadline.
+        // The ticket's work had no answer by its deadline.
         EXPECT_EQ(group.takeRefusal(owner).reason, RefusalReason::DeadlinePassed);
         group.arrive(owner, old);
         group.deliver(onlyNew);
         EXPECT_EQ(group.takeRefusal(owner).reason, RefusalReason::ClaimsLost);
     }
     {
-        SCOPED_TRACE("once one of the pair is gone for good, the doubt ends after the remembering time");
+        SCOPED_TRACE("after one of the pair has terminated, the loss expires after the retention time");
         group[owner].learnTerminated(group.holder(0));
         wait(seconds(3500));
         group.arrive(owner, old);
@@ -74,8 +72,8 @@
     }
 }
 
-// Symptom: keys stay in doubt although one who holds their claims is back. Cause: asking only once.
-TEST(ClaimProtocol, HolderThatComesBackEndsTheDoubt)
+// Guards against claims that stay lost although one of their holders is reachable again.
+TEST(ClaimProtocol, ReturningHolderRestoresLostClaims)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1 });
@@ -104,9 +102,7 @@
     EXPECT_EQ(group.takeRefusal(2).reason, RefusalReason::InProgress);
 }
 
-// Symptom: a ticket runs twice. Sequence: a new owner runs a ticket of its own epoch, whose predecessors are lost; the
-// caller repeats it at an old owner that is cut off with its backup.
-// Cause: an owner that runs tickets issued under an epoch that it does not know.
+// Guards against a double run: an outdated owner runs a ticket issued under an epoch that it doesn't know.
 TEST(ClaimProtocol, TicketOfAnUnknownEpochWaits)
 {
     RunnerGroup group(2);
@@ -124,9 +120,8 @@
     EXPECT_EQ(refusal.executed, Executed::Unknown);
 }
 
-// Symptom: a planned stop partitions requests. Sequence: an owner leaves while it waits for a server's answer.
-// Cause: stopping before the work has ended, or before its outcome is known to the new owner.
-TEST(ClaimProtocol, LeavingOwnerFinishesItsWorkAndHandsTheAnswerOn)
+// Guards against a planned stop that cancels requests or loses their answers.
+TEST(ClaimProtocol, LeavingOwnerFinishesItsWorkAndPassesOnTheAnswer)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1, 2 });
@@ -151,10 +146,8 @@
     EXPECT_EQ(group.take<AnswerAttempt>(owner).size(), 1u);
 }
 
-// Symptom: a zone that is cut off refuses most of its own work as overloaded.
-// Sequence: servers beyond the cut can't be reached; each request is sent there three times within a millisecond.
-// Cause: choosing a server again at once that has just proved unreachable.
-TEST(ClaimProtocol, ServerThatCannotBeReachedIsLeftAloneForAWhile)
+// Guards against sending retries to a server that was just found unreachable.
+TEST(ClaimProtocol, UnreachableServerIsPaused)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -170,7 +163,7 @@
     EXPECT_EQ(group.take<StartWork>(0).size(), 1u);
 }
 
-TEST(ClaimProtocol, RefusalsUnderAnOverloadShareOneQuestion)
+TEST(ClaimProtocol, RefusalsUnderOverloadShareAnEpochCheck)
 {
     RunnerGroup group(2, {}, 2);
     group.settle({ 0, 1 });
--- a/Tests/Request/ClaimTestHelpers.h
+++ b/Tests/Request/ClaimTestHelpers.h
@@ -7,14 +7,14 @@
 
 namespace wisteriadock::testing {
 
-// What several stories about claims are told with.
+// Helpers of the claim tests.
 
 inline SharedResponse answerOf(const std::string& body)
 {
     return std::make_shared<HttpResponse>(HttpResponse { 200, {}, body });
 }
 
-// All messages from and to this balancer are lost.
+// Drops all messages from and to this balancer.
 inline RunnerGroup::Filter isolate(std::size_t index)
 {
     return [index](std::size_t from, std::size_t to, const RequestMessage&) {
--- a/Tests/Request/EventSimulator.h
+++ b/Tests/Request/EventSimulator.h
@@ -13,7 +13,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// Events in virtual time, and the seeded lot that everything in a test draws from.
+// Discrete-event simulation in virtual time, with the seeded random numbers of a test.
 class EventSimulator {
 public:
     explicit EventSimulator(std::uint64_t seed)
@@ -47,7 +47,7 @@
     std::multimap<TimePoint, std::function<void()>> events_;
 };
 
-// Who is cut off from whom. Places are zones by name; "platform" is one more.
+// Network partitions by direction. The nodes are zone names and "platform".
 class FakePartitions {
 public:
     void cut(const std::string& from, const std::string& to) { partitions_[{ from, to }]++; }
--- a/Tests/Request/FakeBackends.h
+++ b/Tests/Request/FakeBackends.h
@@ -13,7 +13,7 @@
 
 namespace wisteriadock::testing {
 
-// Backend servers that shed when full, lose answers, and write down what they ran.
+// Simulated backend servers that refuse work when full, lose answers and record what they ran.
 class FakeBackends {
 public:
     FakeBackends(EventSimulator&, FakePartitions&, const std::vector<std::string>& zones, std::uint32_t serversPerZone);
@@ -22,14 +22,14 @@
         SharedResponse answer; // Null on failure.
         HttpFailureKind failure = HttpFailureKind::NotSent;
     };
-    // Runs the work called name, which must be a caller's key, and replies later.
+    // Runs the work of the caller's key called name, and replies later.
     void send(const std::string& fromZone, BackendServerId, const std::string& name, TimePoint deadline,
         const std::function<void(Reply)>&);
 
     const Configuration& configuration() const { return configuration_; }
     double lostAnswers = 0.02;
 
-    // When each piece of work began to run, in order.
+    // Start times of the runs of each key, in order.
     std::map<std::string, std::vector<TimePoint>> runs;
 
 private:
@@ -42,7 +42,7 @@
     std::map<BackendServerId, std::uint32_t> busy_;
 };
 
-// The answer that a server gives to the work of this name; long enough to be cut short visibly.
+// The body of a server's answer to this name; long enough that truncation is detected.
 std::string answerBodyOf(const std::string& name);
 
 }
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -135,7 +135,7 @@
         return;
     if (!isPaused())
         return event();
-    // A paused process finds all that reached it when it wakes.
+    // A paused process handles the events of the pause when it resumes.
     cluster_.simulator.after(pausedUntil_ - cluster_.simulator.now(), [=, this] {
         if (isUp_ && incarnation_ == life)
             perform(event);
@@ -151,7 +151,7 @@
     member.incarnation = other.incarnation_;
     member.state = other.isLeaving_ ? MemberState::Leaving : MemberState::Serving;
     state_->heartbeats[other.id_] = { member, cluster_.simulator.now() };
-    // Records travel with some heartbeats here, so that balancers disagree for a while.
+    // Only some heartbeats carry records, so that balancers disagree for a while.
     if (!cluster_.simulator.chance(cluster_.termGossipProbability))
         return;
     for (const std::string& zone : cluster_.zones) {
@@ -286,7 +286,7 @@
 
 void FakeBalancer::routeLater(AttemptId id)
 {
-    // The newer record comes with the next heartbeat.
+    // The newer record arrives with the next heartbeat.
     cluster_.simulator.after(milliseconds(110), [this, id, life = incarnation_] {
         perform([=, this] {
             if (incarnation_ == life && state_->attempts.contains(id))
@@ -339,7 +339,7 @@
     const auto found = state_->attempts.find(start.content);
     if (found == state_->attempts.end())
         return;
-    // The moment between the decision and the socket, in which a pause may fall.
+    // A pause can fall between the decision and the send.
     const FakeRequest request = found->second.request;
     cluster_.simulator.after(microseconds(cluster_.simulator.draw(200)), [=, this, life = incarnation_] {
         perform([=, this] {
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -18,11 +18,11 @@
 
 namespace wisteriadock::testing {
 
-// What callers get.
+// The reply to a caller.
 struct FakeReply {
     SharedResponse answer; // Null for a refusal.
     Refusal refusal;
-    // When the refusal was decided; what ran later doesn't make it false.
+    // When the refusal was decided; later runs don't make it false.
     TimePoint decidedAt;
 };
 using FakeReplyTo = std::function<void(const FakeReply&)>;
@@ -35,7 +35,7 @@
 
 class FakeBalancer;
 
-// What tests share: the network, and all balancers by id.
+// The simulated deployment: network, platform, backend servers and all balancers by id.
 struct FakeCluster {
     explicit FakeCluster(std::uint64_t seed, std::uint32_t balancersPerZone = 2, std::uint32_t serversPerZone = 3);
     ~FakeCluster();
@@ -51,14 +51,14 @@
     std::vector<std::unique_ptr<FakeBalancer>> balancers;
     std::map<BalancerId, FakeBalancer*> byId;
 
-    // Heartbeats and views every 100 ms, ticks every 20 ms.
+    // Starts the balancers, with heartbeats and views every 100 ms and ticks every 20 ms.
     void start();
     void run(Duration time) { simulator.runUntil(simulator.now() + time); }
-    // Carries a closure to a balancer's present life, if the network lets it.
+    // Runs the event at the addressed instance, if the network delivers it.
     void transmit(const FakeBalancer& from, const BalancerInstance& to, const std::function<void(FakeBalancer&)>&,
         bool isReliable = false);
     FakeBalancer& balancer(std::size_t index) { return *balancers[index]; }
-    // The balancer that owns the key by the newest record known to anybody; null when there is none.
+    // The owner of the key by the newest record that any running balancer knows; null when there is none.
     FakeBalancer* ownerOf(const RequestKey&);
 
 private:
@@ -66,26 +66,26 @@
     void tick();
 };
 
-// The shell that a daemon is, in miniature.
+// A simulated balancer daemon around a RequestRunner.
 class FakeBalancer {
 public:
     FakeBalancer(FakeCluster&, std::string name, std::string zone);
 
-    // Faults. A killed balancer comes back as a new incarnation with empty memory.
+    // Faults. A killed balancer returns as a new incarnation with empty memory.
     void kill(Duration downTime);
     void pause(Duration time);
     void leave();
 
     bool isUp() const { return isUp_; }
-    // Takes callers: one that has just started knows nobody yet and listens later.
+    // Accepts callers; a balancer that has just started does so after its first view.
     bool isListening() const { return isUp_ && !state_->view.members.empty(); }
     bool isPaused() const { return cluster_.simulator.now() < pausedUntil_; }
     bool isLeaving() const { return isLeaving_; }
 
-    // A caller's request; the reply is not called when this balancer dies first.
+    // Takes a caller's request; the reply is not called when this balancer fails first.
     void request(const FakeRequest&, const FakeReplyTo&);
 
-    // Runs an event in this life, once it is not paused.
+    // Runs an event in the current incarnation, after any pause.
     void perform(const std::function<void()>&);
     void receive(const BalancerInstance& from, const RequestMessage&);
     void receiveHeartbeat(const FakeBalancer& other);
@@ -101,12 +101,12 @@
 private:
     struct Local {
         FakeRequest request;
-        FakeReplyTo reply; // Of a caller here.
-        BalancerInstance entry; // Of another balancer, when token.number is set.
+        FakeReplyTo reply; // Set for a caller of this balancer.
+        BalancerInstance entry; // The forwarding balancer when token.number is set.
         ForwardToken token;
         int hops = 0;
     };
-    // What a crash forgets.
+    // State that a crash loses.
     struct ProcessState {
         std::unique_ptr<RequestRunner> runner;
         std::unique_ptr<RequestRouter> router;
--- a/Tests/Request/FakeCallers.cpp
+++ b/Tests/Request/FakeCallers.cpp
@@ -59,7 +59,7 @@
         return true;
     };
     cluster_.simulator.after(milliseconds(1), [=, this, &entry] {
-        // Nobody accepts the connection: the caller knows that the try went nowhere, and takes another balancer.
+        // The connection is refused, so the caller knows that the attempt did not run and uses another balancer.
         if (!entry.isListening() && close()) {
             ++caller->attemptsLeft;
             return retryIn(caller, milliseconds(20));
--- a/Tests/Request/FakeCallers.h
+++ b/Tests/Request/FakeCallers.h
@@ -9,18 +9,18 @@
 
 namespace wisteriadock::testing {
 
-// What callers and backend servers saw in one run.
+// Outcomes that callers and backend servers saw in one run.
 struct FakeStatistics {
     std::uint64_t keys = 0;
     std::uint64_t attempts = 0;
     std::uint64_t answered = 0;
     std::uint64_t refusedNotRun = 0;
     std::uint64_t refusedUnknown = 0;
-    std::uint64_t unanswered = 0; // No reply before the caller gave up on the try.
+    std::uint64_t unanswered = 0; // No reply before the caller's timeout.
     std::uint64_t doubleRuns = 0;
-    // "Not run" although a server had begun the key when the refusal was decided.
+    // "Not run" although a server had started the key when the refusal was decided.
     std::uint64_t falseRefusals = 0;
-    // "Not run" as the caller's last word, although a server ran the key before or after.
+    // "Not run" as the last reply to the caller, although a server ran the key at any time.
     std::uint64_t finalFalseRefusals = 0;
     std::uint64_t mixedAnswers = 0;
     std::uint64_t incompleteAnswers = 0;
@@ -29,19 +29,18 @@
     FakeStatistics& operator+=(const FakeStatistics&);
 };
 
-// Callers who requestSlots any balancer and repeat the same key at another one until it is answered. Some are impatient
-// and requestSlots again while the first try is still under way.
+// Callers that send requests to random balancers and repeat the same key at other balancers until it is answered. Some
+// send a duplicate while the first attempt is still in progress.
 class FakeCallers {
 public:
     explicit FakeCallers(FakeCluster&);
 
-    // One new key, tried up to so many times.
+    // Starts one new key with this maximum number of attempts.
     void begin(int attempts);
     FakeStatistics statistics();
 
     double ticketShare = 0.5;
-    // How often a caller asks again while its try is still under way. Such a second try may rightly be told that the
-    // work is in progress.
+    // Probability of a duplicate while an attempt is in progress. Duplicates may be refused as in progress.
     double duplicateProbability = 0.3;
     Duration timeout = milliseconds(1500);
 
--- a/Tests/Request/PendingForwardTableTest.cpp
+++ b/Tests/Request/PendingForwardTableTest.cpp
@@ -19,9 +19,9 @@
 
 }
 
-// Symptom: a caller gets another caller's answer. Sequence: answers come late, twice, out of order, after a
-// cancellation or to an earlier life of the balancer. Cause: matching answers by place in a line instead of by token.
-TEST(PendingForwardTable, GivesEachAnswerToItsOwnTryOnly)
+// Guards against delivering an answer to another attempt when answers are late, repeated, reordered, or meant for a
+// cancelled attempt or an earlier incarnation.
+TEST(PendingForwardTable, DeliversEachAnswerToItsOwnAttempt)
 {
     ManualClock clock;
     PendingForwardTable forwards(self, milliseconds(300));
@@ -46,7 +46,7 @@
     EXPECT_EQ(forwards.open(), 0u);
 }
 
-TEST(PendingForwardTable, TurnsACutAnswerIntoAnError)
+TEST(PendingForwardTable, ReportsATruncatedAnswer)
 {
     ManualClock clock;
     PendingForwardTable forwards(self, milliseconds(300));
@@ -56,8 +56,8 @@
     EXPECT_EQ(resolved.id, 1u);
 }
 
-// Symptom: a caller waits until its deadline for a balancer that is dead. Cause: noticing it by the deadline only.
-TEST(PendingForwardTable, GivesUpOnASilentOrDeadOwnerAtOnce)
+// Guards against waiting until the request's deadline for a dead owner.
+TEST(PendingForwardTable, AbandonsForwardsToUnresponsiveOrDeadOwners)
 {
     ManualClock clock;
     PendingForwardTable forwards(self, milliseconds(300));
--- a/Tests/Request/RandomFaultsTest.cpp
+++ b/Tests/Request/RandomFaultsTest.cpp
@@ -43,7 +43,8 @@
 
     class RandomFaults : public ::testing::TestWithParam<int> { };
 
-    // Twelve seconds of callers while something breaks about every 300 ms, then quiet until all have ended.
+    // Runs callers for 12 s with a random fault about every 300 ms, then no faults or new keys until all requests have
+    // ended.
     FakeStatistics runSchedule(std::uint64_t seed, RetryRule rule)
     {
         FakeCluster cluster(seed, 2 + seed % 2);
@@ -69,7 +70,7 @@
         return statistics;
     }
 
-    // Seeds of each of the four parts; more can be asked for.
+    // Number of seeds for each of the four parts, from the environment.
     int seedCount()
     {
         const char* wanted = std::getenv("WISTERIADOCK_REQUEST_SEEDS");
@@ -88,11 +89,9 @@
 
 }
 
-// Symptom: a registration is made twice, or a caller is told "not run" of one that was made.
-// Sequence: balancers are killed, paused and stopped, zones and the platform cut off, messages lost and repeated, in
-// any order, while callers repeat the same key at other balancers. Cause: whatever lets two balancers believe that a
-// key is theirs, or one forget that it was sent.
-TEST_P(RandomFaults, RunNothingTwiceAndRefuseTruthfully)
+// Guards against double runs and false "not run" refusals under random crashes, pauses, stops, partitions and message
+// loss, while callers repeat the same keys at other balancers.
+TEST_P(RandomFaults, NoDoubleRunsAndNoFalseRefusals)
 {
     FakeStatistics total;
     const int first = GetParam() * seedCount();
@@ -112,9 +111,8 @@
     EXPECT_GT(total.answered, total.keys / 2);
 }
 
-// Symptom: callers get errors whenever a balancer is replaced. Sequence: balancers are stopped by plan, one after the
-// other, while requests go on. Cause: stopping before the claims have moved and the work has ended.
-TEST(PlannedStops, CutNothingOff)
+// Guards against errors for callers while balancers are stopped one after another.
+TEST(PlannedStops, FailNoRequests)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
@@ -139,10 +137,9 @@
     }
 }
 
-// Symptom: work runs twice. Sequence: the answer of a server is lost after it acted. Cause: the balancer sends the work
-// again. The same schedules must show it, or the test above proves nothing.
 INSTANTIATE_TEST_SUITE_P(Parts, RandomFaults, ::testing::Range(0, 4));
 
+// Verifies that the same faults cause double runs when work that may have run is sent again.
 TEST(RandomFaultsBaseline, BlindRetryRunsWorkTwice)
 {
     FakeStatistics total;
--- a/Tests/Request/RequestCheckTest.cpp
+++ b/Tests/Request/RequestCheckTest.cpp
@@ -16,7 +16,7 @@
 
 }
 
-TEST(RequestCheck, RefusesBadInputWithAClearReason)
+TEST(RequestCheck, RefusesInvalidInput)
 {
     struct Case {
         CheckedRequest checked;
@@ -44,7 +44,7 @@
     }
 }
 
-TEST(RequestCheck, TakesWhatIsWell)
+TEST(RequestCheck, AcceptsValidRequests)
 {
     const CheckedRequest upload = check("PUT", "");
     EXPECT_TRUE(upload.isIdempotent);
--- a/Tests/Request/RunnerGroup.h
+++ b/Tests/Request/RunnerGroup.h
@@ -11,28 +11,28 @@
 
 namespace wisteriadock::testing {
 
-// Runners of one availability zone, a clock that the test advances, and messages that go where the test lets them.
+// Runners of one availability zone with a manual clock and a network under the control of the test.
 class RunnerGroup {
 public:
     explicit RunnerGroup(std::size_t count, const RunnerSettings& settings = {}, std::uint32_t slots = 100);
 
-    // A record that names these runners, with the one made before as its past.
+    // A record that names these runners, with the previous record as its history.
     ClaimTerm makeTerm(const std::vector<std::size_t>& holders);
     void learn(const ClaimTerm& term, const std::vector<std::size_t>& who);
-    // Makes such a record known to its holders and lets everything settle.
+    // Gives such a record to its holders and delivers all messages.
     ClaimTerm settle(const std::vector<std::size_t>& holders);
 
     // What the network does with a message.
     enum class Verdict { Deliver, Hold, Drop };
     using Filter = std::function<Verdict(std::size_t from, std::size_t to, const RequestMessage&)>;
-    // Carries messages until nobody has any.
+    // Delivers messages until none are left.
     void deliver(const Filter& filter = {});
     void releaseHeld();
     void advance(Duration time);
-    // Time passes and nobody notices.
+    // Advances the clock without a tick, like a pause of all processes.
     void pauseAll(Duration time) { clock_.advance(time); }
 
-    // A key of the caller's own making whose owner and backup under the newest record are these.
+    // A key chosen by the caller whose owner and backup under the newest record are these.
     RequestKey keyOf(std::size_t owner, std::size_t backup, const std::string& prefix = "key");
     AttemptId arrive(std::size_t at, const RequestKey&, Duration timeout = std::chrono::seconds(10));
     AttemptId arriveInvalid(std::size_t at, const RequestKey&, RefusalReason);
@@ -41,7 +41,7 @@
     BalancerInstance holder(std::size_t index) const { return nodes_[index].holder; }
     TimePoint now() const { return clock_.now(); }
 
-    // What a runner decided since the last call of take, messages apart.
+    // Takes the runner's actions of one type, messages excepted, since the last call.
     template <typename Action> std::vector<Action> take(std::size_t index)
     {
         std::vector<Action> taken;
@@ -53,7 +53,7 @@
         });
         return taken;
     }
-    // The only refusal that a runner decided; fails the test when there is not just one.
+    // Takes the runner's refusal; the test fails unless there is exactly one.
     Refusal takeRefusal(std::size_t index);
 
 private:
--- a/Tests/Request/TermReconcilerTest.cpp
+++ b/Tests/Request/TermReconcilerTest.cpp
@@ -54,7 +54,7 @@
 
 }
 
-TEST_F(TermReconcilerTest, WritesTheFirstRecordAndRepeatsNoWriteWhoseAnswerIsLost)
+TEST_F(TermReconcilerTest, ReadsTheRecordAfterAWriteWithoutReply)
 {
     reconciler.learnMembers(viewOf({ serving("a"), serving("b") }), clock.now());
     advance(seconds(1));
@@ -66,7 +66,7 @@
     EXPECT_EQ(first[0].baseRevision, 0u);
     EXPECT_EQ(first[0].term.epoch, 1u);
 
-    SCOPED_TRACE("the answer is lost: the record is read, and turns out to be ours");
+    SCOPED_TRACE("after a lost reply the record is read and adopted");
     reconciler.writeEnded(TermWrite::Unknown, 0, clock.now());
     ASSERT_EQ(take<ReadTerm>().size(), 1u);
     reconciler.learnRecord(first[0].term, 1, clock.now());
@@ -75,8 +75,8 @@
     EXPECT_TRUE(take<WriteTerm>().empty());
 }
 
-// Symptom: an epoch is used twice. Sequence: the platform comes back from an older copy. Cause: believing its record.
-TEST_F(TermReconcilerTest, NeverGoesBackToAnEarlierEpoch)
+// Guards against reusing an epoch after the platform was restored from a backup.
+TEST_F(TermReconcilerTest, NeverReturnsToAnEarlierEpoch)
 {
     const std::vector<BalancerInstance> holders { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } };
     reconciler.learnRecord({ "walu", 7, holders, {}, true }, 30, clock.now());
@@ -90,7 +90,7 @@
     EXPECT_EQ(write[0].baseRevision, 12u);
 }
 
-TEST_F(TermReconcilerTest, DoesNotActOnFlickerOrWhenIsolated)
+TEST_F(TermReconcilerTest, IgnoresShortOutagesAndIsolation)
 {
     reconciler.learnRecord(
         { "walu", 1, { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } }, {}, true }, 1, clock.now());
@@ -107,9 +107,8 @@
     EXPECT_TRUE(take<WriteTerm>().empty());
 }
 
-// Symptom: work runs twice. Sequence: an epoch was active under two holders that are now silent; an older copy is
-// found. Cause: taking the older copy for whole.
-TEST(BucketRecovery, TakesNoOlderCopyForWholeWhileANewerOneMayExist)
+// Guards against a double run: an older copy is taken as complete while the holders of the newest epoch don't answer.
+TEST(BucketRecovery, OlderCopyIsIncompleteWhileANewerOneMayExist)
 {
     const BalancerInstance a { { 1 }, 1 };
     const BalancerInstance b { { 2 }, 1 };
@@ -120,7 +119,7 @@
     TerminatedInstances terminated;
     const auto decide = [&](BucketRecovery& recovery) { return recovery.decide(terminated, start + seconds(2)); };
     {
-        SCOPED_TRACE("nobody of the newest pair answers");
+        SCOPED_TRACE("no holder of the newest pair answers");
         BucketRecovery recovery(pairs, true, 9, start);
         recovery.add(c, copyAt(7));
         EXPECT_EQ(recovery.decide(terminated, start), RecoveryState::Waiting);
@@ -132,14 +131,14 @@
         EXPECT_TRUE(recovery.allStopped());
     }
     {
-        SCOPED_TRACE("one of it says that the epoch never became active");
+        SCOPED_TRACE("one holder reports that the epoch never became active");
         BucketRecovery recovery(pairs, true, 9, start);
         recovery.add(c, copyAt(7));
         recovery.add(b, copyAt(5));
         EXPECT_EQ(decide(recovery), RecoveryState::Whole);
     }
     {
-        SCOPED_TRACE("a copy that descends from the loss itself proves nothing");
+        SCOPED_TRACE("a copy installed after the loss is ignored");
         BucketRecovery recovery(pairs, true, 9, start);
         recovery.add(a, copyAt(9));
         recovery.add(c, copyAt(7));
@@ -147,7 +146,7 @@
     }
 }
 
-TEST(ClaimTable, IsBoundedAndSaysWhatItMayHaveForgotten)
+TEST(ClaimTable, IsBoundedAndReportsRemovedClaims)
 {
     ClaimTable table({ 3, 100, 50, seconds(3600) });
     const TimePoint start(seconds(100));
