--- a/Source/Balancer/ClaimTermText.cpp
+++ b/Source/Balancer/ClaimTermText.cpp
@@ -38,7 +38,7 @@
         { "epoch", term.epoch },
         { "holders", toJson(term.holders) },
         { "previous", previous },
-        { "history_whole", term.isHistoryWhole },
+        { "history_whole", term.isHistoryComplete },
     }
         .dump();
 }
@@ -54,7 +54,7 @@
         term.holders = holdersOf(json.at("holders"));
         for (const Json& past : json.at("previous"))
             term.previous.push_back({ past.at("epoch").get<std::uint64_t>(), holdersOf(past.at("holders")) });
-        term.isHistoryWhole = json.at("history_whole").get<bool>();
+        term.isHistoryComplete = json.at("history_whole").get<bool>();
         return term;
     } catch (const Json::exception& failure) {
         return Error { ErrorCode::InvalidArgument, std::string("ownership record: ") + failure.what() };
--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -35,7 +35,7 @@
     void describe(auto& archive, PastTerm& value) { fields(archive, value.epoch, value.holders); }
     void describe(auto& archive, ClaimTerm& value)
     {
-        fields(archive, value.zone, value.epoch, value.holders, value.previous, value.isHistoryWhole);
+        fields(archive, value.zone, value.epoch, value.holders, value.previous, value.isHistoryComplete);
     }
     void describe(auto& archive, HttpHeader& value) { fields(archive, value.name, value.value); }
     void describe(auto& archive, HttpResponse& value) { fields(archive, value.status, value.headers, value.body); }
@@ -47,7 +47,7 @@
     void describe(auto& archive, ClaimCopy& value) { fields(archive, value.digest, value.record, value.age); }
     void describe(auto& archive, LostClaims& value)
     {
-        fields(archive, value.floorEpoch, value.pairs, value.isHistoryWhole, value.remaining);
+        fields(archive, value.floorEpoch, value.pairs, value.isHistoryComplete, value.remaining);
     }
     void describe(auto& archive, BucketContents& value)
     {
--- a/Source/Request/BucketManager.cpp
+++ b/Source/Request/BucketManager.cpp
@@ -44,7 +44,7 @@
 {
     Bucket& bucket = buckets_[index];
     bucket.ownership = Ownership::Recovering;
-    bucket.recovery = BucketRecovery(term_->pastPairsOf(index), term_->isHistoryWhole, term_->epoch, now);
+    bucket.recovery = BucketRecovery(term_->pastPairsOf(index), term_->isHistoryComplete, term_->epoch, now);
     // The contents are in the table already; the recovery needs only the installed epoch.
     bucket.recovery.add(self_, { term_->epoch, index, bucket.installedEpoch, {} });
     bucket.sendAt = now;
@@ -138,18 +138,19 @@
     if (state == RecoveryState::Whole) {
         setLoss(bucket, inherited, now);
         if (inherited) {
-            bucket.recovery = BucketRecovery(inherited->pairs, inherited->isHistoryWhole, inherited->floorEpoch, now);
+            bucket.recovery
+                = BucketRecovery(inherited->pairs, inherited->isHistoryComplete, inherited->floorEpoch, now);
             bucket.recovery.add(self_, { term_->epoch, 0, term_->epoch, {} });
         }
         return;
     }
-    LostClaims lost { term_->epoch, bucket.recovery.lostPairs(), bucket.recovery.isHistoryWhole(), std::nullopt };
+    LostClaims lost { term_->epoch, bucket.recovery.lostPairs(), bucket.recovery.isHistoryComplete(), std::nullopt };
     if (!inherited)
         return setLoss(bucket, lost, now);
     lost.pairs.insert(lost.pairs.end(), inherited->pairs.begin(), inherited->pairs.end());
-    lost.isHistoryWhole = inherited->isHistoryWhole;
+    lost.isHistoryComplete = inherited->isHistoryComplete;
     setLoss(bucket, lost, now);
-    bucket.recovery = BucketRecovery(lost.pairs, lost.isHistoryWhole, inherited->floorEpoch, now);
+    bucket.recovery = BucketRecovery(lost.pairs, lost.isHistoryComplete, inherited->floorEpoch, now);
     bucket.recovery.add(self_, { term_->epoch, 0, term_->epoch, {} });
 }
 
--- a/Source/Request/BucketRecovery.cpp
+++ b/Source/Request/BucketRecovery.cpp
@@ -17,9 +17,9 @@
 }
 
 BucketRecovery::BucketRecovery(
-    std::vector<ClaimPair> pairs, bool isHistoryWhole, std::uint64_t ceilingEpoch, TimePoint start)
+    std::vector<ClaimPair> pairs, bool isHistoryComplete, std::uint64_t ceilingEpoch, TimePoint start)
     : pairs_(std::move(pairs))
-    , isHistoryWhole_(isHistoryWhole)
+    , isHistoryComplete_(isHistoryComplete)
     , ceilingEpoch_(ceilingEpoch)
     , start_(start)
 {
@@ -87,8 +87,8 @@
         lostPairs_.push_back(pair);
         allStopped_ = allStopped_ && isStopped(pair, terminated);
     }
-    allStopped_ = allStopped_ && isHistoryWhole_;
-    return lostPairs_.empty() && isHistoryWhole_ ? RecoveryState::Whole : RecoveryState::Lost;
+    allStopped_ = allStopped_ && isHistoryComplete_;
+    return lostPairs_.empty() && isHistoryComplete_ ? RecoveryState::Whole : RecoveryState::Lost;
 }
 
 std::vector<BalancerInstance> BucketRecovery::unanswered(const TerminatedInstances& terminated) const
--- a/Source/Request/BucketRecovery.h
+++ b/Source/Request/BucketRecovery.h
@@ -28,7 +28,7 @@
     BucketRecovery() = default;
     // Copies that were installed under the ceiling epoch or later derive from the result of this search, so they prove
     // nothing about earlier epochs.
-    BucketRecovery(std::vector<ClaimPair> pairs, bool isHistoryWhole, std::uint64_t ceilingEpoch, TimePoint start);
+    BucketRecovery(std::vector<ClaimPair> pairs, bool isHistoryComplete, std::uint64_t ceilingEpoch, TimePoint start);
 
     // Adds the answer of an earlier holder.
     void add(const BalancerInstance& from, const BucketSnapshot&);
@@ -44,7 +44,7 @@
     // Whether nobody can act under an earlier epoch any more: each lost pair has a member that has terminated or
     // answered. A claim needs both members.
     bool allStopped() const { return allStopped_; }
-    bool isHistoryWhole() const { return isHistoryWhole_; }
+    bool isHistoryComplete() const { return isHistoryComplete_; }
 
     // Holders to ask, also repeatedly.
     std::vector<BalancerInstance> unanswered(const TerminatedInstances& terminated) const;
@@ -64,7 +64,7 @@
     bool isStopped(const ClaimPair&, const TerminatedInstances& terminated) const;
 
     std::vector<ClaimPair> pairs_;
-    bool isHistoryWhole_ = true;
+    bool isHistoryComplete_ = true;
     std::uint64_t ceilingEpoch_ = 0;
     TimePoint start_;
     Answers answers_;
--- a/Source/Request/ClaimTable.h
+++ b/Source/Request/ClaimTable.h
@@ -49,7 +49,7 @@
     std::uint64_t floorEpoch = 0;
     // Pairs that may hold the claims, newest first. The claims are recovered when one of the pairs answers.
     std::vector<ClaimPair> pairs;
-    bool isHistoryWhole = false;
+    bool isHistoryComplete = false;
     // Time until the loss expires; absent while a lost pair may still be acting.
     std::optional<Duration> remaining;
 
--- a/Source/Request/ClaimTerm.cpp
+++ b/Source/Request/ClaimTerm.cpp
@@ -47,11 +47,11 @@
     ClaimTerm successorOf(const ClaimTerm& current, std::vector<BalancerInstance> holders)
     {
         ClaimTerm next { current.zone, current.epoch + 1, std::move(holders), current.previous,
-            current.isHistoryWhole };
+            current.isHistoryComplete };
         next.previous.insert(next.previous.begin(), PastTerm { current.epoch, current.holders });
         if (next.previous.size() > ClaimTerm::maxPastTerms) {
             next.previous.resize(ClaimTerm::maxPastTerms);
-            next.isHistoryWhole = false;
+            next.isHistoryComplete = false;
         }
         return next;
     }
--- a/Source/Request/ClaimTerm.h
+++ b/Source/Request/ClaimTerm.h
@@ -44,7 +44,7 @@
     // Newest first, at most maxPastTerms.
     std::vector<PastTerm> previous;
     // True while previous reaches back to the first epoch.
-    bool isHistoryWhole = true;
+    bool isHistoryComplete = true;
 
     static constexpr std::size_t maxPastTerms = 16;
 
