--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -61,7 +61,7 @@
     }
     void describe(auto& archive, InstallBucket& value)
     {
-        fields(archive, value.epoch, value.bucket, value.baseEpoch, value.isWhole, value.contents);
+        fields(archive, value.epoch, value.bucket, value.baseEpoch, value.hasContents, value.contents);
     }
     void describe(auto& archive, BucketInstalled& value) { fields(archive, value.epoch, value.bucket, value.accepted); }
     void describe(auto& archive, ClaimKey& value)
--- a/Source/Request/BucketManager.cpp
+++ b/Source/Request/BucketManager.cpp
@@ -96,14 +96,14 @@
 void BucketManager::applyRecovery(std::uint32_t index, RecoveryState state, TimePoint now)
 {
     Bucket& bucket = buckets_[index];
-    const bool isWhole = state == RecoveryState::Whole;
+    const bool isComplete = state == RecoveryState::Complete;
     const BucketSnapshot* source = bucket.recovery.source();
     const bool isOwnCopy = source && *bucket.recovery.sourceHolder() == self_;
     const std::optional<LostClaims> inherited
         = isOwnCopy ? contentsOf(index, false, now).lost : (source ? source->contents.lost : std::nullopt);
-    bucket.baseEpoch = source && isWhole ? source->installedEpoch : 0;
+    bucket.baseEpoch = source && isComplete ? source->installedEpoch : 0;
     if (!isOwnCopy)
-        mergeSource(index, isWhole, now);
+        mergeSource(index, isComplete, now);
     recordLoss(bucket, state, inherited, now);
     bucket.installedEpoch = term_->epoch;
     bucket.sendsContents = bucket.baseEpoch == 0;
@@ -111,11 +111,11 @@
     setOwnership(bucket, bucket.pair->backup ? Ownership::Installing : Ownership::Active);
 }
 
-void BucketManager::mergeSource(std::uint32_t index, bool isWhole, TimePoint now)
+void BucketManager::mergeSource(std::uint32_t index, bool isComplete, TimePoint now)
 {
     const BucketSnapshot* source = buckets_[index].recovery.source();
     const BucketContents contents = source ? source->contents : BucketContents();
-    if (isWhole)
+    if (isComplete)
         replaceContents(index, contents, now);
     else
         table_.merge(index, contents, now);
@@ -135,7 +135,7 @@
 void BucketManager::recordLoss(
     Bucket& bucket, RecoveryState state, const std::optional<LostClaims>& inherited, TimePoint now)
 {
-    if (state == RecoveryState::Whole) {
+    if (state == RecoveryState::Complete) {
         setLoss(bucket, inherited, now);
         if (inherited) {
             bucket.recovery
@@ -166,7 +166,7 @@
 {
     Bucket& bucket = buckets_[index];
     const RecoveryState state = bucket.recovery.decide(terminated_, now);
-    if (state == RecoveryState::Whole) {
+    if (state == RecoveryState::Complete) {
         const BucketSnapshot* source = bucket.recovery.source();
         if (source)
             table_.merge(index, source->contents, now);
@@ -258,7 +258,7 @@
         return;
     const bool isInstalled = bucket.installedEpoch == message.epoch;
     const bool hasBase = bucket.installedEpoch != 0 && bucket.installedEpoch == message.baseEpoch;
-    if (!isInstalled && !hasBase && !message.isWhole)
+    if (!isInstalled && !hasBase && !message.hasContents)
         return send(from, BucketInstalled { message.epoch, message.bucket, false });
     // The owner did not get this balancer's copy during its recovery: send the copy before the contents are merged.
     if (message.contents.lost && bucket.installedEpoch != 0 && !isInstalled)
@@ -266,7 +266,7 @@
             BucketSnapshot {
                 message.epoch, message.bucket, bucket.installedEpoch, contentsOf(message.bucket, true, now) });
     // A repeated message must not delete claims made since.
-    if (message.isWhole && !isInstalled && !message.contents.lost)
+    if (message.hasContents && !isInstalled && !message.contents.lost)
         replaceContents(message.bucket, message.contents, now);
     else
         table_.merge(message.bucket, message.contents, now);
--- a/Source/Request/BucketManager.h
+++ b/Source/Request/BucketManager.h
@@ -96,7 +96,7 @@
     void recover(std::uint32_t index, TimePoint now);
     void applyRecovery(std::uint32_t index, RecoveryState, TimePoint now);
     void recordLoss(Bucket&, RecoveryState, const std::optional<LostClaims>& inherited, TimePoint now);
-    void mergeSource(std::uint32_t index, bool isWhole, TimePoint now);
+    void mergeSource(std::uint32_t index, bool isComplete, TimePoint now);
     void replaceContents(std::uint32_t index, const BucketContents&, TimePoint now);
     void retryRecovery(std::uint32_t index, TimePoint now);
     void requestSnapshots(std::uint32_t index, TimePoint now);
--- a/Source/Request/BucketRecovery.cpp
+++ b/Source/Request/BucketRecovery.cpp
@@ -31,7 +31,7 @@
     answers_.try_emplace(from, snapshot);
 }
 
-const BucketRecovery::Answers::value_type* BucketRecovery::wholeCopyOf(const ClaimPair& pair) const
+const BucketRecovery::Answers::value_type* BucketRecovery::completeCopyOf(const ClaimPair& pair) const
 {
     for (const BalancerInstance& member : membersOf(pair)) {
         const auto answer = answers_.find(member);
@@ -73,12 +73,12 @@
     lostPairs_.clear();
     allStopped_ = true;
     for (const ClaimPair& pair : pairs_) {
-        if (const auto* copy = wholeCopyOf(pair)) {
+        if (const auto* copy = completeCopyOf(pair)) {
             const bool ownerMayAnswer = !hasAnswered(pair.owner) && !terminated.contains(pair.owner);
             if (ownerMayAnswer && now - start_ < ownerPreference)
                 return RecoveryState::Waiting;
             source_ = copy;
-            return lostPairs_.empty() ? RecoveryState::Whole : RecoveryState::Lost;
+            return lostPairs_.empty() ? RecoveryState::Complete : RecoveryState::Lost;
         }
         if (wasNeverActive(pair))
             continue;
@@ -88,7 +88,7 @@
         allStopped_ = allStopped_ && isStopped(pair, terminated);
     }
     allStopped_ = allStopped_ && isHistoryComplete_;
-    return lostPairs_.empty() && isHistoryComplete_ ? RecoveryState::Whole : RecoveryState::Lost;
+    return lostPairs_.empty() && isHistoryComplete_ ? RecoveryState::Complete : RecoveryState::Lost;
 }
 
 std::vector<BalancerInstance> BucketRecovery::unanswered(const TerminatedInstances& terminated) const
--- a/Source/Request/BucketRecovery.h
+++ b/Source/Request/BucketRecovery.h
@@ -13,7 +13,7 @@
 // Progress of a new owner in recovering the claims of a bucket.
 enum class RecoveryState {
     Waiting, // A holder that may have the claims can still answer.
-    Whole, // Found a copy with every claim that was ever sent.
+    Complete, // Found a copy with every claim that was ever sent.
     Lost, // No holder that may have the newest claims answered; older copies may have been found.
 };
 
@@ -58,7 +58,7 @@
     using Answers = std::map<BalancerInstance, BucketSnapshot>;
 
     bool hasAnswered(const BalancerInstance& holder) const { return answers_.contains(holder); }
-    const Answers::value_type* wholeCopyOf(const ClaimPair&) const;
+    const Answers::value_type* completeCopyOf(const ClaimPair&) const;
     bool wasNeverActive(const ClaimPair&) const;
     bool mayStillAnswer(const ClaimPair&, const TerminatedInstances& terminated) const;
     bool isStopped(const ClaimPair&, const TerminatedInstances& terminated) const;
--- a/Source/Request/ClaimMessages.h
+++ b/Source/Request/ClaimMessages.h
@@ -34,7 +34,7 @@
     std::uint64_t epoch = 0;
     std::uint32_t bucket = 0;
     std::uint64_t baseEpoch = 0;
-    bool isWhole = false;
+    bool hasContents = false;
     BucketContents contents;
 };
 
--- a/Source/Request/PendingForwardTable.cpp
+++ b/Source/Request/PendingForwardTable.cpp
@@ -40,8 +40,8 @@
     }
     const AttemptId id = found->second.id;
     entries_.erase(found);
-    const bool isWhole = answer.declaredBytes == answer.receivedBytes;
-    return { isWhole ? Delivery::Deliver : Delivery::Incomplete, id };
+    const bool isComplete = answer.declaredBytes == answer.receivedBytes;
+    return { isComplete ? Delivery::Deliver : Delivery::Incomplete, id };
 }
 
 std::optional<AttemptId> PendingForwardTable::redirect(const BalancerInstance& from, const ForwardToken& token)
--- a/Tests/Request/TermReconcilerTest.cpp
+++ b/Tests/Request/TermReconcilerTest.cpp
@@ -135,7 +135,7 @@
         BucketRecovery recovery(pairs, true, 9, start);
         recovery.add(c, copyAt(7));
         recovery.add(b, copyAt(5));
-        EXPECT_EQ(decide(recovery), RecoveryState::Whole);
+        EXPECT_EQ(decide(recovery), RecoveryState::Complete);
     }
     {
         SCOPED_TRACE("a copy installed after the loss is ignored");
