--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -51,7 +51,7 @@
     }
     void describe(auto& archive, BucketContents& value)
     {
-        fields(archive, value.claims, value.forgottenEpoch, value.lost);
+        fields(archive, value.claims, value.expiredEpoch, value.lost);
     }
 
     void describe(auto& archive, RecoverBucket& value) { fields(archive, value.epoch, value.bucket); }
--- a/Source/Request/BucketManager.cpp
+++ b/Source/Request/BucketManager.cpp
@@ -57,7 +57,7 @@
         return;
     for (std::uint32_t index = 0; index < claimBucketCount; ++index)
         advance(index, now);
-    table_.forget(term_->epoch, now);
+    table_.expire(term_->epoch, now);
 }
 
 void BucketManager::advance(std::uint32_t index, TimePoint now)
@@ -200,7 +200,7 @@
     BucketContents contents;
     if (withClaims)
         contents.claims = table_.copy(index, now);
-    contents.forgottenEpoch = table_.forgottenEpoch(index);
+    contents.expiredEpoch = table_.expiredEpoch(index);
     contents.lost = bucket.lost;
     if (contents.lost)
         contents.lost->remaining = bucket.lostUntil ? std::optional<Duration>(*bucket.lostUntil - now) : std::nullopt;
@@ -337,7 +337,7 @@
 
 KeyFreshness BucketManager::freshnessOf(std::uint32_t bucket, const RequestKey& key) const
 {
-    if (table_.mayHaveForgotten(bucket, key))
+    if (table_.mayHaveExpired(bucket, key))
         return KeyFreshness::TooOld;
     const std::optional<LostClaims>& lost = buckets_[bucket].lost;
     if (lost && key.issuedEpoch < lost->floorEpoch)
--- a/Source/Request/ClaimTable.cpp
+++ b/Source/Request/ClaimTable.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    constexpr std::uint32_t bucketsForgottenPerCall = 8;
+    constexpr std::uint32_t bucketsExpiredPerCall = 8;
 
     constexpr auto stateNames = makeNameTable<ClaimState>({
         { ClaimState::Refused, "refused" },
@@ -81,9 +81,9 @@
     --size_;
 }
 
-bool ClaimTable::mayHaveForgotten(std::uint32_t bucket, const RequestKey& key) const
+bool ClaimTable::mayHaveExpired(std::uint32_t bucket, const RequestKey& key) const
 {
-    return key.isTicket() && key.issuedEpoch < buckets_[bucket].forgottenEpoch;
+    return key.isTicket() && key.issuedEpoch < buckets_[bucket].expiredEpoch;
 }
 
 std::vector<ClaimCopy> ClaimTable::copy(std::uint32_t bucket, TimePoint now) const
@@ -100,7 +100,7 @@
 
 void ClaimTable::merge(std::uint32_t bucket, const BucketContents& contents, TimePoint now)
 {
-    buckets_[bucket].forgottenEpoch = std::max(buckets_[bucket].forgottenEpoch, contents.forgottenEpoch);
+    buckets_[bucket].expiredEpoch = std::max(buckets_[bucket].expiredEpoch, contents.expiredEpoch);
     for (const ClaimCopy& copy : contents.claims) {
         const ClaimRecord* known = find(bucket, copy.digest);
         if (known && known->state >= copy.record.state)
@@ -120,15 +120,15 @@
     cleared = Bucket();
 }
 
-void ClaimTable::forget(std::uint64_t currentEpoch, TimePoint now)
+void ClaimTable::expire(std::uint64_t currentEpoch, TimePoint now)
 {
-    for (std::uint32_t i = 0; i < bucketsForgottenPerCall; ++i) {
-        forgetBucket(buckets_[nextToForget_], currentEpoch, now);
-        nextToForget_ = (nextToForget_ + 1) % claimBucketCount;
+    for (std::uint32_t i = 0; i < bucketsExpiredPerCall; ++i) {
+        expireBucket(buckets_[nextToExpire_], currentEpoch, now);
+        nextToExpire_ = (nextToExpire_ + 1) % claimBucketCount;
     }
 }
 
-void ClaimTable::forgetBucket(Bucket& bucket, std::uint64_t currentEpoch, TimePoint now)
+void ClaimTable::expireBucket(Bucket& bucket, std::uint64_t currentEpoch, TimePoint now)
 {
     for (auto entry = bucket.records.begin(); entry != bucket.records.end();) {
         const ClaimRecord& record = entry->second;
@@ -140,7 +140,7 @@
             continue;
         }
         if (!isRefused && record.issuedEpoch != 0)
-            bucket.forgottenEpoch = std::max(bucket.forgottenEpoch, record.issuedEpoch + 1);
+            bucket.expiredEpoch = std::max(bucket.expiredEpoch, record.issuedEpoch + 1);
         answerBytes_ -= bytesOf(record.answer);
         bucket.records.erase(entry++);
         --size_;
--- a/Source/Request/ClaimTable.h
+++ b/Source/Request/ClaimTable.h
@@ -60,7 +60,7 @@
 struct BucketContents {
     std::vector<ClaimCopy> claims;
     // Claims of tickets issued before this epoch may have been removed.
-    std::uint64_t forgottenEpoch = 0;
+    std::uint64_t expiredEpoch = 0;
     std::optional<LostClaims> lost;
 };
 
@@ -86,8 +86,8 @@
     void erase(std::uint32_t bucket, const KeyDigest&);
 
     // Whether the record of a key may have been removed after its retention time.
-    bool mayHaveForgotten(std::uint32_t bucket, const RequestKey&) const;
-    std::uint64_t forgottenEpoch(std::uint32_t bucket) const { return buckets_[bucket].forgottenEpoch; }
+    bool mayHaveExpired(std::uint32_t bucket, const RequestKey&) const;
+    std::uint64_t expiredEpoch(std::uint32_t bucket) const { return buckets_[bucket].expiredEpoch; }
 
     // Copies a bucket for another holder, and merges such a copy. Merging keeps the more advanced record of each key
     // and ignores the limit, because a claim that another holder acknowledged must not be dropped.
@@ -96,8 +96,8 @@
     void clear(std::uint32_t bucket);
 
     // Removes claims older than the retention time, a few buckets per call. Claims of tickets issued under the current
-    // epoch are kept, because forgottenEpoch can't cover them yet.
-    void forget(std::uint64_t currentEpoch, TimePoint now);
+    // epoch are kept, because expiredEpoch can't cover them yet.
+    void expire(std::uint64_t currentEpoch, TimePoint now);
 
     std::size_t size() const { return size_; }
     std::size_t answerBytes() const { return answerBytes_; }
@@ -106,18 +106,18 @@
 private:
     struct Bucket {
         absl::flat_hash_map<KeyDigest, ClaimRecord> records;
-        std::uint64_t forgottenEpoch = 0;
+        std::uint64_t expiredEpoch = 0;
     };
 
     void store(std::uint32_t bucket, const KeyDigest&, ClaimRecord);
     void dropLargeAnswer(ClaimRecord&);
-    void forgetBucket(Bucket&, std::uint64_t currentEpoch, TimePoint now);
+    void expireBucket(Bucket&, std::uint64_t currentEpoch, TimePoint now);
 
     ClaimLimits limits_;
     std::vector<Bucket> buckets_;
     std::size_t size_ = 0;
     std::size_t answerBytes_ = 0;
-    std::uint32_t nextToForget_ = 0;
+    std::uint32_t nextToExpire_ = 0;
 };
 
 }
--- a/Tests/Balancer/RequestMessageCodecTest.cpp
+++ b/Tests/Balancer/RequestMessageCodecTest.cpp
@@ -25,7 +25,7 @@
         record.answer = std::make_shared<const HttpResponse>(
             HttpResponse { .status = 201, .headers = { { "location", "/9" } }, .body = std::string("\0b", 2) });
         snapshot.contents.claims = { { { 1, 2 }, record, -3s } };
-        snapshot.contents.forgottenEpoch = 4;
+        snapshot.contents.expiredEpoch = 4;
         snapshot.contents.lost = LostClaims { 6, { { 5, first, second }, { 4, second, std::nullopt } }, true, 70s };
         return snapshot;
     }
--- a/Tests/Request/TermReconcilerTest.cpp
+++ b/Tests/Request/TermReconcilerTest.cpp
@@ -166,11 +166,11 @@
     EXPECT_EQ(table.answerBytes(), 41u);
 
     for (std::uint32_t i = 0; i < claimBucketCount; ++i)
-        table.forget(5, start + seconds(3600));
+        table.expire(5, start + seconds(3600));
     EXPECT_EQ(table.size(), 1u);
-    EXPECT_TRUE(table.mayHaveForgotten(0, key(1, 4)));
-    EXPECT_FALSE(table.mayHaveForgotten(0, key(9, 5)));
-    EXPECT_FALSE(table.mayHaveForgotten(0, key(2, 0)));
+    EXPECT_TRUE(table.mayHaveExpired(0, key(1, 4)));
+    EXPECT_FALSE(table.mayHaveExpired(0, key(9, 5)));
+    EXPECT_FALSE(table.mayHaveExpired(0, key(2, 0)));
     EXPECT_EQ(table.answerBytes(), 1u);
 }
 
