--- a/Source/Request/Admission.cpp
+++ b/Source/Request/Admission.cpp
@@ -74,7 +74,7 @@
 
 // Returns the least loaded server with a free slot of this balancer's share. Ties are broken randomly, so that
 // balancers don't all choose the same server.
-Admission::Server* Admission::freeServer(ServiceId service, TimePoint now)
+Admission::Server* Admission::findFreeServer(ServiceId service, TimePoint now)
 {
     Server* best = nullptr;
     double bestLoad = 2;
@@ -117,7 +117,7 @@
     if (now + queue.longDuration() > deadline)
         return refuse(work, service, RefusalReason::DeadlinePassed, now);
     if (queue.isEmpty()) {
-        if (Server* server = freeServer(service, now))
+        if (Server* server = findFreeServer(service, now))
             return grant(work, service, server->settings.id, now);
     }
     if (queue.size() >= limits_.queueLength || !queue.canMeet(deadline, usableSlots(service, now), now))
@@ -145,7 +145,7 @@
     for (const WorkId work : queue.removeInfeasible(now))
         refuse(work, service, RefusalReason::Overloaded, now);
     while (!queue.isEmpty()) {
-        Server* server = freeServer(service, now);
+        Server* server = findFreeServer(service, now);
         if (!server)
             break;
         grant(queue.takeNext()->work, service, server->settings.id, now);
@@ -178,11 +178,11 @@
         if (server != servers_.end())
             server->second.backOff = std::chrono::milliseconds(0);
     }
-    giveBack(running);
+    returnSlot(running);
     dispatch(running.service, now);
 }
 
-void Admission::giveBack(const Running& running)
+void Admission::returnSlot(const Running& running)
 {
     if (running.lender) {
         messages_.push_back({ *running.lender, ReturnSlot { running.nonce, running.server } });
@@ -193,7 +193,7 @@
         --server->second.inUse;
 }
 
-void Admission::shed(BackendServerId id, std::chrono::milliseconds retryAfter, TimePoint now)
+void Admission::pauseServer(BackendServerId id, std::chrono::milliseconds retryAfter, TimePoint now)
 {
     const auto found = servers_.find(id);
     if (found == servers_.end())
@@ -220,7 +220,7 @@
 
 void Admission::handle(const BalancerInstance& from, const BorrowSlot& message, TimePoint now)
 {
-    Server* server = queues_[message.service].isEmpty() ? freeServer(message.service, now) : nullptr;
+    Server* server = queues_[message.service].isEmpty() ? findFreeServer(message.service, now) : nullptr;
     if (!server) {
         messages_.push_back({ from, SlotReply { message.nonce, false, {} } });
         return;
@@ -255,7 +255,7 @@
 
 void Admission::handle(const BalancerInstance& from, const ReturnSlot& message, TimePoint now)
 {
-    if (!loans_.takeBack(from, message.nonce))
+    if (!loans_.endLoan(from, message.nonce))
         return;
     const auto server = servers_.find(message.server);
     if (server == servers_.end() || server->second.inUse == 0)
--- a/Source/Request/Admission.h
+++ b/Source/Request/Admission.h
@@ -54,7 +54,7 @@
     void release(WorkId, bool isAnswered, TimePoint now);
     // Records that the server rejected work for lack of capacity: it gets no work for retryAfter or its back-off,
     // whichever is longer.
-    void shed(BackendServerId, std::chrono::milliseconds retryAfter, TimePoint now);
+    void pauseServer(BackendServerId, std::chrono::milliseconds retryAfter, TimePoint now);
     void tick(TimePoint now);
 
     void handle(const BalancerInstance& from, const BorrowSlot&, TimePoint now);
@@ -92,12 +92,12 @@
 
     std::uint32_t usableSlots(const Server&, TimePoint now) const;
     std::uint32_t usableSlots(ServiceId, TimePoint now) const;
-    Server* freeServer(ServiceId, TimePoint now);
+    Server* findFreeServer(ServiceId, TimePoint now);
     bool hasServer(ServiceId) const;
     void grant(WorkId, ServiceId, BackendServerId, TimePoint now);
     void refuse(WorkId, ServiceId, RefusalReason, TimePoint now);
     void dispatch(ServiceId, TimePoint now);
-    void giveBack(const Running&);
+    void returnSlot(const Running&);
 
     BalancerInstance self_;
     AdmissionLimits limits_;
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -38,7 +38,7 @@
         return;
     leaveEpoch(now);
     buckets_.learnTerm(term, now);
-    collect(now);
+    processResults(now);
 }
 
 void RequestRunner::configure(const Configuration& configuration, const MembersView& view, TimePoint now)
@@ -46,19 +46,19 @@
     for (const Member& member : view.members)
         buckets_.learnStart({ member.id, member.incarnation });
     admission_.configure(configuration, view, now);
-    collect(now);
+    processResults(now);
 }
 
 void RequestRunner::arrive(const KeyedAttempt& attempt, TimePoint now)
 {
     decide(attempt, now);
-    collect(now);
+    processResults(now);
 }
 
 void RequestRunner::arrive(const UnkeyedAttempt& attempt, TimePoint now)
 {
     start(makeWork(attempt), now);
-    collect(now);
+    processResults(now);
 }
 
 void RequestRunner::decide(const KeyedAttempt& attempt, TimePoint now)
@@ -124,7 +124,7 @@
         else if (!work->key)
             actions_.emplace_back(CancelWork { work->id });
     }
-    collect(now);
+    processResults(now);
 }
 
 void RequestRunner::workAnswered(WorkId id, const SharedResponse& answer, TimePoint now)
@@ -137,7 +137,7 @@
         actions_.emplace_back(AnswerAttempt { waiter.id, answer });
     works_.erase(id);
     admission_.release(id, true, now);
-    collect(now);
+    processResults(now);
 }
 
 void RequestRunner::workFailed(WorkId id, HttpFailureKind kind, TimePoint now)
@@ -148,7 +148,7 @@
     work->mayHaveRun = work->mayHaveRun || mayHaveRun(kind);
     // Pauses the unreachable or full server: more work would fail there and use up the retry budget.
     if (!mayHaveRun(kind))
-        admission_.shed(work->server, std::chrono::milliseconds(0), now);
+        admission_.pauseServer(work->server, std::chrono::milliseconds(0), now);
     admission_.release(id, false, now);
     const bool isWanted = !work->waiters.empty() && now < work->deadline;
     if (isWanted && retries_.takeRetry(kind, !work->key, work->sendCount)) {
@@ -156,7 +156,7 @@
         admission_.request(id, work->service, work->deadline, now);
     } else
         giveUp(*work, reasonFor(kind), defaultRetryDelay, now);
-    collect(now);
+    processResults(now);
 }
 
 // Ends work without an answer, at any stage, and refuses its waiters according to whether it may have run.
@@ -182,7 +182,7 @@
 }
 
 // Processes the results of the components until no new ones follow.
-void RequestRunner::collect(TimePoint now)
+void RequestRunner::processResults(TimePoint now)
 {
     for (bool isSettled = false; !isSettled;) {
         if (buckets_.takeOwnershipChanged()) {
@@ -192,9 +192,9 @@
         const std::vector<SlotGrant> grants = admission_.takeGrants();
         const std::vector<SlotRefusal> slotRefusals = admission_.takeRefusals();
         for (const SlotGrant& grant : grants)
-            takeSlot(grant, now);
+            handleGrant(grant, now);
         for (const SlotRefusal& refusal : slotRefusals)
-            takeSlotRefusal(refusal, now);
+            handleSlotRefusal(refusal, now);
         isSettled = grants.empty() && slotRefusals.empty();
     }
     std::vector<RequestAction> refused = refusals_.takeActions(now);
@@ -212,7 +212,7 @@
         actions_.emplace_back(std::move(message));
 }
 
-void RequestRunner::takeSlot(const SlotGrant& grant, TimePoint now)
+void RequestRunner::handleGrant(const SlotGrant& grant, TimePoint now)
 {
     Work* work = works_.find(grant.work);
     if (!work)
@@ -224,7 +224,7 @@
         send(*work, now);
 }
 
-void RequestRunner::takeSlotRefusal(const SlotRefusal& refusal, TimePoint now)
+void RequestRunner::handleSlotRefusal(const SlotRefusal& refusal, TimePoint now)
 {
     if (Work* work = works_.find(refusal.work))
         giveUp(*work, work->mayHaveRun ? RefusalReason::OutcomeUnknown : refusal.reason, refusal.retryDelay, now);
@@ -247,7 +247,7 @@
     }
 }
 
-void RequestRunner::takeClaimReply(const ClaimReply& reply, TimePoint now)
+void RequestRunner::handleClaimReply(const ClaimReply& reply, TimePoint now)
 {
     Work* work = works_.findByClaim(reply.sequence);
     if (!work || work->stage != WorkStage::Claiming)
@@ -325,7 +325,7 @@
                     return;
             }
             if constexpr (std::is_same_v<Content, ClaimReply>)
-                takeClaimReply(content, now);
+                handleClaimReply(content, now);
             else if constexpr (std::is_same_v<Content, EpochChecked>)
                 refusals_.handleEpochChecked(from, content, now);
             else if constexpr (std::is_same_v<Content, TermUpdate>)
@@ -336,7 +336,7 @@
                 buckets_.handle(from, content, now);
         },
         message);
-    collect(now);
+    processResults(now);
 }
 
 std::optional<std::string> RequestRunner::issueTicket(std::uint64_t high, std::uint64_t low) const
@@ -355,7 +355,7 @@
         refusals_.refuse(id, RefusalReason::NotReady, Executed::Unknown, defaultRetryDelay);
     refusals_.expirePending(now);
     admission_.tick(now);
-    collect(now);
+    processResults(now);
 }
 
 void RequestRunner::expireClaims(TimePoint now)
--- a/Source/Request/RequestRunner.h
+++ b/Source/Request/RequestRunner.h
@@ -62,7 +62,7 @@
     // server that refused the work or was unreachable.
     void serverShed(BackendServerId server, std::chrono::milliseconds retryAfter, TimePoint now)
     {
-        admission_.shed(server, retryAfter, now);
+        admission_.pauseServer(server, retryAfter, now);
     }
 
     void receive(const BalancerInstance& from, const RequestMessage&, TimePoint now);
@@ -88,12 +88,12 @@
     void join(const KeyedAttempt&);
     void start(Work, TimePoint now);
 
-    void collect(TimePoint now);
+    void processResults(TimePoint now);
     void addMessages(std::vector<OutgoingMessage>);
-    void takeSlot(const SlotGrant&, TimePoint now);
-    void takeSlotRefusal(const SlotRefusal&, TimePoint now);
+    void handleGrant(const SlotGrant&, TimePoint now);
+    void handleSlotRefusal(const SlotRefusal&, TimePoint now);
     void claim(Work&, TimePoint now);
-    void takeClaimReply(const ClaimReply&, TimePoint now);
+    void handleClaimReply(const ClaimReply&, TimePoint now);
     void send(Work&, TimePoint now);
 
     void giveUp(Work&, RefusalReason, std::chrono::milliseconds retryDelay, TimePoint now);
--- a/Source/Request/SlotLoans.cpp
+++ b/Source/Request/SlotLoans.cpp
@@ -60,10 +60,7 @@
     loans_[{ to, nonce }] = { server, expiry };
 }
 
-bool SlotLoans::takeBack(const BalancerInstance& from, std::uint64_t nonce)
-{
-    return loans_.erase({ from, nonce }) > 0;
-}
+bool SlotLoans::endLoan(const BalancerInstance& from, std::uint64_t nonce) { return loans_.erase({ from, nonce }) > 0; }
 
 std::vector<BackendServerId> SlotLoans::takeExpired(TimePoint now)
 {
--- a/Source/Request/SlotLoans.h
+++ b/Source/Request/SlotLoans.h
@@ -29,7 +29,7 @@
 
     void lend(const BalancerInstance& to, std::uint64_t nonce, BackendServerId, TimePoint expiry);
     // Ends a loan; returns whether it was open.
-    bool takeBack(const BalancerInstance& from, std::uint64_t nonce);
+    bool endLoan(const BalancerInstance& from, std::uint64_t nonce);
     // Servers of the loans that expired because the borrower failed, one entry per slot.
     std::vector<BackendServerId> takeExpired(TimePoint now);
 
--- a/Tests/Request/AdmissionTest.cpp
+++ b/Tests/Request/AdmissionTest.cpp
@@ -165,7 +165,7 @@
     configure(configuration);
     {
         SCOPED_TRACE("a shedding server gets no work for a while");
-        admissions[0].shed({ 1 }, milliseconds(200), clock.now());
+        admissions[0].pauseServer({ 1 }, milliseconds(200), clock.now());
         EXPECT_EQ(requestSlots(0, 1), 0u);
         clock.advance(milliseconds(400));
         admissions[0].tick(clock.now());
