--- a/Tests/Request/FakeBackends.cpp
+++ b/Tests/Request/FakeBackends.cpp
@@ -50,7 +50,7 @@
     --busy_[server.id];
     if (simulator_.now() > deadline)
         return reply({ nullptr, HttpFailureKind::DeadlineExceeded });
-    if (partitions_.isBlocked(server.availabilityZone, fromZone) || simulator_.chance(lostAnswers))
+    if (partitions_.isBlocked(server.availabilityZone, fromZone) || simulator_.chance(answerLossProbability))
         return reply({ nullptr, HttpFailureKind::Lost });
     reply({ std::make_shared<HttpResponse>(HttpResponse { 200, {}, answerBodyOf(name) }), {} });
 }
--- a/Tests/Request/FakeBackends.h
+++ b/Tests/Request/FakeBackends.h
@@ -27,7 +27,7 @@
         const std::function<void(Reply)>&);
 
     const Configuration& configuration() const { return configuration_; }
-    double lostAnswers = 0.02;
+    double answerLossProbability = 0.02;
 
     // Start times of the runs of each key, in order.
     std::map<std::string, std::vector<TimePoint>> runs;
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -65,7 +65,9 @@
     const std::function<void(FakeBalancer&)>& event, bool isReliable)
 {
     const std::string& fromZone = from.zone();
-    const int copies = isReliable ? 1 : (simulator.chance(lostMessages) ? 0 : (simulator.chance(lostMessages) ? 2 : 1));
+    const int copies = isReliable
+        ? 1
+        : (simulator.chance(messageLossProbability) ? 0 : (simulator.chance(messageLossProbability) ? 2 : 1));
     for (int i = 0; i < copies; ++i) {
         simulator.after(simulator.between(microseconds(300), microseconds(1500)), [=, this] {
             FakeBalancer* balancer = byId.at(to.id);
@@ -213,24 +215,24 @@
 
 void FakeBalancer::route(AttemptId id)
 {
-    Local& local = state_->attempts[id];
+    OpenAttempt& openAttempt = state_->attempts[id];
     const TimePoint now = cluster_.simulator.now();
-    if (now >= local.request.deadline)
+    if (now >= openAttempt.request.deadline)
         return refuseUnknown(id, RefusalReason::DeadlinePassed);
-    const Route found = state_->router->route(local.request.key, state_->view);
-    if (found.kind == AttemptRouteKind::Unreachable || ++local.hops > maxHops)
+    const Route found = state_->router->route(openAttempt.request.key, state_->view);
+    if (found.kind == AttemptRouteKind::Unreachable || ++openAttempt.hops > maxHops)
         return refuseUnknown(id, RefusalReason::HomeUnreachable);
-    if (found.kind == AttemptRouteKind::Local) {
-        KeyedAttempt attempt { id, local.request.key, hashString(local.request.name),
-            cluster_.backends.configuration().services[0].id, local.request.deadline, std::nullopt };
+    if (found.kind == AttemptRouteKind::OpenAttempt) {
+        KeyedAttempt attempt { id, openAttempt.request.key, hashString(openAttempt.request.name),
+            cluster_.backends.configuration().services[0].id, openAttempt.request.deadline, std::nullopt };
         state_->runner->arrive(attempt, now);
         return act();
     }
     const ForwardToken token
-        = state_->forwards->open(id, local.request.key.digest, found.owner, local.request.deadline, now);
+        = state_->forwards->open(id, openAttempt.request.key.digest, found.owner, openAttempt.request.deadline, now);
     cluster_.transmit(
         *this, found.owner,
-        [entry = holder(), token, request = local.request](
+        [entry = holder(), token, request = openAttempt.request](
             FakeBalancer& owner) { owner.arriveForwarded(entry, token, request); },
         true);
 }
@@ -260,12 +262,12 @@
     const auto found = state_->attempts.find(id);
     if (found == state_->attempts.end())
         return;
-    const Local local = found->second;
+    const OpenAttempt openAttempt = found->second;
     state_->attempts.erase(found);
-    if (local.reply)
-        return local.reply(reply);
-    cluster_.transmit(*this, local.entry,
-        [owner = holder(), token = local.token, key = local.request.key.digest, reply](
+    if (openAttempt.reply)
+        return openAttempt.reply(reply);
+    cluster_.transmit(*this, openAttempt.entry,
+        [owner = holder(), token = openAttempt.token, key = openAttempt.request.key.digest, reply](
             FakeBalancer& balancer) { balancer.settle(owner, token, key, reply); });
 }
 
@@ -325,12 +327,14 @@
         const auto found = state_->attempts.find(redirect->id);
         if (found == state_->attempts.end())
             return;
-        const Local local = found->second;
-        if (local.reply)
+        const OpenAttempt openAttempt = found->second;
+        if (openAttempt.reply)
             return routeLater(redirect->id);
         state_->attempts.erase(found);
-        cluster_.transmit(*this, local.entry,
-            [owner = holder(), token = local.token](FakeBalancer& balancer) { balancer.settleRedirect(owner, token); });
+        cluster_.transmit(
+            *this, openAttempt.entry, [owner = holder(), token = openAttempt.token](FakeBalancer& balancer) {
+                balancer.settleRedirect(owner, token);
+            });
     }
 }
 
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -46,7 +46,7 @@
     FakeBackends backends;
     FakePlatform platform;
     RetryRule retryRule = RetryRule::Safe;
-    double lostMessages = 0;
+    double messageLossProbability = 0;
     double termGossipProbability = 1;
     std::vector<std::unique_ptr<FakeBalancer>> balancers;
     std::map<BalancerId, FakeBalancer*> byId;
@@ -99,7 +99,7 @@
     const ClaimTerm* termOf(const std::string& zone) const { return state_->router->termOf(zone); }
 
 private:
-    struct Local {
+    struct OpenAttempt {
         FakeRequest request;
         FakeReplyTo reply; // Set for a caller of this balancer.
         BalancerInstance entry; // The forwarding balancer when token.number is set.
@@ -112,7 +112,7 @@
         std::unique_ptr<RequestRouter> router;
         std::unique_ptr<PendingForwardTable> forwards;
         std::unique_ptr<TermReconciler> terms;
-        std::map<AttemptId, Local> attempts;
+        std::map<AttemptId, OpenAttempt> attempts;
         MembersView view;
         std::map<BalancerId, std::pair<Member, TimePoint>> heartbeats;
         TimePoint lastHeartbeat;
--- a/Tests/Request/FakeCallers.cpp
+++ b/Tests/Request/FakeCallers.cpp
@@ -30,7 +30,7 @@
     caller->attemptsLeft = attempts;
     std::string name = "key-" + std::to_string(statistics_.keys++);
     FakeBalancer& issuer = *cluster_.balancers[cluster_.simulator.draw(cluster_.balancers.size())];
-    if (cluster_.simulator.chance(ticketShare) && issuer.isUp()) {
+    if (cluster_.simulator.chance(ticketProbability) && issuer.isUp()) {
         if (const auto ticket = issuer.runner().issueTicket(cluster_.simulator.draw(1ULL << 60), statistics_.keys))
             name = *ticket;
     }
--- a/Tests/Request/FakeCallers.h
+++ b/Tests/Request/FakeCallers.h
@@ -39,7 +39,7 @@
     void begin(int attempts);
     FakeStatistics statistics();
 
-    double ticketShare = 0.5;
+    double ticketProbability = 0.5;
     // Probability of a duplicate while an attempt is in progress. Duplicates may be refused as in progress.
     double duplicateProbability = 0.3;
     Duration timeout = milliseconds(1500);
--- a/Tests/Request/PendingForwardTableTest.cpp
+++ b/Tests/Request/PendingForwardTableTest.cpp
@@ -65,9 +65,9 @@
     const ForwardToken heartbeats = forwards.open(2, keyOf(2), owner, clock.now() + seconds(5), clock.now());
     forwards.acknowledge(owner, heartbeats);
     clock.advance(milliseconds(300));
-    const auto silent = forwards.expire(clock.now());
-    ASSERT_EQ(silent.size(), 1u);
-    EXPECT_EQ(silent[0].id, 1u);
+    const auto unacknowledged = forwards.expire(clock.now());
+    ASSERT_EQ(unacknowledged.size(), 1u);
+    EXPECT_EQ(unacknowledged[0].id, 1u);
     const auto lost = forwards.removeOwner(owner);
     ASSERT_EQ(lost.size(), 1u);
     EXPECT_EQ(lost[0].id, 2u);
--- a/Tests/Request/RandomFaultsTest.cpp
+++ b/Tests/Request/RandomFaultsTest.cpp
@@ -49,7 +49,7 @@
     {
         FakeCluster cluster(seed, 2 + seed % 2);
         cluster.retryRule = rule;
-        cluster.lostMessages = std::array { 0.0, 0.01, 0.1 }[seed / 2 % 3];
+        cluster.messageLossProbability = std::array { 0.0, 0.01, 0.1 }[seed / 2 % 3];
         cluster.termGossipProbability = seed % 5 == 0 ? 0.05 : 0.3;
         cluster.start();
         cluster.run(milliseconds(2000));
@@ -117,7 +117,7 @@
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         FakeCluster cluster(seed);
-        cluster.backends.lostAnswers = 0;
+        cluster.backends.answerLossProbability = 0;
         cluster.start();
         cluster.run(milliseconds(2000));
         FakeCallers callers(cluster);
