--- a/Source/Request/PendingForwardTable.cpp
+++ b/Source/Request/PendingForwardTable.cpp
@@ -83,9 +83,9 @@
     std::vector<AbandonedForward> abandoned;
     std::erase_if(entries_, [&](const auto& item) {
         const Entry& entry = item.second;
-        const bool isSilent = !entry.isAcknowledged && now >= entry.acknowledgeDeadline;
+        const bool isUnacknowledged = !entry.isAcknowledged && now >= entry.acknowledgeDeadline;
         const bool isLate = now >= entry.deadline;
-        if (!isSilent && !isLate)
+        if (!isUnacknowledged && !isLate)
             return false;
         abandoned.push_back({ entry.id, isLate ? RefusalReason::DeadlinePassed : RefusalReason::HomeUnreachable });
         return true;
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -173,9 +173,9 @@
     view.isolated = now - state_->lastHeartbeat > memberLease;
     state_->lastHeartbeat = now;
     std::vector<Member> members;
-    for (const auto& [id, heartbeats] : state_->heartbeats) {
-        Member member = heartbeats.first;
-        if (now - heartbeats.second > memberLease)
+    for (const auto& [id, heartbeat] : state_->heartbeats) {
+        Member member = heartbeat.first;
+        if (now - heartbeat.second > memberLease)
             member.state = MemberState::Dead;
         members.push_back(member);
     }
@@ -222,7 +222,7 @@
     const Route found = state_->router->route(openAttempt.request.key, state_->view);
     if (found.kind == AttemptRouteKind::Unreachable || ++openAttempt.hops > maxHops)
         return refuseUnknown(id, RefusalReason::HomeUnreachable);
-    if (found.kind == AttemptRouteKind::OpenAttempt) {
+    if (found.kind == AttemptRouteKind::Local) {
         KeyedAttempt attempt { id, openAttempt.request.key, hashString(openAttempt.request.name),
             cluster_.backends.configuration().services[0].id, openAttempt.request.deadline, std::nullopt };
         state_->runner->arrive(attempt, now);
--- a/Tests/Request/PendingForwardTableTest.cpp
+++ b/Tests/Request/PendingForwardTableTest.cpp
@@ -62,8 +62,8 @@
     ManualClock clock;
     PendingForwardTable forwards(self, milliseconds(300));
     forwards.open(1, keyOf(1), owner, clock.now() + seconds(5), clock.now());
-    const ForwardToken heartbeats = forwards.open(2, keyOf(2), owner, clock.now() + seconds(5), clock.now());
-    forwards.acknowledge(owner, heartbeats);
+    const ForwardToken acknowledged = forwards.open(2, keyOf(2), owner, clock.now() + seconds(5), clock.now());
+    forwards.acknowledge(owner, acknowledged);
     clock.advance(milliseconds(300));
     const auto unacknowledged = forwards.expire(clock.now());
     ASSERT_EQ(unacknowledged.size(), 1u);
