--- a/Benchmarks/RequestBenchmark.cpp
+++ b/Benchmarks/RequestBenchmark.cpp
@@ -91,9 +91,9 @@
     void run(const RequestKey& key)
     {
         const std::size_t owner
-            = runners[0]->keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
+            = runners[0]->buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
         runners[owner]->arrive(
-            KeyedTry { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
+            KeyedAttempt { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
         exchange(owner);
         exchange(1 - owner);
         exchange(owner);
@@ -105,10 +105,10 @@
     double runTimed(const RequestKey& key)
     {
         const std::size_t owner
-            = runners[0]->keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
+            = runners[0]->buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
         const TimePoint start = Clock::now();
         runners[owner]->arrive(
-            KeyedTry { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
+            KeyedAttempt { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
         const TimePoint asked = Clock::now();
         exchange(owner);
         const TimePoint acknowledged = Clock::now();
@@ -121,11 +121,11 @@
     }
 
     TimePoint now = TimePoint(std::chrono::hours(1));
-    std::vector<Holder> holders;
+    std::vector<BalancerInstance> holders;
     std::vector<std::unique_ptr<RequestRunner>> runners;
-    WholeAnswer answer = std::make_shared<HttpResponse>(HttpResponse { 200, {}, "confirmed" });
+    SharedResponse answer = std::make_shared<HttpResponse>(HttpResponse { 200, {}, "confirmed" });
     WorkId started = 0;
-    TryId lastTry = 0;
+    AttemptId lastTry = 0;
 };
 
 std::vector<RequestKey> makeKeys(std::size_t count)
@@ -195,10 +195,10 @@
     for (const RequestKey& key : keys)
         pair.run(key);
     const std::size_t owner
-        = pair.runners[0]->keeper().ownership(claimBucketOf(keys[0].digest)) == Ownership::Active ? 0 : 1;
+        = pair.runners[0]->buckets().ownership(claimBucketOf(keys[0].digest)) == Ownership::Active ? 0 : 1;
     for (auto _ : state) {
         pair.runners[owner]->arrive(
-            KeyedTry { ++pair.lastTry, keys[0], 7, service, pair.now + std::chrono::seconds(10), std::nullopt },
+            KeyedAttempt { ++pair.lastTry, keys[0], 7, service, pair.now + std::chrono::seconds(10), std::nullopt },
             pair.now);
         benchmark::DoNotOptimize(pair.runners[owner]->takeActions());
     }
@@ -331,7 +331,7 @@
     std::mt19937_64 random_;
     MembersView view_ = makeView(6, false);
     Configuration configuration_ = makeConfiguration(15, 2, false);
-    std::vector<Holder> holders_;
+    std::vector<BalancerInstance> holders_;
     std::deque<Admission> admissions_;
     std::multimap<TimePoint, std::function<void()>> events_;
     std::map<WorkId, Asked> asked_;
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -25,7 +25,7 @@
 
 // What a RequestControl is set up with.
 struct RequestControlSettings {
-    Holder self;
+    BalancerInstance self;
     std::string availabilityZone;
     // The fixed list of availability zones, equal on all balancers. Empty makes the fleet one home for all keys.
     std::vector<std::string> zones;
@@ -70,7 +70,7 @@
     // The answer to a request for a ticket.
     HttpResponse issueTicket();
 
-    const Holder& self() const { return settings_.self; }
+    const BalancerInstance& self() const { return settings_.self; }
     // For a planned stop: nothing is under way, and the claims held here have gone over to others, if there are any.
     bool isIdle() const { return runner_.workUnderWay() == 0; }
     bool isReleased(TimePoint now) const;
@@ -79,13 +79,13 @@
 private:
     // The word that a forwarded try has come, to be said again: datagrams get lost.
     struct LaterReceipt {
-        TryId id = 0;
+        AttemptId id = 0;
         ForwardToken token;
         TimePoint at;
         int left = 0;
     };
     struct LaterRoute {
-        TryId id = 0;
+        AttemptId id = 0;
         TimePoint at;
     };
 
@@ -94,25 +94,25 @@
     void tick(TimePoint now);
     void routeDue(TimePoint now);
     void repeatReceipts(TimePoint now);
-    void handle(const Holder& from, const BalancerMessage&);
+    void handle(const BalancerInstance& from, const BalancerMessage&);
     void takeHop(const std::shared_ptr<Http2Exchange>&);
 
-    void route(TryId, TimePoint now);
-    void routeLater(TryId, TimePoint now);
-    void cancelled(TryId);
+    void route(AttemptId, TimePoint now);
+    void routeLater(AttemptId, TimePoint now);
+    void cancelled(AttemptId);
 
     // Carries out what the runner decided.
     void act();
     void perform(const StartWork&);
     void perform(const CancelWork& cancel) { sender_.cancel(cancel.work); }
-    void perform(const AnswerTry& answer) { tries_.answer(answer.id, *answer.answer); }
-    void perform(const RefuseTry& refusal) { tries_.refuse(refusal.id, refusal.refusal); }
-    void perform(const RedirectTry&);
+    void perform(const AnswerAttempt& answer) { tries_.answer(answer.id, *answer.answer); }
+    void perform(const RefuseAttempt& refusal) { tries_.refuse(refusal.id, refusal.refusal); }
+    void perform(const RedirectAttempt&);
     void perform(const OutgoingMessage& message) { link_.send(message.to, message.message); }
-    void perform(const WantTerm&) { terms_.want(Clock::now()); }
+    void perform(const FetchTerm&) { terms_.want(Clock::now()); }
     void finishWork(WorkId, BackendServerId, HttpOutcome);
 
-    void refuseUnknown(TryId, RefusalReason);
+    void refuseUnknown(AttemptId, RefusalReason);
     MembersView homeView() const;
 
     RequestControlSettings settings_;
--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -26,7 +26,7 @@
     template <typename Archive, typename... Fields> void fields(Archive&, Fields&...);
 
     // The members of each type in their order on the wire.
-    void describe(auto& archive, Holder& value) { fields(archive, value.id.value, value.incarnation); }
+    void describe(auto& archive, BalancerInstance& value) { fields(archive, value.id.value, value.incarnation); }
     void describe(auto& archive, ServiceId& value) { fields(archive, value.value); }
     void describe(auto& archive, BackendServerId& value) { fields(archive, value.value); }
     void describe(auto& archive, KeyDigest& value) { fields(archive, value.high, value.low); }
@@ -35,7 +35,7 @@
     void describe(auto& archive, PastTerm& value) { fields(archive, value.epoch, value.holders); }
     void describe(auto& archive, ClaimTerm& value)
     {
-        fields(archive, value.zone, value.epoch, value.holders, value.previous, value.isHistoryWhole);
+        fields(archive, value.zone, value.epoch, value.holders, value.previous, value.isHistoryComplete);
     }
     void describe(auto& archive, HttpHeader& value) { fields(archive, value.name, value.value); }
     void describe(auto& archive, HttpResponse& value) { fields(archive, value.status, value.headers, value.body); }
@@ -47,11 +47,11 @@
     void describe(auto& archive, ClaimCopy& value) { fields(archive, value.digest, value.record, value.age); }
     void describe(auto& archive, LostClaims& value)
     {
-        fields(archive, value.floorEpoch, value.pairs, value.isHistoryWhole, value.remaining);
+        fields(archive, value.floorEpoch, value.pairs, value.isHistoryComplete, value.remaining);
     }
     void describe(auto& archive, BucketContents& value)
     {
-        fields(archive, value.claims, value.forgottenEpoch, value.lost);
+        fields(archive, value.claims, value.expiredEpoch, value.lost);
     }
 
     void describe(auto& archive, RecoverBucket& value) { fields(archive, value.epoch, value.bucket); }
@@ -61,7 +61,7 @@
     }
     void describe(auto& archive, InstallBucket& value)
     {
-        fields(archive, value.epoch, value.bucket, value.baseEpoch, value.isWhole, value.contents);
+        fields(archive, value.epoch, value.bucket, value.baseEpoch, value.hasContents, value.contents);
     }
     void describe(auto& archive, BucketInstalled& value) { fields(archive, value.epoch, value.bucket, value.accepted); }
     void describe(auto& archive, ClaimKey& value)
@@ -76,7 +76,7 @@
     }
     void describe(auto& archive, CheckEpoch& value) { fields(archive, value.epoch, value.nonce); }
     void describe(auto& archive, EpochChecked& value) { fields(archive, value.epoch, value.nonce, value.accepted); }
-    void describe(auto& archive, TermNews& value) { fields(archive, value.term); }
+    void describe(auto& archive, TermUpdate& value) { fields(archive, value.term); }
     void describe(auto& archive, BorrowSlot& value) { fields(archive, value.service, value.nonce); }
     void describe(auto& archive, SlotReply& value) { fields(archive, value.nonce, value.isLent, value.server); }
     void describe(auto& archive, ReturnSlot& value) { fields(archive, value.nonce, value.server); }
@@ -121,7 +121,7 @@
             reader.fail();
     }
 
-    template <typename Archive> void wholeAnswer(Archive& archive, WholeAnswer& value)
+    template <typename Archive> void wholeAnswer(Archive& archive, SharedResponse& value)
     {
         bool isPresent = value != nullptr;
         flag(archive, isPresent);
@@ -169,7 +169,7 @@
             text(archive, value);
         else if constexpr (std::same_as<Field, ClaimState>)
             claimState(archive, value);
-        else if constexpr (std::same_as<Field, WholeAnswer>)
+        else if constexpr (std::same_as<Field, SharedResponse>)
             wholeAnswer(archive, value);
         else if constexpr (std::same_as<Field, Duration>) {
             std::int64_t count = value.count();
--- a/Source/Balancer/TryForwarder.cpp
+++ b/Source/Balancer/TryForwarder.cpp
@@ -17,8 +17,8 @@
 
 }
 
-TryForwarder::TryForwarder(
-    boost::asio::io_context& context, HolderLink& link, const Holder& self, const Http2Limits& limits, ForwardEnds ends)
+TryForwarder::TryForwarder(boost::asio::io_context& context, HolderLink& link, const BalancerInstance& self,
+    const Http2Limits& limits, ForwardEnds ends)
     : link_(link)
     , self_(self)
     , ends_(std::move(ends))
@@ -27,8 +27,8 @@
 {
 }
 
-void TryForwarder::forward(TryId id, const HttpRequest& request, const KeyDigest& key,
-    std::optional<RefusalReason> problem, const Holder& owner, TimePoint deadline)
+void TryForwarder::forward(AttemptId id, const HttpRequest& request, const KeyDigest& key,
+    std::optional<RefusalReason> problem, const BalancerInstance& owner, TimePoint deadline)
 {
     const TimePoint now = Clock::now();
     const Member* member = link_.find(owner);
@@ -49,13 +49,13 @@
     hops_.emplace(token.number, hop);
 }
 
-void TryForwarder::cancel(TryId id)
+void TryForwarder::cancel(AttemptId id)
 {
     book_.cancel(id);
     closeHop(id);
 }
 
-void TryForwarder::closeHop(TryId id)
+void TryForwarder::closeHop(AttemptId id)
 {
     const auto found = std::ranges::find_if(hops_, [&](const auto& entry) { return entry.second.id == id; });
     if (found == hops_.end())
@@ -67,14 +67,14 @@
 
 void TryForwarder::applyMembers()
 {
-    std::set<Holder> owners;
+    std::set<BalancerInstance> owners;
     for (const auto& [number, hop] : hops_)
         owners.insert(hop.owner);
-    for (const Holder& owner : owners) {
+    for (const BalancerInstance& owner : owners) {
         const Member* member = link_.find(owner);
         if (member && member->state != MemberState::Dead)
             continue;
-        for (const AbandonedForward& lost : book_.loseOwner(owner))
+        for (const AbandonedForward& lost : book_.removeOwner(owner))
             abandon(lost);
     }
     clients_.keepOnly([&](Endpoint address) {
@@ -135,7 +135,8 @@
         return;
     }
     const std::uint64_t received = answer.response.body.size();
-    const AnswerBook::Settled settled = book_.settle(answer.owner, { token, hop.key, answer.declaredBytes, received });
+    const PendingForwardTable::Resolved settled
+        = book_.resolve(answer.owner, { token, hop.key, answer.declaredBytes, received });
     if (settled.delivery != Delivery::Deliver || answer.ending == HopEnding::Redirect) {
         book_.cancel(hop.id);
         ends_.onLost(hop.id, RefusalReason::OutcomeUnknown);
--- a/Source/Balancer/TryForwarder.h
+++ b/Source/Balancer/TryForwarder.h
@@ -4,7 +4,7 @@
 #include "Balancer/Http2ClientPool.h"
 #include "Balancer/RequestHop.h"
 #include "Core/Clock.h"
-#include "Request/AnswerBook.h"
+#include "Request/PendingForwardTable.h"
 
 #include <boost/asio/io_context.hpp>
 
@@ -18,39 +18,39 @@
 
 // How a forwarded try ended.
 struct ForwardEnds {
-    std::function<void(TryId, HttpResponse)> onAnswer;
+    std::function<void(AttemptId, HttpResponse)> onAnswer;
     // The owner's own word.
-    std::function<void(TryId, const Refusal&)> onRefusal;
+    std::function<void(AttemptId, const Refusal&)> onRefusal;
     // Without the owner's word: the work may have run.
-    std::function<void(TryId, RefusalReason)> onLost;
+    std::function<void(AttemptId, RefusalReason)> onLost;
     // The owner does not own the key any more, or never got the try: route it again.
-    std::function<void(TryId, const Holder& owner)> onRedirect;
+    std::function<void(AttemptId, const BalancerInstance& owner)> onRedirect;
 };
 
 // Sends tries over HTTP/2 to the balancers that own their keys and takes the answers. RequestControl calls it.
 class TryForwarder {
 public:
     // The link outlives the forwarder.
-    TryForwarder(boost::asio::io_context&, HolderLink&, const Holder& self, const Http2Limits&, ForwardEnds);
+    TryForwarder(boost::asio::io_context&, HolderLink&, const BalancerInstance& self, const Http2Limits&, ForwardEnds);
     // What still ends afterwards is told to nobody.
     ~TryForwarder() { alive_.reset(); }
     TryForwarder(const TryForwarder&) = delete;
     TryForwarder& operator=(const TryForwarder&) = delete;
 
     // Exactly one of the ends follows, unless the try is cancelled.
-    void forward(TryId, const HttpRequest&, const KeyDigest&, std::optional<RefusalReason> problem, const Holder& owner,
-        TimePoint deadline);
-    void cancel(TryId);
-    void acknowledge(const Holder& from, const ForwardToken& token) { book_.acknowledge(from, token); }
+    void forward(AttemptId, const HttpRequest&, const KeyDigest&, std::optional<RefusalReason> problem,
+        const BalancerInstance& owner, TimePoint deadline);
+    void cancel(AttemptId);
+    void acknowledge(const BalancerInstance& from, const ForwardToken& token) { book_.acknowledge(from, token); }
     // Gives up what went to owners that are dead or have started again.
     void applyMembers();
     void tick(TimePoint now);
 
 private:
     struct Hop {
-        TryId id = 0;
+        AttemptId id = 0;
         KeyDigest key;
-        Holder owner;
+        BalancerInstance owner;
         Endpoint address;
         Http2Client::RequestId request = 0;
     };
@@ -59,12 +59,12 @@
     void finishFailed(const ForwardToken&, const Hop&, HttpFailureKind);
     void finishAnswered(const ForwardToken&, const Hop&, HopAnswer);
     void abandon(const AbandonedForward&);
-    void closeHop(TryId);
+    void closeHop(AttemptId);
 
     HolderLink& link_;
-    Holder self_;
+    BalancerInstance self_;
     ForwardEnds ends_;
-    AnswerBook book_;
+    PendingForwardTable book_;
     // By token number. A hop that is not here any more is nobody's.
     std::map<std::uint64_t, Hop> hops_;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/Source/Request/Admission.cpp
+++ b/Source/Request/Admission.cpp
@@ -12,11 +12,11 @@
 
     constexpr std::chrono::milliseconds shortestBackOff { 50 };
     constexpr std::chrono::milliseconds longestBackOff { 2000 };
-    constexpr std::chrono::milliseconds doubtTime { 2000 };
+    constexpr std::chrono::milliseconds suspectTime { 2000 };
 
 }
 
-Admission::Admission(const Holder& self, const AdmissionLimits& limits, std::uint64_t seed)
+Admission::Admission(const BalancerInstance& self, const AdmissionLimits& limits, std::uint64_t seed)
     : self_(self)
     , limits_(limits)
     , random_(seed)
@@ -30,7 +30,7 @@
     for (const BackendServer& settings : configuration.backendServers) {
         const auto [entry, isNew] = servers_.try_emplace(settings.id);
         Server& server = entry->second;
-        // What was there when this balancer started is warm for all it knows.
+        // Servers in the first configuration are taken as warm.
         if (isNew)
             server.addedAt = isFirstConfiguration_ ? now - std::chrono::seconds(settings.slowStartSeconds) : now;
         server.settings = settings;
@@ -40,7 +40,7 @@
     isFirstConfiguration_ = isFirstConfiguration_ && configuration.backendServers.empty();
     std::erase_if(servers_, [](const auto& entry) { return !entry.second.isConfigured && entry.second.inUse == 0; });
 
-    std::vector<Holder> peers;
+    std::vector<BalancerInstance> peers;
     for (const Member& member : view.members) {
         if (member.state == MemberState::Serving && member.id != self_.id)
             peers.push_back({ member.id, member.incarnation });
@@ -49,51 +49,52 @@
     tick(now);
 }
 
-std::uint32_t Admission::openSlots(const Server& server, TimePoint now) const
+std::uint32_t Admission::usableSlots(const Server& server, TimePoint now) const
 {
-    if (!server.isConfigured || server.settings.state != BackendServerState::Active || now < server.closedUntil)
+    if (!server.isConfigured || server.settings.state != BackendServerState::Active || now < server.pausedUntil)
         return 0;
     const std::uint32_t ramp = server.settings.slowStartSeconds;
     const double age = std::chrono::duration<double>(now - server.addedAt).count();
     if (ramp == 0 || age >= ramp)
         return server.share;
-    // A cold server gets its first slot at once, or it would never warm up.
+    // A cold server gets its first slot at once, because only work warms it up.
     const auto warm = static_cast<std::uint32_t>(std::ceil(server.share * age / ramp));
     return std::min(server.share, std::max<std::uint32_t>(warm, 1));
 }
 
-std::uint32_t Admission::openSlots(ServiceId service, TimePoint now) const
+std::uint32_t Admission::usableSlots(ServiceId service, TimePoint now) const
 {
     std::uint32_t slots = 0;
     for (const auto& [id, server] : servers_) {
         if (server.settings.service == service)
-            slots += openSlots(server, now);
+            slots += usableSlots(server, now);
     }
     return slots;
 }
 
-// The least used server with a free slot of this balancer's share; equal ones by lot, so that balancers don't herd.
-Admission::Server* Admission::freeServer(ServiceId service, TimePoint now)
+// Returns the least loaded server with a free slot of this balancer's share. Ties are broken randomly, so that
+// balancers don't all choose the same server.
+Admission::Server* Admission::findFreeServer(ServiceId service, TimePoint now)
 {
     Server* best = nullptr;
-    double bestUse = 2;
-    std::uint32_t equals = 0;
+    double bestLoad = 2;
+    std::uint32_t tied = 0;
     for (auto& [id, server] : servers_) {
         if (server.settings.service != service)
             continue;
-        const std::uint32_t slots = openSlots(server, now);
+        const std::uint32_t slots = usableSlots(server, now);
         if (server.inUse >= slots)
             continue;
-        // One that failed lately is taken only when no other is free, so that few attempts are spent on finding out.
-        const bool isDoubtful = server.backOff > std::chrono::milliseconds(0) && now < server.closedUntil + doubtTime;
-        const double doubt = isDoubtful ? 1 : 0;
-        const double use = doubt + static_cast<double>(server.inUse) / slots;
-        if (use > bestUse)
+        // A server that failed recently is used only when no other is free, so that few attempts go to a failed server.
+        const bool isSuspect = server.backOff > std::chrono::milliseconds(0) && now < server.pausedUntil + suspectTime;
+        const double penalty = isSuspect ? 1 : 0;
+        const double load = penalty + static_cast<double>(server.inUse) / slots;
+        if (load > bestLoad)
             continue;
-        equals = use < bestUse ? 1 : equals + 1;
-        if (use < bestUse || random_() % equals == 0) {
+        tied = load < bestLoad ? 1 : tied + 1;
+        if (load < bestLoad || random_() % tied == 0) {
             best = &server;
-            bestUse = use;
+            bestLoad = load;
         }
     }
     return best;
@@ -116,10 +117,10 @@
     if (now + queue.longDuration() > deadline)
         return refuse(work, service, RefusalReason::DeadlinePassed, now);
     if (queue.isEmpty()) {
-        if (Server* server = freeServer(service, now))
+        if (Server* server = findFreeServer(service, now))
             return grant(work, service, server->settings.id, now);
     }
-    if (queue.size() >= limits_.queueLength || !queue.canMake(deadline, openSlots(service, now), now))
+    if (queue.size() >= limits_.queueLength || !queue.canMeet(deadline, usableSlots(service, now), now))
         return refuse(work, service, RefusalReason::Overloaded, now);
     queue.add(work, deadline);
     dispatch(service, now);
@@ -134,25 +135,25 @@
 
 void Admission::refuse(WorkId work, ServiceId service, RefusalReason reason, TimePoint now)
 {
-    const Duration wait = queues_[service].expectedWait(openSlots(service, now));
+    const Duration wait = queues_[service].expectedWait(usableSlots(service, now));
     refusals_.push_back({ work, reason, std::chrono::duration_cast<std::chrono::milliseconds>(wait) });
 }
 
 void Admission::dispatch(ServiceId service, TimePoint now)
 {
     ServiceQueue& queue = queues_[service];
-    for (const WorkId work : queue.removeHopeless(now))
+    for (const WorkId work : queue.removeInfeasible(now))
         refuse(work, service, RefusalReason::Overloaded, now);
     while (!queue.isEmpty()) {
-        Server* server = freeServer(service, now);
+        Server* server = findFreeServer(service, now);
         if (!server)
             break;
         grant(queue.takeNext()->work, service, server->settings.id, now);
     }
     if (queue.isEmpty())
         return;
-    if (const auto question = loans_.nextQuestion(service, now, random_))
-        messages_.push_back({ question->to, BorrowSlot { service, question->nonce } });
+    if (const auto borrowRequest = loans_.nextBorrowRequest(service, now, random_))
+        messages_.push_back({ borrowRequest->to, BorrowSlot { service, borrowRequest->nonce } });
 }
 
 void Admission::withdraw(WorkId work, TimePoint now)
@@ -172,16 +173,16 @@
     const Running running = found->second;
     running_.erase(found);
     if (isAnswered) {
-        queues_[running.service].learnDuration(now - running.startedAt);
+        queues_[running.service].recordDuration(now - running.startedAt);
         const auto server = servers_.find(running.server);
         if (server != servers_.end())
             server->second.backOff = std::chrono::milliseconds(0);
     }
-    giveBack(running);
+    returnSlot(running);
     dispatch(running.service, now);
 }
 
-void Admission::giveBack(const Running& running)
+void Admission::returnSlot(const Running& running)
 {
     if (running.lender) {
         messages_.push_back({ *running.lender, ReturnSlot { running.nonce, running.server } });
@@ -192,7 +193,7 @@
         --server->second.inUse;
 }
 
-void Admission::shed(BackendServerId id, std::chrono::milliseconds retryAfter, TimePoint now)
+void Admission::pauseServer(BackendServerId id, std::chrono::milliseconds retryAfter, TimePoint now)
 {
     const auto found = servers_.find(id);
     if (found == servers_.end())
@@ -201,7 +202,7 @@
     server.backOff = std::clamp(server.backOff * 2, shortestBackOff, longestBackOff);
     const std::chrono::milliseconds pause = std::max(retryAfter, server.backOff);
     const std::uint64_t spread = static_cast<std::uint64_t>(pause.count()) / 2 + 1;
-    server.closedUntil = now + pause + std::chrono::milliseconds(random_() % spread);
+    server.pausedUntil = now + pause + std::chrono::milliseconds(random_() % spread);
 }
 
 void Admission::tick(TimePoint now)
@@ -217,9 +218,9 @@
     }
 }
 
-void Admission::handle(const Holder& from, const BorrowSlot& message, TimePoint now)
+void Admission::handle(const BalancerInstance& from, const BorrowSlot& message, TimePoint now)
 {
-    Server* server = queues_[message.service].isEmpty() ? freeServer(message.service, now) : nullptr;
+    Server* server = queues_[message.service].isEmpty() ? findFreeServer(message.service, now) : nullptr;
     if (!server) {
         messages_.push_back({ from, SlotReply { message.nonce, false, {} } });
         return;
@@ -229,17 +230,17 @@
     messages_.push_back({ from, SlotReply { message.nonce, true, server->settings.id } });
 }
 
-void Admission::handle(const Holder& from, const SlotReply& message, TimePoint now)
+void Admission::handle(const BalancerInstance& from, const SlotReply& message, TimePoint now)
 {
     const std::optional<ServiceId> service = loans_.takeReply(from, message, now);
     if (!message.isLent)
         return;
     std::optional<ServiceQueue::Entry> entry;
-    // A server that this balancer can't reach may well be reached by the lender; its slot is of no use here.
+    // Servers that this balancer can't reach are paused here; the lender may still reach them, so the slot is returned.
     const auto server = servers_.find(message.server);
-    const bool isUsable = server == servers_.end() || now >= server->second.closedUntil;
+    const bool isUsable = server == servers_.end() || now >= server->second.pausedUntil;
     if (service && isUsable) {
-        for (const WorkId work : queues_[*service].removeHopeless(now))
+        for (const WorkId work : queues_[*service].removeInfeasible(now))
             refuse(work, *service, RefusalReason::Overloaded, now);
         entry = queues_[*service].takeNext();
     }
@@ -252,9 +253,9 @@
     dispatch(*service, now);
 }
 
-void Admission::handle(const Holder& from, const ReturnSlot& message, TimePoint now)
+void Admission::handle(const BalancerInstance& from, const ReturnSlot& message, TimePoint now)
 {
-    if (!loans_.takeBack(from, message.nonce))
+    if (!loans_.endLoan(from, message.nonce))
         return;
     const auto server = servers_.find(message.server);
     if (server == servers_.end() || server->second.inUse == 0)
--- a/Source/Request/Admission.h
+++ b/Source/Request/Admission.h
@@ -18,47 +18,48 @@
 
 namespace wisteriadock {
 
-// A slot was given: the work may be sent to this server.
+// A slot was granted: the work may be sent to this server.
 struct SlotGrant {
     WorkId work = 0;
     BackendServerId server;
 };
 
-// The work gets no slot in time.
+// The work gets no slot before its deadline.
 struct SlotRefusal {
     WorkId work = 0;
     RefusalReason reason = RefusalReason::Overloaded;
-    std::chrono::milliseconds comeBackIn { 0 };
+    std::chrono::milliseconds retryDelay { 0 };
 };
 
 struct AdmissionLimits {
     std::size_t queueLength = 1000;
-    // How long a lent slot is waited for when its borrower vanishes; at least the longest deadline.
+    // How long a lent slot stays reserved when its borrower fails; at least the longest request deadline.
     std::chrono::milliseconds longestLoan { 65'000 };
 };
 
-// Gives the slots of backend servers to work. Every balancer has a fixed share of each server's slots (SlotShares.h)
-// and borrows free ones from others while its own queue waits. Work that can't make its deadline is refused at once,
-// when it comes or when waiting has made it hopeless. Called by the RequestRunner, which takes grants, refusals and
-// messages after each call.
+// Admission control: grants slots of backend servers to work. Every balancer has a fixed share of each server's slots
+// (SlotShares.h) and borrows free slots from other balancers while its own queue waits. Work that can't meet its
+// deadline is refused on arrival or as soon as waiting makes the deadline infeasible. Called by the RequestRunner,
+// which takes grants, refusals and messages after each call.
 class Admission {
 public:
-    Admission(const Holder& self, const AdmissionLimits& limits, std::uint64_t seed);
+    Admission(const BalancerInstance& self, const AdmissionLimits& limits, std::uint64_t seed);
 
     void configure(const Configuration&, const MembersView&, TimePoint now);
 
     void request(WorkId, ServiceId, TimePoint deadline, TimePoint now);
-    // Forgets work that waits; its slot, if it has one, is given back.
+    // Removes queued work; if the work holds a slot, releases it.
     void withdraw(WorkId, TimePoint now);
-    // The work ended and its slot is free. Only work that a server answered teaches how long work takes.
+    // Releases the slot of work that ended. Only answered work contributes to the duration estimate.
     void release(WorkId, bool isAnswered, TimePoint now);
-    // The server said that it has no room: nothing is sent to it for a while.
-    void shed(BackendServerId, std::chrono::milliseconds retryAfter, TimePoint now);
+    // Records that the server rejected work for lack of capacity: it gets no work for retryAfter or its back-off,
+    // whichever is longer.
+    void pauseServer(BackendServerId, std::chrono::milliseconds retryAfter, TimePoint now);
     void tick(TimePoint now);
 
-    void handle(const Holder& from, const BorrowSlot&, TimePoint now);
-    void handle(const Holder& from, const SlotReply&, TimePoint now);
-    void handle(const Holder& from, const ReturnSlot&, TimePoint now);
+    void handle(const BalancerInstance& from, const BorrowSlot&, TimePoint now);
+    void handle(const BalancerInstance& from, const SlotReply&, TimePoint now);
+    void handle(const BalancerInstance& from, const ReturnSlot&, TimePoint now);
 
     std::vector<SlotGrant> takeGrants();
     std::vector<SlotRefusal> takeRefusals();
@@ -72,10 +73,10 @@
     struct Server {
         BackendServer settings;
         std::uint32_t share = 0;
-        // By own work and by balancers that borrowed.
+        // Slots used by own work and lent to other balancers.
         std::uint32_t inUse = 0;
         TimePoint addedAt;
-        TimePoint closedUntil;
+        TimePoint pausedUntil;
         std::chrono::milliseconds backOff {};
         bool isConfigured = true;
     };
@@ -84,21 +85,21 @@
         ServiceId service;
         BackendServerId server;
         TimePoint startedAt;
-        // Set when the slot was borrowed: from whom, and under which number.
-        std::optional<Holder> lender;
+        // Set when the slot was borrowed: the lender and the nonce of the loan.
+        std::optional<BalancerInstance> lender;
         std::uint64_t nonce = 0;
     };
 
-    std::uint32_t openSlots(const Server&, TimePoint now) const;
-    std::uint32_t openSlots(ServiceId, TimePoint now) const;
-    Server* freeServer(ServiceId, TimePoint now);
+    std::uint32_t usableSlots(const Server&, TimePoint now) const;
+    std::uint32_t usableSlots(ServiceId, TimePoint now) const;
+    Server* findFreeServer(ServiceId, TimePoint now);
     bool hasServer(ServiceId) const;
     void grant(WorkId, ServiceId, BackendServerId, TimePoint now);
     void refuse(WorkId, ServiceId, RefusalReason, TimePoint now);
     void dispatch(ServiceId, TimePoint now);
-    void giveBack(const Running&);
+    void returnSlot(const Running&);
 
-    Holder self_;
+    BalancerInstance self_;
     AdmissionLimits limits_;
     std::mt19937_64 random_;
     std::map<BackendServerId, Server> servers_;
--- a/Source/Request/ClaimTable.cpp
+++ b/Source/Request/ClaimTable.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    constexpr std::uint32_t bucketsForgottenPerCall = 8;
+    constexpr std::uint32_t bucketsExpiredPerCall = 8;
 
     constexpr auto stateNames = makeNameTable<ClaimState>({
         { ClaimState::Refused, "refused" },
@@ -18,7 +18,7 @@
         { ClaimState::Answered, "answered" },
     });
 
-    std::size_t bytesOf(const WholeAnswer& answer)
+    std::size_t bytesOf(const SharedResponse& answer)
     {
         if (!answer)
             return 0;
@@ -66,7 +66,7 @@
 void ClaimTable::dropLargeAnswer(ClaimRecord& record)
 {
     const std::size_t bytes = bytesOf(record.answer);
-    if (bytes > limits_.keptAnswerBytes || answerBytes_ + bytes > limits_.answerBytes)
+    if (bytes > limits_.maxKeptAnswerBytes || answerBytes_ + bytes > limits_.answerBytes)
         record.answer.reset();
 }
 
@@ -81,9 +81,9 @@
     --size_;
 }
 
-bool ClaimTable::mayHaveForgotten(std::uint32_t bucket, const RequestKey& key) const
+bool ClaimTable::mayHaveExpired(std::uint32_t bucket, const RequestKey& key) const
 {
-    return key.isTicket() && key.issuedEpoch < buckets_[bucket].forgottenEpoch;
+    return key.isTicket() && key.issuedEpoch < buckets_[bucket].expiredEpoch;
 }
 
 std::vector<ClaimCopy> ClaimTable::copy(std::uint32_t bucket, TimePoint now) const
@@ -100,7 +100,7 @@
 
 void ClaimTable::merge(std::uint32_t bucket, const BucketContents& contents, TimePoint now)
 {
-    buckets_[bucket].forgottenEpoch = std::max(buckets_[bucket].forgottenEpoch, contents.forgottenEpoch);
+    buckets_[bucket].expiredEpoch = std::max(buckets_[bucket].expiredEpoch, contents.expiredEpoch);
     for (const ClaimCopy& copy : contents.claims) {
         const ClaimRecord* known = find(bucket, copy.digest);
         if (known && known->state >= copy.record.state)
@@ -120,27 +120,27 @@
     cleared = Bucket();
 }
 
-void ClaimTable::forget(std::uint64_t currentEpoch, TimePoint now)
+void ClaimTable::expire(std::uint64_t currentEpoch, TimePoint now)
 {
-    for (std::uint32_t i = 0; i < bucketsForgottenPerCall; ++i) {
-        forgetBucket(buckets_[nextToForget_], currentEpoch, now);
-        nextToForget_ = (nextToForget_ + 1) % claimBucketCount;
+    for (std::uint32_t i = 0; i < bucketsExpiredPerCall; ++i) {
+        expireBucket(buckets_[nextToExpire_], currentEpoch, now);
+        nextToExpire_ = (nextToExpire_ + 1) % claimBucketCount;
     }
 }
 
-void ClaimTable::forgetBucket(Bucket& bucket, std::uint64_t currentEpoch, TimePoint now)
+void ClaimTable::expireBucket(Bucket& bucket, std::uint64_t currentEpoch, TimePoint now)
 {
     for (auto entry = bucket.records.begin(); entry != bucket.records.end();) {
         const ClaimRecord& record = entry->second;
         const bool isRefused = record.state == ClaimState::Refused;
-        const bool isOld = isRefused ? now >= record.since : now - record.since >= limits_.rememberFor;
+        const bool isOld = isRefused ? now >= record.since : now - record.since >= limits_.retention;
         const bool mustStay = !isRefused && record.issuedEpoch >= currentEpoch;
         if (!isOld || mustStay) {
             ++entry;
             continue;
         }
         if (!isRefused && record.issuedEpoch != 0)
-            bucket.forgottenEpoch = std::max(bucket.forgottenEpoch, record.issuedEpoch + 1);
+            bucket.expiredEpoch = std::max(bucket.expiredEpoch, record.issuedEpoch + 1);
         answerBytes_ -= bytesOf(record.answer);
         bucket.records.erase(entry++);
         --size_;
--- a/Source/Request/KeyDecision.cpp
+++ b/Source/Request/KeyDecision.cpp
@@ -4,19 +4,19 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds inProgressWait { 1000 };
+    constexpr std::chrono::milliseconds inProgressRetryDelay { 1000 };
 
-    KeyDecision refuseUnknown(RefusalReason reason, std::chrono::milliseconds comeBackIn = {})
+    KeyDecision refuseUnknown(RefusalReason reason, std::chrono::milliseconds retryDelay = {})
     {
-        return { KeyStep::RefuseUnknown, reason, comeBackIn, nullptr };
+        return { KeyStep::RefuseUnknown, reason, retryDelay, nullptr };
     }
 
-    KeyDecision refuseNotRun(RefusalReason reason, std::chrono::milliseconds comeBackIn = {})
+    KeyDecision refuseNotRun(RefusalReason reason, std::chrono::milliseconds retryDelay = {})
     {
-        return { KeyStep::RefuseNotRun, reason, comeBackIn, nullptr };
+        return { KeyStep::RefuseNotRun, reason, retryDelay, nullptr };
     }
 
-    KeyDecision decideJoin(const KeyedTry& attempt, const Work& work)
+    KeyDecision decideJoin(const KeyedAttempt& attempt, const Work& work)
     {
         if (attempt.fingerprint != work.fingerprint)
             return refuseUnknown(RefusalReason::KeyReused);
@@ -25,14 +25,14 @@
         return { KeyStep::Join, {}, {}, nullptr };
     }
 
-    KeyDecision decideFresh(const KeyedTry& attempt, const BucketKeeper& keeper)
+    KeyDecision decideFresh(const KeyedAttempt& attempt, const BucketManager& buckets)
     {
-        switch (keeper.knowledgeOf(claimBucketOf(attempt.key.digest), attempt.key)) {
-        case KeyKnowledge::TooOld:
+        switch (buckets.freshnessOf(claimBucketOf(attempt.key.digest), attempt.key)) {
+        case KeyFreshness::TooOld:
             return refuseUnknown(RefusalReason::KeyTooOld);
-        case KeyKnowledge::Lost:
-            return refuseUnknown(RefusalReason::ClaimsLost, inProgressWait);
-        case KeyKnowledge::Fresh:
+        case KeyFreshness::Lost:
+            return refuseUnknown(RefusalReason::ClaimsLost, inProgressRetryDelay);
+        case KeyFreshness::Fresh:
             break;
         }
         if (attempt.problem)
@@ -40,7 +40,7 @@
         return { KeyStep::Start, {}, {}, nullptr };
     }
 
-    KeyDecision decideKnown(const KeyedTry& attempt, const ClaimRecord& record)
+    KeyDecision decideKnown(const KeyedAttempt& attempt, const ClaimRecord& record)
     {
         if (attempt.fingerprint != record.fingerprint)
             return refuseUnknown(RefusalReason::KeyReused);
@@ -48,7 +48,7 @@
             return refuseUnknown(RefusalReason::OutcomeUnknown);
         // Claimed or sent by another balancer, or by an earlier owner of the bucket.
         if (record.state != ClaimState::Answered)
-            return refuseUnknown(RefusalReason::InProgress, inProgressWait);
+            return refuseUnknown(RefusalReason::InProgress, inProgressRetryDelay);
         if (!record.answer)
             return refuseUnknown(RefusalReason::AnswerNotKept);
         return { KeyStep::Answer, {}, {}, record.answer };
@@ -56,27 +56,27 @@
 
 }
 
-KeyDecision decideKey(const KeyedTry& attempt, const BucketKeeper& keeper, const WorkTable& works, TimePoint now)
+KeyDecision decideKey(const KeyedAttempt& attempt, const BucketManager& buckets, const WorkTable& works, TimePoint now)
 {
-    const bool isBehind = !keeper.mayAct() || attempt.key.issuedEpoch > keeper.newestEpoch();
+    const bool isBehind = !buckets.knowsNewestTerm() || attempt.key.issuedEpoch > buckets.newestEpoch();
     if (isBehind)
         return { KeyStep::Park, {}, {}, nullptr };
     const std::uint32_t bucket = claimBucketOf(attempt.key.digest);
-    const Ownership ownership = keeper.ownership(bucket);
+    const Ownership ownership = buckets.ownership(bucket);
     if (ownership == Ownership::NotOwner)
         return { KeyStep::Redirect, {}, {}, nullptr };
     if (ownership != Ownership::Active)
         return { KeyStep::Park, {}, {}, nullptr };
     if (const Work* work = works.findByKey(attempt.key.digest))
         return decideJoin(attempt, *work);
-    const ClaimRecord* record = keeper.table().find(bucket, attempt.key.digest);
+    const ClaimRecord* record = buckets.table().find(bucket, attempt.key.digest);
     if (!record)
-        return decideFresh(attempt, keeper);
+        return decideFresh(attempt, buckets);
     if (record->state != ClaimState::Refused)
         return decideKnown(attempt, *record);
     if (now >= record->since)
-        return decideFresh(attempt, keeper);
-    // A try of the same key that was on its way when the key was refused must not make that refusal false.
+        return decideFresh(attempt, buckets);
+    // An attempt that was in transit when its key was refused as not run must not run before the retry time.
     return refuseNotRun(
         RefusalReason::ComeBackLater, std::chrono::ceil<std::chrono::milliseconds>(record->since - now));
 }
--- a/Source/Request/RefusalWriter.cpp
+++ b/Source/Request/RefusalWriter.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // Coming back with the same request at a later time can't help against these.
+    // Whether repeating the same request later can't succeed.
     bool isFinal(RefusalReason reason)
     {
         switch (reason) {
@@ -28,92 +28,92 @@
 
 }
 
-RefusalWriter::RefusalWriter(BucketKeeper& keeper, WorkTable& works, Duration backupTimeout, std::uint64_t seed)
-    : keeper_(keeper)
+RefusalWriter::RefusalWriter(BucketManager& buckets, WorkTable& works, Duration backupTimeout, std::uint64_t seed)
+    : buckets_(buckets)
     , works_(works)
-    , fence_(backupTimeout)
+    , pending_(backupTimeout)
     , random_(seed)
 {
 }
 
-void RefusalWriter::refuse(TryId id, RefusalReason reason, Executed executed, std::chrono::milliseconds comeBackIn)
+void RefusalWriter::refuse(AttemptId id, RefusalReason reason, Executed executed, std::chrono::milliseconds retryDelay)
 {
-    const auto retryAfter = isFinal(reason) ? std::chrono::seconds(0) : drawRetryAfter(comeBackIn, random_);
-    actions_.emplace_back(RefuseTry { id, { reason, executed, retryAfter } });
+    const auto retryAfter = isFinal(reason) ? std::chrono::seconds(0) : drawRetryAfter(retryDelay, random_);
+    actions_.emplace_back(RefuseAttempt { id, { reason, executed, retryAfter } });
 }
 
 void RefusalWriter::refuseAll(const std::vector<WorkWaiter>& waiters, RefusalReason reason, Executed executed,
-    std::chrono::milliseconds comeBackIn)
+    std::chrono::milliseconds retryDelay)
 {
     for (const WorkWaiter& waiter : waiters)
-        refuse(waiter.id, reason, executed, comeBackIn);
+        refuse(waiter.id, reason, executed, retryDelay);
 }
 
-void RefusalWriter::refuseFenced(const FencedRefusal& refusal, TimePoint now)
+void RefusalWriter::refuseWhenConfirmed(const PendingRefusal& refusal, TimePoint now)
 {
     const std::uint32_t bucket = claimBucketOf(refusal.key.digest);
-    if (keeper_.ownership(bucket) != Ownership::Active)
-        return refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.comeBackIn);
-    const std::optional<Holder>& backup = keeper_.pairOf(bucket)->backup;
+    if (buckets_.ownership(bucket) != Ownership::Active)
+        return refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.retryDelay);
+    const std::optional<BalancerInstance>& backup = buckets_.pairOf(bucket)->backup;
     if (backup)
-        fence_.add(*backup, refusal);
+        pending_.add(*backup, refusal);
     else
-        refuseOwn(refusal, now);
+        refuseAtOnce(refusal, now);
 }
 
-void RefusalWriter::refuseOwn(const FencedRefusal& refusal, TimePoint now)
+void RefusalWriter::refuseAtOnce(const PendingRefusal& refusal, TimePoint now)
 {
-    // Another try of the key may have started while the question was on its way.
-    const ClaimRecord* record = keeper_.table().find(claimBucketOf(refusal.key.digest), refusal.key.digest);
+    // Another attempt of the key may have started during the epoch check.
+    const ClaimRecord* record = buckets_.table().find(claimBucketOf(refusal.key.digest), refusal.key.digest);
     const bool mayRun = works_.findByKey(refusal.key.digest) || (record && record->state != ClaimState::Refused);
     if (mayRun)
-        return refuse(refusal.id, RefusalReason::InProgress, Executed::Unknown, refusal.comeBackIn);
+        return refuse(refusal.id, RefusalReason::InProgress, Executed::Unknown, refusal.retryDelay);
     refuseNotRun(refusal, now);
 }
 
-void RefusalWriter::refuseNotRun(const FencedRefusal& refusal, TimePoint now)
+void RefusalWriter::refuseNotRun(const PendingRefusal& refusal, TimePoint now)
 {
     const bool isFinalReason = isFinal(refusal.reason);
-    const auto retryAfter = isFinalReason ? std::chrono::seconds(0) : drawRetryAfter(refusal.comeBackIn, random_);
-    actions_.emplace_back(RefuseTry { refusal.id, { refusal.reason, Executed::No, retryAfter } });
+    const auto retryAfter = isFinalReason ? std::chrono::seconds(0) : drawRetryAfter(refusal.retryDelay, random_);
+    actions_.emplace_back(RefuseAttempt { refusal.id, { refusal.reason, Executed::No, retryAfter } });
 
-    // Until the caller was told to come back, no other try of the key makes this answer false. Repeating the refusal
-    // does not put the time off. Refusals get at most half of the table.
+    // Records the refusal, so that no other attempt runs the key before the retry time. A repeated refusal doesn't
+    // extend that time. Refusals use at most half of the table.
     const std::uint32_t bucket = claimBucketOf(refusal.key.digest);
-    ClaimTable& table = keeper_.table();
+    ClaimTable& table = buckets_.table();
     const bool hasRoom = table.size() < table.limits().claims / 2;
     if (isFinalReason || refusal.reason == RefusalReason::ComeBackLater || !hasRoom)
         return;
     table.put(bucket, refusal.key.digest,
-        { 0, refusal.key.issuedEpoch, 0, Holder {}, now + retryAfter, ClaimState::Refused, nullptr });
+        { 0, refusal.key.issuedEpoch, 0, BalancerInstance {}, now + retryAfter, ClaimState::Refused, nullptr });
 }
 
-void RefusalWriter::takeEpochChecked(const Holder& from, const EpochChecked& answer, TimePoint now)
+void RefusalWriter::handleEpochChecked(const BalancerInstance& from, const EpochChecked& answer, TimePoint now)
 {
-    for (const FencedRefusal& refusal : fence_.takeAnswered(from, answer)) {
+    for (const PendingRefusal& refusal : pending_.takeChecked(from, answer)) {
         if (answer.accepted)
-            refuseOwn(refusal, now);
+            refuseAtOnce(refusal, now);
         else
-            refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.comeBackIn);
+            refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.retryDelay);
     }
 }
 
-void RefusalWriter::abandonFenced()
+void RefusalWriter::abandonPending()
 {
-    for (const FencedRefusal& refusal : fence_.takeAll())
-        refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.comeBackIn);
+    for (const PendingRefusal& refusal : pending_.takeAll())
+        refuse(refusal.id, refusal.reason, Executed::Unknown, refusal.retryDelay);
 }
 
-void RefusalWriter::expireFenced(TimePoint now)
+void RefusalWriter::expirePending(TimePoint now)
 {
-    for (const FencedRefusal& refusal : fence_.takeExpired(now))
-        refuse(refusal.id, RefusalReason::BackupUnreachable, Executed::Unknown, refusal.comeBackIn);
+    for (const PendingRefusal& refusal : pending_.takeExpired(now))
+        refuse(refusal.id, RefusalReason::BackupUnreachable, Executed::Unknown, refusal.retryDelay);
 }
 
 std::vector<RequestAction> RefusalWriter::takeActions(TimePoint now)
 {
-    for (OutgoingMessage& question : fence_.takeQuestions(keeper_.newestEpoch(), now))
-        actions_.emplace_back(std::move(question));
+    for (OutgoingMessage& check : pending_.takeEpochChecks(buckets_.newestEpoch(), now))
+        actions_.emplace_back(std::move(check));
     return std::exchange(actions_, {});
 }
 
--- a/Source/Request/RequestRunner.cpp
+++ b/Source/Request/RequestRunner.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds shortWait { 1000 };
-    constexpr std::chrono::milliseconds wantTermInterval { 500 };
+    constexpr std::chrono::milliseconds defaultRetryDelay { 1000 };
+    constexpr std::chrono::milliseconds fetchTermInterval { 500 };
 
     RefusalReason reasonFor(HttpFailureKind kind)
     {
@@ -23,80 +23,80 @@
 
 RequestRunner::RequestRunner(const RunnerSettings& settings)
     : settings_(settings)
-    , keeper_(settings.self, settings.claims, settings.maxDeadline)
+    , buckets_(settings.self, settings.claims, settings.maxDeadline)
     , admission_(settings.self, settings.admission, settings.seed)
     , retries_(settings.retries)
-    , claims_(settings.self, keeper_, works_)
-    , refusals_(keeper_, works_, settings.backupTimeout, settings.seed + 1)
+    , claims_(settings.self, buckets_, works_)
+    , refusals_(buckets_, works_, settings.backupTimeout, settings.seed + 1)
     , parked_(settings.maxParked, settings.recoveryWait)
 {
 }
 
 void RequestRunner::learnTerm(const ClaimTerm& term, TimePoint now)
 {
-    if (keeper_.term() && term.epoch <= keeper_.term()->epoch)
+    if (buckets_.term() && term.epoch <= buckets_.term()->epoch)
         return;
     leaveEpoch(now);
-    keeper_.learnTerm(term, now);
-    collect(now);
+    buckets_.learnTerm(term, now);
+    processResults(now);
 }
 
 void RequestRunner::configure(const Configuration& configuration, const MembersView& view, TimePoint now)
 {
     for (const Member& member : view.members)
-        keeper_.learnStart({ member.id, member.incarnation });
+        buckets_.learnStart({ member.id, member.incarnation });
     admission_.configure(configuration, view, now);
-    collect(now);
+    processResults(now);
 }
 
-void RequestRunner::arrive(const KeyedTry& attempt, TimePoint now)
+void RequestRunner::arrive(const KeyedAttempt& attempt, TimePoint now)
 {
     decide(attempt, now);
-    collect(now);
+    processResults(now);
 }
 
-void RequestRunner::arrive(const PlainTry& attempt, TimePoint now)
+void RequestRunner::arrive(const UnkeyedAttempt& attempt, TimePoint now)
 {
     start(makeWork(attempt), now);
-    collect(now);
+    processResults(now);
 }
 
-void RequestRunner::decide(const KeyedTry& attempt, TimePoint now)
+void RequestRunner::decide(const KeyedAttempt& attempt, TimePoint now)
 {
-    const KeyDecision decision = decideKey(attempt, keeper_, works_, now);
+    const KeyDecision decision = decideKey(attempt, buckets_, works_, now);
     switch (decision.step) {
     case KeyStep::Park:
         return park(attempt, now);
     case KeyStep::Redirect:
-        actions_.emplace_back(RedirectTry { attempt.id, keeper_.newestEpoch() });
+        actions_.emplace_back(RedirectAttempt { attempt.id, buckets_.newestEpoch() });
         return;
     case KeyStep::Join:
         return join(attempt);
     case KeyStep::Answer:
-        actions_.emplace_back(AnswerTry { attempt.id, decision.answer });
+        actions_.emplace_back(AnswerAttempt { attempt.id, decision.answer });
         return;
     case KeyStep::RefuseUnknown:
-        return refusals_.refuse(attempt.id, decision.reason, Executed::Unknown, decision.comeBackIn);
+        return refusals_.refuse(attempt.id, decision.reason, Executed::Unknown, decision.retryDelay);
     case KeyStep::RefuseNotRun:
-        return refusals_.refuseFenced({ attempt.id, attempt.key, decision.reason, decision.comeBackIn }, now);
+        return refusals_.refuseWhenConfirmed({ attempt.id, attempt.key, decision.reason, decision.retryDelay }, now);
     case KeyStep::Start:
         return start(makeWork(attempt), now);
     }
 }
 
-void RequestRunner::park(const KeyedTry& attempt, TimePoint now)
+void RequestRunner::park(const KeyedAttempt& attempt, TimePoint now)
 {
     if (!parked_.add(attempt, now))
-        return refusals_.refuse(attempt.id, RefusalReason::NotReady, Executed::Unknown, shortWait);
-    const bool isBehind = !keeper_.mayAct() || attempt.key.issuedEpoch > keeper_.newestEpoch();
-    // Anybody can write an epoch into a key; it must not become a storm of reads.
-    if (!isBehind || now < wantTermAt_)
+        return refusals_.refuse(attempt.id, RefusalReason::NotReady, Executed::Unknown, defaultRetryDelay);
+    const bool isBehind = !buckets_.knowsNewestTerm() || attempt.key.issuedEpoch > buckets_.newestEpoch();
+    // Callers can write any epoch into a key, so the rate of fetches is limited.
+    if (!isBehind || now < nextFetchAt_)
         return;
-    wantTermAt_ = now + wantTermInterval;
-    actions_.emplace_back(WantTerm {});
+    nextFetchAt_ = now + fetchTermInterval;
+    actions_.emplace_back(FetchTerm {});
 }
 
-void RequestRunner::join(const KeyedTry& attempt)
+void RequestRunner::join(const KeyedAttempt& attempt)
 {
     Work& work = *works_.findByKey(attempt.key.digest);
     if (work.stage != WorkStage::Sent)
@@ -111,10 +111,10 @@
     admission_.request(started.id, started.service, started.deadline, now);
 }
 
-void RequestRunner::cancel(TryId id, TimePoint now)
+void RequestRunner::cancel(AttemptId id, TimePoint now)
 {
     parked_.remove(id);
-    Work* work = works_.findByTry(id);
+    Work* work = works_.findByAttempt(id);
     if (!work)
         return;
     works_.removeWaiter(*work, id);
@@ -124,20 +124,20 @@
         else if (!work->key)
             actions_.emplace_back(CancelWork { work->id });
     }
-    collect(now);
+    processResults(now);
 }
 
-void RequestRunner::workAnswered(WorkId id, const WholeAnswer& answer, TimePoint now)
+void RequestRunner::workAnswered(WorkId id, const SharedResponse& answer, TimePoint now)
 {
     const Work* work = works_.find(id);
     if (!work)
         return;
-    claims_.recordEnd(*work, true, answer, now);
+    claims_.recordOutcome(*work, true, answer, now);
     for (const WorkWaiter& waiter : work->waiters)
-        actions_.emplace_back(AnswerTry { waiter.id, answer });
+        actions_.emplace_back(AnswerAttempt { waiter.id, answer });
     works_.erase(id);
     admission_.release(id, true, now);
-    collect(now);
+    processResults(now);
 }
 
 void RequestRunner::workFailed(WorkId id, HttpFailureKind kind, TimePoint now)
@@ -146,64 +146,64 @@
     if (!work)
         return;
     work->mayHaveRun = work->mayHaveRun || mayHaveRun(kind);
-    // Unreachable or full: other work would fare no better there, and each attempt costs from the budget.
+    // Pauses the unreachable or full server: more work would fail there and use up the retry budget.
     if (!mayHaveRun(kind))
-        admission_.shed(work->server, std::chrono::milliseconds(0), now);
+        admission_.pauseServer(work->server, std::chrono::milliseconds(0), now);
     admission_.release(id, false, now);
     const bool isWanted = !work->waiters.empty() && now < work->deadline;
-    if (isWanted && retries_.takeRetry(kind, !work->key, work->attempts)) {
+    if (isWanted && retries_.takeRetry(kind, !work->key, work->sendCount)) {
         work->stage = WorkStage::Queued;
         admission_.request(id, work->service, work->deadline, now);
     } else
-        giveUp(*work, reasonFor(kind), shortWait, now);
-    collect(now);
+        giveUp(*work, reasonFor(kind), defaultRetryDelay, now);
+    processResults(now);
 }
 
-// Ends work without an answer, whatever its stage, with what is known of it.
-void RequestRunner::giveUp(Work& work, RefusalReason reason, std::chrono::milliseconds comeBackIn, TimePoint now)
+// Ends work without an answer, at any stage, and refuses its waiters according to whether it may have run.
+void RequestRunner::giveUp(Work& work, RefusalReason reason, std::chrono::milliseconds retryDelay, TimePoint now)
 {
     const Work ended = work;
     if (ended.mayHaveRun) {
-        claims_.recordEnd(ended, false, nullptr, now);
+        claims_.recordOutcome(ended, false, nullptr, now);
         works_.erase(ended.id);
         admission_.withdraw(ended.id, now);
-        return refusals_.refuseAll(ended.waiters, reason, Executed::Unknown, comeBackIn);
+        return refusals_.refuseAll(ended.waiters, reason, Executed::Unknown, retryDelay);
     }
     drop(work, now);
     if (!ended.key)
-        return refusals_.refuseAll(ended.waiters, reason, Executed::No, comeBackIn);
+        return refusals_.refuseAll(ended.waiters, reason, Executed::No, retryDelay);
     for (const WorkWaiter& waiter : ended.waiters) {
-        const FencedRefusal refusal { waiter.id, *ended.key, reason, comeBackIn };
+        const PendingRefusal refusal { waiter.id, *ended.key, reason, retryDelay };
         if (ended.isClaimHeld)
-            refusals_.refuseOwn(refusal, now);
+            refusals_.refuseAtOnce(refusal, now);
         else
-            refusals_.refuseFenced(refusal, now);
+            refusals_.refuseWhenConfirmed(refusal, now);
     }
 }
 
-// Carries out what the parts decided, until nothing more follows from it.
-void RequestRunner::collect(TimePoint now)
+// Processes the results of the components until no new ones follow.
+void RequestRunner::processResults(TimePoint now)
 {
     for (bool isSettled = false; !isSettled;) {
-        if (keeper_.takeOwnershipChanged()) {
-            for (const KeyedTry& attempt : parked_.takeAll())
+        if (buckets_.takeOwnershipChanged()) {
+            for (const KeyedAttempt& attempt : parked_.takeAll())
                 decide(attempt, now);
         }
         const std::vector<SlotGrant> grants = admission_.takeGrants();
         const std::vector<SlotRefusal> slotRefusals = admission_.takeRefusals();
         for (const SlotGrant& grant : grants)
-            takeSlot(grant, now);
+            handleGrant(grant, now);
         for (const SlotRefusal& refusal : slotRefusals)
-            takeSlotRefusal(refusal, now);
+            handleSlotRefusal(refusal, now);
         isSettled = grants.empty() && slotRefusals.empty();
     }
     std::vector<RequestAction> refused = refusals_.takeActions(now);
     actions_.insert(actions_.end(), std::make_move_iterator(refused.begin()), std::make_move_iterator(refused.end()));
     addMessages(claims_.takeMessages());
-    addMessages(keeper_.takeMessages());
+    addMessages(buckets_.takeMessages());
     addMessages(admission_.takeMessages());
-    if (keeper_.takeTermWanted())
-        actions_.emplace_back(WantTerm {});
+    if (buckets_.takeFetchNeeded())
+        actions_.emplace_back(FetchTerm {});
 }
 
 void RequestRunner::addMessages(std::vector<OutgoingMessage> messages)
@@ -212,7 +212,7 @@
         actions_.emplace_back(std::move(message));
 }
 
-void RequestRunner::takeSlot(const SlotGrant& grant, TimePoint now)
+void RequestRunner::handleGrant(const SlotGrant& grant, TimePoint now)
 {
     Work* work = works_.find(grant.work);
     if (!work)
@@ -224,30 +224,30 @@
         send(*work, now);
 }
 
-void RequestRunner::takeSlotRefusal(const SlotRefusal& refusal, TimePoint now)
+void RequestRunner::handleSlotRefusal(const SlotRefusal& refusal, TimePoint now)
 {
     if (Work* work = works_.find(refusal.work))
-        giveUp(*work, work->mayHaveRun ? RefusalReason::OutcomeUnknown : refusal.reason, refusal.comeBackIn, now);
+        giveUp(*work, work->mayHaveRun ? RefusalReason::OutcomeUnknown : refusal.reason, refusal.retryDelay, now);
 }
 
 void RequestRunner::claim(Work& work, TimePoint now)
 {
     switch (claims_.begin(work, now)) {
-    case ClaimStart::Held:
+    case ClaimResult::Held:
         work.isClaimHeld = true;
         return send(work, now);
-    case ClaimStart::Asked:
+    case ClaimResult::Pending:
         work.stage = WorkStage::Claiming;
-        work.claimUntil = now + settings_.backupTimeout;
+        work.claimDeadline = now + settings_.backupTimeout;
         return;
-    case ClaimStart::NotOwner:
+    case ClaimResult::NotOwner:
         return parkWork(work, now);
-    case ClaimStart::NoRoom:
-        return giveUp(work, RefusalReason::TableFull, shortWait, now);
+    case ClaimResult::TableFull:
+        return giveUp(work, RefusalReason::TableFull, defaultRetryDelay, now);
     }
 }
 
-void RequestRunner::takeClaimReply(const ClaimReply& reply, TimePoint now)
+void RequestRunner::handleClaimReply(const ClaimReply& reply, TimePoint now)
 {
     Work* work = works_.findByClaim(reply.sequence);
     if (!work || work->stage != WorkStage::Claiming)
@@ -256,9 +256,9 @@
         work->isClaimHeld = true;
         return send(*work, now);
     }
-    if (reply.epoch > keeper_.newestEpoch()) {
+    if (reply.epoch > buckets_.newestEpoch()) {
         leaveEpoch(now);
-        return keeper_.hearOf(reply.epoch);
+        return buckets_.noteEpoch(reply.epoch);
     }
     refuseUnclaimed(*work, now);
 }
@@ -267,18 +267,18 @@
 {
     const std::vector<WorkWaiter> waiters = work.waiters;
     drop(work, now);
-    refusals_.refuseAll(waiters, RefusalReason::BackupUnreachable, Executed::Unknown, shortWait);
+    refusals_.refuseAll(waiters, RefusalReason::BackupUnreachable, Executed::Unknown, defaultRetryDelay);
 }
 
 void RequestRunner::send(Work& work, TimePoint now)
 {
     if (work.waiters.empty())
         return drop(work, now);
-    // The last look before the work leaves: a balancer that was paused here must not send what nobody waits for.
+    // Checks the deadline immediately before sending, because the balancer may have been paused since the last check.
     if (now >= work.deadline)
-        return giveUp(work, RefusalReason::DeadlinePassed, shortWait, now);
+        return giveUp(work, RefusalReason::DeadlinePassed, defaultRetryDelay, now);
     work.stage = WorkStage::Sent;
-    ++work.attempts;
+    ++work.sendCount;
     claims_.recordSent(work, now);
     actions_.emplace_back(StartWork { work.id, work.waiters.front().id, work.server, work.deadline });
 }
@@ -291,8 +291,8 @@
     admission_.withdraw(id, now);
 }
 
-// Work whose claim no backup holds yet goes back to where its tries came from, and its claim is withdrawn before the
-// bucket is handed on; otherwise the new owner would find a claim that nobody will ever use.
+// Parks attempts whose claim no backup holds yet, and withdraws the claim before the bucket is handed over; otherwise
+// the new owner would find a claim that is never used.
 void RequestRunner::leaveEpoch(TimePoint now)
 {
     for (const WorkId id : works_.ids()) {
@@ -300,7 +300,7 @@
         if (work && work->key && !work->isClaimHeld)
             parkWork(*work, now);
     }
-    refusals_.abandonFenced();
+    refusals_.abandonPending();
 }
 
 void RequestRunner::parkWork(Work& work, TimePoint now)
@@ -311,10 +311,10 @@
         park({ waiter.id, *parked.key, parked.fingerprint, parked.service, waiter.deadline, std::nullopt }, now);
 }
 
-void RequestRunner::receive(const Holder& from, const RequestMessage& message, TimePoint now)
+void RequestRunner::receive(const BalancerInstance& from, const RequestMessage& message, TimePoint now)
 {
     if (const auto* recover = std::get_if<RecoverBucket>(&message)) {
-        if (recover->epoch > keeper_.newestEpoch())
+        if (recover->epoch > buckets_.newestEpoch())
             leaveEpoch(now);
     }
     std::visit(
@@ -325,44 +325,44 @@
                     return;
             }
             if constexpr (std::is_same_v<Content, ClaimReply>)
-                takeClaimReply(content, now);
+                handleClaimReply(content, now);
             else if constexpr (std::is_same_v<Content, EpochChecked>)
-                refusals_.takeEpochChecked(from, content, now);
-            else if constexpr (std::is_same_v<Content, TermNews>)
+                refusals_.handleEpochChecked(from, content, now);
+            else if constexpr (std::is_same_v<Content, TermUpdate>)
                 learnTerm(content.term, now);
             else if constexpr (requires { admission_.handle(from, content, now); })
                 admission_.handle(from, content, now);
             else
-                keeper_.handle(from, content, now);
+                buckets_.handle(from, content, now);
         },
         message);
-    collect(now);
+    processResults(now);
 }
 
 std::optional<std::string> RequestRunner::issueTicket(std::uint64_t high, std::uint64_t low) const
 {
-    if (!keeper_.mayAct())
+    if (!buckets_.knowsNewestTerm())
         return std::nullopt;
-    return makeTicket(keeper_.term()->zone, keeper_.newestEpoch(), high, low);
+    return makeTicket(buckets_.term()->zone, buckets_.newestEpoch(), high, low);
 }
 
 void RequestRunner::tick(TimePoint now)
 {
-    keeper_.tick(now);
+    buckets_.tick(now);
     expireClaims(now);
     expireWaiters(now);
-    for (const TryId id : parked_.takeExpired(now))
-        refusals_.refuse(id, RefusalReason::NotReady, Executed::Unknown, shortWait);
-    refusals_.expireFenced(now);
+    for (const AttemptId id : parked_.takeExpired(now))
+        refusals_.refuse(id, RefusalReason::NotReady, Executed::Unknown, defaultRetryDelay);
+    refusals_.expirePending(now);
     admission_.tick(now);
-    collect(now);
+    processResults(now);
 }
 
 void RequestRunner::expireClaims(TimePoint now)
 {
     for (const WorkId id : works_.ids()) {
         Work* work = works_.find(id);
-        if (work && work->stage == WorkStage::Claiming && now >= work->claimUntil)
+        if (work && work->stage == WorkStage::Claiming && now >= work->claimDeadline)
             refuseUnclaimed(*work, now);
     }
 }
@@ -382,13 +382,13 @@
     }
 }
 
-void RequestRunner::expireWaiter(Work& work, TryId id, TimePoint now)
+void RequestRunner::expireWaiter(Work& work, AttemptId id, TimePoint now)
 {
     const bool isLast = work.waiters.size() == 1;
     if (isLast && work.stage != WorkStage::Sent)
-        return giveUp(work, RefusalReason::DeadlinePassed, shortWait, now);
+        return giveUp(work, RefusalReason::DeadlinePassed, defaultRetryDelay, now);
     works_.removeWaiter(work, id);
-    refusals_.refuse(id, RefusalReason::DeadlinePassed, Executed::Unknown, shortWait);
+    refusals_.refuse(id, RefusalReason::DeadlinePassed, Executed::Unknown, defaultRetryDelay);
     if (isLast && !work.key)
         actions_.emplace_back(CancelWork { work.id });
 }
--- a/Source/Request/ServiceQueue.cpp
+++ b/Source/Request/ServiceQueue.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    // Weights of the newest sample. The mean moves slowly: it is multiplied by the length of the queue, and with TCP's
-    // weight of an eighth (RFC 6298) its noise alone made 6 of 100 late at twice the capacity.
+    // Weights of the newest sample are 1 / weight. The mean changes slowly, because its noise is multiplied by the
+    // queue length.
     constexpr int meanWeight = 32;
     constexpr int deviationWeight = 16;
-    // Waits are estimated longer than they are on average by this part.
+    // The expected wait is increased by 1 / waitMargin.
     constexpr int waitMargin = 8;
 
 }
@@ -31,21 +31,21 @@
     return entry;
 }
 
-std::vector<WorkId> ServiceQueue::removeHopeless(TimePoint now)
+std::vector<WorkId> ServiceQueue::removeInfeasible(TimePoint now)
 {
-    std::vector<WorkId> hopeless;
+    std::vector<WorkId> infeasible;
     std::erase_if(entries_, [&](const Entry& entry) {
         if (now + longDuration() <= entry.deadline)
             return false;
-        hopeless.push_back(entry.work);
+        infeasible.push_back(entry.work);
         return true;
     });
-    return hopeless;
+    return infeasible;
 }
 
-void ServiceQueue::learnDuration(Duration sample)
+void ServiceQueue::recordDuration(Duration sample)
 {
-    // The first samples weigh more: they replace a guess.
+    // The first samples weigh more, because they replace the initial values.
     samples_ = std::min(samples_ + 1, meanWeight);
     mean_ += (sample - mean_) / samples_;
     const Duration error = sample > mean_ ? sample - mean_ : mean_ - sample;
@@ -57,7 +57,7 @@
     return mean_ * static_cast<std::int64_t>(entries_.size() + 1) / std::max<std::uint32_t>(slots, 1);
 }
 
-bool ServiceQueue::canMake(TimePoint deadline, std::uint32_t slots, TimePoint now) const
+bool ServiceQueue::canMeet(TimePoint deadline, std::uint32_t slots, TimePoint now) const
 {
     const Duration wait = expectedWait(slots);
     return now + wait + wait / waitMargin + longDuration() <= deadline;
--- a/Tests/Balancer/RequestMessageCodecTest.cpp
+++ b/Tests/Balancer/RequestMessageCodecTest.cpp
@@ -10,8 +10,8 @@
 
     using namespace std::chrono_literals;
 
-    const Holder first { BalancerId { 7 }, 1'700'000'000'001 };
-    const Holder second { BalancerId { 4'000'000'000 }, 2 };
+    const BalancerInstance first { BalancerId { 7 }, 1'700'000'000'001 };
+    const BalancerInstance second { BalancerId { 4'000'000'000 }, 2 };
 
     ClaimTerm exampleTerm() { return { "walu", 9, { first, second }, { { 8, { second } }, { 7, {} } }, false }; }
 
@@ -25,7 +25,7 @@
         record.answer = std::make_shared<const HttpResponse>(
             HttpResponse { .status = 201, .headers = { { "location", "/9" } }, .body = std::string("\0b", 2) });
         snapshot.contents.claims = { { { 1, 2 }, record, -3s } };
-        snapshot.contents.forgottenEpoch = 4;
+        snapshot.contents.expiredEpoch = 4;
         snapshot.contents.lost = LostClaims { 6, { { 5, first, second }, { 4, second, std::nullopt } }, true, 70s };
         return snapshot;
     }
@@ -50,8 +50,8 @@
         {
             SCOPED_TRACE("a record, also as the platform holds it");
             const auto read
-                = decodeRequestMessage(encodeRequestMessage({ 5, RequestMessage(TermNews { exampleTerm() }) }));
-            EXPECT_EQ(std::get<TermNews>(std::get<RequestMessage>(read.value().message)).term, exampleTerm());
+                = decodeRequestMessage(encodeRequestMessage({ 5, RequestMessage(TermUpdate { exampleTerm() }) }));
+            EXPECT_EQ(std::get<TermUpdate>(std::get<RequestMessage>(read.value().message)).term, exampleTerm());
             EXPECT_EQ(readClaimTerm(writeClaimTerm(exampleTerm())).value(), exampleTerm());
             EXPECT_FALSE(readClaimTerm(R"({"epoch":1})"));
         }
--- a/Tests/Request/ClaimDoubtStoryTest.cpp
+++ b/Tests/Request/ClaimRecoveryTest.cpp
@@ -1,4 +1,4 @@
-#include "ClaimStory.h"
+#include "ClaimTestHelpers.h"
 
 #include <gtest/gtest.h>
 
@@ -13,17 +13,15 @@
 
 }
 
-// Symptom: work runs twice.
-// Sequence: owner and backup die together; the key comes back to a new owner, which knows nothing of it.
-// Cause: taking an empty table for an empty past.
-TEST(ClaimStory, BothHoldersLostLeavesOldKeysInDoubt)
+// Guards against a double run: new owners take keys as never sent after both holders of their claims failed.
+TEST(ClaimProtocol, LossOfBothHoldersRefusesOldKeys)
 {
     RunnerGroup group(4);
     group.settle({ 0, 1 });
     const RequestKey old = group.keyOf(0, 1);
     group.learn(group.makeTerm({ 2, 3 }), { 2, 3 });
     const auto onlyNew = [](std::size_t from, std::size_t to, const RequestMessage&) {
-        return from >= 2 && to >= 2 ? RunnerGroup::Fate::Deliver : RunnerGroup::Fate::Lose;
+        return from >= 2 && to >= 2 ? RunnerGroup::Verdict::Deliver : RunnerGroup::Verdict::Drop;
     };
     const auto wait = [&](Duration time) {
         for (Duration passed {}; passed < time; passed += time / 20) {
@@ -32,15 +30,15 @@
         }
     };
     wait(seconds(2));
-    const std::size_t owner = group[2].keeper().ownership(claimBucketOf(old.digest)) == Ownership::Active ? 2 : 3;
+    const std::size_t owner = group[2].buckets().ownership(claimBucketOf(old.digest)) == Ownership::Active ? 2 : 3;
     {
-        SCOPED_TRACE("a key of the caller's own making may have run");
+        SCOPED_TRACE("a key chosen by the caller may have run");
         group.arrive(owner, old);
         group.deliver(onlyNew);
         EXPECT_EQ(group.takeRefusal(owner).reason, RefusalReason::ClaimsLost);
     }
     {
-        SCOPED_TRACE("a ticket that was issued since is provably fresh; one that was issued before is not");
+        SCOPED_TRACE("a ticket issued after the loss is accepted, one issued before it is refused");
         RequestKey ticket = old;
         ticket.issuedEpoch = 1;
         group.arrive(owner, ticket);
@@ -52,17 +50,17 @@
         EXPECT_EQ(group.takeRefusal(owner).reason, RefusalReason::ClaimsLost);
     }
     {
-        SCOPED_TRACE("as long as the lost holders may be acting, time alone proves nothing");
+        SCOPED_TRACE("the loss does not expire while the lost holders may be acting");
         wait(seconds(2 * 3600));
-        // The ticket's caller has had no answer by its deadline.
+        // The ticket's work had no answer by its deadline.
         EXPECT_EQ(group.takeRefusal(owner).reason, RefusalReason::DeadlinePassed);
         group.arrive(owner, old);
         group.deliver(onlyNew);
         EXPECT_EQ(group.takeRefusal(owner).reason, RefusalReason::ClaimsLost);
     }
     {
-        SCOPED_TRACE("once one of the pair is gone for good, the doubt ends after the remembering time");
-        group[owner].learnGone(group.holder(0));
+        SCOPED_TRACE("after one of the pair has terminated, the loss expires after the retention time");
+        group[owner].learnTerminated(group.holder(0));
         wait(seconds(3500));
         group.arrive(owner, old);
         group.deliver(onlyNew);
@@ -74,8 +72,8 @@
     }
 }
 
-// Symptom: keys stay in doubt although one who holds their claims is back. Cause: asking only once.
-TEST(ClaimStory, HolderThatComesBackEndsTheDoubt)
+// Guards against claims that stay lost although one of their holders is reachable again.
+TEST(ClaimProtocol, ReturningHolderRestoresLostClaims)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1 });
@@ -85,29 +83,27 @@
     group.deliver();
     ASSERT_EQ(group.take<StartWork>(0).size(), 1u);
     group.learn(group.makeTerm({ 2 }), { 2 });
-    const auto nobody = [](std::size_t, std::size_t, const RequestMessage&) { return RunnerGroup::Fate::Lose; };
+    const auto nobody = [](std::size_t, std::size_t, const RequestMessage&) { return RunnerGroup::Verdict::Drop; };
     group.deliver(nobody);
     group.advance(seconds(2));
     group.deliver(nobody);
     group.arrive(2, fresh);
-    EXPECT_GT(group[2].keeper().lostBuckets(), 0u);
+    EXPECT_GT(group[2].buckets().lostBuckets(), 0u);
     group.deliver(nobody);
     EXPECT_EQ(group.takeRefusal(2).reason, RefusalReason::ClaimsLost);
 
     group.advance(seconds(2));
-    group.deliver(cutOff(0));
-    EXPECT_EQ(group[2].keeper().lostBuckets(), 0u);
+    group.deliver(isolate(0));
+    EXPECT_EQ(group[2].buckets().lostBuckets(), 0u);
     group.arrive(2, fresh);
     group.arrive(2, ran);
-    group.deliver(cutOff(0));
+    group.deliver(isolate(0));
     EXPECT_EQ(group.take<StartWork>(2).size(), 1u);
     EXPECT_EQ(group.takeRefusal(2).reason, RefusalReason::InProgress);
 }
 
-// Symptom: a ticket runs twice. Sequence: a new owner runs a ticket of its own epoch, whose predecessors are lost; the
-// caller repeats it at an old owner that is cut off with its backup.
-// Cause: an owner that runs tickets issued under an epoch that it does not know.
-TEST(ClaimStory, TicketOfAnUnknownEpochWaits)
+// Guards against a double run: an outdated owner runs a ticket issued under an epoch that it doesn't know.
+TEST(ClaimProtocol, TicketOfAnUnknownEpochWaits)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -116,7 +112,7 @@
     group.arrive(0, ticket);
     group.deliver();
     EXPECT_TRUE(group.take<StartWork>(0).empty());
-    EXPECT_EQ(group.take<WantTerm>(0).size(), 1u);
+    EXPECT_EQ(group.take<FetchTerm>(0).size(), 1u);
     group.advance(seconds(3));
     group.deliver();
     const Refusal refusal = group.takeRefusal(0);
@@ -124,9 +120,8 @@
     EXPECT_EQ(refusal.executed, Executed::Unknown);
 }
 
-// Symptom: a planned stop cuts requests. Sequence: an owner leaves while it waits for a server's answer.
-// Cause: stopping before the work has ended, or before its outcome is known to the new owner.
-TEST(ClaimStory, LeavingOwnerFinishesItsWorkAndHandsTheAnswerOn)
+// Guards against a planned stop that cancels requests or loses their answers.
+TEST(ClaimProtocol, LeavingOwnerFinishesItsWorkAndPassesOnTheAnswer)
 {
     RunnerGroup group(3);
     group.settle({ 0, 1, 2 });
@@ -142,19 +137,17 @@
     EXPECT_FALSE(group[0].mayStop(group.now()));
     group[0].workAnswered(started[0].work, answerOf("done"), group.now());
     group.deliver();
-    EXPECT_EQ(group.take<AnswerTry>(0).size(), 1u);
+    EXPECT_EQ(group.take<AnswerAttempt>(0).size(), 1u);
     EXPECT_TRUE(group[0].mayStop(group.now()));
 
-    const std::size_t owner = group[1].keeper().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 1 : 2;
+    const std::size_t owner = group[1].buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 1 : 2;
     group.arrive(owner, key);
     group.deliver();
-    EXPECT_EQ(group.take<AnswerTry>(owner).size(), 1u);
+    EXPECT_EQ(group.take<AnswerAttempt>(owner).size(), 1u);
 }
 
-// Symptom: a zone that is cut off refuses most of its own work as overloaded.
-// Sequence: servers beyond the cut can't be reached; each request is sent there three times within a millisecond.
-// Cause: choosing a server again at once that has just proved unreachable.
-TEST(ClaimStory, ServerThatCannotBeReachedIsLeftAloneForAWhile)
+// Guards against sending retries to a server that was just found unreachable.
+TEST(ClaimProtocol, UnreachableServerIsPaused)
 {
     RunnerGroup group(2);
     group.settle({ 0, 1 });
@@ -170,7 +163,7 @@
     EXPECT_EQ(group.take<StartWork>(0).size(), 1u);
 }
 
-TEST(ClaimStory, RefusalsUnderAnOverloadShareOneQuestion)
+TEST(ClaimProtocol, RefusalsUnderOverloadShareAnEpochCheck)
 {
     RunnerGroup group(2, {}, 2);
     group.settle({ 0, 1 });
@@ -179,13 +172,13 @@
     std::size_t questions = 0;
     group.deliver([&](std::size_t, std::size_t, const RequestMessage& message) {
         questions += std::holds_alternative<CheckEpoch>(message);
-        return RunnerGroup::Fate::Deliver;
+        return RunnerGroup::Verdict::Deliver;
     });
     EXPECT_EQ(questions, 2u);
-    const auto refusals = group.take<RefuseTry>(0);
+    const auto refusals = group.take<RefuseAttempt>(0);
     ASSERT_EQ(refusals.size(), 50u);
     std::set<seconds> times;
-    for (const RefuseTry& refusal : refusals) {
+    for (const RefuseAttempt& refusal : refusals) {
         EXPECT_EQ(refusal.refusal.executed, Executed::No);
         times.insert(refusal.refusal.retryAfter);
     }
