--- a/Source/Forward/ColdStartLimit.cpp
+++ b/Source/Forward/ColdStartLimit.cpp
@@ -23,49 +23,49 @@
 {
     std::ranges::sort(ids);
     if (self != self_)
-        rosters_.clear();
+        memberLists_.clear();
     self_ = self;
     isSettled_ = isSettled;
     for (const std::uint32_t id : ids)
-        lastThere_[id] = now;
-    absl::erase_if(lastThere_, [&](const auto& row) { return now - row.second >= settings_.absenceTimeout; });
-    if (rosters_.empty() || rosters_.back().ids != ids)
-        rosters_.push_back({ now, std::move(ids) });
-    // A roster counts until the next one has stood for the time of a handover.
-    while (rosters_.size() > 1 && now - rosters_[1].since >= handover())
-        rosters_.erase(rosters_.begin());
+        lastSeen_[id] = now;
+    absl::erase_if(lastSeen_, [&](const auto& row) { return now - row.second >= settings_.absenceTimeout; });
+    if (memberLists_.empty() || memberLists_.back().ids != ids)
+        memberLists_.push_back({ now, std::move(ids) });
+    // An earlier list counts until its successor is older than the handover time.
+    while (memberLists_.size() > 1 && now - memberLists_[1].since >= handoverTime())
+        memberLists_.erase(memberLists_.begin());
 }
 
-bool ColdStartLimiter::isOwnerIn(const Roster& roster, std::uint64_t server) const
+bool ColdStartLimiter::isOwnerIn(const MemberList& list, std::uint64_t server) const
 {
-    std::size_t before = 0;
+    std::size_t higherRanked = 0;
     const std::uint64_t own = hashPair(server, self_);
     bool isListed = false;
-    for (const std::uint32_t id : roster.ids) {
+    for (const std::uint32_t id : list.ids) {
         isListed |= id == self_;
-        before += id != self_ && hashPair(server, id) > own;
+        higherRanked += id != self_ && hashPair(server, id) > own;
     }
-    return isListed && before < settings_.owners;
+    return isListed && higherRanked < settings_.owners;
 }
 
 bool ColdStartLimiter::isOwner(std::uint64_t server, TimePoint now) const
 {
-    if (!isSettled_ || rosters_.empty() || !isMajority())
+    if (!isSettled_ || memberLists_.empty() || !isMajority())
         return false;
-    // The first roster is that of a start, or has been followed by another one for the time of a handover.
-    const bool isOldEnough = now - rosters_.front().since >= handover();
+    // After a start no list counts until it is older than the handover time.
+    const bool isOldEnough = now - memberLists_.front().since >= handoverTime();
     return isOldEnough
-        && std::ranges::all_of(rosters_, [&](const Roster& roster) { return isOwnerIn(roster, server); });
+        && std::ranges::all_of(memberLists_, [&](const MemberList& list) { return isOwnerIn(list, server); });
 }
 
 bool ColdStartLimiter::mayOpenFlow(const RegisteredServer& server, const ColdStartLimit& coldStart, TimePoint now)
 {
     if (server.availabilityZone != availabilityZone_ || !isOwner(server.number, now))
         return false;
-    const double bound = coldStart.flowsPerSecond * settings_.overage + settings_.slack;
-    const double share = std::floor(bound / static_cast<double>(settings_.owners));
-    const auto found = tries_.find(server.number);
-    if (found == tries_.end())
+    const double limit = coldStart.flowsPerSecond * settings_.overage + settings_.slack;
+    const double share = std::floor(limit / static_cast<double>(settings_.owners));
+    const auto found = openings_.find(server.number);
+    if (found == openings_.end())
         return share >= 1;
     std::erase_if(found->second, [&](TimePoint at) { return now - at >= settings_.window; });
     return static_cast<double>(found->second.size()) + 1 <= share;
@@ -73,12 +73,12 @@
 
 void ColdStartLimiter::noteAttempt(const RegisteredServer& server, TimePoint now)
 {
-    tries_[server.number].push_back(now);
+    openings_[server.number].push_back(now);
 }
 
 void ColdStartLimiter::tick(TimePoint now)
 {
-    absl::erase_if(tries_, [&](const auto& row) { return now - row.second.back() >= settings_.window; });
+    absl::erase_if(openings_, [&](const auto& row) { return now - row.second.back() >= settings_.window; });
 }
 
 }
--- a/Source/Forward/ColdStartLimit.h
+++ b/Source/Forward/ColdStartLimit.h
@@ -14,48 +14,49 @@
 
 namespace wisteriadock {
 
-// What a service's servers bear just after their start, by the operators' configuration.
+// The operators' limit on new flows to a service's backend servers just after their start.
 struct ColdStartLimit {
-    // How long they are cold.
+    // How long a server counts as cold after its start.
     std::chrono::milliseconds duration { 0 };
-    // New flows a second that a cold one bears; 0 where operators name no rate, and nothing is limited then.
+    // New flows per second to one cold server, from all balancers together. 0: no limit.
     double flowsPerSecond = 0;
 
     bool operator==(const ColdStartLimit&) const = default;
 };
 
-// By service.
+// Keyed by service name.
 using ColdStartLimits = absl::flat_hash_map<std::string, ColdStartLimit>;
 
 struct ColdStartSettings {
-    // A cold server may get its rate times the overage, and the slack besides, in any second (bounds of the platform).
+    // In any second a cold server may get at most flowsPerSecond * overage + slack new flows.
     double overage = 1;
     double slack = 0;
-    // So many balancers share a cold server. Several, since one may just have ended.
+    // How many balancers share the limit of one cold server, so that the failure of one leaves it reachable.
     std::size_t owners = 2;
-    // What "any second" means here: openings that were sent further apart than a second may arrive within one.
+    // Sliding window in which a balancer counts its own openings. Longer than a second, since network delay can
+    // bring packets closer together.
     std::chrono::milliseconds window { 1100 };
-    // Who is no longer an owner hears of it within this time, and what it sent until then counts for a window more.
+    // Longest time until every balancer of the zone knows of a membership change.
     std::chrono::milliseconds propagationTime { 2000 };
-    // Balancers that are gone for so long are not missed any more: by then others have taken their place.
+    // A balancer that is absent for this long no longer counts towards the majority.
     std::chrono::milliseconds absenceTimeout { 60000 };
 
     bool operator==(const ColdStartSettings&) const = default;
 };
 
-// Until when a server counts as cold: as its entry says, and where its entry may be older than its last return, as long
-// as servers of its service are. Servers that fell silent together may have started again, and those of a zone that was
-// emptied may have become cold before the order was taken back.
+// Returns the time until which a server counts as cold. That is the end of its registered warm-up. If its entry was
+// written before its group was ejected or before the evacuation of its zone was revoked, the server may have restarted
+// or cooled down since, so the configured duration after the recovery or the revocation applies as well.
 TimePoint coldUntil(const KnownServer&, const ColdStartLimit&, const EvacuatedZones&);
 
-// Who is cold: gives out what a server bears just after its start, so that all balancers together stay within it
-// without asking each other. Each cold server has a few owners among the balancers of its own zone, by a hash that all
-// compute alike, and each of them has an equal share; nobody else sends it new flows. Zones without a configured rate
-// are not limited.
+// Keeps the new flows that all balancers together send to a cold server within its limit, without messages between
+// them. Rendezvous hashing assigns each cold server to a few owners among the balancers of its availability zone. Each
+// owner may send an equal share of the limit; other balancers send the server no new flows. OpeningPolicy asks it only
+// for services with a configured limit.
 //
-// A balancer that knows the others badly could take itself for the owner of everything, so it owns nothing while its
-// view has not settled or lacks half of those that it knew lately, as in a cut; and where the members changed just now
-// it counts as owner only if it was one before the change, too.
+// A balancer with an incomplete member list could consider itself the owner of every server. It therefore owns nothing
+// until its view has settled, nor while it sees half or fewer of the recently known balancers, as in a network
+// partition. After a membership change it owns a server only if it was an owner before the change, too.
 class ColdStartLimiter {
 public:
     ColdStartLimiter(std::string availabilityZone, ColdStartSettings settings)
@@ -64,39 +65,40 @@
     {
     }
 
-    // The balancers of the own zone that are alive, this one among them, in any order; isSettled is false while more
-    // may be met at any moment.
+    // Sets the live balancers of this zone, including this one, in any order. isSettled is false while this balancer
+    // is still discovering others.
     void setBalancers(std::uint32_t self, std::vector<std::uint32_t> ids, bool isSettled, TimePoint now);
 
-    // Whether this balancer may send another new flow to a server that is cold.
+    // Returns whether this balancer may send one more new flow to a cold server.
     bool mayOpenFlow(const RegisteredServer&, const ColdStartLimit&, TimePoint now);
-    // It does so.
+    // Records that an opening packet was sent to the cold server.
     void noteAttempt(const RegisteredServer&, TimePoint now);
-    // Forgets what is over.
+    // Drops records of openings that are older than the window.
     void tick(TimePoint now);
 
 private:
-    // Since when the zone's balancers were these.
-    struct Roster {
+    // The members of the zone from a point in time until the next change.
+    struct MemberList {
         TimePoint since;
         std::vector<std::uint32_t> ids;
     };
 
     bool isOwner(std::uint64_t server, TimePoint now) const;
-    bool isOwnerIn(const Roster&, std::uint64_t server) const;
-    Duration handover() const { return settings_.propagationTime + settings_.window; }
-    bool isMajority() const { return 2 * rosters_.back().ids.size() > lastThere_.size(); }
+    bool isOwnerIn(const MemberList&, std::uint64_t server) const;
+    // How long an earlier member list still counts.
+    Duration handoverTime() const { return settings_.propagationTime + settings_.window; }
+    bool isMajority() const { return 2 * memberLists_.back().ids.size() > lastSeen_.size(); }
 
     std::string availabilityZone_;
     ColdStartSettings settings_;
     std::uint32_t self_ = 0;
     bool isSettled_ = false;
-    // The newest last.
-    std::vector<Roster> rosters_;
-    // Who was there lately, and when last.
-    absl::flat_hash_map<std::uint32_t, TimePoint> lastThere_;
-    // When this balancer sent its last flows to a cold server, the oldest first.
-    absl::flat_hash_map<std::uint64_t, std::vector<TimePoint>> tries_;
+    // Oldest first.
+    std::vector<MemberList> memberLists_;
+    // By balancer: when it was last a member.
+    absl::flat_hash_map<std::uint32_t, TimePoint> lastSeen_;
+    // By server number: when this balancer sent opening packets to the cold server, oldest first.
+    absl::flat_hash_map<std::uint64_t, std::vector<TimePoint>> openings_;
 };
 
 }
--- a/Source/Forward/EvacuatedZones.h
+++ b/Source/Forward/EvacuatedZones.h
@@ -11,21 +11,21 @@
 
 namespace wisteriadock {
 
-// An operator's order that a zone's backend servers get no new flows came into force, or was taken back.
+// An operator's evacuation of an availability zone took effect or was revoked; for the log.
 struct ZoneEvacuationChange {
     std::string availabilityZone;
     bool isEvacuated = false;
-    // The store's revision of the change.
+    // The store revision that contains the change.
     std::uint64_t revision = 0;
-    // For how long an order that was taken back had been in force here.
+    // For a revocation: how long the evacuation was in effect on this balancer.
     Duration inForceFor {};
 };
 
-// The availability zones that operators have ordered to be emptied. New flows go to no server there until the order is
-// taken back; open flows stay where they are.
+// The availability zones that operators have evacuated. Servers of such a zone get no new flows until the evacuation is
+// revoked; open flows stay on their servers. TokenRouter maintains the set, and OpeningPolicy reads it.
 class EvacuatedZones {
 public:
-    // Nothing when the zone is in that state already.
+    // Evacuates a zone or revokes its evacuation. Returns nothing if the zone was in that state already.
     std::optional<ZoneEvacuationChange> set(
         const std::string& availabilityZone, bool isEvacuated, std::uint64_t revision, TimePoint now)
     {
@@ -34,11 +34,11 @@
                 return std::nullopt;
             return ZoneEvacuationChange { availabilityZone, true, revision, {} };
         }
-        const auto order = since_.find(availabilityZone);
-        if (order == since_.end())
+        const auto entry = since_.find(availabilityZone);
+        if (entry == since_.end())
             return std::nullopt;
-        const ZoneEvacuationChange change { availabilityZone, false, revision, now - order->second };
-        since_.erase(order);
+        const ZoneEvacuationChange change { availabilityZone, false, revision, now - entry->second };
+        since_.erase(entry);
         revokedAt_[availabilityZone] = now;
         return change;
     }
@@ -47,13 +47,13 @@
     {
         return !since_.empty() && since_.contains(availabilityZone);
     }
-    // When the last order for the zone was taken back; TimePoint::min() when none was.
+    // When the last evacuation of the zone was revoked; TimePoint::min() if none was.
     TimePoint revokedAt(const std::string& availabilityZone) const
     {
         const auto found = revokedAt_.find(availabilityZone);
         return found == revokedAt_.end() ? TimePoint::min() : found->second;
     }
-    // By zone, since when.
+    // By zone: since when it is evacuated.
     const absl::flat_hash_map<std::string, TimePoint>& all() const { return since_; }
 
 private:
