--- a/Source/Forward/GroupLiveness.cpp
+++ b/Source/Forward/GroupLiveness.cpp
@@ -6,7 +6,7 @@
 
 namespace wisteriadock {
 
-// As long as an opening may usually take here. Until that is known, as long as a single server is waited for.
+// The usual opening latency within the configured limits; the timeout of a single server until a latency is known.
 Duration GroupLiveness::timeout() const
 {
     const Duration longest = settings_.openingTimeout;
@@ -32,9 +32,9 @@
     for (const KnownServer* server : servers) {
         ServerGroup& group = *server->group;
         const bool isTrialOver = group.trialSince != TimePoint::max() && now - group.trialSince > timeout;
-        const std::uint32_t enough = std::min(settings_.groupEjectionThreshold, group.servers);
-        const bool hasFallenSilent = group.failures == 0 && group.servers > 1 && group.unresponsive >= enough;
-        if (isTrialOver || hasFallenSilent)
+        const std::uint32_t threshold = std::min(settings_.groupEjectionThreshold, group.servers);
+        const bool isUnresponsive = group.failures == 0 && group.servers > 1 && group.unresponsive >= threshold;
+        if (isTrialOver || isUnresponsive)
             eject(group, now);
     }
 }
--- a/Source/Forward/GroupLiveness.h
+++ b/Source/Forward/GroupLiveness.h
@@ -12,40 +12,41 @@
 
 namespace wisteriadock {
 
-// The servers of a service in one availability zone fell silent together, or give signs of life again.
+// A group, that is the servers of a service in one availability zone, was ejected or has recovered; for the log.
 struct GroupLivenessChange {
     std::string service;
     std::string availabilityZone;
     bool hasRecovered = false;
-    // How many of them were silent of how many, and how often they were left out in a row.
+    // Number of unresponsive servers and of all servers in the group, and of consecutive ejections.
     std::uint32_t unresponsive = 0;
     std::uint32_t servers = 0;
     std::uint32_t failures = 0;
 };
 
-// Who is dead, judged by what all servers of a service in one availability zone show together. When all of them end at
-// once, each balancer would otherwise lose an opening of its own for every one of them, and callers that try again meet
-// another balancer which has lost none yet. Several that fall silent while none gave a sign of life since are proof
-// enough against the others; all then get one flow at a time until one of them answers.
+// Detects that all servers of a service in one availability zone have failed together. A group is ejected when several
+// of its servers leave openings unanswered and none has answered since. It then gets one trial flow at a time until a
+// server answers. Judging each server alone would cost every balancer one lost opening per server. OpeningPolicy calls
+// it for every new flow.
 class GroupLiveness {
 public:
-    // The times outlive this.
+    // The latency must outlive this object.
     GroupLiveness(OpeningSettings settings, const OpeningLatency& openingLatency)
         : settings_(settings)
         , openingLatency_(openingLatency)
     {
     }
 
-    // Looks at a service's servers before a choice among them.
+    // Updates the state of the groups of a service's servers. Called before every choice among them.
     void review(const std::vector<KnownServer*>& servers, TimePoint now);
-    // Whether the group is left out, or a trial of it is under way.
+    // Returns whether the group is ejected or its trial flow is still unanswered.
     static bool isEjected(const ServerGroup&, TimePoint now);
 
-    // An opening packet goes to a server of the group.
+    // Records that an opening packet was sent to a server of the group.
     static void noteAttempt(ServerGroup&, TimePoint now);
-    // One of them gave a sign of life.
+    // Records that a server of the group answered.
     void noteProgress(ServerGroup&, TimePoint now);
 
+    // Returns the changes since the last call.
     std::vector<GroupLivenessChange> takeChanges() { return std::exchange(changes_, {}); }
 
 private:
--- a/Source/Forward/OpeningLatency.h
+++ b/Source/Forward/OpeningLatency.h
@@ -8,13 +8,13 @@
 
 namespace wisteriadock {
 
-// How long flows take to open, from the opening packet to the caller's next one, as this balancer sees it lately: mean
-// and mean deviation, smoothed as TCP smooths its round-trip times (RFC 6298).
+// Estimates how long flows take to open, from the opening packet to the caller's next packet. Keeps a smoothed mean and
+// mean deviation like the round-trip time estimator of TCP (RFC 6298). TokenRouter feeds it; GroupLiveness reads it.
 class OpeningLatency {
 public:
-    void note(Duration took)
+    void note(Duration latency)
     {
-        const auto sample = std::chrono::duration_cast<Smoothed>(took);
+        const auto sample = std::chrono::duration_cast<Smoothed>(latency);
         if (!mean_) {
             mean_ = sample;
             deviation_ = sample / 2;
@@ -22,12 +22,12 @@
         }
         constexpr double meanWeight = 1.0 / 8;
         constexpr double deviationWeight = 1.0 / 4;
-        const Smoothed off = sample > *mean_ ? sample - *mean_ : *mean_ - sample;
-        deviation_ += (off - deviation_) * deviationWeight;
+        const Smoothed difference = sample > *mean_ ? sample - *mean_ : *mean_ - sample;
+        deviation_ += (difference - deviation_) * deviationWeight;
         mean_ = *mean_ + (sample - *mean_) * meanWeight;
     }
 
-    // An opening that waits for longer is unusual; none before the first was seen.
+    // Openings that take longer are unusual. Empty before the first sample.
     std::optional<Duration> outlierThreshold() const
     {
         if (!mean_)
--- a/Source/Forward/ServerLiveness.cpp
+++ b/Source/Forward/ServerLiveness.cpp
@@ -6,12 +6,12 @@
 
 std::chrono::milliseconds ejectionTime(std::uint32_t failures, const OpeningSettings& settings)
 {
-    constexpr std::uint32_t mostDoublings = 8;
-    return std::min(settings.baseEjectionTime * (1 << std::min(failures, mostDoublings)), settings.maxEjectionTime);
+    constexpr std::uint32_t maxDoublings = 8;
+    return std::min(settings.baseEjectionTime * (1 << std::min(failures, maxDoublings)), settings.maxEjectionTime);
 }
 
-// A server that died without a word answers nobody, and its entry stays for several heartbeats. One unanswered opening
-// is enough to leave it out; since the network loses packets too, the first time is short and any sign of life ends it.
+// The entry of a crashed server stays in the store for several heartbeats, so one unanswered opening packet is enough
+// to eject it. Since the packet may only have been lost, the first ejection is short, and any answer ends it.
 bool ServerLiveness::review(KnownServer& server, TimePoint now) const
 {
     ServerObservation& seen = server.seen;
@@ -19,11 +19,11 @@
         = seen.waitingSince != TimePoint::max() && now - seen.waitingSince > settings_.openingTimeout;
     if (!waitsTooLong)
         return false;
-    // The wait is over; once the time is up, the next flow to this server is a trial and waits anew.
-    const auto pause = ejectionTime(seen.failures, settings_);
+    // After the ejection the next flow to this server is a trial and starts a new wait.
+    const auto duration = ejectionTime(seen.failures, settings_);
     ++seen.failures;
     seen.waitingSince = TimePoint::max();
-    seen.ejectedUntil = now + pause;
+    seen.ejectedUntil = now + duration;
     return true;
 }
 
--- a/Source/Forward/ServerLiveness.h
+++ b/Source/Forward/ServerLiveness.h
@@ -9,10 +9,10 @@
 
 namespace wisteriadock {
 
-// How long a server or zone that left so many openings unanswered before is left out.
+// Returns the ejection time of a server, group or zone after this number of earlier consecutive ejections.
 std::chrono::milliseconds ejectionTime(std::uint32_t failures, const OpeningSettings&);
 
-// Who is dead, judged by each server's own silence.
+// Ejects servers that leave an opening packet unanswered (outlier ejection). OpeningPolicy calls it.
 class ServerLiveness {
 public:
     explicit ServerLiveness(OpeningSettings settings)
@@ -20,9 +20,9 @@
     {
     }
 
-    // Leaves the server out when an opening has waited too long for it. True when that is new.
+    // Ejects the server if an opening packet has waited too long for its answer. Returns whether it did.
     bool review(KnownServer&, TimePoint now) const;
-    // It is left out, or a trial of it is under way.
+    // Returns whether the server is ejected or its trial flow is still unanswered.
     static bool isUnresponsive(const KnownServer&, TimePoint now);
 
 private:
--- a/Source/Forward/ZoneReachability.h
+++ b/Source/Forward/ZoneReachability.h
@@ -13,16 +13,17 @@
 
 namespace wisteriadock {
 
-// Another zone stopped giving signs of life, or gives them again.
+// Another zone became unreachable or reachable again; for the log.
 struct ZoneReachabilityChange {
     std::string availabilityZone;
     bool hasRecovered = false;
+    // Number of consecutive failed trials.
     std::uint32_t failures = 0;
 };
 
-// Which other availability zones can be reached, judged by what all of their servers show together. In a cut every
-// server of another zone is silent at once, and the busier the own servers are, the more the others tempt: each being
-// tried for itself, two of three new flows went to the far side.
+// Tracks which other availability zones are reachable, by the answers of all servers of a zone together. During a
+// network partition all servers of a zone become unresponsive at once while their load looks low, so judging each
+// server alone would lose many new flows. OpeningPolicy calls it.
 class ZoneReachability {
 public:
     ZoneReachability(std::string ownZone, OpeningSettings settings)
@@ -32,21 +33,23 @@
     }
 
     enum class State {
-        Reachable, // Nothing speaks against it.
-        Unproven, // Not heard of lately, and a flow is trying it.
-        Unreachable, // That flow failed.
+        Reachable, // A server of the zone answered recently, or no trial flow is waiting.
+        Unproven, // No recent answer, and a trial flow is waiting for one.
+        Unreachable, // The trial flow got no answer; the zone is ejected.
     };
-    // A zone that has not been heard of lately gets one flow at a time, and none for a while after that one failed.
+    // Returns the state of a zone and ejects the zone if its trial flow has waited too long. A zone without recent
+    // answers gets one flow at a time, and none while it is ejected.
     State stateOf(const std::string& availabilityZone, TimePoint now);
-    // An opening packet goes to the server.
+    // Records that an opening packet was sent to the server.
     void noteAttempt(const KnownServer&, TimePoint now);
-    // The server gave a sign of life.
+    // Records that the server answered.
     void noteProgress(const KnownServer&, TimePoint now);
-    // What became of other zones since the last call.
+    // Returns the changes since the last call.
     std::vector<ZoneReachabilityChange> takeChanges() { return std::exchange(changes_, {}); }
 
 private:
     struct Zone {
+        // When a server of the zone last answered, and since when a trial flow waits.
         TimePoint lastProgress = TimePoint::min();
         TimePoint waitingSince = TimePoint::max();
         std::uint32_t failures = 0;
