--- a/Source/Forward/OpeningAdmission.cpp
+++ b/Source/Forward/OpeningAdmission.cpp
@@ -8,23 +8,23 @@
 
 namespace {
 
-    // Sets this choice apart from others that are made by the same flow.
-    constexpr std::uint64_t choiceSeed = 0x61646d69;
+    // Makes this hash independent of other hashes of the same flow.
+    constexpr std::uint64_t admissionSeed = 0x61646d69;
 
-    // Evenly spread over 0 to 1.
-    double lotOf(const FlowEnds& ends)
+    // Hashes a flow to a uniformly distributed number from 0 to 1.
+    double uniformHash(const FlowEnds& ends)
     {
         const std::uint64_t caller = (std::uint64_t(ends.caller.address) << 16) | ends.caller.port;
-        return static_cast<double>(hashPair(choiceSeed, caller) >> 11) / static_cast<double>(std::uint64_t(1) << 53);
+        return static_cast<double>(hashPair(admissionSeed, caller) >> 11) / static_cast<double>(std::uint64_t(1) << 53);
     }
 
 }
 
-void OpeningAdmission::noteAnswer(const std::string& service, Duration took, TimePoint now)
+void OpeningAdmission::noteAnswer(const std::string& service, Duration answerTime, TimePoint now)
 {
-    Recent& recent = services_[service];
-    recent.answers[recent.next] = { took, now };
-    recent.next = (recent.next + 1) % remembered;
+    RecentAnswers& recent = services_[service];
+    recent.answers[recent.next] = { answerTime, now };
+    recent.next = (recent.next + 1) % maxAnswers;
 }
 
 Admission OpeningAdmission::admit(
@@ -37,18 +37,18 @@
     admission.answerTime = answerTimeOf(found->second, now);
     const std::chrono::duration<double> time = admission.answerTime;
     const double share = time / std::chrono::duration<double>(targetLatency);
-    const double refused = (share - settings_.refuseFrom) / (settings_.refuseAllFrom - settings_.refuseFrom);
-    admission.isRefused = refused > lotOf(ends);
+    const double refusedShare = (share - settings_.refuseFrom) / (settings_.refuseAllFrom - settings_.refuseFrom);
+    admission.isRefused = refusedShare > uniformHash(ends);
     return admission;
 }
 
-Duration OpeningAdmission::answerTimeOf(const Recent& recent, TimePoint now) const
+Duration OpeningAdmission::answerTimeOf(const RecentAnswers& recent, TimePoint now) const
 {
-    std::array<Duration, remembered> times {};
+    std::array<Duration, maxAnswers> times {};
     std::size_t count = 0;
     for (const Answer& answer : recent.answers) {
         if (answer.at != TimePoint::min() && now - answer.at <= settings_.maxAnswerAge)
-            times[count++] = answer.took;
+            times[count++] = answer.time;
     }
     if (count < settings_.minAnswers)
         return {};
--- a/Source/Forward/OpeningAdmission.h
+++ b/Source/Forward/OpeningAdmission.h
@@ -14,33 +14,32 @@
 namespace wisteriadock {
 
 struct AdmissionSettings {
-    // Which of a service's recent answer times stands for it, as a share of them from the fastest. A quarter: when some
-    // servers are slow or fail, others answer as usual and this stays low; when all have queues it rises for all.
+    // The quantile of a service's recent answer times that represents its load, 0 to 1. Low, so that it rises only when
+    // all servers queue requests, not when a few are slow or fail.
     double quantile = 0.25;
-    // From this share of the time within which callers want their answer (FlowRoute::aim) on some new flows are
-    // refused, and from the second on all. Work itself varies, so that a request which waits for half of its aim is
-    // late as often as not. Figures in docs/LOAD.md.
+    // As shares of FlowRoute::targetLatency: answer times above the first refuse some new flows, above the second all.
+    // Both are below 1, since the duration of requests varies.
     double refuseFrom = 0.35;
     double refuseAllFrom = 0.7;
-    // Answers that are older say nothing of now. A balancer of a large zone sees one of a service every 50 ms.
+    // Older answers are ignored.
     std::chrono::milliseconds maxAnswerAge { 1000 };
-    // With fewer answers nothing is refused.
+    // With fewer recent answers nothing is refused.
     std::size_t minAnswers = 8;
 
     bool operator==(const AdmissionSettings&) const = default;
 };
 
-// Whether a new flow may be opened, and why.
+// The decision whether a new flow may be opened.
 struct Admission {
     bool isRefused = false;
-    // What stands for the service's answer times; zero when too little is known.
+    // The service's answer time at AdmissionSettings::quantile; zero if there are too few recent answers.
     Duration answerTime {};
 };
 
-// Refuses new flows of a service whose servers all have queues so long that the flow's request would be late. Without
-// it all requests wait in full queues and all are late: callers who are told at once can do something else, and the
-// others are served in time. Load that this answers: callers ask for more than all slots together can do, for longer
-// than queues last. It sees only answer times of flows that pass this balancer, no health checks and no load reports.
+// Admission control for new flows. Refuses new flows of a service while all its servers are overloaded, that is while
+// requests wait so long in queues that they would miss the route's target latency. Refused callers learn it at once,
+// and the others are served in time. It uses only the answer times of flows that pass this balancer. TokenRouter calls
+// it for the first opening packet of every flow.
 class OpeningAdmission {
 public:
     explicit OpeningAdmission(AdmissionSettings settings = {})
@@ -48,30 +47,31 @@
     {
     }
 
-    // A request of the service was answered after so long.
-    void noteAnswer(const std::string& service, Duration took, TimePoint now);
-    // A flow's first opening packet asks for the service; aim is zero where operators named none. Which flows are
-    // refused between the two shares depends on the flow alone.
+    // Records the answer time of a request to the service.
+    void noteAnswer(const std::string& service, Duration answerTime, TimePoint now);
+    // Decides on the first opening packet of a flow. A targetLatency of zero admits every flow. Which flows are refused
+    // between the two shares depends only on the flow.
     Admission admit(
         const std::string& service, std::chrono::milliseconds targetLatency, const FlowEnds&, TimePoint now) const;
 
 private:
-    static constexpr std::size_t remembered = 16;
+    static constexpr std::size_t maxAnswers = 16;
 
     struct Answer {
-        Duration took {};
+        Duration time {};
         TimePoint at = TimePoint::min();
     };
-    // The latest answers of a service, the oldest overwritten first.
-    struct Recent {
-        std::array<Answer, remembered> answers {};
+    // Ring buffer of a service's latest answers.
+    struct RecentAnswers {
+        std::array<Answer, maxAnswers> answers {};
         std::size_t next = 0;
     };
 
-    Duration answerTimeOf(const Recent&, TimePoint now) const;
+    Duration answerTimeOf(const RecentAnswers&, TimePoint now) const;
 
     AdmissionSettings settings_;
-    absl::flat_hash_map<std::string, Recent> services_;
+    // By service name.
+    absl::flat_hash_map<std::string, RecentAnswers> services_;
 };
 
 }
--- a/Source/Forward/OpeningPolicy.h
+++ b/Source/Forward/OpeningPolicy.h
@@ -19,50 +19,50 @@
 
 namespace wisteriadock {
 
-// The choice for one opening packet, with what decided it.
+// The server chosen for one opening packet, with the reasons; for the log.
 struct OpeningChoice {
-    // Null when the service has no server that may take flows.
+    // Null if the service has no server that may take new flows.
     KnownServer* server = nullptr;
-    // How many servers may take flows, and how many of those were passed over as silent or not proven to be in reach.
+    // Number of servers that may take new flows, and of those that are ejected or whose zone may be unreachable.
     std::uint32_t eligible = 0;
     std::uint32_t unresponsive = 0;
-    // How many could, if operators had not ordered their zones to be emptied.
+    // Number of servers excluded because their zone is evacuated.
     std::uint32_t evacuated = 0;
-    // How many could, if they were not cold and this balancer's share of them used up.
+    // Number of servers excluded because they are cold and this balancer's share of their limit is used up or zero.
     std::uint32_t coldLimited = 0;
-    // The chosen server's load in requests for each slot, as far as this balancer knows.
+    // The chosen server's load in requests per slot, as seen by this balancer.
     float load = 0;
-    // The share of its requests that it left unanswered lately.
+    // The share of the chosen server's recent requests without an answer, 0 to 1.
     float failingShare = 0;
-    // All were silent, so that silence was not held against them.
+    // No responsive server was left, so an unresponsive one was chosen.
     bool isLastResort = false;
-    // A server that was left out gets this flow as a trial.
+    // The chosen server or its group was ejected before, and this flow tests whether it answers.
     bool isTrial = false;
-    // Servers that were left out by this look at them.
+    // Servers that were newly ejected during this choice.
     std::vector<const KnownServer*> ejected {};
 };
 
-// Chooses the backend server of a new flow: the one with the least cost, and none that seems dead while others do not.
-// Equal servers are told apart by a hash of flow and server, so balancers that know nothing yet choose alike.
+// The load balancing policy: chooses the backend server of a new flow. It takes the responsive server with the lowest
+// cost and falls back to unresponsive ones if no other is left. Ties are broken by a hash of flow and server, so
+// balancers with the same knowledge choose the same server. TokenRouter calls it.
 class OpeningPolicy {
 public:
-    // The times outlive this.
+    // The latency must outlive this object.
     OpeningPolicy(const std::string& availabilityZone, const OpeningLatency& openingLatency,
         OpeningSettings settings = {}, ColdStartSettings cold = {})
         : cost_(availabilityZone, settings)
         , coldStartLimiter_(availabilityZone, cold)
-        , silence_(settings)
-        , groups_(settings, openingLatency)
-        , reach_(availabilityZone, settings)
+        , serverLiveness_(settings)
+        , groupLiveness_(settings, openingLatency)
+        , reachability_(availabilityZone, settings)
     {
     }
 
-    // former is what is remembered of the flow, or null. The servers that it tried are avoided. Those of emptied zones
-    // are never chosen, nor cold ones beyond their rate, whatever becomes of the others.
+    // previous is the flow's record, or null. Servers that the flow tried before are avoided. Servers of evacuated
+    // zones and cold servers beyond their limit are never chosen, even if no other server is left.
     OpeningChoice choose(const std::vector<KnownServer*>& servers, const EvacuatedZones&, const FlowEnds&,
-        const FlowRecord* former, TimePoint now);
+        const FlowRecord* previous, TimePoint now);
 
-    // What the operators' configuration says of cold servers.
     void setColdStartLimits(ColdStartLimits coldStartLimits) { coldStartLimits_ = std::move(coldStartLimits); }
     // See ColdStartLimiter.
     void setBalancers(std::uint32_t self, std::vector<std::uint32_t> ids, bool isSettled, TimePoint now)
@@ -71,43 +71,43 @@
     }
     void tick(TimePoint now) { coldStartLimiter_.tick(now); }
 
-    // An opening packet goes to the server.
+    // Records that an opening packet was sent to the server.
     void noteAttempt(const KnownServer& server, const EvacuatedZones& evacuated, TimePoint now)
     {
         if (const ColdStartLimit* coldStart = coldStartLimitOf(server.entry.service);
             coldStart && coldUntil(server, *coldStart, evacuated) > now)
             coldStartLimiter_.noteAttempt(server.entry, now);
-        reach_.noteAttempt(server, now);
+        reachability_.noteAttempt(server, now);
         GroupLiveness::noteAttempt(*server.group, now);
     }
-    // The server gave a sign of life.
+    // Records that the server answered.
     void noteProgress(const KnownServer& server, TimePoint now)
     {
-        reach_.noteProgress(server, now);
-        groups_.noteProgress(*server.group, now);
+        reachability_.noteProgress(server, now);
+        groupLiveness_.noteProgress(*server.group, now);
     }
-    // Leaves the server out when an opening has waited too long for it. True when that is new.
-    bool review(KnownServer& server, TimePoint now) const { return silence_.review(server, now); }
-    // What became of other zones since the last call.
-    std::vector<ZoneReachabilityChange> takeZoneChanges() { return reach_.takeChanges(); }
-    // What became of servers that fell silent together since the last call.
-    std::vector<GroupLivenessChange> takeGroupChanges() { return groups_.takeChanges(); }
+    // Ejects the server if an opening packet has waited too long for its answer. Returns whether it did.
+    bool review(KnownServer& server, TimePoint now) const { return serverLiveness_.review(server, now); }
+    // Returns the changes of other zones' reachability since the last call.
+    std::vector<ZoneReachabilityChange> takeZoneChanges() { return reachability_.takeChanges(); }
+    // Returns the changes of groups' liveness since the last call.
+    std::vector<GroupLivenessChange> takeGroupChanges() { return groupLiveness_.takeChanges(); }
 
 private:
-    // The better ones first.
-    enum class Standing { Good, Tried, Unproven, Silent };
-    static constexpr std::size_t standings = 4;
+    // Ordered by preference: a server of a later rank is chosen only if earlier ranks are empty.
+    enum class Rank { Responsive, Tried, Unproven, Unresponsive };
+    static constexpr std::size_t rankCount = 4;
 
-    Standing standingOf(const KnownServer&, const FlowRecord* former, TimePoint now);
-    // Null for a service whose cold servers have no rate.
+    Rank rankOf(const KnownServer&, const FlowRecord* previous, TimePoint now);
+    // Returns null for a service without a limit for cold servers.
     const ColdStartLimit* coldStartLimitOf(const std::string& service) const;
 
     ServerCost cost_;
     ColdStartLimiter coldStartLimiter_;
     ColdStartLimits coldStartLimits_;
-    ServerLiveness silence_;
-    GroupLiveness groups_;
-    ZoneReachability reach_;
+    ServerLiveness serverLiveness_;
+    GroupLiveness groupLiveness_;
+    ZoneReachability reachability_;
 };
 
 }
--- a/Source/Forward/OpeningSettings.h
+++ b/Source/Forward/OpeningSettings.h
@@ -6,33 +6,33 @@
 
 namespace wisteriadock {
 
-// How new flows find their servers. Operators may change what ForwarderSettings reads of it.
+// Settings of the choice of a backend server for a new flow. Operators can set the ones that ForwarderSettings reads.
 struct OpeningSettings {
-    // How much of the known work counts. 0: servers are told apart by a hash alone.
+    // Weight of a server's load in its cost. 0: load does not count.
     float loadWeight = 1;
-    // What a server of another availability zone must be less loaded by, in requests for each of its slots.
+    // Cost added to servers of other availability zones, in requests per slot.
     float zonePenalty = 1.25F;
-    // How much of a request an open flow without one counts as.
+    // Load of an open flow without a request in progress, as a share of one request.
     float idleFlowWeight = 0.05F;
-    // How much slower a server is that has just started.
+    // Factor on the load of a cold server.
     float coldFactor = 1.6F;
-    // What a server that leaves all requests unanswered must be less loaded by, in requests for each of its slots, when
-    // others answer.
+    // Cost added to a server that leaves all requests unanswered while others answer, in requests per slot. It scales
+    // with the share of unanswered requests.
     float failingPenalty = 6;
-    // So much more than others it may fail without any.
+    // Share of unanswered requests above the service's average that adds no cost.
     float failingTolerance = 0.02F;
-    // An opening that waits for longer speaks against its server: the first answer takes a few milliseconds.
+    // A server is ejected when an opening packet waits longer for its answer.
     std::chrono::milliseconds openingTimeout { 150 };
-    // So many servers of a service in one zone that fell silent together speak against all of them there; 0 or 1: each
-    // is judged by itself.
+    // Number of unresponsive servers from which on a whole group is ejected, see GroupLiveness. 0 or 1: never.
     std::uint32_t groupEjectionThreshold = 3;
-    // Where flows open faster than it, a wait of this length is still nothing unusual: a VM's turn on a shared core may
-    // come that late.
+    // Lower bound of the timeout that GroupLiveness derives from the usual opening latency. Above the scheduling delays
+    // of a VM on a shared core.
     std::chrono::milliseconds minOpeningTimeout { 20 };
-    // How long a silent server is left out at first and at most; one flow at a time then tries it again.
+    // First and longest ejection time. It doubles with each consecutive ejection. Afterwards one trial flow at a time
+    // tests the server.
     std::chrono::milliseconds baseEjectionTime { 500 };
     std::chrono::milliseconds maxEjectionTime { 4000 };
-    // Another zone that gave no sign of life for so long may be cut off: it gets one new flow at a time.
+    // Another zone without an answer for this time counts as unproven: it gets one new flow at a time.
     std::chrono::milliseconds zoneLivenessTimeout { 1000 };
 
     bool operator==(const OpeningSettings&) const = default;
--- a/Source/Forward/RequestOutcomes.cpp
+++ b/Source/Forward/RequestOutcomes.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-    // Answered requests that every server is credited with: one unanswered request alone makes a share of a fifth.
-    constexpr float credit = 4;
+    // Answered requests that are added for every server, so that one unanswered request alone is a share of a fifth.
+    constexpr float assumedAnswered = 4;
 
 }
 
 void RequestOutcomes::note(bool isAnswered, TimePoint now)
 {
-    const float left = faded(now);
-    answered_ = answered_ * left + (isAnswered ? 1.0F : 0.0F);
-    unanswered_ = unanswered_ * left + (isAnswered ? 0.0F : 1.0F);
+    const float factor = decayFactor(now);
+    answered_ = answered_ * factor + (isAnswered ? 1.0F : 0.0F);
+    unanswered_ = unanswered_ * factor + (isAnswered ? 0.0F : 1.0F);
     at_ = now;
 }
 
 float RequestOutcomes::failingShare(TimePoint now) const
 {
     const float failed = unanswered(now);
-    return failed / (failed + answered(now) + credit);
+    return failed / (failed + answered(now) + assumedAnswered);
 }
 
-float RequestOutcomes::faded(TimePoint now) const
+float RequestOutcomes::decayFactor(TimePoint now) const
 {
     if (at_ == TimePoint::min())
         return 0;
--- a/Source/Forward/RequestOutcomes.h
+++ b/Source/Forward/RequestOutcomes.h
@@ -6,24 +6,24 @@
 
 namespace wisteriadock {
 
-// How many of a server's recent requests were answered, as one balancer saw: older ones count less and less. Where a
-// server takes flows but leaves requests unanswered, only this shows it; nothing is sent to find out.
+// Counts a server's recent requests with and without an answer, as seen by one balancer. The counts decay
+// exponentially. It detects servers that open flows but leave requests unanswered. OpenFlowTable feeds it.
 class RequestOutcomes {
 public:
-    // After so long a request counts half.
+    // A request counts half after this time.
     static constexpr std::chrono::milliseconds halfLife { 4000 };
 
     void note(bool isAnswered, TimePoint now);
 
-    // The share of recent requests that was not answered, 0 to 1. The few requests that one balancer sees of one server
-    // prove little, so some that were answered are taken for granted.
+    // The share of recent requests without an answer, 0 to 1. A fixed number of answered requests is added, since the
+    // few requests that one balancer sees of a server prove little.
     float failingShare(TimePoint now) const;
-    // The same without what is taken for granted, for many servers together.
-    float answered(TimePoint now) const { return answered_ * faded(now); }
-    float unanswered(TimePoint now) const { return unanswered_ * faded(now); }
+    // The decayed counts without that addition, for sums over many servers.
+    float answered(TimePoint now) const { return answered_ * decayFactor(now); }
+    float unanswered(TimePoint now) const { return unanswered_ * decayFactor(now); }
 
 private:
-    float faded(TimePoint now) const;
+    float decayFactor(TimePoint now) const;
 
     float answered_ = 0;
     float unanswered_ = 0;
--- a/Source/Forward/ServerCost.cpp
+++ b/Source/Forward/ServerCost.cpp
@@ -12,8 +12,8 @@
     return load / static_cast<float>(std::max(1U, server.entry.slots));
 }
 
-// A server that takes flows and then answers only some of their requests looks well to health checks and to the store.
-// The cost rises with the share that it fails, so that it is spared and not shut out.
+// The cost rises with the share of unanswered requests above the average of the service, so that a failing server gets
+// fewer new flows but still some. If all servers fail alike, the cause lies elsewhere, and the cost does not change.
 float ServerCost::costOf(const KnownServer& server, float usualFailingShare, TimePoint now) const
 {
     float cost = settings_.loadWeight * (loadOf(server) + 1.0F / static_cast<float>(std::max(1U, server.entry.slots)));
--- a/Source/Forward/ServerCost.h
+++ b/Source/Forward/ServerCost.h
@@ -10,8 +10,8 @@
 
 namespace wisteriadock {
 
-// Who has room: what a new flow costs at a server, by the work that this balancer knows of, whether the server is cold
-// or far, and how many of its requests it leaves unanswered.
+// Computes the cost of sending a new flow to a server, in requests per slot: from the load that this balancer sees,
+// whether the server is cold or in another zone, and its share of unanswered requests. OpeningPolicy calls it.
 class ServerCost {
 public:
     ServerCost(std::string availabilityZone, OpeningSettings settings)
@@ -20,11 +20,11 @@
     {
     }
 
-    // usualFailingShare is that of all servers of the service.
+    // usualFailingShare is the result of failingShareOf() for all servers of the service.
     float costOf(const KnownServer&, float usualFailingShare, TimePoint now) const;
-    // Requests for each slot.
+    // Returns the load in requests per slot.
     float loadOf(const KnownServer&) const;
-    // Of all requests to these servers. When all fail alike, the cause lies elsewhere, and none is worse than another.
+    // Returns the share of unanswered requests of all these servers together, 0 to 1.
     static float failingShareOf(const std::vector<KnownServer*>&, TimePoint now);
 
 private:
