--- a/Source/Forward/ServerDirectory.cpp
+++ b/Source/Forward/ServerDirectory.cpp
@@ -64,7 +64,7 @@
     }
     enter(record, stateOf(entry), now, transitions);
     endFormerServersAt(entry.address, now, transitions);
-    isIndexed_ = false;
+    isServiceIndexCurrent_ = false;
     return transitions;
 }
 
@@ -76,14 +76,14 @@
     return group.get();
 }
 
-// Sequence: a server is killed while a write of its entry waits at the store, starts again under its id, registers, and
-// then the write of its former process takes effect, with a higher revision.
+// Guards against a delayed write of a killed process: it can take effect after the server has restarted under its id
+// and registered, and then has the higher revision.
 bool ServerDirectory::isOfEarlierStart(const KnownServer& record, const RegisteredServer& entry, TimePoint now) const
 {
     return entry.startedAt < record.entry.startedAt && now - record.writtenAt < settings_.earlierStartTimeout;
 }
 
-// Whatever was seen of the former process says nothing about this one, which has no flows and fails none.
+// Resets the observation, which belongs to the former process.
 void ServerDirectory::restart(
     KnownServer& record, const RegisteredServer& entry, std::uint64_t revision, TimePoint now, Transitions& transitions)
 {
@@ -113,7 +113,7 @@
         return transitions;
     const bool mayReturn = isUncertain && record->state != ServerState::Draining;
     enter(*record, mayReturn ? ServerState::Doubtful : ServerState::Gone, now, transitions);
-    isIndexed_ = false;
+    isServiceIndexCurrent_ = false;
     return transitions;
 }
 
@@ -127,20 +127,19 @@
     const std::size_t before = records_.size();
     absl::erase_if(records_, [&](const auto& row) {
         const KnownServer& record = *row.second;
-        const bool isForgotten = isTerminated(record.state) && now - record.stateSince >= settings_.retention;
-        if (!isForgotten)
+        const bool isExpired = isTerminated(record.state) && now - record.stateSince >= settings_.retention;
+        if (!isExpired)
             return false;
         forget(record);
         return true;
     });
     if (!transitions.empty() || records_.size() != before)
-        isIndexed_ = false;
+        isServiceIndexCurrent_ = false;
     return transitions;
 }
 
-// A zone cut off right after an outage of the store heard that all entries had lapsed, and never that they were back.
-// It took its own servers, which answered all the while, for gone after two seconds, and sent everything to the few
-// others, which it could not reach.
+// A zone that loses the store right after an outage of the store knows that all entries expired, but not that they
+// reappeared. Its servers must stay doubtful, since it would otherwise send all new flows to zones it cannot reach.
 bool ServerDirectory::isDoubtExpired(const KnownServer& record, TimePoint now) const
 {
     const Duration age = now - record.stateSince;
@@ -153,10 +152,10 @@
     const auto claimed = byToken_.find(record.token);
     if (claimed != byToken_.end() && claimed->second == &record)
         byToken_.erase(claimed);
-    const auto there = byAddress_.find(record.entry.address);
-    std::erase(there->second, &record);
-    if (there->second.empty())
-        byAddress_.erase(there);
+    const auto sameAddress = byAddress_.find(record.entry.address);
+    std::erase(sameAddress->second, &record);
+    if (sameAddress->second.empty())
+        byAddress_.erase(sameAddress);
 }
 
 KnownServer* ServerDirectory::findByToken(std::uint32_t token)
@@ -173,8 +172,8 @@
 
 const std::vector<KnownServer*>& ServerDirectory::serversOf(const std::string& service)
 {
-    if (!isIndexed_)
-        index();
+    if (!isServiceIndexCurrent_)
+        rebuildServiceIndex();
     static const std::vector<KnownServer*> none;
     const auto found = byService_.find(service);
     return found == byService_.end() ? none : found->second;
@@ -202,32 +201,33 @@
     record.stateSince = now;
 }
 
-// An address is given to another server only after its former one has ended, so the process at an address that was
-// known first is over, even while its entry has not lapsed yet. Without this, callers would get new flows to a server
-// that is dead, and callers of its open flows would wait for nobody.
+// An address is reused only after its former server has ended, so of two servers at an address the former one has ended
+// even if its entry has not expired yet. It must get no new flows, and its open flows must be reset.
 void ServerDirectory::endFormerServersAt(Endpoint address, TimePoint now, Transitions& transitions)
 {
-    const std::vector<KnownServer*>& there = byAddress_[address];
-    for (KnownServer* record : there) {
-        const bool isOverNow = std::ranges::any_of(
-            there, [&](const KnownServer* other) { return other != record && isReplacedBy(*record, *other, now); });
-        if (isOverNow)
+    const std::vector<KnownServer*>& sameAddress = byAddress_[address];
+    for (KnownServer* record : sameAddress) {
+        const bool hasEnded = std::ranges::any_of(sameAddress,
+            [&](const KnownServer* other) { return other != record && isReplacedBy(*record, *other, now); });
+        if (hasEnded)
             enter(*record, ServerState::Ended, now, transitions);
     }
 }
 
-// The store's order of writes alone proves nothing: a write that was under way when its process ended may take effect
-// seconds later, after the next process at the address has registered. Taking that for a later process reset open flows
-// of a living one. Nor does the order in which news arrives, which comes by many ways. Where the two differ, or both
-// became known at once as by a listing, nobody is taken for ended.
+// Start times decide if both are known. Neither the order of revisions nor the order of arrival suffices alone: a write
+// of an ended process may take effect seconds after its successor has registered, and updates arrive on several paths.
+// Taking a delayed write for a later process would reset open flows of a live one. So unless both orders agree, no
+// server is taken for ended, nor is one that has answered recently.
 bool ServerDirectory::isReplacedBy(const KnownServer& former, const KnownServer& other, TimePoint now) const
 {
-    const bool areStartsTold = former.entry.startedAt != 0 && other.entry.startedAt != 0;
-    if (areStartsTold)
+    const bool areStartTimesKnown = former.entry.startedAt != 0 && other.entry.startedAt != 0;
+    if (areStartTimesKnown)
         return former.entry.startedAt < other.entry.startedAt;
-    const TimePoint life = former.seen.lastProgress;
-    const bool livedLately = life != TimePoint::min() && now - life < settings_.addressReuseTime;
-    return former.knownSince < other.knownSince && former.knownSinceRevision < other.knownSinceRevision && !livedLately;
+    const TimePoint lastProgress = former.seen.lastProgress;
+    const bool hasAnsweredRecently
+        = lastProgress != TimePoint::min() && now - lastProgress < settings_.addressReuseTime;
+    return former.knownSince < other.knownSince && former.knownSinceRevision < other.knownSinceRevision
+        && !hasAnsweredRecently;
 }
 
 bool ServerDirectory::isLateWrite(const KnownServer& record, const RegisteredServer& entry) const
@@ -236,8 +236,8 @@
         && record.entry.address == entry.address;
 }
 
-// Two incarnations with one token: packets go to the one whose id is smaller, at every balancer, and the other gets no
-// flows. An incarnation that is over gives way only when it is forgotten, since its flows may be open.
+// If two incarnations have the same token, every balancer assigns it to the one with the smaller id, and the other gets
+// no new flows. A gone or ended incarnation keeps the token until it is dropped, since it may have open flows.
 void ServerDirectory::claimToken(KnownServer& record)
 {
     const auto [claimed, isFree] = byToken_.try_emplace(record.token, &record);
@@ -250,16 +250,16 @@
     claimed->second = otherHoldsFlows ? &other : &record;
 }
 
-void ServerDirectory::index()
+void ServerDirectory::rebuildServiceIndex()
 {
-    isIndexed_ = true;
+    isServiceIndexCurrent_ = true;
     for (auto& [service, servers] : byService_)
         servers.clear();
     for (auto& [id, record] : records_) {
         if (!isTerminated(record->state))
             byService_[record->entry.service].push_back(record.get());
     }
-    // The order must not depend on the hash table's, so that equal views choose alike.
+    // Sorted, so that balancers with the same view choose the same servers.
     for (auto& [service, servers] : byService_)
         std::ranges::sort(
             servers, [](const KnownServer* a, const KnownServer* b) { return a->entry.id < b->entry.id; });
--- a/Source/Forward/ServerDirectory.h
+++ b/Source/Forward/ServerDirectory.h
@@ -16,79 +16,79 @@
 
 namespace wisteriadock {
 
-// What a balancer believes of a backend server.
+// A balancer's view of a backend server.
 enum class ServerState {
     Ready,
     Draining,
-    Doubtful, // Its entry vanished while entries may vanish of servers that live; it may be back soon.
-    Gone, // Its entry vanished. It may still hold flows, when it left slowly or only lost the store.
-    Ended, // Another incarnation has its address, so its process is certainly over.
+    Doubtful, // Its entry vanished while the store may lose entries of live servers; it may reappear soon.
+    Gone, // Its entry vanished. It may still serve open flows if it stops slowly or only lost the store.
+    Ended, // Another incarnation has its address, so its process has certainly ended.
 };
 
 std::string_view nameOf(ServerState);
 
-// What this balancer sees of a server in the packets that it forwards; callers' packets only, as servers answer callers
-// directly.
+// What this balancer observes of a server. It sees only the packets from callers to servers; answers go to callers
+// directly, so they show in the callers' acknowledgements.
 struct ServerObservation {
-    // Open flows that were active lately, and those of them with a request in progress.
+    // Number of recently active flows, and of those with a request in progress.
     std::uint32_t flows = 0;
     std::uint32_t busy = 0;
-    // When a packet last proved that the server answers.
+    // When a packet last showed that the server answers.
     TimePoint lastProgress = TimePoint::min();
-    // Since when an opening packet waits for any sign of the server; TimePoint::max() when none does.
+    // Since when an opening packet waits for an answer; TimePoint::max() if none does. An ejection ends the wait.
     TimePoint waitingSince = TimePoint::max();
-    // When the first opening packet was sent there that was not answered since its last sign of life; TimePoint::max()
-    // when there is none.
+    // When the first opening packet was sent after the server's last answer; TimePoint::max() if there is none.
     TimePoint unansweredSince = TimePoint::max();
-    // Tries that the server left unanswered since its last sign of life.
+    // Number of ejections since the server's last answer.
     std::uint32_t failures = 0;
-    // Until when it gets no new flows.
+    // The server is ejected until then.
     TimePoint ejectedUntil = TimePoint::min();
-    // Whether it answers the requests of its open flows.
+    // Whether the server answers the requests of its open flows.
     RequestOutcomes outcomes;
-    // It left so many unanswered that this was told; see OpenFlowTable::tick().
+    // The server was reported as failing; see OpenFlowTable::tick().
     bool isFailing = false;
 };
 
-// The servers of a service in one availability zone, and what this balancer saw of them together; see GroupLiveness.
+// The servers of a service in one availability zone and their joint liveness; see GroupLiveness.
 struct ServerGroup {
     std::string service;
     std::string availabilityZone;
-    // When one of them last proved that it answers.
+    // When a server of the group last answered.
     TimePoint lastProgress = TimePoint::min();
-    // How often all of them were left out in a row, until when, and since when a trial of them waits; TimePoint::max()
-    // when none does.
+    // Number of ejections since the last answer.
     std::uint32_t failures = 0;
     TimePoint ejectedUntil = TimePoint::min();
+    // Since when a trial flow waits for an answer; TimePoint::max() if none does.
     TimePoint trialSince = TimePoint::max();
-    // When all of them were left out last, and when they were back after it.
+    // When the group last failed, and when it last recovered.
     TimePoint failedAt = TimePoint::min();
     TimePoint returnedAt = TimePoint::min();
-    // Counted by the review in progress.
+    // Counters of GroupLiveness::review().
     std::uint32_t servers = 0;
     std::uint32_t unresponsive = 0;
 };
 
+// A server in the directory: its registered entry, its state and what this balancer observes of it.
 struct KnownServer {
     RegisteredServer entry;
     std::uint32_t token = 0;
-    // The store's revision of the entry.
+    // The store revision of the entry.
     std::uint64_t revision = 0;
     ServerState state = ServerState::Ready;
     // When the state was entered.
     TimePoint stateSince;
-    // Since when this balancer knows of this process at this address, and the revision by which it learned of it.
+    // When this balancer first saw this process at this address, and the store revision of that entry.
     TimePoint knownSince;
     std::uint64_t knownSinceRevision = 0;
-    // When the entry was written last, as far as this balancer knows.
+    // When this balancer received the latest write of the entry.
     TimePoint writtenAt;
-    // An earlier process under the id belonged to another service, so its flows must not reach this one.
+    // An earlier process with the id belonged to another service; its flows must not reach this one.
     bool hasChangedService = false;
     TimePoint warmUntil;
-    // Another living server has the same token, so packets could not be told apart: it gets no flows.
+    // Another server has the same token, so this one gets no new flows.
     bool hasTokenConflict = false;
     ServerObservation seen;
-    // Never null for a server of a directory, which owns it.
+    // Owned by the directory; never null for a server in a directory.
     ServerGroup* group = nullptr;
 
     bool mayTakeFlows() const
@@ -97,26 +97,26 @@
     }
 };
 
+// Time limits of ServerDirectory.
 struct DirectorySettings {
-    // How long a vanished entry may be back after an outage of the store (the store's operators promise two seconds).
+    // How long a server stays doubtful at least. After an outage of the store, entries reappear within this time.
     std::chrono::milliseconds minDoubtfulTime { 2000 };
-    // The store must have been heard so long after the entry vanished, or its absence says nothing: a zone that is cut
-    // off from the store never hears that its servers are back.
+    // A doubtful server counts as gone only if the store was reachable this long after the entry vanished. A balancer
+    // that cannot reach the store would not learn that the entry has reappeared.
     std::chrono::milliseconds storeConfirmationTime { 1000 };
-    // Without hearing of the store a server stays in doubt for so long.
+    // How long a server stays doubtful at most, even if the store stays unreachable.
     std::chrono::milliseconds maxDoubtfulTime { 10000 };
-    // How long servers that are gone stay known by their tokens: flows last up to a minute (the platform's bound).
+    // How long servers that are gone or ended can be found by their token. Longer than flows last.
     std::chrono::milliseconds retention { 75000 };
-    // A write that was under way when its process ended may reach the store after those of the next one (the store's
-    // operators speak of seconds). An entry of an earlier start counts only if the later one has been silent for so
-    // long: then the server's clock was set back between two starts.
+    // An entry with an earlier start time is ignored as a delayed write, unless the current entry was not written for
+    // this time: then the server's clock was set back between two starts.
     std::chrono::milliseconds earlierStartTimeout { 10000 };
-    // An address is given away so long after its server has ended (the platform's bound), so a server that gave a sign
-    // of life since then still has its address, whoever else names it.
+    // The platform reuses an address at the earliest this long after its server has ended. A server that answered
+    // within this time therefore still has its address.
     std::chrono::milliseconds addressReuseTime { 2000 };
 };
 
-// A change of what the balancer believes of one server, for the log.
+// A change of a server's state; for the log.
 struct ServerTransition {
     std::string id;
     std::string service;
@@ -124,11 +124,12 @@
     ServerState before = ServerState::Ready;
     ServerState after = ServerState::Ready;
     bool isNew = false;
-    // Another process took over the id: what was known of the former one is void, and its flows are lost.
+    // Another process has the id now: the observation was reset, and the former process's flows are lost.
     bool isRestart = false;
 };
 
-// The backend servers that registered themselves: by service, and by token. Forgets nobody whose flows may be open.
+// The registered backend servers, found by id, service or token. TokenRouter passes it the changes of their entries in
+// the store. Servers whose entry vanished are kept for as long as they may have open flows.
 class ServerDirectory {
 public:
     using Transitions = std::vector<ServerTransition>;
@@ -138,26 +139,28 @@
     {
     }
 
-    // A server's entry was written, at a revision of the store.
+    // Adds or updates a server after a write of its entry at this store revision.
     Transitions put(const RegisteredServer&, std::uint64_t revision, TimePoint now);
-    // Its entry can't be used any more: no new flows go there, and those that are open stay.
+    // Handles an entry that became unreadable: the server gets no new flows and keeps its open ones.
     Transitions invalidate(const std::string& id, std::uint64_t revision, TimePoint now);
-    // Its entry vanished. In doubt a ready server keeps getting flows for a while, because it may be back.
+    // Handles a vanished entry. If it is uncertain that the server has left, it becomes doubtful and keeps getting new
+    // flows for a while, unless it is draining.
     Transitions remove(const std::string& id, bool isUncertain, TimePoint now);
-    // The store told what is certain, at this time.
+    // Records that the balancer's view of the store was up to date at this time.
     void noteStoreContact(TimePoint at) { lastStoreContact_ = std::max(lastStoreContact_, at); }
-    // Ends doubts and forgets servers whose flows are over.
+    // Ends doubtful states and drops servers after DirectorySettings::retention.
     Transitions tick(TimePoint now);
 
-    // Null for a token that nobody here knows.
+    // Returns null for an unknown token.
     KnownServer* findByToken(std::uint32_t token);
+    // Returns null for an unknown id.
     KnownServer* find(const std::string& id);
-    // The servers of a service that are not gone, in the order of their ids; empty for a service without any.
+    // The servers of a service that are neither gone nor ended, ordered by id.
     const std::vector<KnownServer*>& serversOf(const std::string& service);
 
     std::size_t size() const { return records_.size(); }
     std::size_t countOf(ServerState) const;
-    // How many are told as failing now; see OpenFlowTable::tick().
+    // Number of servers reported as failing; see OpenFlowTable::tick().
     std::size_t countFailing() const;
     template <typename Visit> void forEach(const Visit& visit)
     {
@@ -172,23 +175,23 @@
     bool isDoubtExpired(const KnownServer&, TimePoint now) const;
     void endFormerServersAt(Endpoint, TimePoint now, Transitions&);
     bool isReplacedBy(const KnownServer& former, const KnownServer& other, TimePoint now) const;
-    // A write of a process that is certainly over, which took effect late.
+    // Returns whether the entry is a delayed write of a process that has certainly ended.
     bool isLateWrite(const KnownServer&, const RegisteredServer&) const;
     void claimToken(KnownServer&);
     ServerGroup* groupOf(const RegisteredServer&);
     void forget(const KnownServer&);
-    void index();
+    void rebuildServiceIndex();
 
     DirectorySettings settings_;
     absl::flat_hash_map<std::string, std::unique_ptr<KnownServer>> records_;
     absl::flat_hash_map<std::uint32_t, KnownServer*> byToken_;
-    // By service and zone. There are few, and none is forgotten.
+    // By service and availability zone. There are few, and none is dropped.
     absl::flat_hash_map<std::pair<std::string, std::string>, std::unique_ptr<ServerGroup>> groups_;
-    // Every incarnation that had the address, also those that are over.
+    // All known incarnations with the address, including ended ones.
     absl::flat_hash_map<Endpoint, std::vector<KnownServer*>> byAddress_;
-    // Made anew when it is asked for after a change, since a listing changes thousands of servers at once.
+    // Rebuilt at the first lookup after a change, since a listing changes thousands of servers at once.
     absl::flat_hash_map<std::string, std::vector<KnownServer*>> byService_;
-    bool isIndexed_ = true;
+    bool isServiceIndexCurrent_ = true;
     TimePoint lastStoreContact_ = TimePoint::min();
 };
 
