--- a/Source/Forward/ForwardingConfiguration.cpp
+++ b/Source/Forward/ForwardingConfiguration.cpp
@@ -23,7 +23,7 @@
     for (const FlowRoute& route : configuration.routes)
         routes_.insert_or_assign(route.address, route);
     for (const auto& [address, route] : former)
-        noteFormerServices(route);
+        addFormerServices(route);
 }
 
 void RouteTable::apply(ConfigurationChange&& change)
@@ -33,7 +33,7 @@
     for (FlowRoute& route : change.routes) {
         FlowRoute& held = routes_[route.address];
         const FlowRoute former = std::exchange(held, std::move(route));
-        noteFormerServices(former);
+        addFormerServices(former);
     }
     for (const Endpoint address : change.removed) {
         const auto found = routes_.find(address);
@@ -41,12 +41,12 @@
             continue;
         const FlowRoute former = std::move(found->second);
         routes_.erase(found);
-        noteFormerServices(former);
+        addFormerServices(former);
     }
 }
 
-// Open flows stay where a route that is replaced or gone has led.
-void RouteTable::noteFormerServices(const FlowRoute& former)
+// Open flows stay at the services of a replaced or removed route.
+void RouteTable::addFormerServices(const FlowRoute& former)
 {
     const FlowRoute* route = find(former.address);
     for (const RouteShare& share : former.shares) {
--- a/Source/Forward/ForwardingConfiguration.h
+++ b/Source/Forward/ForwardingConfiguration.h
@@ -14,7 +14,7 @@
 
 namespace wisteriadock {
 
-// A service that takes part of a route's new flows.
+// A service that gets a weighted share of a route's new flows.
 struct RouteShare {
     std::string service;
     std::uint32_t weight = 1;
@@ -22,63 +22,63 @@
     bool operator==(const RouteShare&) const = default;
 };
 
-// An address and port that callers use, and where its new flows go.
+// A virtual address and port that callers connect to, and the services that get its new flows.
 struct FlowRoute {
     std::string name;
     Endpoint address;
     std::vector<RouteShare> shares;
-    // How soon callers want their answers; zero where operators say nothing.
+    // The answer time that callers expect; zero if operators configured none.
     std::chrono::milliseconds targetLatency { 0 };
 
     bool operator==(const FlowRoute&) const = default;
 };
 
-// One version of the operators' configuration, as far as flows need it.
+// One version of the operators' configuration, limited to what the forwarder uses.
 struct ForwardingConfiguration {
     std::uint64_t version = 0;
     std::vector<FlowRoute> routes;
-    // A flow that carried nothing for so long may be forgotten.
+    // Flows without packets for this time may be dropped.
     std::chrono::milliseconds idleTimeout { 0 };
-    // Services that are not named have no rate for their cold servers.
+    // Services that are missing here have no limit.
     ColdStartLimits coldStartLimits {};
 };
 
-// What a version of the configuration changes.
+// The difference between the configuration in use and a newer version, or a complete newer version.
 struct ConfigurationChange {
     std::uint64_t version = 0;
     std::chrono::milliseconds idleTimeout { 0 };
-    // All there are.
+    // Complete, also in a difference.
     ColdStartLimits coldStartLimits {};
-    // The routes are all there are. Otherwise they are those that are new or changed, and the others stay.
+    // routes holds all routes of the version. Otherwise it holds only the new and changed ones.
     bool isWhole = false;
     std::vector<FlowRoute> routes;
     std::vector<Endpoint> removed;
-    // How many routes the version has.
+    // Number of routes of the version.
     std::size_t total = 0;
 };
 
-// Finds routes by address.
+// The routes of the current configuration, keyed by address. TokenRouter looks up every opening packet in it.
 class RouteTable {
 public:
     void replace(const ForwardingConfiguration&);
     void apply(ConfigurationChange&&);
 
-    // Null when no route has the address.
+    // Returns null if no route has the address.
     const FlowRoute* find(Endpoint) const;
-    // Whether this or an earlier configuration sent new flows of this address to the service.
+    // Returns whether the current or an earlier configuration sends new flows of this address to the service.
     bool hasRoutedTo(Endpoint address, const std::string& service) const;
     std::size_t size() const { return routes_.size(); }
 
 private:
-    void noteFormerServices(const FlowRoute& former);
+    void addFormerServices(const FlowRoute& former);
 
     absl::flat_hash_map<Endpoint, FlowRoute> routes_;
-    // Services that an address led to and no longer does; open flows stay there.
+    // Services that got new flows of an address under an earlier configuration only; open flows stay there.
     absl::flat_hash_map<Endpoint, absl::flat_hash_set<std::string>> formerServices_;
 };
 
-// The service of a new flow, in proportion to the weights. It depends on the flow and the route alone, so copies of an
-// opening packet get the same service at every balancer. Null when no share has a weight.
+// Picks the service of a new flow in proportion to the weights. The result depends only on the flow and the route, so
+// every balancer picks the same service for all copies of an opening packet. Returns null if all weights are zero.
 const std::string* serviceOf(const FlowRoute&, const FlowEnds&);
 
 }
--- a/Source/Forward/OpenFlowTable.cpp
+++ b/Source/Forward/OpenFlowTable.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-    // Sequence numbers wrap around: true when a lies behind b by less than half of the range.
+    // Compares sequence numbers, which wrap around: returns whether a follows b by less than half of the range.
     bool isAfter(std::uint32_t a, std::uint32_t b) { return static_cast<std::int32_t>(a - b) > 0; }
 
-    void noteLife(ServerObservation& seen, TimePoint now)
+    void noteResponse(ServerObservation& seen, TimePoint now)
     {
         seen.lastProgress = now;
         seen.waitingSince = TimePoint::max();
@@ -32,7 +32,7 @@
         server.seen.waitingSince = now;
     if (server.seen.unansweredSince == TimePoint::max())
         server.seen.unansweredSince = now;
-    if (flows_.size() >= limit)
+    if (flows_.size() >= maxFlows)
         return;
     const auto [entry, isNew] = flows_.try_emplace(ends);
     FlowRecord& flow = entry->second;
@@ -41,8 +41,8 @@
     else if (flow.token != server.token)
         flow.previousTokens = { flow.token, flow.previousTokens[0] };
     if (flow.token != server.token) {
-        count(flow.token, -1, flow.isBusy ? -1 : 0);
-        count(server.token, 1, 0);
+        adjustCounters(flow.token, -1, flow.isBusy ? -1 : 0);
+        adjustCounters(server.token, 1, 0);
         flow.isBusy = false;
     }
     flow.token = server.token;
@@ -55,56 +55,58 @@
 FlowProgress OpenFlowTable::noteTraffic(const TokenPacket& packet, KnownServer& server, TimePoint now)
 {
     FlowProgress progress;
-    FlowRecord* flow = rememberOpen(packet, server);
+    FlowRecord* flow = findOrAddOpen(packet, server);
     if (!flow)
         return progress;
     flow->lastSeen = now;
-    learnAnswer(*flow, packet, progress, now);
+    trackAcknowledgement(*flow, packet, progress, now);
     if (progress.hasAnswered) {
         progress.hasRecovered = server.seen.failures > 0;
-        noteLife(server.seen, now);
+        noteResponse(server.seen, now);
     }
-    learnSent(*flow, packet, progress, now);
+    trackSentBytes(*flow, packet, progress, now);
     if (packet.finishes || packet.resets) {
-        // A caller that ends the flow without an answer has given up.
+        // The caller ended the flow without waiting for the answer.
         if (flow->isBusy)
             noteOutcome(*flow, false, now);
-        forget(*flow);
+        uncount(*flow);
         flows_.erase(packet.ends);
     }
     return progress;
 }
 
-// The packet's server is the one that holds the flow, whatever was tried last: null when the flow is not remembered.
-FlowRecord* OpenFlowTable::rememberOpen(const TokenPacket& packet, const KnownServer& server)
+// Returns the flow's record, assigned to the packet's server even if another one got the latest opening packet. Returns
+// null for a flow that is not tracked.
+FlowRecord* OpenFlowTable::findOrAddOpen(const TokenPacket& packet, const KnownServer& server)
 {
     FlowRecord* flow = find(packet.ends);
     if (!flow) {
-        if (flows_.size() >= limit || packet.finishes || packet.resets)
+        if (flows_.size() >= maxFlows || packet.finishes || packet.resets)
             return nullptr;
         flow = &flows_[packet.ends];
         flow->token = server.token;
         flow->isOpen = true;
         flow->acknowledged = packet.acknowledgement;
         flow->sequenceEnd = packet.sequence;
-        count(server.token, 1, 0);
+        adjustCounters(server.token, 1, 0);
     }
     if (flow->token != server.token) {
-        count(flow->token, -1, flow->isBusy ? -1 : 0);
-        count(server.token, 1, flow->isBusy ? 1 : 0);
+        adjustCounters(flow->token, -1, flow->isBusy ? -1 : 0);
+        adjustCounters(server.token, 1, flow->isBusy ? 1 : 0);
         flow->token = server.token;
     }
     return flow;
 }
 
-void OpenFlowTable::learnAnswer(FlowRecord& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
+void OpenFlowTable::trackAcknowledgement(
+    FlowRecord& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
 {
     if (!flow.isOpen) {
         flow.isOpen = true;
         flow.acknowledged = packet.acknowledgement;
         flow.sequenceEnd = packet.sequence;
         progress.hasAnswered = true;
-        // A copy in between leaves open which of the tries was answered.
+        // After a copy it is unknown which of the opening packets was answered.
         if (flow.copies == 0)
             progress.openingTime = now - flow.openedAt;
         return;
@@ -120,7 +122,7 @@
     }
 }
 
-void OpenFlowTable::learnSent(FlowRecord& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
+void OpenFlowTable::trackSentBytes(FlowRecord& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
 {
     const std::uint32_t end = packet.sequence + packet.payloadBytes;
     if (isAfter(end, flow.sequenceEnd)) {
@@ -150,13 +152,13 @@
         const auto lifetime = flow.isOpen ? activeTimeout : openingLifetime;
         if (now - flow.lastSeen < lifetime)
             return false;
-        forget(flow);
+        uncount(flow);
         return true;
     });
-    return reviewOutcomes(now);
+    return updateFailingServers(now);
 }
 
-std::vector<FailingChange> OpenFlowTable::reviewOutcomes(TimePoint now)
+std::vector<FailingChange> OpenFlowTable::updateFailingServers(TimePoint now)
 {
     std::vector<FailingChange> changes;
     directory_.forEach([&](KnownServer& server) {
@@ -170,7 +172,7 @@
     return changes;
 }
 
-void OpenFlowTable::count(std::uint32_t token, int flows, int busy)
+void OpenFlowTable::adjustCounters(std::uint32_t token, int flows, int busy)
 {
     KnownServer* server = token == 0 ? nullptr : directory_.findByToken(token);
     if (!server)
@@ -186,11 +188,11 @@
         flow.isOverdue = false;
     }
     if (isBusy != flow.isBusy)
-        count(flow.token, 0, isBusy ? 1 : -1);
+        adjustCounters(flow.token, 0, isBusy ? 1 : -1);
     flow.isBusy = isBusy;
 }
 
-// A late answer does not take back that it was late.
+// A request that was counted as unanswered is not counted again if its answer arrives late.
 void OpenFlowTable::noteOutcome(FlowRecord& flow, bool isAnswered, TimePoint now)
 {
     KnownServer* server = directory_.findByToken(flow.token);
@@ -200,6 +202,6 @@
     server->seen.outcomes.note(isAnswered, now);
 }
 
-void OpenFlowTable::forget(FlowRecord& flow) { count(flow.token, -1, flow.isBusy ? -1 : 0); }
+void OpenFlowTable::uncount(FlowRecord& flow) { adjustCounters(flow.token, -1, flow.isBusy ? -1 : 0); }
 
 }
--- a/Source/Forward/OpenFlowTable.h
+++ b/Source/Forward/OpenFlowTable.h
@@ -15,73 +15,75 @@
 
 namespace wisteriadock {
 
-// What this balancer remembers of one flow whose packets it saw lately. It only improves choices: a packet of an open
-// flow is routed by its token, also by a balancer that has never seen the flow.
+// The state of one flow whose packets passed this balancer recently. It only informs the choice of servers: packets of
+// open flows are routed by their token, even by a balancer that has never seen the flow.
 struct FlowRecord {
-    // The server's token; of an opening flow, that of the server tried last.
+    // The token of the flow's server; until the flow is open, of the server that got the latest opening packet.
     std::uint32_t token = 0;
-    // One behind the last byte that the caller sent, and the last one that it acknowledged.
+    // The sequence number after the last byte that the caller sent, and the caller's highest acknowledgement.
     std::uint32_t sequenceEnd = 0;
     std::uint32_t acknowledged = 0;
     bool isOpen = false;
-    // A request was sent and nothing of its answer acknowledged yet.
+    // A request was sent, and no part of its answer has been acknowledged yet.
     bool isBusy = false;
-    // The request in progress counts as unanswered already.
+    // The request in progress has already been counted as unanswered.
     bool isOverdue = false;
     TimePoint lastSeen;
-    // When the opening packet was forwarded first and last, or the request in progress was sent.
+    // When the opening packet was forwarded first and last.
     TimePoint openedAt;
     TimePoint lastAttemptAt;
+    // When the request in progress was sent.
     TimePoint busySince;
-    // When bytes came that the caller had not sent before.
+    // When the caller last sent bytes that were not a retransmission.
     TimePoint lastNewBytes;
-    // Servers that were tried and did not answer, latest first; 0 for none.
+    // Tokens of servers that got earlier copies of the opening packet and did not answer, latest first; 0: none.
     std::array<std::uint32_t, 2> previousTokens {};
-    // What the opening packet was logged as, so that the end of the flow can be found by it.
+    // How many copies of the opening packet the caller had sent before the latest one.
     std::uint32_t copies = 0;
 };
 
-// What a packet of an open flow told about its server.
+// What a packet of an open flow shows about its server; for the log, the metrics and the server's liveness.
 struct FlowProgress {
-    // The caller acknowledged something new, so the server answers.
+    // The caller acknowledged new data, so the server answers.
     bool hasAnswered = false;
-    // It had been left out as silent.
+    // The server had unanswered openings and now answers again.
     bool hasRecovered = false;
-    // How long the flow took to open, or a request to be answered, when the packet shows that.
+    // How long the flow took to open and a request to be answered, if the packet shows it.
     std::optional<Duration> openingTime;
     std::optional<Duration> answerTime;
-    // The packet begins a request.
+    // The packet is the first of a request.
     bool beginsRequest = false;
-    // It may be the head of the request that began just before, since the network changes the order of packets.
+    // The packet arrived out of order and may hold the head of the request that began just before.
     bool mayBeRequestHead = false;
-    // It repeats bytes that the caller sent long enough before to have missed an acknowledgement.
+    // The packet retransmits bytes that the caller sent before.
     bool isRetransmission = false;
 };
 
-// A server began to leave requests unanswered, or answers again.
+// A server started to leave requests unanswered or answers again; for the log.
 struct FailingChange {
     std::string server;
     std::string service;
     bool isFailing = false;
+    // The share of its recent requests without an answer, 0 to 1.
     float share = 0;
 };
 
-// The flows that this balancer saw lately, and how many of them each server has. All counters of ServerObservation that
-// stem from flows are kept here.
+// The flows whose packets passed this balancer recently. TokenRouter reports every forwarded packet to it. It maintains
+// the ServerObservation of each server: its flow counters, unanswered openings and request outcomes.
 class OpenFlowTable {
 public:
-    // Memories over this number are not made; the flows are served without. About 130 bytes each.
-    static constexpr std::size_t limit = 200000;
-    // A flow that sent nothing for so long no longer counts as load: callers pause for about a second.
+    // Bounds the memory. Flows beyond this number are routed but not tracked.
+    static constexpr std::size_t maxFlows = 200000;
+    // An open flow without packets for this time no longer counts as load. Longer than callers usually pause.
     static constexpr std::chrono::milliseconds activeTimeout { 3000 };
-    // An opening that led nowhere is over after the caller's last copy and a little more.
+    // A flow that does not open is dropped after this time, which is longer than callers repeat opening packets.
     static constexpr std::chrono::milliseconds openingLifetime { 2000 };
-    // A request that has no answer by then counts against its server: the users' callers have given up most of them.
+    // A request without an answer after this time counts as unanswered.
     static constexpr std::chrono::milliseconds answerTimeout { 600 };
-    // A server that leaves this share of its requests unanswered is told as failing, until it is below the second.
+    // A server counts as failing from the first share of unanswered requests on, until it is below the second.
     static constexpr float failingThreshold = 0.3F;
     static constexpr float recoveryThreshold = 0.1F;
-    // Packets of one request that come out of order are closer together; callers repeat bytes after 200 ms.
+    // Old bytes within this time after new ones arrived out of order; later they are a retransmission.
     static constexpr std::chrono::milliseconds reorderingWindow { 100 };
 
     explicit OpenFlowTable(ServerDirectory& directory)
@@ -89,28 +91,29 @@
     {
     }
 
+    // Returns null for a flow that is not tracked.
     FlowRecord* find(const FlowEnds&);
-    // Remembers that the opening packet went to this server.
+    // Records that an opening packet was sent to the server. copies: see FlowRecord.
     void noteAttempt(const FlowEnds&, KnownServer&, std::uint32_t copies, TimePoint now);
-    // Learns from a packet of an open flow that is on its way to this server.
+    // Updates the flow and its server from a packet of an open flow that is forwarded to the server.
     FlowProgress noteTraffic(const TokenPacket&, KnownServer&, TimePoint now);
-    // The server's process ended, and with it its flows. What another process does under its token is a new matter.
+    // Drops all flows of a server whose process has ended, so that they are not counted for its successor.
     void forgetFlowsOf(std::uint32_t token);
-    // Forgets flows that were silent for long. Tells which servers began to leave requests unanswered, or stopped.
+    // Drops flows without recent packets. Returns the servers that started or stopped failing.
     std::vector<FailingChange> tick(TimePoint now);
 
     std::size_t size() const { return flows_.size(); }
 
 private:
-    FlowRecord* rememberOpen(const TokenPacket&, const KnownServer&);
-    // What the caller's acknowledgement says of the server, and what its bytes say of the caller.
-    void learnAnswer(FlowRecord&, const TokenPacket&, FlowProgress&, TimePoint now);
-    void learnSent(FlowRecord&, const TokenPacket&, FlowProgress&, TimePoint now);
-    void count(std::uint32_t token, int flows, int busy);
+    FlowRecord* findOrAddOpen(const TokenPacket&, const KnownServer&);
+    void trackAcknowledgement(FlowRecord&, const TokenPacket&, FlowProgress&, TimePoint now);
+    void trackSentBytes(FlowRecord&, const TokenPacket&, FlowProgress&, TimePoint now);
+    // Adds the differences to the counters of the token's server.
+    void adjustCounters(std::uint32_t token, int flows, int busy);
     void setBusy(FlowRecord&, bool, TimePoint now);
     void noteOutcome(FlowRecord&, bool isAnswered, TimePoint now);
-    void forget(FlowRecord&);
-    std::vector<FailingChange> reviewOutcomes(TimePoint now);
+    void uncount(FlowRecord&);
+    std::vector<FailingChange> updateFailingServers(TimePoint now);
 
     ServerDirectory& directory_;
     absl::flat_hash_map<FlowEnds, FlowRecord> flows_;
--- a/Source/Forward/TokenPacket.h
+++ b/Source/Forward/TokenPacket.h
@@ -8,10 +8,10 @@
 
 namespace wisteriadock {
 
-// The two ends of a flow as its packets carry them.
+// The two endpoints of a flow as its packets carry them; the key of a flow.
 struct FlowEnds {
     Endpoint caller;
-    // The address and port of the route.
+    // The address and port that the caller connected to; see FlowRoute.
     Endpoint route;
 
     bool operator==(const FlowEnds&) const = default;
@@ -22,21 +22,22 @@
     }
 };
 
-// The header of a packet with a return token: whatever token a packet carries to one end, that end puts into the
-// packets that it sends. Whoever forwards the first packet writes the token, and can so find the flow's backend server
-// for every later one without any state of its own.
+// The decoded header of a packet of the token protocol. Each endpoint sends the token that it received last on the
+// flow. The balancer that forwards the opening packet writes the token of the chosen server, so any balancer can find
+// the server of later packets without state of its own.
 struct TokenPacket {
     FlowEnds ends;
-    // 0 while no token was received on the flow.
+    // 0 until the sender has received a token on the flow.
     std::uint32_t token = 0;
     std::uint32_t sequence = 0;
-    // On an opening packet, the number of copies that were sent before.
+    // On an opening packet: the number of copies sent before. Otherwise the next byte expected from the other side.
     std::uint32_t acknowledgement = 0;
+    // Flags of the packet, comparable to SYN, ACK, FIN and RST of TCP.
     bool opens = false;
     bool acknowledges = false;
     bool finishes = false;
     bool resets = false;
-    // A balancer sent it on to another.
+    // Another balancer has already passed the packet on.
     bool wasBounced = false;
     std::uint16_t payloadBytes = 0;
 };
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -123,13 +123,13 @@
     if (!service)
         return refuse(packet, PacketReason::NoServer);
 
-    const FlowRecord* former = flows_.find(packet.ends);
+    const FlowRecord* previous = flows_.find(packet.ends);
     PacketDecision decision;
     decision.verdict = PacketVerdict::Forward;
     decision.service = service;
     decision.copies = packet.acknowledgement;
-    // Copies are never refused: the flow may be open at a server that another balancer chose.
-    if (!former && packet.acknowledgement == 0) {
+    // Copies are never refused: the flow may already be open at a server that another balancer chose.
+    if (!previous && packet.acknowledgement == 0) {
         decision.admission = admission_.admit(*service, route->targetLatency, packet.ends, now);
         if (decision.admission.isRefused) {
             decision.verdict = PacketVerdict::Reset;
@@ -137,45 +137,46 @@
             return decision;
         }
     }
-    if (KnownServer* again = formerServerFor(former, *service, now)) {
+    if (KnownServer* sameServer = previousServerFor(previous, *service, now)) {
         decision.reason = PacketReason::OpenedAgain;
-        decision.server = again;
-        if (!former->isOpen)
-            flows_.noteAttempt(packet.ends, *again, packet.acknowledgement, now);
+        decision.server = sameServer;
+        if (!previous->isOpen)
+            flows_.noteAttempt(packet.ends, *sameServer, packet.acknowledgement, now);
         return decision;
     }
     const KnownServer* ejected = nullptr;
-    if (former && !former->isOpen) {
-        KnownServer* silent = directory_.findByToken(former->token);
-        if (silent && silent->seen.lastProgress < former->lastAttemptAt && policy_.review(*silent, now))
-            ejected = silent;
+    if (previous && !previous->isOpen) {
+        KnownServer* previousServer = directory_.findByToken(previous->token);
+        if (previousServer && previousServer->seen.lastProgress < previous->lastAttemptAt
+            && policy_.review(*previousServer, now))
+            ejected = previousServer;
     }
-    decision.choice = policy_.choose(directory_.serversOf(*service), evacuatedZones_, packet.ends, former, now);
+    decision.choice = policy_.choose(directory_.serversOf(*service), evacuatedZones_, packet.ends, previous, now);
     if (ejected)
         decision.choice.ejected.push_back(ejected);
     if (!decision.choice.server)
-        return refuseChoice(packet, decision.choice, former);
-    decision.reason = former ? PacketReason::OpenedElsewhere : PacketReason::Opened;
+        return refuseChoice(packet, decision.choice, previous);
+    decision.reason = previous ? PacketReason::OpenedElsewhere : PacketReason::Opened;
     decision.server = decision.choice.server;
     policy_.noteAttempt(*decision.choice.server, evacuatedZones_, now);
     flows_.noteAttempt(packet.ends, *decision.choice.server, packet.acknowledgement, now);
     return decision;
 }
 
-// Two servers that both answer one opening leave the caller with the token of one and the sequence of the other, and
-// the flow never works. So a copy goes to the same server for as long as that one gives signs of life, or the flow is
-// open there already and the copy was only late.
-KnownServer* TokenRouter::formerServerFor(const FlowRecord* former, const std::string& service, TimePoint)
+// If two servers answer one opening, the caller may combine the token of one with the sequence number of the other, and
+// the flow never works. So a copy goes to the same server if the flow is already open there or the server has answered
+// any packet since the previous attempt.
+KnownServer* TokenRouter::previousServerFor(const FlowRecord* previous, const std::string& service, TimePoint)
 {
-    KnownServer* server = former ? directory_.findByToken(former->token) : nullptr;
+    KnownServer* server = previous ? directory_.findByToken(previous->token) : nullptr;
     if (!server)
         return nullptr;
-    if (former->isOpen)
+    if (previous->isOpen)
         return server;
-    const bool isStillRight = server->mayTakeFlows() && server->entry.service == service
+    const bool isStillEligible = server->mayTakeFlows() && server->entry.service == service
         && !evacuatedZones_.contains(server->entry.availabilityZone);
-    const bool hasLivedSince = server->seen.lastProgress >= former->lastAttemptAt;
-    return isStillRight && hasLivedSince ? server : nullptr;
+    const bool hasAnsweredSince = server->seen.lastProgress >= previous->lastAttemptAt;
+    return isStillEligible && hasAnsweredSince ? server : nullptr;
 }
 
 PacketDecision TokenRouter::routeEstablished(const TokenPacket& packet, TimePoint now)
@@ -204,15 +205,15 @@
     return decision;
 }
 
-// The former process of a server that changed its service with a restart is proven to be over, so the caller may be
-// told. Flows of the new process come by routes that lead to its service, or did when they were opened.
+// If a server changed its service with a restart, flows of its previous process can be reset. They are recognised by
+// their route: flows of the new process use routes that send new flows to its service, or did so when they were opened.
 bool TokenRouter::isOfFormerProcess(const TokenPacket& packet, const KnownServer& server) const
 {
     return server.hasChangedService && !routes_.hasRoutedTo(packet.ends.route, server.entry.service);
 }
 
-// The first copies are answered with silence: news of a route or a server may be on its way, and the caller asks again
-// by itself. With its last copy it is told at once, instead of being left to wait for its own time limit.
+// Drops the first copies without an answer: an update of the routes or the servers may be on its way, and the caller
+// retries by itself. The last copy is answered with a reset, so that the caller need not wait for its own timeout.
 PacketDecision TokenRouter::refuse(const TokenPacket& packet, PacketReason reason) const
 {
     PacketDecision decision;
@@ -222,10 +223,10 @@
     return decision;
 }
 
-// What certainly can't be served is refused with the first packet. A copy may belong to a flow that another balancer
-// opened before, so it is refused as late as any other that finds no server.
+// Resets the first packet if the reason is certain, that is, evacuated zones or cold servers. Copies are refused as in
+// refuse(), since the flow may already be open at a server that another balancer chose.
 PacketDecision TokenRouter::refuseChoice(
-    const TokenPacket& packet, const OpeningChoice& choice, const FlowRecord* former) const
+    const TokenPacket& packet, const OpeningChoice& choice, const FlowRecord* previous) const
 {
     const bool isCertain = choice.coldLimited > 0 || choice.evacuated > 0;
     const PacketReason reason = choice.coldLimited > 0 ? PacketReason::ColdServersFull
@@ -233,7 +234,7 @@
                                                        : PacketReason::NoServer;
     PacketDecision decision = refuse(packet, reason);
     decision.choice = choice;
-    if (isCertain && !former && packet.acknowledgement == 0)
+    if (isCertain && !previous && packet.acknowledgement == 0)
         decision.verdict = PacketVerdict::Reset;
     return decision;
 }
--- a/Source/Forward/TokenRouter.h
+++ b/Source/Forward/TokenRouter.h
@@ -19,29 +19,29 @@
 
 namespace wisteriadock {
 
-// What to do with a packet.
+// What the forwarder does with a packet.
 enum class PacketVerdict {
-    Forward, // To the server, as it is, under the token of the decision.
+    Forward, // Send it to the server of the decision, with that server's token.
     Reset, // Answer the caller with a reset.
     Drop,
 };
 
-// Why. Each reason has a counter of its own, and the log names it.
+// The reason of a decision. Each reason has a counter and a name in the log.
 enum class PacketReason {
-    Opened, // A new flow got its server.
-    OpenedAgain, // A copy of an opening packet goes where the former one went.
-    OpenedElsewhere, // A copy goes to another server, since the former one is silent or takes no flows any more.
+    Opened, // A server was chosen for a new flow.
+    OpenedAgain, // A copy of an opening packet goes to the same server as before.
+    OpenedElsewhere, // A copy goes to another server, since the former one is unresponsive or takes no new flows.
     Established, // A packet of an open flow, found by its token.
-    ServerEnded, // The flow's server is certainly over.
-    Overloaded, // All servers of the service have long queues, so the flow would be served late.
-    NoServer, // The route's service has no server that takes flows.
-    ColdServersFull, // All servers that could take the flow are cold, and this balancer's share of them is used up.
-    ZonesEvacuated, // All servers that could take the flow are in zones that operators ordered to be evacuated.
-    NoRoute, // No route has the address.
-    NoConfiguration, // This balancer does not know the routes yet.
-    TokenMissing, // Not an opening packet, and without a token.
-    TokenUnknown, // A token that nobody here knows; it is never guessed.
-    ForeignAnswer, // An answer to an opening, which only servers send, and never to servers.
+    ServerEnded, // The process of the flow's server has certainly ended.
+    Overloaded, // Admission control refused the new flow; see OpeningAdmission.
+    NoServer, // The route's service has no server that takes new flows.
+    ColdServersFull, // All servers for the flow are cold, and this balancer may send them no more new flows now.
+    ZonesEvacuated, // All servers for the flow are in evacuated zones.
+    NoRoute, // No route has the destination address.
+    NoConfiguration, // This balancer has no configuration yet.
+    TokenMissing, // A packet of an open flow without a token.
+    TokenUnknown, // No known server has the token.
+    ForeignAnswer, // An answer to an opening packet, which only servers send, and only to callers.
 };
 
 inline constexpr std::size_t packetVerdicts = 3;
@@ -50,69 +50,73 @@
 std::string_view nameOf(PacketVerdict);
 std::string_view nameOf(PacketReason);
 
+// The result of routing one packet; for the forwarder, its log and its metrics.
 struct PacketDecision {
     PacketVerdict verdict = PacketVerdict::Drop;
     PacketReason reason = PacketReason::NoConfiguration;
-    // The server that the packet is for, or null. Valid until the directory changes.
+    // The server of the flow, or null. Valid until the directory changes.
     const KnownServer* server = nullptr;
     // The service of a new flow, or null.
     const std::string* service = nullptr;
-    // What decided an opening.
+    // Details of the decision on an opening packet.
     OpeningChoice choice;
     Admission admission;
-    // How often this caller has sent the opening packet before.
+    // How many copies of the opening packet the caller had sent before.
     std::uint32_t copies = 0;
     FlowProgress progress;
 };
 
 struct RouterSettings {
+    // The zone of this balancer.
     std::string availabilityZone;
     OpeningSettings opening;
     ColdStartSettings coldStart;
     AdmissionSettings admission;
     DirectorySettings directory;
-    // The caller's copy of an opening packet that is the last one; after it, the caller gives up.
+    // Number of a caller's last copy of an opening packet; the original has number 0. The caller gives up after it.
     std::uint32_t lastCopy = 2;
 };
 
-// Routes packets by their return token, and new flows by the opening policy. It needs no arbiter and no state that
-// another balancer holds: any balancer that knows the directory routes any packet of any flow. One thread calls it.
+// Decides for each packet of a flow whether and to which backend server it is forwarded: packets of open flows by their
+// token, opening packets by OpeningPolicy. It needs no state of other balancers: any balancer with the same directory
+// can route any packet of any flow. The forwarder calls it, from one thread only.
 class TokenRouter {
 public:
     explicit TokenRouter(RouterSettings);
     TokenRouter(const TokenRouter&) = delete;
     TokenRouter& operator=(const TokenRouter&) = delete;
 
-    // False for a version that is not newer than the one held: versions never go back.
+    // Returns false and changes nothing if the version is not newer than the current one.
     bool applyConfiguration(const ForwardingConfiguration&);
-    // A change against the version that is held, or a whole configuration.
+    // Applies a difference to the current version or a complete configuration. Returns as above.
     bool applyConfiguration(ConfigurationChange&&);
+    // See put(), invalidate() and remove() of ServerDirectory.
     ServerDirectory::Transitions putServer(const RegisteredServer&, std::uint64_t revision, TimePoint now);
     ServerDirectory::Transitions invalidateServer(const std::string& id, std::uint64_t revision, TimePoint now);
     ServerDirectory::Transitions removeServer(const std::string& id, bool isUncertain, TimePoint now);
-    // Operators ordered that new flows go to no server of the zone, or took the order back. Nothing when that is known.
+    // Evacuates a zone or revokes its evacuation. Returns nothing if the zone was in that state already.
     std::optional<ZoneEvacuationChange> setZoneEvacuation(
         const std::string& availabilityZone, bool isEvacuated, std::uint64_t revision, TimePoint now)
     {
         return evacuatedZones_.set(availabilityZone, isEvacuated, revision, now);
     }
-    // The store told what is certain, at this time.
+    // See ServerDirectory::noteStoreContact().
     void noteStoreContact(TimePoint at) { directory_.noteStoreContact(at); }
-    // The balancers of the own zone that are alive; see ColdStartLimiter.
+    // See ColdStartLimiter::setBalancers().
     void setBalancers(std::uint32_t self, std::vector<std::uint32_t> ids, bool isSettled, TimePoint now)
     {
         policy_.setBalancers(self, std::move(ids), isSettled, now);
     }
-    // Call it a few times a second while there are flows or servers in doubt.
+    // Handles timeouts. Must be called a few times per second.
     ServerDirectory::Transitions tick(TimePoint now);
 
     PacketDecision route(const TokenPacket&, TimePoint now);
 
-    // Other zones that went silent, or are back, since the last call; for the log.
+    // Returns the changes of other zones' reachability since the last call.
     std::vector<ZoneReachabilityChange> takeZoneChanges() { return policy_.takeZoneChanges(); }
-    // Servers that fell silent together, or are back, since the last call.
+    // Returns the groups of servers that were ejected or have recovered since the last call.
     std::vector<GroupLivenessChange> takeGroupChanges() { return policy_.takeGroupChanges(); }
-    // Servers that began to leave requests unanswered, or stopped, since the last call.
+    // Returns the servers that started or stopped failing since the last call.
     std::vector<FailingChange> takeFailingChanges() { return std::exchange(failingChanges_, {}); }
     // 0 before the first configuration.
     std::uint64_t configurationVersion() const { return version_; }
@@ -126,10 +130,10 @@
     PacketDecision routeOpening(const TokenPacket&, TimePoint now);
     PacketDecision routeEstablished(const TokenPacket&, TimePoint now);
     PacketDecision refuse(const TokenPacket&, PacketReason) const;
-    PacketDecision refuseChoice(const TokenPacket&, const OpeningChoice&, const FlowRecord* former) const;
+    PacketDecision refuseChoice(const TokenPacket&, const OpeningChoice&, const FlowRecord* previous) const;
     bool isOfFormerProcess(const TokenPacket&, const KnownServer&) const;
-    // The server that a copy of an opening packet shall go to again, or null for another choice.
-    KnownServer* formerServerFor(const FlowRecord*, const std::string& service, TimePoint now);
+    // Returns the server that a copy of an opening packet must go to again, or null if a server is to be chosen.
+    KnownServer* previousServerFor(const FlowRecord* previous, const std::string& service, TimePoint now);
 
     RouterSettings settings_;
     OpeningLatency openingLatency_;
