--- a/Tests/Forward/ColdStartLimitTest.cpp
+++ b/Tests/Forward/ColdStartLimitTest.cpp
@@ -16,18 +16,18 @@
     using namespace std::chrono_literals;
 
     constexpr ColdStartLimit coldStart { 2000ms, 10 };
-    constexpr ColdStartSettings shareSettings { 1.5, 5 };
-    // 10 a second, times 1.5, and 5 besides.
-    constexpr std::size_t bound = 20;
+    constexpr ColdStartSettings limitSettings { 1.5, 5 };
+    // 10 flows per second * overage 1.5 + slack 5.
+    constexpr std::size_t maxFlowsPerSecond = 20;
 
-    // The balancers of one zone before cold servers, all of which press as hard as they may. Each hears of the others'
-    // coming and going after a delay of its own.
-    class ColdZone {
+    // The balancers of one zone and its cold servers. Every balancer sends as many new flows as it may, and learns of
+    // membership changes after random delays.
+    class ZoneSimulation {
     public:
-        ColdZone(
-            std::uint32_t seed, std::size_t balancers, std::size_t servers, ColdStartSettings shares = shareSettings)
+        ZoneSimulation(
+            std::uint32_t seed, std::size_t balancers, std::size_t servers, ColdStartSettings settings = limitSettings)
             : random_(seed)
-            , shares_(shares)
+            , settings_(settings)
         {
             for (std::size_t i = 0; i < servers; ++i)
                 servers_.push_back(ForwardFixture::server(i + 1));
@@ -35,74 +35,79 @@
                 start();
         }
 
-        // A balancer that has just started knows only itself for a while.
+        // Starts a balancer, which knows only itself at first.
         void start()
         {
-            Balancer balancer { ++lastId_, std::make_unique<ColdStartLimiter>("walu", shares_), clock_.now(), {} };
+            Balancer balancer { ++lastId_, std::make_unique<ColdStartLimiter>("walu", settings_), clock_.now(), {} };
             balancers_.push_back(std::move(balancer));
         }
-        void end() { balancers_.erase(balancers_.begin() + static_cast<std::ptrdiff_t>(draw(balancers_.size()))); }
-        void startAllAgain()
+        // Stops a random balancer.
+        void stop()
+        {
+            balancers_.erase(balancers_.begin() + static_cast<std::ptrdiff_t>(randomBelow(balancers_.size())));
+        }
+        void restartAll()
         {
             const std::size_t count = balancers_.size();
             balancers_.clear();
             for (std::size_t i = 0; i < count; ++i)
                 start();
         }
-        // This part of the balancers hears of nobody else from now on.
-        void cutOff(std::size_t count)
+        // Isolates the first balancers from all others.
+        void isolate(std::size_t count)
         {
             for (std::size_t i = 0; i < count; ++i)
-                balancers_[i].isCutOff = true;
+                balancers_[i].isIsolated = true;
         }
 
         void advance(Duration time)
         {
             for (const TimePoint end = clock_.now() + time; clock_.now() < end; clock_.advance(10ms)) {
-                if (clock_.now() >= nextBeat_) {
-                    nextBeat_ = clock_.now() + 250ms;
-                    beat();
+                if (clock_.now() >= nextUpdate_) {
+                    nextUpdate_ = clock_.now() + 250ms;
+                    updateMembers();
                 }
-                press();
+                sendFlows();
             }
         }
 
-        // The most flows that a server got in any second, and the mean in a second.
-        std::size_t mostInASecond() const
+        // The highest number of flows that a server got in any second.
+        std::size_t peakFlowsPerSecond() const
         {
-            std::size_t most = 0;
-            for (const auto& [server, tries] : tries_) {
+            std::size_t peak = 0;
+            for (const auto& [server, openings] : openings_) {
                 std::size_t first = 0;
-                for (std::size_t last = 0; last < tries.size(); ++last) {
-                    while (tries[last] - tries[first] >= 1s)
+                for (std::size_t last = 0; last < openings.size(); ++last) {
+                    while (openings[last] - openings[first] >= 1s)
                         ++first;
-                    most = std::max(most, last - first + 1);
+                    peak = std::max(peak, last - first + 1);
                 }
             }
-            return most;
+            return peak;
         }
+        // The number of flows that all servers got.
         std::size_t flows() const
         {
             std::size_t sum = 0;
-            for (const auto& [server, tries] : tries_)
-                sum += tries.size();
+            for (const auto& [server, openings] : openings_)
+                sum += openings.size();
             return sum;
         }
 
     private:
         struct Balancer {
             std::uint32_t id = 0;
-            std::unique_ptr<ColdStartLimiter> shares;
+            std::unique_ptr<ColdStartLimiter> limiter;
             TimePoint startedAt;
-            // When it learned that others are there.
+            // By balancer: when this balancer learns of its start.
             std::map<std::uint32_t, TimePoint> known;
-            bool isCutOff = false;
+            bool isIsolated = false;
         };
 
-        std::size_t draw(std::size_t count) { return random_() % count; }
+        std::size_t randomBelow(std::size_t count) { return random_() % count; }
 
-        // News of a start or an end takes up to 1.5 s.
-        void beat()
+        // Gives every balancer its view of the zone. Starts and stops become known after up to 1.5 s.
+        void updateMembers()
         {
             std::vector<std::uint32_t> alive;
             for (const Balancer& balancer : balancers_)
@@ -110,113 +115,115 @@
             for (Balancer& balancer : balancers_) {
                 std::vector<std::uint32_t> view { balancer.id };
                 for (const std::uint32_t id : alive) {
-                    const auto [entry, isNew] = balancer.known.try_emplace(id, clock_.now() + 100ms * draw(15));
-                    if (id != balancer.id && !balancer.isCutOff && clock_.now() >= entry->second)
+                    const auto [entry, isNew] = balancer.known.try_emplace(id, clock_.now() + 100ms * randomBelow(15));
+                    if (id != balancer.id && !balancer.isIsolated && clock_.now() >= entry->second)
                         view.push_back(id);
                 }
-                // Who ended is believed to live on for as long.
+                // Stopped balancers stay in the view until their stop is known.
                 for (auto& [id, since] : balancer.known) {
-                    const bool isGone = std::ranges::count(alive, id) == 0;
-                    if (isGone && clock_.now() < gone_.try_emplace(id, clock_.now()).first->second + 100ms * draw(15))
+                    const bool hasStopped = std::ranges::count(alive, id) == 0;
+                    if (hasStopped
+                        && clock_.now()
+                            < stoppedAt_.try_emplace(id, clock_.now()).first->second + 100ms * randomBelow(15))
                         view.push_back(id);
                 }
-                const bool isSettled = clock_.now() - balancer.startedAt > 1s && !balancer.isCutOff;
-                balancer.shares->setBalancers(balancer.id, view, isSettled || wasSettled(balancer), clock_.now());
+                const bool isSettled = clock_.now() - balancer.startedAt > 1s && !balancer.isIsolated;
+                balancer.limiter->setBalancers(balancer.id, view, isSettled || wasSettled(balancer), clock_.now());
             }
         }
 
-        // A view that has settled once stays so, also in a cut.
+        // A view that has settled stays settled, even after isolation.
         bool wasSettled(const Balancer& balancer) const { return clock_.now() - balancer.startedAt > 5s; }
 
-        void press()
+        void sendFlows()
         {
             std::ranges::shuffle(balancers_, random_);
             for (Balancer& balancer : balancers_) {
                 for (const RegisteredServer& server : servers_) {
-                    if (!balancer.shares->mayOpenFlow(server, coldStart, clock_.now()))
+                    if (!balancer.limiter->mayOpenFlow(server, coldStart, clock_.now()))
                         continue;
-                    balancer.shares->noteAttempt(server, clock_.now());
-                    tries_[server.number].push_back(clock_.now());
+                    balancer.limiter->noteAttempt(server, clock_.now());
+                    openings_[server.number].push_back(clock_.now());
                 }
             }
         }
 
         ManualClock clock_;
         std::mt19937 random_;
-        ColdStartSettings shares_;
+        ColdStartSettings settings_;
         std::vector<Balancer> balancers_;
         std::vector<RegisteredServer> servers_;
-        std::map<std::uint64_t, std::vector<TimePoint>> tries_;
-        std::map<std::uint32_t, TimePoint> gone_;
+        std::map<std::uint64_t, std::vector<TimePoint>> openings_;
+        std::map<std::uint32_t, TimePoint> stoppedAt_;
         std::uint32_t lastId_ = 100;
-        TimePoint nextBeat_;
+        TimePoint nextUpdate_;
     };
 
-    // Guards against a sum above the bound while the balancers know each other, and against a bound that nobody uses.
-    TEST(ColdStartLimitTest, aZoneOfAnySizeUsesTheBoundAndKeepsIt)
+    // Guards against exceeding the limit with complete member lists, and against leaving it unused.
+    TEST(ColdStartLimitTest, ZoneOfAnySizeUsesTheLimitAndKeepsIt)
     {
         for (const std::size_t balancers : { 2U, 28U, 100U }) {
             SCOPED_TRACE(balancers);
-            ColdZone zone(1, balancers, 10);
+            ZoneSimulation zone(1, balancers, 10);
             zone.advance(10s);
-            EXPECT_LE(zone.mostInASecond(), bound);
-            // At least the configured rate, for the seconds in which the zone was settled.
+            EXPECT_LE(zone.peakFlowsPerSecond(), maxFlowsPerSecond);
+            // At least the configured rate for 10 servers during 5 settled seconds.
             EXPECT_GE(zone.flows(), 10U * 10U * 5U);
         }
     }
 
-    // Guards against balancers that all take themselves for the owner of everything, since they know nobody yet.
-    TEST(ColdStartLimitTest, aStartOfAllKeepsTheBound)
+    // Guards against balancers that consider themselves owners of all servers before they know the others.
+    TEST(ColdStartLimitTest, RestartOfAllBalancersKeepsTheLimit)
     {
         for (std::uint32_t seed = 1; seed <= 5; ++seed) {
-            ColdZone zone(seed, 28, 5);
+            ZoneSimulation zone(seed, 28, 5);
             zone.advance(6s);
-            zone.startAllAgain();
+            zone.restartAll();
             zone.advance(6s);
-            EXPECT_LE(zone.mostInASecond(), bound) << seed;
+            EXPECT_LE(zone.peakFlowsPerSecond(), maxFlowsPerSecond) << seed;
         }
     }
 
-    // Guards against owners of before and after a change, who both send.
-    TEST(ColdStartLimitTest, comingAndGoingKeepsTheBound)
+    // Guards against former and new owners that both send flows after a membership change.
+    TEST(ColdStartLimitTest, MembershipChangesKeepTheLimit)
     {
         for (std::uint32_t seed = 1; seed <= 5; ++seed) {
-            ColdZone zone(seed, 28, 5);
+            ZoneSimulation zone(seed, 28, 5);
             zone.advance(6s);
             for (int i = 0; i < 20; ++i) {
-                zone.end();
+                zone.stop();
                 zone.advance(300ms);
                 zone.start();
                 zone.advance(400ms);
             }
-            EXPECT_LE(zone.mostInASecond(), bound) << seed;
+            EXPECT_LE(zone.peakFlowsPerSecond(), maxFlowsPerSecond) << seed;
         }
     }
 
-    // Guards against balancers that are cut off from the others, think them dead and take over what is theirs.
-    TEST(ColdStartLimitTest, balancersThatAreCutOffKeepTheBound)
+    // Guards against isolated balancers that take over the servers of the others.
+    TEST(ColdStartLimitTest, IsolatedBalancersKeepTheLimit)
     {
         for (std::uint32_t seed = 1; seed <= 5; ++seed) {
-            ColdZone zone(seed, 28, 5);
+            ZoneSimulation zone(seed, 28, 5);
             zone.advance(6s);
-            zone.cutOff(9);
+            zone.isolate(9);
             zone.advance(8s);
-            EXPECT_LE(zone.mostInASecond(), bound) << seed;
+            EXPECT_LE(zone.peakFlowsPerSecond(), maxFlowsPerSecond) << seed;
         }
     }
 
     struct ColdServersTest : testing::Test, ForwardFixture {
         ColdServersTest()
-            : limited(limitedSettings())
+            : limitedRouter(limitedRouterSettings())
         {
-            limited.applyConfiguration(limitedConfiguration(3, coldStart.flowsPerSecond));
-            settle(limited);
+            limitedRouter.applyConfiguration(limitedConfiguration(3, coldStart.flowsPerSecond));
+            settle(limitedRouter);
         }
 
-        static RouterSettings limitedSettings()
+        static RouterSettings limitedRouterSettings()
         {
             RouterSettings router = ForwardFixture::settings();
-            router.coldStart = shareSettings;
+            router.coldStart = limitSettings;
             return router;
         }
         static ForwardingConfiguration limitedConfiguration(std::uint64_t version, double rate)
@@ -234,70 +241,70 @@
         {
             RegisteredServer cold = server(number, "tryon", zone);
             cold.warmupLeft = 2s;
-            limited.putServer(cold, ++revision, clock.now());
+            limitedRouter.putServer(cold, ++revision, clock.now());
         }
-        int taken(int openings)
+        int countForwarded(int openings)
         {
             int count = 0;
             for (int i = 0; i < openings; ++i)
-                count += limited.route(opening(++caller), clock.now()).server != nullptr;
+                count += limitedRouter.route(opening(++caller), clock.now()).server != nullptr;
             return count;
         }
 
-        TokenRouter limited;
+        TokenRouter limitedRouter;
         std::uint32_t caller = 0;
     };
 
-    // Guards against callers who wait for a cold server that may not get them.
-    TEST_F(ColdServersTest, whatExceedsTheShareIsRefusedAtOnceAndGoesOnWhenTheServerIsWarm)
+    // Guards against callers that wait although no server may take their flow.
+    TEST_F(ColdServersTest, FlowsBeyondTheShareAreResetAtOnceUntilTheServerIsWarm)
     {
         putCold(1);
-        EXPECT_EQ(taken(50), 10);
-        const PacketDecision refused = limited.route(opening(++caller), clock.now());
+        EXPECT_EQ(countForwarded(50), 10);
+        const PacketDecision refused = limitedRouter.route(opening(++caller), clock.now());
         EXPECT_EQ(refused.verdict, PacketVerdict::Reset);
         EXPECT_EQ(refused.reason, PacketReason::ColdServersFull);
         clock.advance(2100ms);
-        EXPECT_EQ(taken(50), 50);
+        EXPECT_EQ(countForwarded(50), 50);
     }
 
-    // Guards against a cold zone being pressed while another one has warm servers.
-    TEST_F(ColdServersTest, whatExceedsTheShareGoesToWarmServers)
+    // Guards against overloading cold servers while another zone has warm ones.
+    TEST_F(ColdServersTest, FlowsBeyondTheShareGoToWarmServers)
     {
         putCold(1);
-        limited.putServer(server(2, "tryon", "nabua"), ++revision, clock.now());
-        EXPECT_EQ(taken(50), 50);
+        limitedRouter.putServer(server(2, "tryon", "nabua"), ++revision, clock.now());
+        EXPECT_EQ(countForwarded(50), 50);
     }
 
-    // Guards against cold servers of a zone whose balancers share them already.
-    TEST_F(ColdServersTest, coldServersOfAnotherZoneAreLeftToItsBalancers)
+    // Guards against flows in addition to those of the zone's own balancers.
+    TEST_F(ColdServersTest, ColdServersOfAnotherZoneGetNoFlows)
     {
         putCold(1, "nabua");
-        EXPECT_EQ(taken(5), 0);
+        EXPECT_EQ(countForwarded(5), 0);
     }
 
-    // Guards against servers that were emptied, became cold and whose entries say so only later.
-    TEST_F(ColdServersTest, aZoneThatIsTakenBackCountsAsColdUntilItsEntriesAreNew)
+    // Guards against servers that cooled down during an evacuation and still have an old entry.
+    TEST_F(ColdServersTest, ServersAreColdAfterAnEvacuationUntilTheirEntryIsWritten)
     {
-        limited.putServer(server(1), ++revision, clock.now());
-        EXPECT_EQ(taken(50), 50);
-        limited.setZoneEvacuation("walu", true, ++revision, clock.now());
+        limitedRouter.putServer(server(1), ++revision, clock.now());
+        EXPECT_EQ(countForwarded(50), 50);
+        limitedRouter.setZoneEvacuation("walu", true, ++revision, clock.now());
         clock.advance(3s);
-        limited.setZoneEvacuation("walu", false, ++revision, clock.now());
-        EXPECT_EQ(taken(50), 10);
-        limited.putServer(server(1), ++revision, clock.now());
-        EXPECT_EQ(taken(50), 50);
+        limitedRouter.setZoneEvacuation("walu", false, ++revision, clock.now());
+        EXPECT_EQ(countForwarded(50), 10);
+        limitedRouter.putServer(server(1), ++revision, clock.now());
+        EXPECT_EQ(countForwarded(50), 50);
     }
 
-    // Guards against a limit where operators name none, and against one that a new version has changed or taken away.
-    TEST_F(ColdServersTest, theRateIsThatOfTheNewestConfiguration)
+    // Guards against a limit that a newer configuration has changed or removed.
+    TEST_F(ColdServersTest, NewestConfigurationSetsTheLimit)
     {
         putCold(1);
-        EXPECT_EQ(taken(50), 10);
+        EXPECT_EQ(countForwarded(50), 10);
         clock.advance(1200ms);
-        limited.applyConfiguration(limitedConfiguration(4, 2));
-        EXPECT_EQ(taken(50), 4);
-        limited.applyConfiguration(configuration(5));
-        EXPECT_EQ(taken(50), 50);
+        limitedRouter.applyConfiguration(limitedConfiguration(4, 2));
+        EXPECT_EQ(countForwarded(50), 4);
+        limitedRouter.applyConfiguration(configuration(5));
+        EXPECT_EQ(countForwarded(50), 50);
     }
 
 }
--- a/Tests/Forward/EvacuatedZonesTest.cpp
+++ b/Tests/Forward/EvacuatedZonesTest.cpp
@@ -11,7 +11,7 @@
 
     using namespace std::chrono_literals;
 
-    // Two servers in each of three zones; this balancer is in "walu".
+    // Two servers in each of three zones. The balancer is in "walu".
     struct EvacuatedZonesTest : testing::Test, ForwardFixture {
         EvacuatedZonesTest()
         {
@@ -24,10 +24,10 @@
                 put(server(number, "tryon", "nabua"));
         }
 
-        void order(const std::string& zone) { router.setZoneEvacuation(zone, true, ++revision, clock.now()); }
-        void takeBack(const std::string& zone) { router.setZoneEvacuation(zone, false, ++revision, clock.now()); }
+        void evacuate(const std::string& zone) { router.setZoneEvacuation(zone, true, ++revision, clock.now()); }
+        void revoke(const std::string& zone) { router.setZoneEvacuation(zone, false, ++revision, clock.now()); }
 
-        // Opens flows that their servers answer. Returns how many each zone got; those that got none as "".
+        // Opens flows that their servers answer. Returns the number of flows per zone; "" for flows without a server.
         std::map<std::string, int> openFlows(std::uint32_t first, std::uint32_t count)
         {
             std::map<std::string, int> flows;
@@ -42,43 +42,43 @@
             return flows;
         }
 
-        void orderAll()
+        void evacuateAll()
         {
             for (const char* zone : { "walu", "laucala", "nabua" })
-                order(zone);
+                evacuate(zone);
         }
     };
 
-    // Guards against flows that are broken or new ones that go on when a zone is emptied.
-    TEST_F(EvacuatedZonesTest, newFlowsLeaveAnEmptiedZoneAndOpenOnesStay)
+    // Guards against broken open flows, and against new flows to an evacuated zone.
+    TEST_F(EvacuatedZonesTest, NewFlowsAvoidAnEvacuatedZoneAndOpenFlowsStay)
     {
         const std::uint32_t token = openFlow(1);
         ASSERT_EQ(router.directory().findByToken(token)->entry.availabilityZone, "walu");
-        order("walu");
+        evacuate("walu");
         auto flows = openFlows(100, 60);
         EXPECT_EQ(flows["walu"], 0);
         EXPECT_EQ(flows[""], 0);
         const PacketDecision later = route(data(1, token));
         EXPECT_EQ(later.verdict, PacketVerdict::Forward);
         EXPECT_EQ(later.server->token, token);
-        takeBack("walu");
+        revoke("walu");
         EXPECT_EQ(openFlows(200, 10)["walu"], 10);
     }
 
-    // Guards against one of the other zones getting everything, or callers waiting while the others prove themselves.
-    TEST_F(EvacuatedZonesTest, callersOfTheOwnEmptiedZoneAreSpreadOverTheOthersAtOnce)
+    // Guards against overloading one of the other zones, and against callers that wait for trial flows.
+    TEST_F(EvacuatedZonesTest, FlowsAreSpreadOverTheOtherZonesAtOnce)
     {
-        order("walu");
+        evacuate("walu");
         auto flows = openFlows(0, 60);
         EXPECT_GE(flows["laucala"], 20);
         EXPECT_GE(flows["nabua"], 20);
         EXPECT_EQ(flows[""], 0);
     }
 
-    // Guards against callers who wait for a server that no balancer may give them.
-    TEST_F(EvacuatedZonesTest, withAllZonesEmptiedAFirstOpeningIsRefusedAtOnce)
+    // Guards against callers that wait although no server may take their flow.
+    TEST_F(EvacuatedZonesTest, FirstOpeningIsResetAtOnceIfAllZonesAreEvacuated)
     {
-        orderAll();
+        evacuateAll();
         const PacketDecision first = route(opening(1));
         EXPECT_EQ(first.verdict, PacketVerdict::Reset);
         EXPECT_EQ(first.reason, PacketReason::ZonesEvacuated);
@@ -86,32 +86,32 @@
         EXPECT_EQ(route(opening(2, 2)).verdict, PacketVerdict::Reset);
     }
 
-    // Guards against the reset of a flow that opened at a server before the order, of which a late copy comes.
-    TEST_F(EvacuatedZonesTest, aFlowThatOpenedBeforeTheOrderIsNotReset)
+    // Guards against the reset of an open flow by a late copy of its opening packet.
+    TEST_F(EvacuatedZonesTest, FlowOpenedBeforeTheEvacuationIsNotReset)
     {
         const std::uint32_t token = openFlow(1);
-        orderAll();
+        evacuateAll();
         const PacketDecision copy = route(opening(1, 1));
         EXPECT_EQ(copy.verdict, PacketVerdict::Forward);
         EXPECT_EQ(copy.server->token, token);
         EXPECT_EQ(route(data(1, token)).verdict, PacketVerdict::Forward);
     }
 
-    // Guards against copies that still enter a zone after the order.
-    TEST_F(EvacuatedZonesTest, aCopyOfAnUnansweredOpeningLeavesTheEmptiedZone)
+    // Guards against copies of opening packets that still go to an evacuated zone.
+    TEST_F(EvacuatedZonesTest, CopyOfAnUnansweredOpeningLeavesTheEvacuatedZone)
     {
         ASSERT_EQ(route(opening(1)).server->entry.availabilityZone, "walu");
-        order("walu");
+        evacuate("walu");
         clock.advance(200ms);
         const PacketDecision copy = route(opening(1, 1));
         ASSERT_TRUE(copy.server);
         EXPECT_NE(copy.server->entry.availabilityZone, "walu");
     }
 
-    // Guards against the choice of last resort, a silent server, passing over the order.
-    TEST_F(EvacuatedZonesTest, whenAllOthersAreSilentTheOrderStillHolds)
+    // Guards against an evacuated zone as last resort.
+    TEST_F(EvacuatedZonesTest, EvacuationHoldsWhileAllOtherServersAreUnresponsive)
     {
-        order("walu");
+        evacuate("walu");
         for (std::uint32_t caller = 0; caller < 60; ++caller) {
             const PacketDecision decision = route(opening(caller));
             ASSERT_TRUE(decision.server);
@@ -120,31 +120,31 @@
         }
     }
 
-    // Guards against an order that is lost or counted twice when it comes again.
-    TEST_F(EvacuatedZonesTest, orderAndRemovalMayAlternateWithinASecond)
+    // Guards against losing or reporting twice an evacuation that is repeated.
+    TEST_F(EvacuatedZonesTest, EvacuationAndRevocationWithinASecond)
     {
         EXPECT_TRUE(router.setZoneEvacuation("walu", true, 50, clock.now()));
         EXPECT_FALSE(router.setZoneEvacuation("walu", true, 51, clock.now()));
         clock.advance(300ms);
-        const auto back = router.setZoneEvacuation("walu", false, 52, clock.now());
-        ASSERT_TRUE(back);
-        EXPECT_EQ(back->inForceFor, Duration(300ms));
+        const auto revocation = router.setZoneEvacuation("walu", false, 52, clock.now());
+        ASSERT_TRUE(revocation);
+        EXPECT_EQ(revocation->inForceFor, Duration(300ms));
         EXPECT_FALSE(router.setZoneEvacuation("walu", false, 53, clock.now()));
-        order("walu");
+        evacuate("walu");
         EXPECT_EQ(openFlows(0, 20)["walu"], 0);
     }
 
-    // Guards against an order for a zone without servers disturbing the others.
-    TEST_F(EvacuatedZonesTest, anOrderForAZoneThatNobodyKnowsChangesNothing)
+    // Guards against effects on other zones.
+    TEST_F(EvacuatedZonesTest, EvacuationOfAnUnknownZoneChangesNothing)
     {
-        order("raiwai");
+        evacuate("raiwai");
         EXPECT_EQ(openFlows(0, 20)["walu"], 20);
     }
 
-    // Guards against servers that register, or return cold, in a zone that is still emptied.
-    TEST_F(EvacuatedZonesTest, serversThatRegisterDuringTheOrderGetNothing)
+    // Guards against flows to servers that start in an evacuated zone.
+    TEST_F(EvacuatedZonesTest, ServerRegisteredDuringTheEvacuationGetsNoFlows)
     {
-        order("walu");
+        evacuate("walu");
         RegisteredServer cold = server(3);
         cold.warmupLeft = 2s;
         put(cold);
--- a/Tests/Forward/ForwardFixture.h
+++ b/Tests/Forward/ForwardFixture.h
@@ -10,8 +10,8 @@
 
 namespace wisteriadock {
 
-// A router in the availability zone "walu" before the services "tryon" and "scanintake", and the packets of its
-// callers.
+// A router in the availability zone "walu" with routes to the services "tryon" and "scanintake", and helpers that build
+// server entries and packets of callers.
 struct ForwardFixture {
     static constexpr Endpoint tryonRoute { 0xC6120001, 8443 };
     static constexpr Endpoint scanRoute { 0xC6120002, 8443 };
@@ -77,7 +77,7 @@
 
     PacketDecision route(const TokenPacket& packet) { return router.route(packet, clock.now()); }
 
-    // Opens a flow and lets its server answer. Returns the server's token.
+    // Opens a flow that its server answers. Returns the server's token.
     std::uint32_t openFlow(std::uint32_t caller)
     {
         const PacketDecision decision = route(opening(caller));
--- a/Tests/Forward/GroupLivenessTest.cpp
+++ b/Tests/Forward/GroupLivenessTest.cpp
@@ -12,7 +12,7 @@
 
     using namespace std::chrono_literals;
 
-    // Ten servers in the own zone "walu", ten in "nabua"; flows open within 5 ms.
+    // Ten servers in the balancer's zone "walu" and ten in "nabua". Flows open within 5 ms.
     struct GroupLivenessTest : testing::Test, ForwardFixture {
         GroupLivenessTest()
         {
@@ -36,15 +36,15 @@
             return zone;
         }
 
-        // Opens a flow that is answered unless its server stands in the dead zone. Returns the server's zone.
-        std::string open(const std::string& deadZone)
+        // Opens a flow that is answered unless its server is in the failed zone. Returns the server's zone.
+        std::string open(const std::string& failedZone)
         {
             const std::uint32_t caller = ++nextCaller;
             const PacketDecision decision = route(opening(caller));
             std::string zone = decision.server->entry.availabilityZone;
             const std::uint32_t token = decision.server->token;
             clock.advance(5ms);
-            if (zone != deadZone)
+            if (zone != failedZone)
                 route(data(caller, token, 1001, 5001, 0));
             return zone;
         }
@@ -52,8 +52,8 @@
         std::uint32_t nextCaller = 1000;
     };
 
-    // Guards against an opening being lost at each of a zone's servers when all of them end together.
-    TEST_F(GroupLivenessTest, aZoneWhoseServersAllEndCostsFewOpenings)
+    // Guards against losing an opening at every server of a zone whose servers fail together.
+    TEST_F(GroupLivenessTest, FailureOfAllServersOfAZoneLosesFewOpenings)
     {
         int lost = 0;
         for (int i = 0; i < 200; ++i)
@@ -65,8 +65,8 @@
         EXPECT_FALSE(changes.front().hasRecovered);
     }
 
-    // Guards against a zone that stays left out after its servers are back.
-    TEST_F(GroupLivenessTest, oneAnswerBringsTheWholeGroupBack)
+    // Guards against a group that stays ejected after its servers have recovered.
+    TEST_F(GroupLivenessTest, OneAnswerEndsTheEjectionOfAGroup)
     {
         for (int i = 0; i < 100; ++i)
             open("walu");
@@ -78,24 +78,24 @@
         EXPECT_TRUE(router.takeGroupChanges().back().hasRecovered);
     }
 
-    // Guards against some dead servers speaking against the others of their zone, which answer.
-    TEST_F(GroupLivenessTest, serversThatAnswerKeepTheirGroupIn)
+    // Guards against ejecting a group of which only some servers have failed.
+    TEST_F(GroupLivenessTest, GroupWithResponsiveServersIsNotEjected)
     {
-        const auto isDead = [](const KnownServer& server) { return server.entry.number <= 4; };
+        const auto hasFailed = [](const KnownServer& server) { return server.entry.number <= 4; };
         for (int i = 0; i < 200; ++i) {
             const std::uint32_t caller = ++nextCaller;
             const PacketDecision decision = route(opening(caller));
             const KnownServer& server = *decision.server;
             EXPECT_EQ(server.entry.availabilityZone, "walu");
             clock.advance(5ms);
-            if (!isDead(server))
+            if (!hasFailed(server))
                 route(data(caller, server.token, 1001, 5001, 0));
         }
         EXPECT_TRUE(router.takeGroupChanges().empty());
     }
 
-    // Guards against one service's silence being held against another one.
-    TEST_F(GroupLivenessTest, anotherServiceOfTheZoneIsJudgedByItself)
+    // Guards against ejecting the servers of another service in the zone.
+    TEST_F(GroupLivenessTest, OtherServiceOfTheZoneIsNotEjected)
     {
         put(server(50, "scanintake"));
         put(server(51, "scanintake", "nabua"));
@@ -105,8 +105,8 @@
         EXPECT_EQ(scan.server->entry.availabilityZone, "walu");
     }
 
-    // Guards against nothing being tried any more when the servers of all zones are silent.
-    TEST_F(GroupLivenessTest, withAllGroupsSilentFlowsStillTrySomeServer)
+    // Guards against dropping new flows while all groups are ejected.
+    TEST_F(GroupLivenessTest, FlowsAreForwardedWhileAllGroupsAreEjected)
     {
         for (int i = 0; i < 400; ++i) {
             const PacketDecision decision = route(opening(++nextCaller));
@@ -115,25 +115,25 @@
         }
     }
 
-    // Guards against a patience of fixed length: callers on slow networks take longer to answer than it.
-    TEST_F(GroupLivenessTest, whereFlowsOpenSlowlyTheGroupIsWaitedForLonger)
+    // Guards against a fixed timeout, which callers on slow networks exceed.
+    TEST_F(GroupLivenessTest, TimeoutFollowsTheOpeningLatency)
     {
-        struct Waiting {
+        struct PendingOpening {
             std::uint32_t caller;
             std::uint32_t token;
-            TimePoint due;
+            TimePoint answerAt;
         };
-        std::vector<Waiting> waiting;
+        std::vector<PendingOpening> pending;
         for (int i = 0; i < 600; ++i) {
             const std::uint32_t caller = ++nextCaller;
             const PacketDecision decision = route(opening(caller));
-            // 60 to 140 ms, which is below the patience for one server.
-            waiting.push_back({ caller, decision.server->token, clock.now() + 60ms + (i * 37 % 80) * 1ms });
+            // 60 to 140 ms, less than OpeningSettings::openingTimeout.
+            pending.push_back({ caller, decision.server->token, clock.now() + 60ms + (i * 37 % 80) * 1ms });
             clock.advance(3ms);
-            std::erase_if(waiting, [&](const Waiting& one) {
-                if (one.due > clock.now())
+            std::erase_if(pending, [&](const PendingOpening& opening) {
+                if (opening.answerAt > clock.now())
                     return false;
-                route(data(one.caller, one.token, 1001, 5001, 0));
+                route(data(opening.caller, opening.token, 1001, 5001, 0));
                 return true;
             });
             if (i == 200)
--- a/Tests/Forward/OpeningAdmissionTest.cpp
+++ b/Tests/Forward/OpeningAdmissionTest.cpp
@@ -12,62 +12,62 @@
         static constexpr std::chrono::milliseconds targetLatency { 100 };
         OpeningAdmission admission;
 
-        void answer(int count, std::chrono::milliseconds took)
+        void answer(int count, std::chrono::milliseconds answerTime)
         {
             for (int i = 0; i < count; ++i)
-                admission.noteAnswer("tryon", took, clock.now());
+                admission.noteAnswer("tryon", answerTime, clock.now());
         }
 
-        // How many of 1,000 new flows are refused.
-        int refused(const std::string& service = "tryon", std::chrono::milliseconds wanted = targetLatency)
+        // Returns how many of 1000 new flows are refused.
+        int countRefused(const std::string& service = "tryon", std::chrono::milliseconds target = targetLatency)
         {
             int count = 0;
             for (std::uint32_t caller = 0; caller < 1000; ++caller)
-                count += admission.admit(service, wanted, opening(caller).ends, clock.now()).isRefused;
+                count += admission.admit(service, target, opening(caller).ends, clock.now()).isRefused;
             return count;
         }
     };
 
-    TEST_F(OpeningAdmissionTest, flowsAreRefusedByHowLongAllServersTakeToAnswer)
+    TEST_F(OpeningAdmissionTest, ShareOfRefusedFlowsRisesWithTheAnswerTime)
     {
-        EXPECT_EQ(refused(), 0);
+        EXPECT_EQ(countRefused(), 0);
         answer(16, 35ms);
-        EXPECT_EQ(refused(), 0);
+        EXPECT_EQ(countRefused(), 0);
         answer(16, 52ms);
-        const int half = refused();
+        const int half = countRefused();
         EXPECT_GT(half, 400);
         EXPECT_LT(half, 600);
-        EXPECT_EQ(refused(), half) << "the choice depends on the flow alone";
+        EXPECT_EQ(countRefused(), half) << "the choice depends on the flow alone";
         answer(16, 71ms);
-        EXPECT_EQ(refused(), 1000);
-        EXPECT_EQ(refused("scanintake"), 0);
-        EXPECT_EQ(refused("tryon", 250ms), 0);
-        EXPECT_EQ(refused("tryon", 0ms), 0) << "without an aim nothing is too late";
+        EXPECT_EQ(countRefused(), 1000);
+        EXPECT_EQ(countRefused("scanintake"), 0);
+        EXPECT_EQ(countRefused("tryon", 250ms), 0);
+        EXPECT_EQ(countRefused("tryon", 0ms), 0) << "without a target latency nothing is refused";
     }
 
-    TEST_F(OpeningAdmissionTest, slowServersAmongOthersRefuseNothing)
+    TEST_F(OpeningAdmissionTest, NothingIsRefusedIfOnlySomeServersAreSlow)
     {
         answer(11, 400ms);
         answer(5, 20ms);
-        EXPECT_EQ(refused(), 0);
+        EXPECT_EQ(countRefused(), 0);
     }
 
-    TEST_F(OpeningAdmissionTest, littleOrOldKnowledgeRefusesNothing)
+    TEST_F(OpeningAdmissionTest, NothingIsRefusedWithFewOrOldAnswers)
     {
         answer(7, 400ms);
-        EXPECT_EQ(refused(), 0);
+        EXPECT_EQ(countRefused(), 0);
         answer(9, 400ms);
-        EXPECT_EQ(refused(), 1000);
+        EXPECT_EQ(countRefused(), 1000);
         clock.advance(1001ms);
-        EXPECT_EQ(refused(), 0);
+        EXPECT_EQ(countRefused(), 0);
     }
 
-    // A reset must never reach a flow that is open, and a copy of an opening packet may be one of an open flow.
-    TEST_F(OpeningAdmissionTest, onlyAFirstOpeningIsRefused)
+    // Guards against the reset of an open flow by a late copy of its opening packet.
+    TEST_F(OpeningAdmissionTest, OnlyFirstOpeningsAreRefused)
     {
-        ForwardingConfiguration timed = configuration(50);
-        timed.routes.front().targetLatency = targetLatency;
-        router.applyConfiguration(timed);
+        ForwardingConfiguration configurationWithTarget = configuration(50);
+        configurationWithTarget.routes.front().targetLatency = targetLatency;
+        router.applyConfiguration(configurationWithTarget);
         put(server(1));
         const std::uint32_t token = tokenOf(1);
         for (std::uint32_t caller = 1; caller <= 16; ++caller) {
--- a/Tests/Forward/OpeningPolicyTest.cpp
+++ b/Tests/Forward/OpeningPolicyTest.cpp
@@ -14,7 +14,7 @@
     struct OpeningPolicyTest : testing::Test, ForwardFixture {
         OpeningPolicyTest() { router.applyConfiguration(configuration(3)); }
 
-        // Opens flows one after the other, each of which is answered and stays open.
+        // Opens flows one after the other, all of which stay open. Returns the number of flows per server.
         std::map<std::string, int> openFlows(std::uint32_t first, std::uint32_t count)
         {
             std::map<std::string, int> flows;
@@ -24,7 +24,7 @@
         }
     };
 
-    TEST_F(OpeningPolicyTest, longFlowsEvenOutOverTheServers)
+    TEST_F(OpeningPolicyTest, LongFlowsAreSpreadEvenly)
     {
         for (const std::uint64_t number : { 1, 2, 3, 4, 5 })
             put(server(number));
@@ -34,7 +34,7 @@
             EXPECT_EQ(count, 20) << id;
     }
 
-    TEST_F(OpeningPolicyTest, aServerWithMoreSlotsGetsMore)
+    TEST_F(OpeningPolicyTest, ServerWithMoreSlotsGetsMoreFlows)
     {
         RegisteredServer large = server(1);
         large.slots = 6;
@@ -44,7 +44,7 @@
         EXPECT_GT(flows.at(large.id), 2 * flows.at(server(2).id));
     }
 
-    TEST_F(OpeningPolicyTest, aColdServerIsSparedUntilItIsWarm)
+    TEST_F(OpeningPolicyTest, ColdServerGetsFewerFlows)
     {
         RegisteredServer cold = server(1);
         cold.warmupLeft = 5s;
@@ -54,23 +54,21 @@
         EXPECT_LT(flows[cold.id], flows[server(2).id]);
     }
 
-    TEST_F(OpeningPolicyTest, theOwnZoneComesFirstAndOthersHelpWhenItIsFull)
+    TEST_F(OpeningPolicyTest, OwnZoneIsPreferredUntilItIsLoaded)
     {
         put(server(1));
         put(server(2, "tryon", "nabua"));
         EXPECT_EQ(openFlows(0, 20)[server(1).id], 20);
 
-        // Requests pile up at the own server.
+        // Requests queue at the server of the own zone.
         const std::uint32_t token = tokenOf(1);
         for (std::uint32_t caller = 0; caller < 20; ++caller)
             route(data(caller, token, 1001, 5001, 100));
         EXPECT_EQ(openFlows(100, 1)[server(2).id], 1);
     }
 
-    // Symptom: while a zone was cut off, two of three of its new flows went to servers on the far side.
-    // Sequence: the own servers are busy, those of other zones look idle, and each has to prove its silence by itself.
-    // Cause: nobody drew a conclusion from one server of a zone to the others.
-    TEST_F(OpeningPolicyTest, aZoneBehindACutCostsFewFlows)
+    // Guards against sending new flows to each server of an unreachable zone in turn while the own servers are busy.
+    TEST_F(OpeningPolicyTest, UnreachableZoneLosesFewFlows)
     {
         put(server(1));
         for (std::uint64_t number = 20; number < 30; ++number)
@@ -85,11 +83,11 @@
             const PacketDecision decision = route(opening(caller));
             lost += decision.server->entry.availabilityZone != "walu";
             clock.advance(20ms);
-            // The own server goes on answering its flows.
+            // The server of the own zone keeps answering its flows.
             route(data(1, own, 1101, 5001 + caller, 0));
             route(data(1, own, 1101 + caller, 5001 + caller, 10));
         }
-        // 6 s: tries at 0, 0.65, 1.8, 3.95 s; each may overlap with one that was decided in the same instant.
+        // Trial flows within the 6 s: at 0, 0.65, 1.8 and 3.95 s, each perhaps with one more at the same moment.
         EXPECT_LE(lost, 8);
         EXPECT_GE(lost, 2);
         const auto changes = router.takeZoneChanges();
@@ -98,7 +96,7 @@
         EXPECT_FALSE(changes.back().hasRecovered);
     }
 
-    TEST_F(OpeningPolicyTest, balancersThatKnowNothingChooseAlike)
+    TEST_F(OpeningPolicyTest, BalancersWithTheSameKnowledgeChooseTheSameServer)
     {
         for (std::uint32_t caller = 0; caller < 20; ++caller) {
             ForwardFixture fresh;
@@ -114,7 +112,7 @@
         }
     }
 
-    TEST_F(OpeningPolicyTest, weightsShareNewFlowsBetweenServices)
+    TEST_F(OpeningPolicyTest, WeightsSplitNewFlowsBetweenServices)
     {
         ForwardingConfiguration split = configuration(9);
         split.routes.front().shares = { { "tryon", 90 }, { "scanintake", 10 } };
--- a/Tests/Forward/ServerDirectoryTest.cpp
+++ b/Tests/Forward/ServerDirectoryTest.cpp
@@ -20,18 +20,18 @@
         ServerState stateOf(const RegisteredServer& entry) { return directory.find(entry.id)->state; }
     };
 
-    TEST_F(ServerDirectoryTest, aServerLivesFromItsFirstEntryToItsLast)
+    TEST_F(ServerDirectoryTest, ServerLifecycle)
     {
         RegisteredServer entry = server(1);
         {
-            SCOPED_TRACE("it registers");
+            SCOPED_TRACE("the server registers");
             const auto transitions = directory.put(entry, 5, clock.now());
             ASSERT_EQ(transitions.size(), 1U);
             EXPECT_TRUE(transitions.front().isNew);
             EXPECT_EQ(directory.serversOf("tryon").size(), 1U);
         }
         {
-            SCOPED_TRACE("it drains: it keeps its flows and takes no new ones");
+            SCOPED_TRACE("the server drains: it keeps its flows and takes no new ones");
             entry.readiness = ServerReadiness::Draining;
             directory.put(entry, 6, clock.now());
             EXPECT_EQ(stateOf(entry), ServerState::Draining);
@@ -39,7 +39,7 @@
             EXPECT_NE(directory.findByToken(tokenOf(entry.number)), nullptr);
         }
         {
-            SCOPED_TRACE("it leaves, and its token stays known for as long as flows last");
+            SCOPED_TRACE("the entry is removed, and the token stays known for as long as flows last");
             directory.remove(entry.id, true, clock.now());
             EXPECT_EQ(stateOf(entry), ServerState::Gone);
             clock.advance(74s);
@@ -52,34 +52,32 @@
         }
     }
 
-    // Symptom: after an outage of the store, balancers reset or avoided servers that were in good health.
-    // Sequence: the store is away, entries lapse, the store is back, and the servers register anew a second later.
-    // Cause: an entry that vanished was taken for a server that left.
-    TEST_F(ServerDirectoryTest, aServerWhoseEntryLapsedInAnOutageIsDoubtfulForTwoSeconds)
+    // Guards against avoiding healthy servers whose entries expired during an outage of the store and reappear after
+    // it.
+    TEST_F(ServerDirectoryTest, ServerWhoseEntryExpiredInAnOutageIsDoubtfulForTwoSeconds)
     {
-        const RegisteredServer back = server(1);
+        const RegisteredServer reappearing = server(1);
         const RegisteredServer lost = server(2);
-        directory.put(back, 5, clock.now());
+        directory.put(reappearing, 5, clock.now());
         directory.put(lost, 6, clock.now());
-        directory.remove(back.id, true, clock.now());
+        directory.remove(reappearing.id, true, clock.now());
         directory.remove(lost.id, true, clock.now());
-        EXPECT_EQ(stateOf(back), ServerState::Doubtful);
-        EXPECT_TRUE(directory.find(back.id)->mayTakeFlows());
+        EXPECT_EQ(stateOf(reappearing), ServerState::Doubtful);
+        EXPECT_TRUE(directory.find(reappearing.id)->mayTakeFlows());
 
         clock.advance(1500ms);
-        directory.put(back, 20, clock.now());
+        directory.put(reappearing, 20, clock.now());
         directory.noteStoreContact(clock.now());
         clock.advance(600ms);
         directory.tick(clock.now());
-        EXPECT_EQ(stateOf(back), ServerState::Ready);
+        EXPECT_EQ(stateOf(reappearing), ServerState::Ready);
         EXPECT_EQ(stateOf(lost), ServerState::Gone);
         EXPECT_FALSE(directory.find(lost.id)->mayTakeFlows());
     }
 
-    // Symptom: a zone served almost nobody although its servers were well (a tenth of two windows' requests).
-    // Sequence: the store is away and all entries lapse; it is back and says so; then the zone is cut off from it.
-    // Cause: doubts ended after two seconds, although nothing was heard that could have said that servers are back.
-    TEST_F(ServerDirectoryTest, doubtLastsForAsLongAsTheStoreIsNotHeard)
+    // Guards against taking servers for gone while the store is unreachable after an outage, so that nobody can know
+    // whether their entries have reappeared.
+    TEST_F(ServerDirectoryTest, ServerStaysDoubtfulWhileTheStoreIsUnreachable)
     {
         const RegisteredServer entry = server(1);
         directory.put(entry, 5, clock.now());
@@ -91,13 +89,13 @@
         directory.tick(clock.now());
         EXPECT_EQ(stateOf(entry), ServerState::Doubtful);
         {
-            SCOPED_TRACE("the store is heard again and does not name it");
+            SCOPED_TRACE("the store is reachable again and does not hold the entry");
             directory.noteStoreContact(clock.now());
             directory.tick(clock.now());
             EXPECT_EQ(stateOf(entry), ServerState::Gone);
         }
         {
-            SCOPED_TRACE("a store that is never heard again does not keep it forever");
+            SCOPED_TRACE("the doubtful state ends even if the store stays unreachable");
             directory.put(server(2), 30, clock.now());
             directory.remove(server(2).id, true, clock.now());
             clock.advance(11s);
@@ -106,7 +104,7 @@
         }
     }
 
-    TEST_F(ServerDirectoryTest, withoutDoubtAVanishedEntryMeansGoneAtOnce)
+    TEST_F(ServerDirectoryTest, ServerIsGoneAtOnceIfItsRemovalIsCertain)
     {
         directory.put(server(1), 5, clock.now());
         directory.remove(server(1).id, false, clock.now());
@@ -114,10 +112,8 @@
         EXPECT_TRUE(directory.serversOf("tryon").empty());
     }
 
-    // Symptom: callers of a server that died waited until their time was over.
-    // Sequence: a server dies silently, its address goes to another one, and the dead one's entry is still there.
-    // Cause: only a vanished entry counted as the end of a server.
-    TEST_F(ServerDirectoryTest, aNewEntryAtAnAddressEndsTheFormerIncarnation)
+    // Guards against callers that wait for a crashed server whose address was reused before its entry expired.
+    TEST_F(ServerDirectoryTest, NewEntryAtAnAddressEndsTheFormerIncarnation)
     {
         const RegisteredServer former = server(1, 7);
         const RegisteredServer next = server(2, 7);
@@ -127,14 +123,14 @@
         EXPECT_EQ(stateOf(former), ServerState::Ended);
         EXPECT_EQ(stateOf(next), ServerState::Ready);
         {
-            SCOPED_TRACE("a write of the former one that takes effect late changes nothing");
+            SCOPED_TRACE("a delayed write of the former server changes nothing");
             clock.advance(1s);
             EXPECT_TRUE(directory.put(former, 12, clock.now()).empty());
             EXPECT_EQ(stateOf(former), ServerState::Ended);
             EXPECT_EQ(stateOf(next), ServerState::Ready);
         }
         {
-            SCOPED_TRACE("and again when the address moves on");
+            SCOPED_TRACE("the address is reused again");
             clock.advance(3s);
             const RegisteredServer third = server(3, 7);
             directory.put(third, 30, clock.now());
@@ -143,66 +139,62 @@
         }
     }
 
-    // Symptom: open flows of a living server were reset (FLOW broken on a day of restarts while the store did writes
-    // late). Sequence: a server is killed while a write of its entry is under way; the next process at its address
-    // registers; then the write of the former one takes effect, with a higher revision than the entry of the living
-    // one. Cause: of two entries at an address, the one that was written last was taken for the living process's.
-    TEST_F(ServerDirectoryTest, whoseProcessIsOverIsNotConcludedFromTheOrderOfWritesAlone)
+    // Guards against resetting flows of a live server because a delayed write of the ended server at its address has a
+    // higher revision.
+    TEST_F(ServerDirectoryTest, OrderOfRevisionsAloneDoesNotEndAServer)
     {
-        const RegisteredServer dead = server(1, 7);
-        const RegisteredServer living = server(2, 7);
-        const auto expectLiving = [&] {
-            EXPECT_EQ(stateOf(living), ServerState::Ready);
-            EXPECT_TRUE(directory.find(living.id)->mayTakeFlows());
+        const RegisteredServer ended = server(1, 7);
+        const RegisteredServer live = server(2, 7);
+        const auto expectLive = [&] {
+            EXPECT_EQ(stateOf(live), ServerState::Ready);
+            EXPECT_TRUE(directory.find(live.id)->mayTakeFlows());
         };
         {
-            SCOPED_TRACE("who starts reads both at once");
-            directory.put(living, 71, clock.now());
-            directory.put(dead, 90, clock.now());
-            expectLiving();
+            SCOPED_TRACE("a starting balancer reads both entries at once");
+            directory.put(live, 71, clock.now());
+            directory.put(ended, 90, clock.now());
+            expectLive();
         }
         {
-            SCOPED_TRACE("who never knew the dead one learns of it last, while the living one answers");
+            SCOPED_TRACE("the entry of the ended server arrives last, while the live one answers");
             directory = ServerDirectory();
-            directory.put(living, 71, clock.now());
+            directory.put(live, 71, clock.now());
             clock.advance(4s);
-            directory.find(living.id)->seen.lastProgress = clock.now() - 1s;
-            directory.put(dead, 90, clock.now());
-            expectLiving();
+            directory.find(live.id)->seen.lastProgress = clock.now() - 1s;
+            directory.put(ended, 90, clock.now());
+            expectLive();
         }
         {
-            SCOPED_TRACE("the news of both comes in the wrong order");
+            SCOPED_TRACE("the updates arrive in the wrong order");
             directory = ServerDirectory();
-            directory.put(living, 71, clock.now());
+            directory.put(live, 71, clock.now());
             clock.advance(1s);
-            directory.put(dead, 57, clock.now());
-            expectLiving();
+            directory.put(ended, 57, clock.now());
+            expectLive();
         }
         {
-            SCOPED_TRACE("where entries tell when their processes started, that decides");
+            SCOPED_TRACE("the start times decide if the entries hold them");
             directory = ServerDirectory();
-            RegisteredServer earlier = dead;
-            RegisteredServer later = living;
+            RegisteredServer earlier = ended;
+            RegisteredServer later = live;
             earlier.startedAt = 1000;
             later.startedAt = 2000;
             directory.put(later, 71, clock.now());
             directory.put(earlier, 90, clock.now());
-            expectLiving();
+            expectLive();
             EXPECT_EQ(stateOf(earlier), ServerState::Ended);
         }
     }
 
-    // Symptom: packets of one flow would reach another server of the same service.
-    // Sequence: two incarnations have the same token, which happens about once in four billion pairs.
-    // Cause: a token names one server only.
-    TEST_F(ServerDirectoryTest, ofTwoServersWithOneTokenOnlyOneTakesFlows)
+    // Guards against routing packets of a flow to another server that has the same token.
+    TEST_F(ServerDirectoryTest, OnlyOneOfTwoServersWithTheSameTokenTakesFlows)
     {
-        // Folding the halves of the number onto each other gives both the token 3.
+        // XOR of the halves of the number gives 3 for both.
         const RegisteredServer first = server(0x0000000000000003);
         const RegisteredServer second = server(0x0000000100000002);
         ASSERT_EQ(tokenOf(first.number), tokenOf(second.number));
         {
-            SCOPED_TRACE("balancers that learn of them in different orders agree on the smaller id");
+            SCOPED_TRACE("the smaller id wins, in whichever order the servers register");
             for (const bool isFirstFirst : { true, false }) {
                 ServerDirectory other;
                 other.put(isFirstFirst ? first : second, 5, clock.now());
@@ -213,7 +205,7 @@
             }
         }
         {
-            SCOPED_TRACE("one that is gone keeps the token while its flows may be open");
+            SCOPED_TRACE("a gone server keeps the token while its flows may be open");
             directory.put(second, 5, clock.now());
             directory.remove(second.id, false, clock.now());
             directory.put(first, 6, clock.now());
@@ -222,16 +214,14 @@
         }
     }
 
-    // Symptom: a server that had started again got no flows, or only trial flows, for up to 4 s.
-    // Sequence: it crashes, balancers leave it out as silent, it starts again under its id and registers.
-    // Cause: what was seen of the former process was held against the new one.
-    TEST_F(ServerDirectoryTest, aServerThatStartsAgainUnderItsIdIsAnotherProcess)
+    // Guards against ejecting a restarted server for the failures of its former process.
+    TEST_F(ServerDirectoryTest, RestartUnderTheSameIdResetsTheObservation)
     {
         RegisteredServer entry = server(1);
         entry.startedAt = 1000;
         directory.put(entry, 5, clock.now());
         KnownServer& known = *directory.find(entry.id);
-        const auto spoil = [&] {
+        const auto simulateFailures = [&] {
             known.seen.failures = 3;
             known.seen.flows = 7;
             known.seen.busy = 2;
@@ -250,43 +240,43 @@
             EXPECT_TRUE(known.mayTakeFlows());
             EXPECT_EQ(directory.serversOf(entry.service).size(), 1U);
         };
-        spoil();
+        simulateFailures();
         {
-            SCOPED_TRACE("a further entry of the same process changes nothing of this");
+            SCOPED_TRACE("another entry of the same process keeps the observation");
             directory.put(entry, 6, clock.now());
             EXPECT_EQ(known.seen.failures, 3U);
         }
         {
-            SCOPED_TRACE("while it takes flows");
+            SCOPED_TRACE("restart while the server is ready");
             entry.startedAt = 2000;
             expectNew(directory.put(entry, 7, clock.now()));
         }
         {
-            SCOPED_TRACE("while it drains");
+            SCOPED_TRACE("restart while the server drains");
             entry.readiness = ServerReadiness::Draining;
             directory.put(entry, 8, clock.now());
-            spoil();
+            simulateFailures();
             entry.readiness = ServerReadiness::Ready;
             entry.startedAt = 3000;
             expectNew(directory.put(entry, 9, clock.now()));
         }
         {
-            SCOPED_TRACE("in doubt, and after it was gone");
+            SCOPED_TRACE("restart while the server is doubtful, and after it was gone");
             directory.remove(entry.id, true, clock.now());
-            spoil();
+            simulateFailures();
             entry.startedAt = 4000;
             expectNew(directory.put(entry, 10, clock.now()));
             directory.remove(entry.id, false, clock.now());
-            spoil();
+            simulateFailures();
             entry.startedAt = 5000;
             expectNew(directory.put(entry, 11, clock.now()));
         }
         {
-            SCOPED_TRACE("after its address went to another, at another address, and twice within a heartbeat");
+            SCOPED_TRACE("restart after its address was reused, at another address, and twice within a heartbeat");
             clock.advance(3s);
             directory.put(server(2, 1), 12, clock.now());
             EXPECT_EQ(stateOf(entry), ServerState::Ended);
-            spoil();
+            simulateFailures();
             entry.startedAt = 6000;
             entry.address.address += 100;
             entry.service = "scanintake";
@@ -298,10 +288,8 @@
         }
     }
 
-    // Symptom: after a restart a server was taken for draining, for as long as until its next heartbeat.
-    // Sequence: a write of the former process takes effect after the new one has registered.
-    // Cause: the store's order of writes was taken for the order of the processes.
-    TEST_F(ServerDirectoryTest, anEntryOfAnEarlierStartNeverTakesALaterOneBack)
+    // Guards against a delayed write of the former process that overwrites the entry of a restarted server.
+    TEST_F(ServerDirectoryTest, EntryWithAnEarlierStartTimeIsIgnored)
     {
         RegisteredServer entry = server(1);
         entry.startedAt = 2000;
@@ -311,21 +299,20 @@
         earlier.readiness = ServerReadiness::Draining;
         EXPECT_TRUE(directory.put(earlier, 6, clock.now()).empty());
         EXPECT_EQ(stateOf(entry), ServerState::Ready);
-        RegisteredServer untold = earlier;
-        untold.startedAt = 0;
-        EXPECT_TRUE(directory.put(untold, 7, clock.now()).empty());
+        RegisteredServer withoutStartTime = earlier;
+        withoutStartTime.startedAt = 0;
+        EXPECT_TRUE(directory.put(withoutStartTime, 7, clock.now()).empty());
         EXPECT_EQ(directory.find(entry.id)->entry.startedAt, 2000U);
         {
-            SCOPED_TRACE("but a server whose clock was set back between two starts is not lost for good");
+            SCOPED_TRACE("it is accepted later, since the server's clock may have been set back between two starts");
             clock.advance(10s);
             EXPECT_FALSE(directory.put(earlier, 8, clock.now()).empty());
             EXPECT_EQ(directory.find(entry.id)->entry.startedAt, 1000U);
         }
     }
 
-    // Symptom: flows went on to a server whose entry another writer had spoilt.
-    // Cause: the last entry that could be read stayed in use.
-    TEST_F(ServerDirectoryTest, anEntryThatCannotBeUsedNamesNoServerAndItsFlowsStay)
+    // Guards against new flows to a server whose entry was overwritten with an unreadable value.
+    TEST_F(ServerDirectoryTest, ServerWithAnUnreadableEntryKeepsOnlyItsOpenFlows)
     {
         const RegisteredServer entry = server(1);
         directory.put(entry, 5, clock.now());
@@ -336,13 +323,13 @@
         EXPECT_EQ(directory.findByToken(tokenOf(entry.number))->state, ServerState::Gone);
         EXPECT_TRUE(directory.invalidate("i-unknown", 8, clock.now()).empty());
         {
-            SCOPED_TRACE("until its own next entry");
+            SCOPED_TRACE("the next readable entry makes it ready again");
             directory.put(entry, 9, clock.now());
             EXPECT_TRUE(directory.find(entry.id)->mayTakeFlows());
         }
     }
 
-    TEST_F(ServerDirectoryTest, tokensAreNeverZero)
+    TEST_F(ServerDirectoryTest, TokensAreNeverZero)
     {
         EXPECT_EQ(tokenOf(0), 1U);
         EXPECT_EQ(tokenOf(0x0000000500000005), 1U);
--- a/Tests/Forward/TokenRouterTest.cpp
+++ b/Tests/Forward/TokenRouterTest.cpp
@@ -20,7 +20,7 @@
         }
     };
 
-    TEST_F(TokenRouterTest, aFlowStaysAtItsServerThroughEveryBalancer)
+    TEST_F(TokenRouterTest, EveryBalancerRoutesAFlowToItsServer)
     {
         const PacketDecision opened = route(opening(1));
         ASSERT_EQ(opened.verdict, PacketVerdict::Forward);
@@ -36,7 +36,7 @@
         EXPECT_EQ(later.server->entry.id, opened.server->entry.id);
     }
 
-    TEST_F(TokenRouterTest, everyRouteLeadsToItsOwnService)
+    TEST_F(TokenRouterTest, EveryRouteUsesItsOwnService)
     {
         for (std::uint32_t caller = 0; caller < 50; ++caller) {
             EXPECT_EQ(route(opening(caller)).server->entry.service, "tryon");
@@ -44,10 +44,8 @@
         }
     }
 
-    // Symptom: open flows were reset at the start and the stop of balancers.
-    // Sequence: a balancer starts and gets packets of open flows before it has read the directory.
-    // Cause: not knowing a route or a token was taken for knowing that there is none.
-    TEST_F(TokenRouterTest, aBalancerThatKnowsNothingResetsNothing)
+    // Guards against resetting open flows at a balancer that has not read the configuration and the directory yet.
+    TEST_F(TokenRouterTest, BalancerWithoutConfigurationResetsNothing)
     {
         TokenRouter fresh(settings());
         for (const std::uint32_t copies : { 0U, 1U, 2U }) {
@@ -60,7 +58,7 @@
         EXPECT_EQ(unknown.reason, PacketReason::TokenUnknown);
     }
 
-    TEST_F(TokenRouterTest, aMadeUpTokenIsNeverGuessed)
+    TEST_F(TokenRouterTest, PacketWithAnUnknownTokenIsDropped)
     {
         const PacketDecision decision = route(data(1, 0xDEADBEEF));
         EXPECT_EQ(decision.verdict, PacketVerdict::Drop);
@@ -68,7 +66,7 @@
         EXPECT_EQ(route(data(1, 0)).reason, PacketReason::TokenMissing);
     }
 
-    TEST_F(TokenRouterTest, answersToOpeningsNeverGoToServers)
+    TEST_F(TokenRouterTest, AnswersToOpeningsAreDropped)
     {
         TokenPacket packet = opening(1);
         packet.acknowledges = true;
@@ -76,12 +74,12 @@
         EXPECT_EQ(route(packet).reason, PacketReason::ForeignAnswer);
     }
 
-    TEST_F(TokenRouterTest, whatCannotBeServedIsToldWithTheLastCopy)
+    TEST_F(TokenRouterTest, LastCopyWithoutARouteOrServerIsReset)
     {
-        const Endpoint nowhere { 0xC6120009, 80 };
-        EXPECT_EQ(route(opening(1, 0, nowhere)).verdict, PacketVerdict::Drop);
-        EXPECT_EQ(route(opening(1, 1, nowhere)).verdict, PacketVerdict::Drop);
-        const PacketDecision last = route(opening(1, 2, nowhere));
+        const Endpoint unknownRoute { 0xC6120009, 80 };
+        EXPECT_EQ(route(opening(1, 0, unknownRoute)).verdict, PacketVerdict::Drop);
+        EXPECT_EQ(route(opening(1, 1, unknownRoute)).verdict, PacketVerdict::Drop);
+        const PacketDecision last = route(opening(1, 2, unknownRoute));
         EXPECT_EQ(last.verdict, PacketVerdict::Reset);
         EXPECT_EQ(last.reason, PacketReason::NoRoute);
 
@@ -90,7 +88,7 @@
         EXPECT_EQ(route(opening(2, 2, scanRoute)).verdict, PacketVerdict::Reset);
     }
 
-    TEST_F(TokenRouterTest, versionsNeverGoBack)
+    TEST_F(TokenRouterTest, OlderConfigurationIsIgnored)
     {
         ForwardingConfiguration newer = configuration(9);
         newer.routes.pop_back();
@@ -101,7 +99,7 @@
         EXPECT_EQ(route(opening(1, 2, scanRoute)).reason, PacketReason::NoRoute);
     }
 
-    TEST_F(TokenRouterTest, aNewConfigurationLeavesOpenFlowsWhereTheyAre)
+    TEST_F(TokenRouterTest, OpenFlowsStayAfterAConfigurationChange)
     {
         const std::uint32_t token = openFlow(1);
         const std::string server = router.directory().findByToken(token)->entry.id;
@@ -112,10 +110,8 @@
         EXPECT_EQ(route(opening(2)).server->entry.service, "scanintake");
     }
 
-    // Symptom: a leaving server still got new flows long after it had said so.
-    // Sequence: it drains while the copy of an opening packet that went to it is on its way.
-    // Cause: copies followed the first choice without looking at it again.
-    TEST_F(TokenRouterTest, aCopyDoesNotFollowToAServerThatDrainsMeanwhile)
+    // Guards against new flows to a server that started to drain after it got the original opening packet.
+    TEST_F(TokenRouterTest, CopyAvoidsAServerThatDrainsMeanwhile)
     {
         const std::string first = route(opening(1)).server->entry.id;
         RegisteredServer draining = router.directory().find(first)->entry;
@@ -127,10 +123,9 @@
         EXPECT_NE(copy.server->entry.id, first);
     }
 
-    // Symptom: a flow opened but never worked.
-    // Sequence: the answer to the opening packet is lost, and the copy goes to another server, so that both answer.
-    // Cause: the caller then holds the sequence of one server and the token of the other.
-    TEST_F(TokenRouterTest, aCopyGoesToTheSameServerWhileThatOneGivesSignsOfLife)
+    // Guards against two servers that answer one opening, which leaves the caller with the sequence number of one
+    // server and the token of the other.
+    TEST_F(TokenRouterTest, CopyGoesToTheSameServerWhileItAnswers)
     {
         const PacketDecision first = route(opening(1));
         const std::string id = first.server->entry.id;
@@ -145,7 +140,7 @@
         EXPECT_EQ(copy.server->entry.id, id);
     }
 
-    TEST_F(TokenRouterTest, aLateCopyOfAnOpenFlowChangesNothing)
+    TEST_F(TokenRouterTest, LateCopyOfAnOpenFlowChangesNothing)
     {
         const std::uint32_t token = openFlow(1);
         clock.advance(300ms);
@@ -155,19 +150,17 @@
         EXPECT_EQ(route(data(1, token, 1001, 5001, 50)).server->token, token);
     }
 
-    // Symptom: every fourth new flow waited for 200 ms until the entry of a dead server lapsed.
-    // Sequence: a server dies silently; its entry stays for three heartbeats.
-    // Cause: only the directory decided who gets new flows.
-    TEST_F(TokenRouterTest, aSilentServerIsLeftOutAndTriedAgainByOneFlowAtATime)
+    // Guards against new flows to a crashed server until its entry expires.
+    TEST_F(TokenRouterTest, UnresponsiveServerIsEjectedAndGetsOneTrialFlowAtATime)
     {
-        const std::string dead = route(opening(1)).server->entry.id;
+        const std::string crashed = route(opening(1)).server->entry.id;
         clock.advance(200ms);
         {
-            SCOPED_TRACE("the copy goes elsewhere");
+            SCOPED_TRACE("the copy goes to another server");
             const PacketDecision copy = route(opening(1, 1));
-            EXPECT_NE(copy.server->entry.id, dead);
+            EXPECT_NE(copy.server->entry.id, crashed);
             ASSERT_EQ(copy.choice.ejected.size(), 1U);
-            EXPECT_EQ(copy.choice.ejected.front()->entry.id, dead);
+            EXPECT_EQ(copy.choice.ejected.front()->entry.id, crashed);
         }
         const auto countTo = [&](std::uint32_t from, std::uint32_t flows) {
             int count = 0;
@@ -175,32 +168,32 @@
                 const PacketDecision decision = route(opening(caller));
                 const std::string chosen = decision.server->entry.id;
                 const std::uint32_t token = decision.server->token;
-                count += chosen == dead;
+                count += chosen == crashed;
                 clock.advance(2ms);
-                if (chosen != dead)
+                if (chosen != crashed)
                     route(data(caller, token, 1001, 5001, 0));
             }
             return count;
         };
         {
-            SCOPED_TRACE("new flows avoid it");
+            SCOPED_TRACE("new flows avoid the ejected server");
             EXPECT_EQ(countTo(100, 60), 0);
         }
         {
-            SCOPED_TRACE("after the pause one flow tries it");
+            SCOPED_TRACE("after the ejection it gets one trial flow");
             clock.advance(600ms);
             EXPECT_EQ(countTo(200, 60), 1);
         }
         {
-            SCOPED_TRACE("a sign of life brings it back");
-            const std::uint32_t token = router.directory().find(dead)->token;
+            SCOPED_TRACE("an answer ends the ejection");
+            const std::uint32_t token = router.directory().find(crashed)->token;
             route(data(900, token, 1001, 5001, 0));
             EXPECT_TRUE(route(data(900, token, 1001, 5100, 0)).progress.hasRecovered);
             EXPECT_GT(countTo(300, 60), 10);
         }
     }
 
-    TEST_F(TokenRouterTest, whenAllAreSilentTheyAreTriedAllTheSame)
+    TEST_F(TokenRouterTest, FlowsAreForwardedWhileAllServersAreUnresponsive)
     {
         for (std::uint32_t caller = 0; caller < 20; ++caller) {
             for (const std::uint32_t copies : { 0U, 1U, 2U }) {
@@ -211,16 +204,14 @@
         EXPECT_NE(route(opening(99)).server, nullptr);
     }
 
-    // Symptom: callers of a replaced server waited for the end of their time.
-    // Sequence: the server is gone for good and another one has its address; packets of its flows still arrive.
-    // Cause: nobody told the callers, who could have asked again.
-    TEST_F(TokenRouterTest, flowsOfAnEndedServerAreReset)
+    // Guards against callers that wait for a server whose address was reused.
+    TEST_F(TokenRouterTest, FlowsOfAnEndedServerAreReset)
     {
         const std::uint32_t token = openFlow(1);
         const RegisteredServer former = router.directory().findByToken(token)->entry;
         RegisteredServer next = server(77, "scanintake");
         next.address = former.address;
-        // The platform gives an address away two seconds after its server ended.
+        // The platform reuses an address two seconds after its server has ended.
         clock.advance(2s);
         put(next);
         const PacketDecision decision = route(data(1, token, 1101));
@@ -228,8 +219,8 @@
         EXPECT_EQ(decision.reason, PacketReason::ServerEnded);
     }
 
-    // A token names the id, and so another process once the server has started again.
-    TEST_F(TokenRouterTest, flowsOfAFormerProcessNeverReachAnotherService)
+    // Guards against routing flows of a former process to another service, since a restarted server keeps its token.
+    TEST_F(TokenRouterTest, FlowsOfAFormerProcessNeverReachAnotherService)
     {
         RegisteredServer entry = server(1);
         entry.startedAt = 1000;
@@ -239,7 +230,7 @@
         router.route(data(1, token), clock.now());
         EXPECT_EQ(router.directory().find(entry.id)->seen.busy, 1U);
         {
-            SCOPED_TRACE("under the same service it tells its former callers itself");
+            SCOPED_TRACE("same service: packets are forwarded, and the server itself resets former flows");
             entry.startedAt = 2000;
             put(entry);
             EXPECT_EQ(router.flows().size(), 0U);
@@ -247,7 +238,7 @@
             EXPECT_EQ(router.route(data(1, token), clock.now()).verdict, PacketVerdict::Forward);
         }
         {
-            SCOPED_TRACE("under another service they are told here, and its own flows pass");
+            SCOPED_TRACE("another service: former flows are reset, and new ones are forwarded");
             entry.startedAt = 3000;
             entry.service = "scanintake";
             put(entry);
@@ -258,7 +249,7 @@
                 router.route(data(2, token, 1001, 5001, 100, scanRoute), clock.now()).verdict, PacketVerdict::Forward);
         }
         {
-            SCOPED_TRACE("also after a configuration that sends new flows of their route elsewhere");
+            SCOPED_TRACE("new flows are still forwarded after their route uses another service");
             ForwardingConfiguration moved = configuration(50);
             moved.routes[1].shares = { { "elsewhere", 1 } };
             router.applyConfiguration(moved);
@@ -267,7 +258,7 @@
         }
     }
 
-    TEST_F(TokenRouterTest, flowsOfAServerWhoseEntryVanishedGoOn)
+    TEST_F(TokenRouterTest, FlowsStayAfterTheEntryOfTheirServerVanished)
     {
         const std::uint32_t token = openFlow(1);
         const std::string id = router.directory().findByToken(token)->entry.id;
--- a/Tests/Forward/ZoneOutageTest.cpp
+++ b/Tests/Forward/ZoneOutageTest.cpp
@@ -14,17 +14,17 @@
 
     using namespace std::chrono_literals;
 
-    // A zone of many balancers before as many servers, with two other zones to turn to. Callers open flows one after
-    // the other, each at a balancer by chance; a dead server's address answers with a reset, and they try again, twice.
-    class ZoneOutage {
+    // Balancers and servers of one zone, and the servers of two other zones. Callers open flows one after the other,
+    // each through a random balancer. Attempts at a crashed server are answered with a reset, and callers retry twice.
+    class ZoneOutageSimulation {
     public:
         struct Size {
             std::size_t balancers = 28;
             std::uint64_t servers = 40;
-            int opensASecond = 550;
+            int flowsPerSecond = 550;
         };
 
-        ZoneOutage(std::uint32_t seed, Size size, OpeningSettings opening)
+        ZoneOutageSimulation(std::uint32_t seed, Size size, OpeningSettings opening)
             : random_(seed)
             , size_(size)
         {
@@ -42,16 +42,17 @@
             }
         }
 
-        // The own zone's servers are dead from the second on. Returns how many requests no try of which was served.
-        int play(Duration until, Duration deadFrom, Duration deadUntil)
+        // Runs for a duration, with all servers of the zone down in between. Returns the number of requests of which no
+        // attempt was served.
+        int run(Duration duration, Duration downFrom, Duration downUntil)
         {
             const TimePoint start = clock_.now();
-            deadFrom_ = start + deadFrom;
-            deadUntil_ = start + deadUntil;
-            const auto gap = std::chrono::duration_cast<Duration>(1s) / size_.opensASecond;
-            for (TimePoint at = start; at < start + until; at += gap)
+            downFrom_ = start + downFrom;
+            downUntil_ = start + downUntil;
+            const auto gap = std::chrono::duration_cast<Duration>(1s) / size_.flowsPerSecond;
+            for (TimePoint at = start; at < start + duration; at += gap)
                 schedule(at, [this] { attempt(1); });
-            for (TimePoint at = start; at < start + until; at += 250ms)
+            for (TimePoint at = start; at < start + duration; at += 250ms)
                 schedule(at, [this] {
                     for (auto& router : routers_)
                         router->tick(clock_.now());
@@ -73,9 +74,9 @@
             bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
         };
 
-        static constexpr int mostTries = 3;
+        static constexpr int maxAttempts = 3;
         static constexpr auto roundTrip = 6ms;
-        static constexpr auto farRoundTrip = 9ms;
+        static constexpr auto otherZoneRoundTrip = 9ms;
 
         void schedule(TimePoint at, std::function<void()> action)
         {
@@ -91,20 +92,20 @@
                 ++unserved_;
                 return;
             }
-            const bool isFar = decision.server->entry.availabilityZone != "walu";
-            const bool isDead = !isFar && clock_.now() >= deadFrom_ && clock_.now() < deadUntil_;
-            const TimePoint answered = clock_.now() + (isFar ? farRoundTrip : roundTrip);
-            if (!isDead) {
+            const bool isOtherZone = decision.server->entry.availabilityZone != "walu";
+            const bool isDown = !isOtherZone && clock_.now() >= downFrom_ && clock_.now() < downUntil_;
+            const TimePoint answered = clock_.now() + (isOtherZone ? otherZoneRoundTrip : roundTrip);
+            if (!isDown) {
                 const std::uint32_t token = decision.server->token;
                 schedule(answered, [this, &router, caller, token] { serve(router, caller, token); });
-            } else if (number < mostTries) {
+            } else if (number < maxAttempts) {
                 schedule(answered, [this, number] { attempt(number + 1); });
             } else {
                 ++unserved_;
             }
         }
 
-        // The request and its answer, and the end of the flow.
+        // Sends a request, and ends the flow after the answer.
         void serve(TokenRouter& router, std::uint32_t caller, std::uint32_t token)
         {
             router.route(ForwardFixture::data(caller, token, 1001, 5001, 100), clock_.now());
@@ -122,28 +123,27 @@
         std::priority_queue<Event> events_;
         std::uint64_t nextOrder_ = 0;
         std::uint32_t nextCaller_ = 0;
-        TimePoint deadFrom_;
-        TimePoint deadUntil_;
+        TimePoint downFrom_;
+        TimePoint downUntil_;
         int unserved_ = 0;
     };
 
-    // Guards against every balancer losing an opening at every dead server before it turns to other zones. A zone is to
-    // lose 2.5% of a day of 40 s at most: the time of one second of openings.
-    TEST(ZoneOutageTest, aLargeZoneWhoseServersAllEndLosesLessThanASecondOfOpenings)
+    // Guards against every balancer losing an opening at every crashed server before it uses other zones.
+    TEST(ZoneOutageTest, OutageOfALargeZoneLosesLessThanASecondOfOpenings)
     {
         for (std::uint32_t seed = 1; seed <= 5; ++seed) {
-            const int unserved = ZoneOutage(seed, {}, {}).play(8s, 2s, 5s);
+            const int unserved = ZoneOutageSimulation(seed, {}, {}).run(8s, 2s, 5s);
             RecordProperty(fmt::format("unserved_{}", seed), unserved);
             EXPECT_LT(unserved, 550) << seed;
         }
     }
 
-    // Guards against a gain for large zones that small ones pay for.
-    TEST(ZoneOutageTest, aSmallZoneLosesLessThanASecondOfOpenings)
+    // Guards against detection that works only with many balancers and servers.
+    TEST(ZoneOutageTest, OutageOfASmallZoneLosesLessThanASecondOfOpenings)
     {
-        const ZoneOutage::Size small { 2, 5, 60 };
+        const ZoneOutageSimulation::Size small { 2, 5, 60 };
         for (std::uint32_t seed = 1; seed <= 5; ++seed)
-            EXPECT_LT(ZoneOutage(seed, small, {}).play(8s, 2s, 5s), 60) << seed;
+            EXPECT_LT(ZoneOutageSimulation(seed, small, {}).run(8s, 2s, 5s), 60) << seed;
     }
 
 }
