--- a/Tests/Request/ClaimRecoveryTest.cpp
+++ b/Tests/Request/ClaimRecoveryTest.cpp
@@ -169,12 +169,12 @@
     group.settle({ 0, 1 });
     for (int i = 0; i < 50; ++i)
         group.arrive(0, group.keyOf(0, 1, "key-" + std::to_string(i)), milliseconds(1));
-    std::size_t questions = 0;
+    std::size_t checks = 0;
     group.deliver([&](std::size_t, std::size_t, const RequestMessage& message) {
-        questions += std::holds_alternative<CheckEpoch>(message);
+        checks += std::holds_alternative<CheckEpoch>(message);
         return RunnerGroup::Verdict::Deliver;
     });
-    EXPECT_EQ(questions, 2u);
+    EXPECT_EQ(checks, 2u);
     const auto refusals = group.take<RefuseAttempt>(0);
     ASSERT_EQ(refusals.size(), 50u);
     std::set<seconds> times;
--- a/Tests/Request/FakeBalancer.cpp
+++ b/Tests/Request/FakeBalancer.cpp
@@ -132,14 +132,14 @@
 
 void FakeBalancer::perform(const std::function<void()>& event)
 {
-    const std::uint64_t life = incarnation_;
+    const std::uint64_t incarnation = incarnation_;
     if (!isUp_)
         return;
     if (!isPaused())
         return event();
     // A paused process handles the events of the pause when it resumes.
     cluster_.simulator.after(pausedUntil_ - cluster_.simulator.now(), [=, this] {
-        if (isUp_ && incarnation_ == life)
+        if (isUp_ && incarnation_ == incarnation)
             perform(event);
     });
 }
@@ -191,7 +191,7 @@
             refuseUnknown(lost.id, lost.reason);
     }
     state_->terms->learnMembers(view, now);
-    act();
+    executeActions();
 }
 
 void FakeBalancer::tick()
@@ -201,7 +201,7 @@
     state_->runner->tick(now);
     for (const AbandonedForward& lost : state_->forwards->expire(now))
         refuseUnknown(lost.id, lost.reason);
-    act();
+    executeActions();
     if (isLeaving_ && state_->runner->mayStop(now) && state_->attempts.empty())
         kill(milliseconds(300));
 }
@@ -226,7 +226,7 @@
         KeyedAttempt attempt { id, openAttempt.request.key, hashString(openAttempt.request.name),
             cluster_.backends.configuration().services[0].id, openAttempt.request.deadline, std::nullopt };
         state_->runner->arrive(attempt, now);
-        return act();
+        return executeActions();
     }
     const ForwardToken token
         = state_->forwards->open(id, openAttempt.request.key.digest, found.owner, openAttempt.request.deadline, now);
@@ -249,7 +249,7 @@
     KeyedAttempt attempt { id, request.key, hashString(request.name), cluster_.backends.configuration().services[0].id,
         request.deadline, std::nullopt };
     state_->runner->arrive(attempt, now);
-    act();
+    executeActions();
 }
 
 void FakeBalancer::refuseUnknown(AttemptId id, RefusalReason reason)
@@ -289,9 +289,9 @@
 void FakeBalancer::routeLater(AttemptId id)
 {
     // The newer record arrives with the next heartbeat.
-    cluster_.simulator.after(milliseconds(110), [this, id, life = incarnation_] {
+    cluster_.simulator.after(milliseconds(110), [this, id, incarnation = incarnation_] {
         perform([=, this] {
-            if (incarnation_ == life && state_->attempts.contains(id))
+            if (incarnation_ == incarnation && state_->attempts.contains(id))
                 route(id);
         });
     });
@@ -300,18 +300,18 @@
 void FakeBalancer::receive(const BalancerInstance& from, const RequestMessage& message)
 {
     state_->runner->receive(from, message, cluster_.simulator.now());
-    act();
+    executeActions();
 }
 
-void FakeBalancer::act()
+void FakeBalancer::executeActions()
 {
     for (const RequestAction& action : state_->runner->takeActions())
-        act(action);
+        execute(action);
     for (const TermAction& action : state_->terms->takeActions())
-        act(action);
+        execute(action);
 }
 
-void FakeBalancer::act(const RequestAction& action)
+void FakeBalancer::execute(const RequestAction& action)
 {
     const TimePoint now = cluster_.simulator.now();
     if (const auto* message = std::get_if<OutgoingMessage>(&action))
@@ -345,34 +345,34 @@
         return;
     // A pause can fall between the decision and the send.
     const FakeRequest request = found->second.request;
-    cluster_.simulator.after(microseconds(cluster_.simulator.draw(200)), [=, this, life = incarnation_] {
+    cluster_.simulator.after(microseconds(cluster_.simulator.draw(200)), [=, this, incarnation = incarnation_] {
         perform([=, this] {
-            if (incarnation_ != life)
+            if (incarnation_ != incarnation)
                 return;
             cluster_.backends.send(zone_, start.server, request.name, start.deadline, [=, this](const auto& reply) {
                 perform([=, this] {
-                    if (incarnation_ != life)
+                    if (incarnation_ != incarnation)
                         return;
                     const TimePoint now = cluster_.simulator.now();
                     if (reply.answer)
                         state_->runner->workAnswered(start.work, reply.answer, now);
                     else
                         state_->runner->workFailed(start.work, reply.failure, now);
-                    act();
+                    executeActions();
                 });
             });
         });
     });
 }
 
-void FakeBalancer::act(const TermAction& action)
+void FakeBalancer::execute(const TermAction& action)
 {
-    const auto ifAlive = [this, life = incarnation_](const std::function<void()>& event) {
+    const auto ifAlive = [this, incarnation = incarnation_](const std::function<void()>& event) {
         perform([=, this] {
-            if (incarnation_ != life)
+            if (incarnation_ != incarnation)
                 return;
             event();
-            act();
+            executeActions();
         });
     };
     if (const auto* write = std::get_if<WriteTerm>(&action))
--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -127,9 +127,9 @@
     void settle(const BalancerInstance& from, const ForwardToken&, const KeyDigest&, const FakeReply&);
     void settleRedirect(const BalancerInstance& from, const ForwardToken&);
     void refuseUnknown(AttemptId, RefusalReason);
-    void act();
-    void act(const RequestAction&);
-    void act(const TermAction&);
+    void executeActions();
+    void execute(const RequestAction&);
+    void execute(const TermAction&);
     void startWork(const StartWork&);
 
     FakeCluster& cluster_;
