--- a/Source/Request/Admission.h
+++ b/Source/Request/Admission.h
@@ -52,8 +52,7 @@
     void withdraw(WorkId, TimePoint now);
     // Releases the slot of work that ended. Only answered work contributes to the duration estimate.
     void release(WorkId, bool isAnswered, TimePoint now);
-    // Records that the server rejected work for lack of capacity: it gets no work for retryAfter or its back-off,
-    // whichever is longer.
+    // Sends no work to the server for at least the longer of retryAfter and its back-off.
     void pauseServer(BackendServerId, std::chrono::milliseconds retryAfter, TimePoint now);
     void tick(TimePoint now);
 
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -23,8 +23,8 @@
 
     // Refuses as not run after the bucket's backup confirmed that this balancer still owns the key.
     void refuseWhenConfirmed(const PendingRefusal&, TimePoint now);
-    // Refuses as not run without asking the backup. For keys whose claim the backup acknowledged: no other balancer can
-    // have run them.
+    // Refuses without asking the backup: as not run, or as in progress when another attempt uses the key. For keys
+    // whose claim the backup acknowledged: no other balancer can have run them.
     void refuseAtOnce(const PendingRefusal&, TimePoint now);
 
     void handleEpochChecked(const BalancerInstance& from, const EpochChecked&, TimePoint now);
