--- a/Source/Membership/MembershipMessages.h
+++ b/Source/Membership/MembershipMessages.h
@@ -96,9 +96,9 @@
     std::uint32_t after = 0;
     std::vector<std::uint32_t> ids;
     // Whether the sender can unpack rows; balancers of earlier versions cannot.
-    bool takesPacked = false;
+    bool acceptsCompressed = false;
 
-    MSGPACK_DEFINE_ARRAY(after, ids, takesPacked);
+    MSGPACK_DEFINE_ARRAY(after, ids, acceptsCompressed);
 };
 
 // The answer to a MembersRequestMessage.
@@ -111,9 +111,9 @@
     bool last = false;
     std::vector<MemberRow> rows;
     // An array of rows encoded by encodeMessage() and packed by packBytes(); used instead of `rows`.
-    std::string packedRows {};
+    std::string compressedRows {};
 
-    MSGPACK_DEFINE_ARRAY(after, named, last, rows, packedRows);
+    MSGPACK_DEFINE_ARRAY(after, named, last, rows, compressedRows);
 };
 
 }
--- a/Tests/Fuzz/FuzzTargets.cpp
+++ b/Tests/Fuzz/FuzzTargets.cpp
@@ -83,7 +83,7 @@
         if (page)
             (void)rowsOf(page.value());
         MembersPageMessage packed;
-        packed.packedRows = textOf(input);
+        packed.compressedRows = textOf(input);
         (void)rowsOf(packed);
     }
 
--- a/Tests/Membership/MembersPagesTest.cpp
+++ b/Tests/Membership/MembersPagesTest.cpp
@@ -32,14 +32,14 @@
         }
 
         // Reads all pages as a joining balancer does.
-        std::set<std::uint32_t> readAll(bool takesPacked, std::size_t& pages)
+        std::set<std::uint32_t> readAll(bool acceptsCompressed, std::size_t& pages)
         {
             std::set<std::uint32_t> ids;
             std::uint32_t after = 0;
             for (pages = 1;; ++pages) {
-                const MembersPageMessage page = pageFor({ after, {}, takesPacked }, table_);
+                const MembersPageMessage page = pageFor({ after, {}, acceptsCompressed }, table_);
                 EXPECT_LE(encodeMessage(page).size(), largestPeerPayload);
-                EXPECT_EQ(page.packedRows.empty(), !takesPacked);
+                EXPECT_EQ(page.compressedRows.empty(), !acceptsCompressed);
                 const auto rows = rowsOf(page);
                 if (!rows || rows.value().empty())
                     return ids;
@@ -55,14 +55,14 @@
         MemberTable table_ { settings_, memberNamed("self"), TimePoint() };
     };
 
-    TEST_F(MembersPagesTest, packedPagesNeedFewerDatagrams)
+    TEST_F(MembersPagesTest, compressedPagesNeedFewerDatagrams)
     {
         fill(300, 8);
         std::size_t plain = 0;
-        std::size_t packed = 0;
+        std::size_t compressed = 0;
         EXPECT_EQ(readAll(false, plain).size(), 300U);
-        EXPECT_EQ(readAll(true, packed).size(), 300U);
-        EXPECT_LE(packed * 3, plain);
+        EXPECT_EQ(readAll(true, compressed).size(), 300U);
+        EXPECT_LE(compressed * 3, plain);
     }
 
     TEST_F(MembersPagesTest, longNamesDoNotExceedTheDatagramSize)
@@ -76,9 +76,9 @@
     {
         fill(100, 8);
         MembersPageMessage page = pageFor({ 0, {}, true }, table_);
-        page.packedRows.resize(page.packedRows.size() / 2);
+        page.compressedRows.resize(page.compressedRows.size() / 2);
         EXPECT_FALSE(rowsOf(page));
-        page.packedRows = "no rows";
+        page.compressedRows = "no rows";
         EXPECT_FALSE(rowsOf(page));
     }
 
