--- a/Source/Configuration/ApplyOperation.cpp
+++ b/Source/Configuration/ApplyOperation.cpp
@@ -48,7 +48,7 @@
     now_ = now;
     if (const auto* got = std::get_if<GetEnded>(&event))
         return handleGet(got->result);
-    if (const auto* swapped = std::get_if<SwapEnded>(&event))
+    if (const auto* swapped = std::get_if<CompareAndSwapEnded>(&event))
         return handleSwap(swapped->result);
     return actionFor(step_);
 }
@@ -62,11 +62,11 @@
     case Step::ReadBase:
         return GetKey { baseReader_->nextKey() };
     case Step::WritePart:
-        return SwapKey { contentPartKey(contentHash_, partsWritten_), 0, parts_[partsWritten_] };
+        return CompareAndSwapKey { contentPartKey(contentHash_, partsWritten_), 0, parts_[partsWritten_] };
     case Step::ComparePart:
         return GetKey { contentPartKey(contentHash_, partsWritten_) };
     case Step::SwapHead:
-        return SwapKey { std::string(configurationHeadKey), headRevision_, newHead_->toJson() };
+        return CompareAndSwapKey { std::string(configurationHeadKey), headRevision_, newHead_->toJson() };
     }
     return concludeUnknown("internal error: invalid step");
 }
--- a/Source/Configuration/ApplyOperation.h
+++ b/Source/Configuration/ApplyOperation.h
@@ -46,7 +46,7 @@
 };
 
 // Action: write the value by compare-and-swap.
-struct SwapKey {
+struct CompareAndSwapKey {
     std::string key;
     // The expected revision; 0 if the key must not exist.
     std::uint64_t revision = 0;
@@ -59,21 +59,21 @@
 };
 
 // The next action for the caller. An ApplyOutcome ends the operation.
-using ApplyAction = std::variant<GetKey, SwapKey, WaitForRetry, ApplyOutcome>;
+using ApplyAction = std::variant<GetKey, CompareAndSwapKey, WaitForRetry, ApplyOutcome>;
 
 // The results of the actions, with the errors of the PlatformService concept.
 struct GetEnded {
     Result<StoredValue> result;
 };
 
-struct SwapEnded {
+struct CompareAndSwapEnded {
     // The new revision.
     Result<std::uint64_t> result;
 };
 
 struct WaitEnded { };
 
-using ApplyEvent = std::variant<GetEnded, SwapEnded, WaitEnded>;
+using ApplyEvent = std::variant<GetEnded, CompareAndSwapEnded, WaitEnded>;
 
 // Writes one configuration version to the platform. The content is written first, then the head that refers to it, by a
 // single compare-and-swap. So a version is applied completely or not at all, and of two concurrent applies one
--- a/Source/Ctl/ApplyRunner.h
+++ b/Source/Ctl/ApplyRunner.h
@@ -53,11 +53,11 @@
         });
     }
 
-    void performStep(const SwapKey& swap)
+    void performStep(const CompareAndSwapKey& swap)
     {
         platform_.compareAndSwap(swap.key, swap.revision, swap.value, std::nullopt, callDeadline(),
             [self = this->shared_from_this()](
-                Result<std::uint64_t> revision) { self->handle(SwapEnded { std::move(revision) }); });
+                Result<std::uint64_t> revision) { self->handle(CompareAndSwapEnded { std::move(revision) }); });
     }
 
     void performStep(const WaitForRetry& wait)
--- a/Tests/Configuration/ApplyDriver.h
+++ b/Tests/Configuration/ApplyDriver.h
@@ -52,8 +52,8 @@
     {
         if (const auto* get = std::get_if<GetKey>(&action))
             return GetEnded { read(get->key) };
-        if (const auto* swap = std::get_if<SwapKey>(&action))
-            return SwapEnded { swap->key == configurationHeadKey ? swapHead(*swap) : write(*swap) };
+        if (const auto* swap = std::get_if<CompareAndSwapKey>(&action))
+            return CompareAndSwapEnded { swap->key == configurationHeadKey ? swapHead(*swap) : write(*swap) };
         clock_.advance(std::get<WaitForRetry>(action).delay);
         return WaitEnded {};
     }
@@ -66,7 +66,7 @@
         return found->second;
     }
 
-    Result<std::uint64_t> swapHead(const SwapKey& swap)
+    Result<std::uint64_t> swapHead(const CompareAndSwapKey& swap)
     {
         ++headSwaps;
         const SwapFault fault = headSwapFaults.empty() ? SwapFault::None : headSwapFaults.front();
@@ -87,7 +87,7 @@
         return result;
     }
 
-    Result<std::uint64_t> write(const SwapKey& swap)
+    Result<std::uint64_t> write(const CompareAndSwapKey& swap)
     {
         const auto found = values.find(swap.key);
         const std::uint64_t current = found == values.end() ? 0 : found->second.revision;
