--- a/Source/Membership/MembersPages.cpp
+++ b/Source/Membership/MembersPages.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-    // The size of a page without its packed rows.
+    // The size of a page without its compressed rows.
     constexpr std::size_t pageOverheadBytes = 24;
     constexpr std::size_t maxCompressedBytes = largestPeerPayload - pageOverheadBytes;
-    // Packed first; fewer rows are tried if these do not fit.
+    // The first attempt; fewer rows are tried if these do not fit.
     constexpr std::size_t maxCompressedRows = 96;
-    // The largest unpacked size of maxCompressedRows rows with the longest names.
+    // The largest decompressed size of maxCompressedRows rows with the longest names.
     constexpr std::size_t maxDecompressedBytes = std::size_t(32) * 1024;
 
     std::string compressedRows(const std::vector<MemberRow>& rows)
--- a/Source/Membership/MembersPages.h
+++ b/Source/Membership/MembersPages.h
@@ -8,11 +8,11 @@
 
 namespace wisteriadock {
 
-// Creates the answer to a request for rows. The rows are packed (compressed) if the requester takes packed rows, so
-// that a datagram holds several times as many. Called by Membership.
+// Creates the answer to a request for rows. The rows are compressed if the requester accepts that, so that a datagram
+// holds several times as many. Called by Membership.
 MembersPageMessage pageFor(const MembersRequestMessage&, const MemberTable&);
 
-// Returns the rows of a page, packed or not. Fails with InvalidArgument if packed rows cannot be decoded.
+// Returns the rows of a page, compressed or not. Fails with InvalidArgument if compressed rows cannot be decoded.
 Result<std::vector<MemberRow>> rowsOf(const MembersPageMessage&);
 
 }
--- a/Source/Membership/MembershipMessages.h
+++ b/Source/Membership/MembershipMessages.h
@@ -95,7 +95,7 @@
 struct MembersRequestMessage {
     std::uint32_t after = 0;
     std::vector<std::uint32_t> ids;
-    // Whether the sender can unpack rows; balancers of earlier versions cannot.
+    // Whether the sender can decompress rows; balancers of earlier versions cannot.
     bool acceptsCompressed = false;
 
     MSGPACK_DEFINE_ARRAY(after, ids, acceptsCompressed);
@@ -110,7 +110,7 @@
     // True if no row follows this page.
     bool last = false;
     std::vector<MemberRow> rows;
-    // An array of rows encoded by encodeMessage() and packed by packBytes(); used instead of `rows`.
+    // An array of rows encoded by encodeMessage() and compressed; used instead of `rows`.
     std::string compressedRows {};
 
     MSGPACK_DEFINE_ARRAY(after, named, last, rows, compressedRows);
