--- a/Source/Membership/MembershipMessages.h
+++ b/Source/Membership/MembershipMessages.h
@@ -95,10 +95,10 @@
 struct MembersRequestMessage {
     std::uint32_t after = 0;
     std::vector<std::uint32_t> ids;
-    // Whether the sender can unpack rows; balancers of earlier versions cannot.
-    bool takesPacked = false;
+    // Whether the sender can decompress rows; balancers of earlier versions cannot.
+    bool acceptsCompressed = false;
 
-    MSGPACK_DEFINE_ARRAY(after, ids, takesPacked);
+    MSGPACK_DEFINE_ARRAY(after, ids, acceptsCompressed);
 };
 
 // The answer to a MembersRequestMessage.
@@ -110,10 +110,10 @@
     // True if no row follows this page.
     bool last = false;
     std::vector<MemberRow> rows;
-    // An array of rows encoded by encodeMessage() and packed by packBytes(); used instead of `rows`.
-    std::string packedRows {};
+    // An array of rows encoded by encodeMessage() and compressed; used instead of `rows`.
+    std::string compressedRows {};
 
-    MSGPACK_DEFINE_ARRAY(after, named, last, rows, packedRows);
+    MSGPACK_DEFINE_ARRAY(after, named, last, rows, compressedRows);
 };
 
 }
