--- a/Source/News/StoreFeed.cpp
+++ b/Source/News/StoreFeed.cpp
@@ -12,9 +12,9 @@
 
     StoreUpdate updateOf(const PlatformItem& item)
     {
-        StoreUpdate news { item.key, item.value, item.revision, item.isRemoved };
-        compressValue(news);
-        return news;
+        StoreUpdate update { item.key, item.value, item.revision, item.isRemoved };
+        compressValue(update);
+        return update;
     }
 
 }
@@ -165,13 +165,13 @@
     StoreDelta delta = deltaOf(changes.value(), completeTo_, now);
     delta.isFresh = now >= freshFrom_;
     completeTo_ = delta.to;
-    const bool isNews = !delta.items.empty();
+    const bool hasChanges = !delta.items.empty();
     const bool isForOthers = !std::exchange(isCheckingListing_, false);
-    if (isNews || delta.to > delta.from || isConfirmation)
+    if (hasChanges || delta.to > delta.from || isConfirmation)
         actions.emplace_back(DeltaReceived { std::move(delta), isForOthers });
     if (!isWatcher_)
         state_ = State::Idle;
-    else if (isNews)
+    else if (hasChanges)
         pause(State::PausingBeforeWatch, settings_.batchDelay, now);
     else
         watch(now, actions);
--- a/Tests/News/CompressedValueTest.cpp
+++ b/Tests/News/CompressedValueTest.cpp
@@ -16,7 +16,7 @@
         return item;
     }
 
-    TEST(CompressedValueTest, aLargeValueComesBackWhole)
+    TEST(CompressedValueTest, LargeValueIsRestored)
     {
         std::string text;
         for (int i = 0; i < 1250; ++i)
@@ -28,14 +28,14 @@
         ASSERT_TRUE(plainValue(item));
         EXPECT_EQ(plainValue(item).value(), text);
         {
-            SCOPED_TRACE("packing it again changes nothing");
+            SCOPED_TRACE("compressing it again changes nothing");
             const StoreUpdate before = item;
             compressValue(item);
             EXPECT_EQ(item, before);
         }
     }
 
-    TEST(CompressedValueTest, whatGainsNothingStaysAsItIs)
+    TEST(CompressedValueTest, IncompressibleValueStaysUnchanged)
     {
         StoreUpdate small = itemOf("{\"state\":\"ready\"}");
         compressValue(small);
@@ -51,7 +51,7 @@
         EXPECT_EQ(plainValue(item).value(), noise);
     }
 
-    TEST(CompressedValueTest, changedBytesAreReadOrRefused)
+    TEST(CompressedValueTest, CorruptBytesAreDecompressedOrRejected)
     {
         StoreUpdate good = itemOf(std::string(5000, 'x') + "end");
         compressValue(good);
--- a/Tests/News/FleetSimulation.cpp
+++ b/Tests/News/FleetSimulation.cpp
@@ -66,7 +66,7 @@
             configuration.routes.push_back({ fmt::format("r{}", i), routeOf(i), { { servicesByRoute[i], 1 } } });
     }
     configurations_[version] = configuration;
-    // Long enough to travel packed, and as patches.
+    // Long enough to be sent compressed and as patches.
     put("configuration", fmt::format("{}\n{}", version, std::string(compressionThreshold, 'r')), false);
 }
 
@@ -106,7 +106,7 @@
     }
 }
 
-// What the daemon does at each beat; the revisions of the others come as membership brings them, unless they get lost.
+// Runs the periodic work of the daemon on each balancer. The revisions of the others arrive by membership unless lost.
 void FleetSimulation::tickBalancers()
 {
     for (std::size_t index = 0; index < balancers_.size(); ++index) {
@@ -150,8 +150,8 @@
                     then();
             };
         };
-        if (const auto* news = std::get_if<DeltaReceived>(&action)) {
-            perform(index, balancers_[index].sync->handleStoreDelta(news->delta, now()));
+        if (const auto* received = std::get_if<DeltaReceived>(&action)) {
+            perform(index, balancers_[index].sync->handleStoreDelta(received->delta, now()));
         } else if (const auto* list = std::get_if<SendList>(&action)) {
             const bool mayBeStale = list->call.mayBeStale;
             schedule(storeLatency, ifAlive([this, index, mayBeStale] { answerList(index, mayBeStale); }));
@@ -163,7 +163,7 @@
     }
 }
 
-void FleetSimulation::serveStaleListings(bool keeps) { stalePage_ = keeps ? std::optional(page()) : std::nullopt; }
+void FleetSimulation::serveStaleListings(bool isStale) { stalePage_ = isStale ? std::optional(page()) : std::nullopt; }
 
 PlatformPage FleetSimulation::page() const
 {
@@ -240,9 +240,9 @@
     }
 }
 
-void FleetSimulation::apply(Balancer& balancer, const ReplicaChanged& news)
+void FleetSimulation::apply(Balancer& balancer, const ReplicaChanged& change)
 {
-    for (const StoreUpdate& item : news.items) {
+    for (const StoreUpdate& item : change.items) {
         if (item.key == "configuration") {
             balancer.router->applyConfiguration(configurations_.at(std::stoull(item.value)));
             regressions_ += balancer.router->configurationVersion() < balancer.newestVersion;
@@ -250,7 +250,7 @@
         } else if (item.key.starts_with("empty ")) {
             balancer.router->orderZone(item.key.substr(6), !item.isRemoved, item.revision, now());
         } else if (item.isRemoved) {
-            balancer.router->removeServer(item.key.substr(7), news.isInDoubt, now());
+            balancer.router->removeServer(item.key.substr(7), change.isInDoubt, now());
         } else {
             balancer.router->putServer(servers_.at(item.value), item.revision, now());
         }
--- a/Tests/News/FleetSimulation.h
+++ b/Tests/News/FleetSimulation.h
@@ -15,8 +15,8 @@
 
 namespace wisteriadock {
 
-// Several balancers' decisions in virtual time: each has a feed of the store, an sync of news and a token router.
-// The store, the messages between balancers and the gossip of revisions are played by this class, with seeded faults.
+// Simulates the balancers of two zones in virtual time. Each has a StoreFeed, a ReplicaSync and a TokenRouter. The
+// class simulates the store, the messages between balancers and the gossip of revisions, with seeded faults.
 class FleetSimulation {
 public:
     static constexpr std::size_t zones = 2;
@@ -38,18 +38,18 @@
 
     explicit FleetSimulation(std::uint32_t seed);
 
-    // The operators' and the servers' writes.
+    // Writes of operators and servers to the store.
     void writeConfiguration(std::uint64_t version, const std::vector<std::string>& servicesByRoute);
     void writeServer(const RegisteredServer&);
     void removeServer(const RegisteredServer&);
-    // Operators order that a zone is emptied, or take the order back.
+    // Writes or removes the order to drain a zone.
     void drainZone(const std::string& zone) { put("empty " + zone, {}, false); }
     void undrainZone(const std::string& zone) { put("empty " + zone, {}, true); }
     void compactHistory() { compactedRevision_ = revision_; }
-    // From now on first listings show what there is now, or again what there is then.
-    void serveStaleListings(bool keeps);
+    // Freezes the content of listings that may be stale at the present state of the store, or ends that.
+    void serveStaleListings(bool isStale);
 
-    // Starts a balancer, or starts it anew with nothing.
+    // Starts a balancer, or restarts it with an empty replica.
     void start(std::size_t index);
     void advance(Duration);
     std::vector<Balancer>& balancers() { return balancers_; }
@@ -89,7 +89,7 @@
     std::map<std::string, RegisteredServer> servers_;
     std::map<std::uint64_t, ForwardingConfiguration> configurations_;
     std::uint64_t revision_ = 1;
-    // The listing that may be old, where one is kept.
+    // The answer to listings that may be stale; none when they show the current content.
     std::optional<PlatformPage> stalePage_;
     std::uint64_t compactedRevision_ = 0;
     std::uint64_t regressions_ = 0;
--- a/Tests/News/RandomFaultsTest.cpp
+++ b/Tests/News/RandomFaultsTest.cpp
@@ -12,7 +12,7 @@
 
     using namespace std::chrono_literals;
 
-    // A server of the test: where it stands in its life, beside what the store holds of it.
+    // A server with its actual state, which the store may not know.
     struct TestServer {
         RegisteredServer entry;
         bool isAlive = true;
@@ -25,7 +25,7 @@
         std::size_t server = 0;
     };
 
-    // Drives a fleet by a seeded schedule and checks what callers and servers would see.
+    // Runs a simulation with a seeded schedule of faults and checks the routing decisions.
     class RandomFaultRun {
     public:
         explicit RandomFaultRun(std::uint32_t seed)
@@ -107,7 +107,7 @@
                 return addServer(entry.service, entry.availabilityZone, 0);
             }
             case 10: {
-                // It dies, and its address goes to the other service while its entry is still there.
+                // The server dies, and a server of the other service gets its address while its entry still exists.
                 if (!server.isAlive)
                     return;
                 server.isAlive = false;
@@ -118,7 +118,7 @@
                 return addServer(entry.service, entry.availabilityZone, 0);
             }
             case 11:
-                // Its entry lapses although it lives, and is back later.
+                // The entry of a live server lapses; it registers again later.
                 fleet_.removeServer(server.entry);
                 return;
             case 12:
@@ -149,8 +149,8 @@
             }
         }
 
-        // A packet of an open flow arrives at any balancer: it goes to its server, or nowhere, and is never reset while
-        // that server lives.
+        // Sends a packet of an open flow to any balancer. It may be forwarded only to its server, and must not be reset
+        // while that server lives.
         void useFlow()
         {
             if (flows_.empty())
@@ -174,8 +174,8 @@
             }
         }
 
-        // Everything undisturbed: within seconds all know all, also those that just started, and new flows go to
-        // living servers of the newest configuration.
+        // Ends all faults and restarts all balancers. Checks that each of them soon has the newest state and sends new
+        // flows to live servers of the newest configuration.
         void recover()
         {
             fleet_.isStoreDown = false;
@@ -185,7 +185,7 @@
                 balancer.isFrozen = false;
             }
             for (std::size_t i = 0; i < fleet_.balancers().size(); ++i) {
-                // A frozen balancer's pending calls are lost; the daemon's own time limits would end them.
+                // The pending calls of a frozen balancer are lost; in the daemon they would time out.
                 fleet_.start(i);
             }
             for (const TestServer& server : servers_) {
@@ -231,7 +231,7 @@
         std::uint32_t nextCaller_ = 0;
     };
 
-    TEST(RandomFaultsTest, flowsAndConfigurationsSurviveSeededFaults)
+    TEST(RandomFaultsTest, FlowsAndConfigurationsSurviveSeededFaults)
     {
         for (std::uint32_t seed = 1; seed <= 300; ++seed) {
             SCOPED_TRACE(seed);
@@ -241,10 +241,9 @@
         }
     }
 
-    // Symptom: new flows found no server although all were well.
-    // Sequence: all entries lapse in an outage of the store, it says so when it is back, and is lost again before the
-    // servers have registered anew. Cause: see ServerDirectoryTest.
-    TEST(RandomFaultsTest, serversThatLapsedStayWhileTheStoreCannotSayThatTheyAreBack)
+    // Guards against new flows without a server when all entries lapse in an outage, and the store is lost again before
+    // the servers have registered again.
+    TEST(RandomFaultsTest, LapsedServersStayInUseWhileTheStoreIsUnreachable)
     {
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
             SCOPED_TRACE(seed);
@@ -270,11 +269,8 @@
         }
     }
 
-    // Symptom: a zone stayed behind although others had the news.
-    // Sequence: the store turns away all balancers of a zone for longer than any bound, while the configuration
-    // changes. Cause: see ReplicaSyncTest; here the bound itself is checked, 3 s of which the gossip takes half a
-    // second.
-    TEST(RandomFaultsTest, aZoneThatTheStoreTurnsAwayHasANewConfigurationWithinTwoSeconds)
+    // Guards against a zone that stays at an old configuration while the store rejects all of its balancers.
+    TEST(RandomFaultsTest, ZoneRejectedByTheStoreHasANewConfigurationWithinTwoSeconds)
     {
         for (std::uint32_t seed = 1; seed <= 50; ++seed) {
             SCOPED_TRACE(seed);
--- a/Tests/News/ReplicaSyncTest.cpp
+++ b/Tests/News/ReplicaSyncTest.cpp
@@ -64,7 +64,7 @@
         }
     };
 
-    TEST_F(ReplicaSyncTest, thatTheStoreWasHeardIsTheWholeZonesKnowledge)
+    TEST_F(ReplicaSyncTest, ContactWithTheStoreIsSharedWithTheZone)
     {
         sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         EXPECT_EQ(sync.lastStoreContact(), TimePoint::min());
@@ -78,7 +78,7 @@
         EXPECT_EQ(sync.lastStoreContact(), clock.now());
     }
 
-    TEST_F(ReplicaSyncTest, newsOfTheStoreIsPushedToTheOwnZone)
+    TEST_F(ReplicaSyncTest, StoreUpdatesArePushedToTheOwnZone)
     {
         sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         const ReplicaSyncActions actions = sync.handleStoreDelta(change(5, 7), clock.now());
@@ -87,12 +87,12 @@
         for (const PushDelta& push : all<PushDelta>(actions))
             EXPECT_EQ(push.delta.items.size(), 1U);
         {
-            SCOPED_TRACE("the same news again is nobody's news");
+            SCOPED_TRACE("the same delta again has no effect");
             EXPECT_TRUE(sync.handleStoreDelta(change(5, 7), clock.now()).empty());
         }
     }
 
-    TEST_F(ReplicaSyncTest, largeNewsIsOnlyAnnouncedAndThenFetched)
+    TEST_F(ReplicaSyncTest, LargeUpdateIsAnnouncedAndThenFetched)
     {
         sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         const auto pushes = all<PushDelta>(sync.handleStoreDelta(change(5, 7, 5000), clock.now()));
@@ -115,11 +115,8 @@
         EXPECT_FALSE(receiver.behindSince().has_value());
     }
 
-    // Symptom: a server that leaves got new flows for 5.2 s, although its zone's watcher knew after 1.5 s.
-    // Sequence: servers leave and a configuration of 250 KB is written in one moment, so that one answer of the store
-    // holds both; the watcher announces it, and each balancer of the zone fetches the whole over a thin link. Cause:
-    // news that was small waited for news that was large.
-    TEST_F(ReplicaSyncTest, smallNewsDoesNotWaitForLargeNews)
+    // Guards against servers that keep receiving flows because their removal waits for a large configuration.
+    TEST_F(ReplicaSyncTest, SmallUpdatesDoNotWaitForLargeOnes)
     {
         StoreDelta delta { 5, 60, false, false, {} };
         for (std::uint64_t revision = 6; revision <= 60; ++revision)
@@ -132,10 +129,11 @@
         view->self = balancerIdOf("walu-1");
         receiver.handleView(view, clock.now());
         receiver.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
-        std::size_t taken = 0;
-        const auto take = [&](ReplicaSync& target, const StoreDelta& piece) {
-            for (const auto& news : all<ReplicaChanged>(target.handlePush(balancerIdOf("walu-0"), piece, clock.now())))
-                taken += news.items.size();
+        std::size_t received = 0;
+        const auto deliver = [&](ReplicaSync& target, const StoreDelta& piece) {
+            for (const auto& change :
+                all<ReplicaChanged>(target.handlePush(balancerIdOf("walu-0"), piece, clock.now())))
+                received += change.items.size();
         };
         std::vector<StoreDelta> pieces;
         for (const PushDelta& push : pushes) {
@@ -143,14 +141,14 @@
                 pieces.push_back(push.delta);
         }
         for (const StoreDelta& piece : pieces)
-            take(receiver, piece);
+            deliver(receiver, piece);
         {
-            SCOPED_TRACE("all servers are known at once, and nothing is taken for complete that is not");
-            EXPECT_EQ(taken, 54U);
+            SCOPED_TRACE("all servers arrive at once, and the replica is complete only up to the configuration");
+            EXPECT_EQ(received, 54U);
             EXPECT_EQ(receiver.replica().completeTo(), 25U);
         }
         {
-            SCOPED_TRACE("what is missing is fetched");
+            SCOPED_TRACE("the missing configuration is fetched");
             clock.advance(300ms);
             const auto fetches = all<FetchDelta>(receiver.tick(clock.now()));
             ASSERT_EQ(fetches.size(), 1U);
@@ -159,13 +157,13 @@
             EXPECT_EQ(receiver.replica().completeTo(), 60U);
         }
         {
-            SCOPED_TRACE("in any order, and with any one datagram lost, no revision is taken for complete too soon");
+            SCOPED_TRACE("in reverse order and with any datagram lost, no revision counts as complete too early");
             for (std::size_t lost = 0; lost < pieces.size(); ++lost) {
                 ReplicaSync other("walu", 3);
                 other.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
                 for (std::size_t i = 0; i < pieces.size(); ++i) {
                     if (i != lost)
-                        take(other, pieces[pieces.size() - 1 - i]);
+                        deliver(other, pieces[pieces.size() - 1 - i]);
                 }
                 const std::uint64_t complete = other.replica().completeTo();
                 for (const StoreUpdate& item : delta.items) {
@@ -178,7 +176,7 @@
         }
     }
 
-    TEST_F(ReplicaSyncTest, itemsOfOneRevisionThatNeedTwoDatagramsAreNotHalfComplete)
+    TEST_F(ReplicaSyncTest, RevisionSplitOverDatagramsIsNotCompleteTooEarly)
     {
         StoreDelta delta { 5, 7, false, false, {} };
         for (int i = 0; i < 20; ++i)
@@ -192,7 +190,7 @@
         EXPECT_EQ(receiver.replica().completeTo(), 6U);
     }
 
-    TEST_F(ReplicaSyncTest, newsThatWouldKeepTheLinkBusyIsOnlyAnnounced)
+    TEST_F(ReplicaSyncTest, DeltaOfTooManyDatagramsIsOnlyAnnounced)
     {
         StoreDelta delta { 5, 2005, false, false, {} };
         for (std::uint64_t revision = 6; revision <= 2005; ++revision)
@@ -204,10 +202,8 @@
         EXPECT_EQ(pushes.front().delta.to, 2005U);
     }
 
-    // Symptom: the last balancer of a zone got a configuration of 250 KB after 6 s, on links that carry it in 0.2 s.
-    // Sequence: all of a zone fetch from the few that have it, each answer takes over 0.8 s, all give up and ask again.
-    // Cause: an answer was given up by its age, also while its bytes came.
-    TEST_F(ReplicaSyncTest, anAnswerThatIsComingIsNotGivenUp)
+    // Guards against giving up a fetch by its age while its bytes still arrive.
+    TEST_F(ReplicaSyncTest, FetchWithProgressDoesNotTimeOut)
     {
         sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         setRevision("walu-1", 9);
@@ -222,10 +218,9 @@
         EXPECT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
     }
 
-    // Symptom: a zone that hears from another one keeps an old configuration and takes itself for complete. Sequence:
-    // its watcher, whom the store turns away, fetches from another zone a delta that holds a patch, and pushes it on.
-    // Cause: only the delta's items were pushed, as if they were all there is.
-    TEST_F(ReplicaSyncTest, aPatchThatWasFetchedIsPassedOn)
+    // Guards against a zone that keeps an old configuration and counts as complete because its watcher pushed a fetched
+    // delta without the patches.
+    TEST_F(ReplicaSyncTest, FetchedPatchIsPushedToTheZone)
     {
         const auto configuration = [](std::uint64_t revision, std::size_t lines) {
             StoreUpdate item { "configuration", {}, revision, false };
@@ -234,7 +229,7 @@
             compressValue(item);
             return item;
         };
-        // A change of one line, which fits into a datagram, and one of nearly all.
+        // A change of one line, whose patch fits into a datagram, and one of nearly all lines.
         for (const std::size_t lines : { 1000U, 9000U }) {
             SCOPED_TRACE(lines);
             ReplicaSync other("nabua", 2);
@@ -244,9 +239,9 @@
             watcher.setRole(true, true);
             for (ReplicaSync* each : { &other, &watcher, &receiver })
                 each->handleStoreDelta({ 0, 5, true, false, { configuration(5, 1000) } }, clock.now());
-            StoreDelta news { 5, 8, false, false, { configuration(7, lines) } };
-            news.items.push_back({ "servers/1", "ready", 8, false });
-            other.handleStoreDelta(news, clock.now());
+            StoreDelta update { 5, 8, false, false, { configuration(7, lines) } };
+            update.items.push_back({ "servers/1", "ready", 8, false });
+            other.handleStoreDelta(update, clock.now());
             const StoreDelta answer = other.replica().deltaSince(5, clock.now(), StoreReplica::Encoding::Patched);
             ASSERT_EQ(answer.patches.size(), 1U);
             for (const PushDelta& push : all<PushDelta>(watcher.handleAnswer("nabua-0", answer, clock.now())))
@@ -254,16 +249,14 @@
             EXPECT_EQ(watcher.replica().completeTo(), 8U);
             EXPECT_EQ(receiver.replica().completeTo(), lines == 1000 ? 8U : 5U);
             const auto held = receiver.replica().deltaSince(0, clock.now()).items;
-            const auto ofReceiver = std::ranges::find(held, "configuration", &StoreUpdate::key);
-            ASSERT_NE(ofReceiver, held.end());
-            EXPECT_EQ(ofReceiver->revision, lines == 1000 ? 7U : 5U);
+            const auto configurationOfReceiver = std::ranges::find(held, "configuration", &StoreUpdate::key);
+            ASSERT_NE(configurationOfReceiver, held.end());
+            EXPECT_EQ(configurationOfReceiver->revision, lines == 1000 ? 7U : 5U);
         }
     }
 
-    // Symptom: a zone kept an old configuration while the others had the new one.
-    // Sequence: the store turns away both watchers of the zone, and only of this zone.
-    // Cause: news reached a zone by its own watchers alone.
-    TEST_F(ReplicaSyncTest, whoSeesOthersAheadAsksOneOfThem)
+    // Guards against a zone that stays at an old configuration while the store rejects all of its watchers.
+    TEST_F(ReplicaSyncTest, BalancerThatIsBehindFetchesFromAnother)
     {
         sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         EXPECT_TRUE(all<FetchDelta>(setRevision("nabua-0", 9)).empty());
@@ -274,24 +267,24 @@
         ASSERT_EQ(fetches.size(), 1U);
         EXPECT_EQ(fetches.front().from, balancerIdOf("nabua-0"));
         {
-            SCOPED_TRACE("while it waits for the answer it asks nobody else");
+            SCOPED_TRACE("there is one fetch at a time");
             EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
         }
         {
-            SCOPED_TRACE("without an answer it asks another, in its own zone if it can");
+            SCOPED_TRACE("after a failure it fetches from another balancer, preferably of its own zone");
             setRevision("walu-1", 9);
             const auto again = all<FetchDelta>(sync.handleFetchFailure(clock.now()));
             ASSERT_EQ(again.size(), 1U);
             EXPECT_EQ(again.front().from, balancerIdOf("walu-1"));
         }
         {
-            SCOPED_TRACE("an answer that never comes is given up");
+            SCOPED_TRACE("a fetch without an answer times out");
             clock.advance(800ms);
             EXPECT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
         }
     }
 
-    TEST_F(ReplicaSyncTest, aWatcherThatTheStoreTurnsAwayAsksAnotherZoneSoonerAndTellsItsOwn)
+    TEST_F(ReplicaSyncTest, WatcherRejectedByTheStoreFetchesSoonerFromAnotherZoneAndPushes)
     {
         sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
         sync.setRole(true, true);
@@ -301,10 +294,8 @@
         EXPECT_EQ(all<PushDelta>(sync.handleAnswer("nabua-0", change(5, 9), clock.now())).size(), 2U);
     }
 
-    // Symptom: after all were killed, a hundred balancers took ten times as long to serve as ten.
-    // Sequence: all start at once, each hears from the first ones that they know everything, and asks them for it.
-    // Cause: whoever knew nothing asked at once, although the store was about to answer.
-    TEST_F(ReplicaSyncTest, whoKnowsNothingLeavesItToTheStoreUnlessThatIsLost)
+    // Guards against a slow start of many balancers that all fetch from the first ones to have a snapshot.
+    TEST_F(ReplicaSyncTest, EmptyReplicaWaitsForTheStoreUnlessItIsUnreachable)
     {
         EXPECT_TRUE(all<FetchDelta>(setRevision("walu-2", 9)).empty());
         clock.advance(1499ms);
@@ -313,32 +304,32 @@
         EXPECT_EQ(all<FetchDelta>(sync.tick(clock.now())).size(), 1U);
     }
 
-    TEST_F(ReplicaSyncTest, whoKnowsNothingAsksANeighbourWithAMuchWiderLinkSooner)
+    TEST_F(ReplicaSyncTest, EmptyReplicaFetchesSoonerFromAPeerWithAMuchFasterLink)
     {
         for (Member& member : view->members)
             member.linkMegabits = member.name == "walu-2" || member.name == "nabua-0" ? 200 : 10;
         {
-            SCOPED_TRACE("none that is as thin, and none of another zone");
+            SCOPED_TRACE("not from one with a slow link, or of another zone");
             setRevision("walu-1", 9);
             setRevision("nabua-0", 9);
             clock.advance(1s);
             EXPECT_TRUE(all<FetchDelta>(sync.tick(clock.now())).empty());
         }
         {
-            SCOPED_TRACE("the wide one, and not the thin one beside it");
+            SCOPED_TRACE("from the one with the fast link");
             const auto fetches = all<FetchDelta>(setRevision("walu-2", 9));
             ASSERT_EQ(fetches.size(), 1U);
             EXPECT_EQ(fetches.front().from, balancerIdOf("walu-2"));
         }
         {
-            SCOPED_TRACE("without an answer the thin one is better than none");
+            SCOPED_TRACE("after a failure from the one with the slow link");
             const auto again = all<FetchDelta>(sync.handleFetchFailure(clock.now()));
             ASSERT_EQ(again.size(), 1U);
             EXPECT_EQ(again.front().from, balancerIdOf("walu-1"));
         }
     }
 
-    TEST_F(ReplicaSyncTest, inALargeZoneRequestsSpreadAndAnswersAreAnnounced)
+    TEST_F(ReplicaSyncTest, LargeZoneSpreadsFetchesAndAnnouncesAnswers)
     {
         for (int i = 0; i < 20; ++i) {
             Member member = view->members.front();
@@ -363,17 +354,15 @@
         EXPECT_LE(*waits.rbegin(), 800ms);
     }
 
-    TEST_F(ReplicaSyncTest, deadMembersAreNotAsked)
+    TEST_F(ReplicaSyncTest, DeadMembersAreNotAsked)
     {
         for (Member& member : view->members)
             member.state = member.name == "walu-0" ? MemberState::Serving : MemberState::Dead;
         EXPECT_TRUE(all<FetchDelta>(setRevision("walu-2", 9)).empty());
     }
 
-    // Symptom: after a loss of all power, balancers that had left a long listing to those with wide links asked them
-    // half a second after these had it. Sequence: the listing comes, and the next heartbeat tells of it. Cause: only
-    // gossip told who knows everything.
-    TEST_F(ReplicaSyncTest, whoReadsEverythingTellsThoseOfItsZoneThatKnowNothing)
+    // Guards against balancers that cancelled their listing and learn only by gossip whom to fetch from.
+    TEST_F(ReplicaSyncTest, SnapshotIsAnnouncedToEmptyReplicasOfTheZone)
     {
         setRevision("walu-1", 5);
         const ReplicaSyncActions actions = sync.handleStoreDelta({ 0, 5, true, false, {} }, clock.now());
@@ -382,7 +371,7 @@
         EXPECT_EQ(pushes.front().to, view->find(balancerIdOf("walu-2"))->peerAddress);
         EXPECT_TRUE(pushes.front().delta.items.empty());
         {
-            SCOPED_TRACE("who hears it asks at once, if it left its listing to others");
+            SCOPED_TRACE("a balancer that cancelled its listing fetches at once");
             ReplicaSync other("walu", 2);
             MembersView otherView = *view;
             otherView.self = balancerIdOf("walu-2");
--- a/Tests/News/SlowLinkSimulation.cpp
+++ b/Tests/News/SlowLinkSimulation.cpp
@@ -19,9 +19,9 @@
     constexpr auto tickPeriod = 250ms;
     constexpr auto messageLatency = 2ms;
     constexpr double bytesPerMegabit = 1e6 / 8;
-    // The store's own link, which all balancers share.
+    // The store's link, which all balancers share.
     constexpr double storeBytesPerSecond = 1000 * bytesPerMegabit;
-    // Headers of a packet and of an answer, and what surrounds an item in an answer of the store.
+    // Overhead in bytes of a datagram, of an answer, and of each item in an answer of the store.
     constexpr double datagramOverhead = 80;
     constexpr double answerOverhead = 300;
     constexpr double itemOverhead = 120;
@@ -29,7 +29,7 @@
 
     const std::string configurationKey = "configuration";
 
-    // The store writes values as base64.
+    // The store encodes values as base64.
     double sizeOf(const std::vector<PlatformItem>& items)
     {
         double bytes = answerOverhead;
@@ -166,7 +166,7 @@
     }
 }
 
-// Each transfer gets an equal part of its sender's link and of its receiver's, whichever is less.
+// Each transfer gets the lesser of an equal share of its sender's link and one of its receiver's.
 void SlowLinkSimulation::moveBytes()
 {
     const double seconds = std::chrono::duration<double>(stepTime).count();
@@ -259,7 +259,7 @@
     }
 }
 
-// What the daemon does at each beat.
+// Runs the periodic work of the daemon.
 void SlowLinkSimulation::tickBalancer(std::size_t index)
 {
     Balancer& balancer = balancers_[index];
@@ -315,8 +315,8 @@
 {
     Balancer& balancer = balancers_[index];
     for (const StoreFeedAction& action : actions) {
-        if (const auto* news = std::get_if<DeltaReceived>(&action)) {
-            perform(index, balancer.sync->handleStoreDelta(news->delta, clock_.now()));
+        if (const auto* received = std::get_if<DeltaReceived>(&action)) {
+            perform(index, balancer.sync->handleStoreDelta(received->delta, clock_.now()));
         } else if (std::holds_alternative<SendList>(action)) {
             Transfer transfer;
             transfer.to = index;
@@ -347,12 +347,13 @@
             balancer.queuedDatagramBytes += bytes;
             balancer.peerBytes += static_cast<std::uint64_t>(bytes);
             balancers_[to].peerBytes += static_cast<std::uint64_t>(bytes);
-            const auto onLink = std::chrono::duration<double>(balancer.queuedDatagramBytes / balancer.bytesPerSecond);
-            const TimePoint at = clock_.now() + messageLatency + std::chrono::duration_cast<Duration>(onLink);
+            const auto queueDelay
+                = std::chrono::duration<double>(balancer.queuedDatagramBytes / balancer.bytesPerSecond);
+            const TimePoint at = clock_.now() + messageLatency + std::chrono::duration_cast<Duration>(queueDelay);
             datagrams_.push_back({ at, index, to, push->delta });
         } else {
             const auto& fetch = std::get<FetchDelta>(action);
-            // The daemon has one fetch at a time: a new one ends the former.
+            // The daemon has one fetch at a time: a new one cancels the former.
             std::erase_if(
                 transfers_, [&](const Transfer& transfer) { return transfer.isFetch && transfer.to == index; });
             Transfer transfer;
@@ -368,10 +369,10 @@
     }
 }
 
-void SlowLinkSimulation::apply(std::size_t index, const ReplicaChanged& news)
+void SlowLinkSimulation::apply(std::size_t index, const ReplicaChanged& change)
 {
     Balancer& balancer = balancers_[index];
-    for (const StoreUpdate& item : news.items) {
+    for (const StoreUpdate& item : change.items) {
         if (item.key != configurationKey)
             continue;
         const Result<std::string> text = plainValue(item);
--- a/Tests/News/SlowLinkSimulation.h
+++ b/Tests/News/SlowLinkSimulation.h
@@ -14,9 +14,9 @@
 
 namespace wisteriadock {
 
-// The balancers of one availability zone and the platform's store in virtual time, with links of a given rate: an
-// answer takes as long as its bytes need on the sender's and the receiver's link, which all transfers there share.
-// Balancers run the decisions of the daemon (StoreFeed, ReplicaSync); this class does the I/O and the gossip.
+// Simulates the balancers of one availability zone and the platform's store in virtual time, over links of limited
+// bandwidth. All transfers of a balancer share its link. Each balancer has a StoreFeed and a ReplicaSync; the class
+// simulates the I/O and the gossip.
 class SlowLinkSimulation {
 public:
     struct Link {
@@ -28,20 +28,20 @@
     SlowLinkSimulation(std::uint32_t seed, const std::vector<Link>&);
 
     void writeConfiguration(std::uint64_t version, const std::string& text);
-    // Another key, as a server's entry is.
+    // Writes another key, such as the entry of a server.
     void write(const std::string& key, const std::string& value);
-    // All processes end, and start again at once with nothing.
+    // Restarts all balancers at once with empty replicas.
     void restartAll();
     void advance(Duration);
 
     std::size_t size() const { return balancers_.size(); }
-    // How long after it was written the last balancer had the version or a newer one; none while one has neither.
+    // Time from the write of a version until the last balancer received it or a newer one; none while one has neither.
     std::optional<Duration> slowestArrival(std::uint64_t version) const;
-    // How many balancers have a configuration at all.
+    // How many balancers have any configuration.
     std::size_t configuredBalancers() const;
-    // The most bytes that one balancer sent to or received from other balancers since the last call.
+    // The largest number of bytes that a balancer exchanged with others since the last call.
     std::uint64_t takeMaxPeerBytes();
-    // How often a balancer held a text that no operator wrote under its version.
+    // How often a balancer received a configuration that differs from the one written with that version.
     std::uint64_t corruptTexts() const { return corruptTexts_; }
 
 private:
@@ -51,16 +51,16 @@
         std::unique_ptr<StoreFeed> feed;
         std::unique_ptr<ReplicaSync> sync;
         std::uint64_t version = 0;
-        // By version: when this balancer had it.
+        // When this balancer received each version.
         std::map<std::uint64_t, TimePoint> receivedAt;
         std::uint64_t incarnation = 0;
         std::uint64_t peerBytes = 0;
-        // What waits on its link to be sent as datagrams.
+        // Bytes of datagrams that wait for its link.
         double queuedDatagramBytes = 0;
         TimePoint nextTick;
     };
 
-    // Bytes on the way to a balancer; `from` is none for the store, whose link is wide.
+    // An answer that is being sent to a balancer; `from` is none for the store.
     struct Transfer {
         std::optional<std::size_t> from;
         std::size_t to = 0;
@@ -96,7 +96,7 @@
     void deliverDatagrams();
     void answerWatches();
     void tickBalancer(std::size_t);
-    // Tells the balancer how much has come of its listing.
+    // Reports the progress of its listing to the balancer.
     void reportListingProgress(std::size_t);
     void perform(std::size_t, const StoreFeedActions&);
     void perform(std::size_t, const ReplicaSyncActions&);
@@ -118,8 +118,8 @@
     std::uint64_t corruptTexts_ = 0;
 };
 
-// An operators' text of so many routes, each of some 190 bytes as the platform writes them. `changed` routes of it,
-// from the middle on, have another time limit in each version.
+// A configuration in the format of the platform. `changed` of its routes, from the middle on, have another timeout in
+// each version.
 std::string configurationText(std::uint64_t version, std::size_t routes, std::size_t changed);
 
 }
--- a/Tests/News/StoreFeedTest.cpp
+++ b/Tests/News/StoreFeedTest.cpp
@@ -33,11 +33,11 @@
         {
             PlatformChanges changes { {}, revision };
             for (std::size_t i = 0; i < count; ++i)
-                changes.items.push_back({ "gone" + std::to_string(i), {}, revision - i, true });
+                changes.items.push_back({ "removed" + std::to_string(i), {}, revision - i, true });
             return changes;
         }
 
-        // Reads everything and begins to watch. Returns the number of the watch.
+        // Lists the store and starts a watch. Returns the number of the watch.
         std::uint64_t startWatching()
         {
             feed.start(clock.now());
@@ -52,25 +52,25 @@
         }
     };
 
-    TEST_F(StoreFeedTest, itListsOnceAndThenWatches)
+    TEST_F(StoreFeedTest, ListsOnceAndThenWatches)
     {
-        const StoreFeedActions begin = feed.start(clock.now());
-        ASSERT_NE(only<SendList>(begin), nullptr);
-        EXPECT_TRUE(only<SendList>(begin)->call.mayBeStale);
+        const StoreFeedActions started = feed.start(clock.now());
+        ASSERT_NE(only<SendList>(started), nullptr);
+        EXPECT_TRUE(only<SendList>(started)->call.mayBeStale);
         feed.update(0, true, std::nullopt, clock.now());
 
         const StoreFeedActions more = feed.handlePage(page(10, true), clock.now());
         EXPECT_EQ(only<SendList>(more)->call.after, "key10");
         const StoreFeedActions listed = feed.handlePage(page(12), clock.now());
         {
-            SCOPED_TRACE("the watch begins at the first page, since pages are no snapshot");
+            SCOPED_TRACE("the watch starts at the revision of the first page");
             EXPECT_EQ(only<DeltaReceived>(listed)->delta.to, 10U);
             EXPECT_EQ(only<DeltaReceived>(listed)->delta.items.size(), 2U);
             EXPECT_EQ(only<SendWatch>(listed)->call.revision, 10U);
         }
     }
 
-    TEST_F(StoreFeedTest, whoShallNotWatchMakesNoFurtherCall)
+    TEST_F(StoreFeedTest, BalancerThatIsNoWatcherMakesNoFurtherCalls)
     {
         feed.start(clock.now());
         const StoreFeedActions listed = feed.handlePage(page(10), clock.now());
@@ -79,17 +79,17 @@
         EXPECT_NE(only<SendWatch>(feed.update(10, true, std::nullopt, clock.now())), nullptr);
     }
 
-    TEST_F(StoreFeedTest, aSeriesOfChangesIsGathered)
+    TEST_F(StoreFeedTest, SeriesOfChangesIsBatched)
     {
         const std::uint64_t number = startWatching();
-        const StoreFeedActions news = feed.handleChanges(number, removals(14, 1), clock.now());
-        EXPECT_EQ(only<DeltaReceived>(news)->delta.from, 10U);
-        EXPECT_EQ(only<DeltaReceived>(news)->delta.to, 14U);
-        EXPECT_EQ(only<SendWatch>(news), nullptr);
+        const StoreFeedActions changes = feed.handleChanges(number, removals(14, 1), clock.now());
+        EXPECT_EQ(only<DeltaReceived>(changes)->delta.from, 10U);
+        EXPECT_EQ(only<DeltaReceived>(changes)->delta.to, 14U);
+        EXPECT_EQ(only<SendWatch>(changes), nullptr);
         EXPECT_EQ(only<SendWatch>(advanceTo(feed.nextTick()))->call.revision, 14U);
     }
 
-    TEST_F(StoreFeedTest, lostHistoryMeansReadingEverythingAnewAndNotFromAnOldCopy)
+    TEST_F(StoreFeedTest, CompactedHistoryCausesAListingThatIsNotStale)
     {
         const std::uint64_t number = startWatching();
         const StoreFeedActions actions = feed.handleChanges(number, Error { ErrorCode::NotFound, "gone" }, clock.now());
@@ -98,7 +98,7 @@
         EXPECT_FALSE(feed.isUnreachable());
     }
 
-    TEST_F(StoreFeedTest, aStoreThatDoesNotAnswerIsTriedAgainAfterPauses)
+    TEST_F(StoreFeedTest, UnreachableStoreIsRetriedWithBackoff)
     {
         feed.start(clock.now());
         feed.update(0, true, std::nullopt, clock.now());
@@ -117,31 +117,27 @@
         EXPECT_EQ(only<StoreReachable>(listed)->outage, pauses);
     }
 
-    // Symptom: after an outage, servers that lived were given up.
-    // Sequence: entries lapse while the store is away, and the watch tells so once it is back.
-    // Cause: entries that vanish in or after an outage looked like servers that left.
-    TEST_F(StoreFeedTest, newsInAndAfterTroubleIsInDoubt)
+    // Guards against giving up live servers whose entries lapsed in an outage of the store.
+    TEST_F(StoreFeedTest, RemovalsDuringAndAfterAnOutageAreInDoubt)
     {
         std::uint64_t number = startWatching();
-        feed.handleChanges(number, Error { ErrorCode::DeadlineExceeded, "silent" }, clock.now());
+        feed.handleChanges(number, Error { ErrorCode::DeadlineExceeded, "no answer" }, clock.now());
         number = only<SendWatch>(advanceTo(feed.nextTick()))->number;
         const StoreFeedActions after = feed.handleChanges(number, removals(14, 1), clock.now());
         EXPECT_TRUE(only<DeltaReceived>(after)->delta.isInDoubt);
 
         clock.advance(6s);
         number = only<SendWatch>(feed.tick(clock.now()))->number;
-        const StoreFeedActions calm = feed.handleChanges(number, removals(20, 1), clock.now());
-        EXPECT_FALSE(only<DeltaReceived>(calm)->delta.isInDoubt);
+        const StoreFeedActions certain = feed.handleChanges(number, removals(20, 1), clock.now());
+        EXPECT_FALSE(only<DeltaReceived>(certain)->delta.isInDoubt);
 
         number = only<SendWatch>(advanceTo(feed.nextTick()))->number;
         const StoreFeedActions many = feed.handleChanges(number, removals(30, 3), clock.now());
         EXPECT_TRUE(only<DeltaReceived>(many)->delta.isInDoubt);
     }
 
-    // Symptom: see ServerDirectoryTest: what vanished in doubt was taken for gone, or stayed in doubt for long.
-    // Sequence: many entries vanish at once, and nothing else happens.
-    // Cause: a store that says nothing may have nothing to say, or not be heard.
-    TEST_F(StoreFeedTest, whatVanishedInDoubtIsAskedForOnceItCouldBeBack)
+    // Guards against removals that stay in doubt because nothing else changes in the store.
+    TEST_F(StoreFeedTest, RemovalsInDoubtAreConfirmedAfterTheReregistrationTime)
     {
         std::uint64_t number = startWatching();
         const StoreFeedActions vanished = feed.handleChanges(number, removals(14, 3), clock.now());
@@ -150,7 +146,7 @@
         ASSERT_NE(only<SendWatch>(next), nullptr);
         EXPECT_LT(only<SendWatch>(next)->call.wait, 2s);
         {
-            SCOPED_TRACE("nothing is back, and that is news");
+            SCOPED_TRACE("an answer without changes confirms the removals");
             clock.advance(only<SendWatch>(next)->call.wait);
             number = only<SendWatch>(next)->number;
             const StoreFeedActions confirmed = feed.handleChanges(number, PlatformChanges { {}, 14 }, clock.now());
@@ -160,13 +156,13 @@
         }
     }
 
-    TEST_F(StoreFeedTest, afterAnOutageTheQuestionWaitsUntilServersCouldBeBack)
+    TEST_F(StoreFeedTest, ConfirmationWaitsForTheReregistrationTimeAfterAnOutage)
     {
         std::uint64_t number = startWatching();
         feed.handleChanges(number, removals(14, 3), clock.now());
         number = only<SendWatch>(advanceTo(feed.nextTick()))->number;
         clock.advance(2500ms);
-        feed.handleChanges(number, Error { ErrorCode::DeadlineExceeded, "silent" }, clock.now());
+        feed.handleChanges(number, Error { ErrorCode::DeadlineExceeded, "no answer" }, clock.now());
         number = only<SendWatch>(advanceTo(feed.nextTick()))->number;
         const StoreFeedActions regained = feed.handleChanges(number, PlatformChanges { {}, 14 }, clock.now());
         EXPECT_NE(only<StoreReachable>(regained), nullptr);
@@ -175,12 +171,10 @@
         EXPECT_EQ(only<SendWatch>(regained)->call.wait, 2s);
     }
 
-    // Symptom: a balancer stayed at an old configuration while all others had the new one.
-    // Sequence: its connection to the store goes silent for good; others hear the news.
-    // Cause: a watch that says nothing looks like a store with nothing to say.
-    TEST_F(StoreFeedTest, aWatchThatIsSilentWhileOthersHaveNewsIsReplaced)
+    // Guards against a balancer that stays at an old configuration because its connection to the store is dead.
+    TEST_F(StoreFeedTest, UnresponsiveWatchIsReplacedWhenOthersReceiveChanges)
     {
-        const std::uint64_t silent = startWatching();
+        const std::uint64_t unresponsive = startWatching();
         const TimePoint behindSince = clock.now() + 100ms;
         clock.advance(500ms);
         EXPECT_TRUE(feed.update(10, true, behindSince, clock.now()).empty());
@@ -189,20 +183,17 @@
         ASSERT_NE(only<SendWatch>(replaced), nullptr);
         EXPECT_NE(only<StoreUnreachable>(replaced), nullptr);
         {
-            SCOPED_TRACE("should it answer after all, that counts once and does not end the new one");
-            const StoreFeedActions late = feed.handleChanges(silent, removals(14, 1), clock.now());
+            SCOPED_TRACE("a late answer is used once and does not end the new watch");
+            const StoreFeedActions late = feed.handleChanges(unresponsive, removals(14, 1), clock.now());
             ASSERT_NE(only<DeltaReceived>(late), nullptr);
             EXPECT_TRUE(only<DeltaReceived>(late)->delta.isInDoubt);
-            EXPECT_TRUE(feed.handleChanges(silent, removals(14, 1), clock.now()).empty());
+            EXPECT_TRUE(feed.handleChanges(unresponsive, removals(14, 1), clock.now()).empty());
             EXPECT_TRUE(feed.isWatching());
         }
     }
 
-    // Symptom: a zone learned of servers that leave 1.5 s after its neighbours.
-    // Sequence: the store's answer holds a large configuration and takes over 0.7 s on a thin link; another zone has
-    // the news by then, so the watch counts as silent and is sent again; then its answer comes. Cause: the answer to a
-    // watch that was replaced was thrown away.
-    TEST_F(StoreFeedTest, theAnswerToAWatchThatWasTakenForSilentCounts)
+    // Guards against discarding a large answer that arrives after its watch was replaced.
+    TEST_F(StoreFeedTest, LateAnswerToAReplacedWatchIsUsed)
     {
         const std::uint64_t first = startWatching();
         clock.advance(100ms);
@@ -217,15 +208,13 @@
         EXPECT_EQ(only<DeltaReceived>(late)->delta.to, 11U);
         EXPECT_TRUE(feed.isWatching());
         {
-            SCOPED_TRACE("what is known already is no news");
+            SCOPED_TRACE("an answer without newer changes is ignored");
             EXPECT_TRUE(feed.handleChanges(first, PlatformChanges { {}, 11 }, clock.now()).empty());
         }
     }
 
-    // Symptom: a zone's only watcher went on for two seconds with a connection that had gone silent (incident 5).
-    // Sequence: news comes; the watcher hears of it from another zone and fetches it there; its own watch says nothing.
-    // Cause: once it had the news it was no longer behind, and being behind was the only sign.
-    TEST_F(StoreFeedTest, aWatchThatDidNotTellWhatOthersToldIsReplaced)
+    // Guards against keeping a dead connection because the changes arrived from other balancers.
+    TEST_F(StoreFeedTest, WatchThatMissedChangesOfOthersIsReplaced)
     {
         startWatching();
         clock.advance(200ms);
@@ -239,7 +228,7 @@
         EXPECT_EQ(only<SendWatch>(replaced)->call.revision, 12U);
     }
 
-    TEST_F(StoreFeedTest, whatOthersToldIsNotListedAgain)
+    TEST_F(StoreFeedTest, StateReceivedFromOthersIsNotListed)
     {
         feed.start(clock.now());
         feed.handlePage(Error { ErrorCode::Unavailable, "status 503" }, clock.now());
@@ -247,10 +236,8 @@
         EXPECT_EQ(only<SendWatch>(advanceTo(feed.nextTick()))->call.revision, 25U);
     }
 
-    // Symptom: servers that had ended with an outage of the store stayed in doubt for 10 s instead of 2.
-    // Sequence: the watch that tells of their entries' vanishing was taken for silent, and its answer comes late.
-    // Cause: only the answer of the watch in force made the store be asked again.
-    TEST_F(StoreFeedTest, whatVanishedByALateAnswerIsAskedForAsWell)
+    // Guards against removals that stay in doubt because they arrived with a late answer.
+    TEST_F(StoreFeedTest, RemovalsOfALateAnswerAreConfirmedAsWell)
     {
         const std::uint64_t first = startWatching();
         const TimePoint behindSince = clock.now();
@@ -263,16 +250,11 @@
         const auto next
             = feed.handleChanges(only<SendWatch>(replaced)->number, PlatformChanges { {}, 14 }, clock.now());
         ASSERT_NE(only<SendWatch>(next), nullptr);
-        EXPECT_LE(only<SendWatch>(next)->call.wait, 2s) << "the question whether they are back";
+        EXPECT_LE(only<SendWatch>(next)->call.wait, 2s) << "the watch that confirms the removals";
     }
 
-    // Symptom: after all of a zone had lost power, callers whose flows were open waited a second and more, and some for
-    // good, although their servers lived.
-    // Sequence: the zone had been cut off, so that the entries of its servers lapsed and came back; then all balancers
-    // lost power and started with a listing that was some seconds old, in which the servers were missing. Packets of
-    // their flows were dropped until the zone had a watcher and that one told.
-    // Cause: nothing compared what packets showed with a listing that may be old.
-    TEST_F(StoreFeedTest, anOldListingThatPacketsContradictIsCheckedAtOnce)
+    // Guards against dropping packets of open flows to live servers that a stale listing lacks.
+    TEST_F(StoreFeedTest, StaleListingContradictedByPacketsIsCheckedAtOnce)
     {
         feed.start(clock.now());
         feed.handlePage(page(10), clock.now());
@@ -280,21 +262,21 @@
         ASSERT_NE(only<SendWatch>(check), nullptr);
         EXPECT_EQ(only<SendWatch>(check)->call.revision, 10U);
         EXPECT_LE(only<SendWatch>(check)->call.wait, 50ms);
-        const auto news
+        const auto changes
             = feed.handleChanges(only<SendWatch>(check)->number, PlatformChanges { page(14).items, 14 }, clock.now());
         {
-            SCOPED_TRACE("what it finds is for this balancer only, as all of its zone may ask");
-            ASSERT_NE(only<DeltaReceived>(news), nullptr);
-            EXPECT_FALSE(only<DeltaReceived>(news)->isForOthers);
-            EXPECT_EQ(only<SendWatch>(news), nullptr);
+            SCOPED_TRACE("the result is not pushed to the zone");
+            ASSERT_NE(only<DeltaReceived>(changes), nullptr);
+            EXPECT_FALSE(only<DeltaReceived>(changes)->isForOthers);
+            EXPECT_EQ(only<SendWatch>(changes), nullptr);
         }
         {
-            SCOPED_TRACE("it is asked once, whatever else packets show");
+            SCOPED_TRACE("there is one check only");
             EXPECT_TRUE(feed.noteContradiction(clock.now()).empty());
         }
     }
 
-    TEST_F(StoreFeedTest, aListingIsNotCheckedWhenItCannotBeOldAnyMoreOrIsWatched)
+    TEST_F(StoreFeedTest, ListingIsNotCheckedWhenItIsTooOldOrWatched)
     {
         feed.start(clock.now());
         feed.handlePage(page(10), clock.now());
@@ -319,7 +301,7 @@
             settings.keepListingOneIn = 1'000'000;
         }
 
-        // What becomes of a listing of which so much has come after the time at which it is checked.
+        // Whether a listing is cancelled of which this many bytes have arrived when it is checked.
         bool cancelsListing(std::uint64_t received, bool knowsFasterPeer = false)
         {
             StoreFeed feed(1, settings);
@@ -331,31 +313,28 @@
         }
     };
 
-    TEST_F(SlowLinkStoreFeedTest, aLongListingIsLeftToOthersWhenItComesSlowly)
+    TEST_F(SlowLinkStoreFeedTest, SlowLargeListingIsCancelled)
     {
         EXPECT_TRUE(cancelsListing(bytes / 40));
         EXPECT_FALSE(cancelsListing(bytes / 2));
         {
-            SCOPED_TRACE("not by those whose link is wide, or not known");
+            SCOPED_TRACE("not where the link is fast or unknown");
             settings.linkMegabits = 200;
             EXPECT_FALSE(cancelsListing(bytes / 40));
             settings.linkMegabits = 0;
             EXPECT_FALSE(cancelsListing(bytes / 40));
         }
         {
-            SCOPED_TRACE("nor by the few who stay so that neighbours have somebody to ask");
+            SCOPED_TRACE("not by those chosen to complete it, unless they know a faster peer");
             settings.linkMegabits = 20;
             settings.keepListingOneIn = 1;
             EXPECT_FALSE(cancelsListing(bytes / 40));
-            EXPECT_TRUE(cancelsListing(bytes / 40, true)) << "who know somebody better to ask";
+            EXPECT_TRUE(cancelsListing(bytes / 40, true)) << "a faster peer is known";
         }
     }
 
-    // Symptom: on links of 2 Mbit/s a start of 24 balancers took 1.7 s (median; longest 3.2 s), where one listing
-    // takes 1.1. Sequence: all start together; all but a few leave a listing that comes slowly, and wait for these few,
-    // who send it to each of them over links that are as thin. Cause: a listing was left also where the balancer's own
-    // link was the reason.
-    TEST_F(SlowLinkStoreFeedTest, aListingThatTheOwnLinkHoldsUpIsNotLeftToOthers)
+    // Guards against cancelling a listing where every balancer has a link that is as slow.
+    TEST_F(SlowLinkStoreFeedTest, ListingLimitedByTheOwnLinkIsNotCancelled)
     {
         settings.linkMegabits = 2;
         constexpr std::uint64_t bytesPerMillisecond = 250;
@@ -363,7 +342,7 @@
             cancelsListing(bytesPerMillisecond * static_cast<std::uint64_t>(settings.listingCheckDelay.count())));
     }
 
-    TEST_F(SlowLinkStoreFeedTest, whoLeftAListingAndHeardFromNobodyReadsItToTheEnd)
+    TEST_F(SlowLinkStoreFeedTest, ListingIsRepeatedToTheEndWhenPeersSendNothing)
     {
         StoreFeed feed(1, settings);
         feed.start(clock.now());
@@ -378,7 +357,7 @@
         EXPECT_TRUE(feed.handlePageProgress(bytes / 40, bytes, false, clock.now()).empty());
     }
 
-    TEST_F(SlowLinkStoreFeedTest, whatNeighboursToldIsNotListedAgain)
+    TEST_F(SlowLinkStoreFeedTest, StateReceivedFromPeersIsNotListed)
     {
         StoreFeed feed(1, settings);
         feed.start(clock.now());
--- a/Tests/News/StoreReplicaTest.cpp
+++ b/Tests/News/StoreReplicaTest.cpp
@@ -19,7 +19,7 @@
 
     StoreUpdate removal(const std::string& key, std::uint64_t revision) { return { key, {}, revision, true }; }
 
-    StoreDelta whole(std::uint64_t to, std::vector<StoreUpdate> items)
+    StoreDelta snapshot(std::uint64_t to, std::vector<StoreUpdate> items)
     {
         return { 0, to, true, false, std::move(items) };
     }
@@ -34,9 +34,9 @@
         StoreReplica replica;
     };
 
-    TEST_F(StoreReplicaTest, aListingAndThenChangesMakeItComplete)
+    TEST_F(StoreReplicaTest, SnapshotAndThenChangesMakeItComplete)
     {
-        EXPECT_EQ(replica.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now()).size(), 2U);
+        EXPECT_EQ(replica.merge(snapshot(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now()).size(), 2U);
         EXPECT_EQ(replica.completeTo(), 10U);
         const auto changed = replica.merge(delta(10, 14, { removal("b", 14), item("a", "2", 12) }), clock.now());
         ASSERT_EQ(changed.size(), 2U);
@@ -44,37 +44,35 @@
         EXPECT_EQ(replica.completeTo(), 14U);
     }
 
-    TEST_F(StoreReplicaTest, newsWithAGapCountsButDoesNotMakeItComplete)
+    TEST_F(StoreReplicaTest, DeltaAfterAGapIsMergedButDoesNotMakeItComplete)
     {
-        replica.merge(whole(10, {}), clock.now());
+        replica.merge(snapshot(10, {}), clock.now());
         EXPECT_EQ(replica.merge(delta(20, 22, { item("a", "1", 22) }), clock.now()).size(), 1U);
         EXPECT_EQ(replica.completeTo(), 10U);
         replica.merge(delta(10, 22, { item("b", "1", 15), item("a", "1", 22) }), clock.now());
         EXPECT_EQ(replica.completeTo(), 22U);
     }
 
-    // Symptom: a balancer went back to an older configuration.
-    // Sequence: it has read the newest one, and then a listing that may be seconds old arrives, or a push of a peer
-    // that stayed behind. Cause: whatever came last was taken for the newest.
-    TEST_F(StoreReplicaTest, nothingOlderTakesItBack)
+    // Guards against going back to an older configuration when a stale listing or an old push arrives.
+    TEST_F(StoreReplicaTest, OlderStateNeverReplacesNewerState)
     {
-        replica.merge(whole(30, { item("a", "new", 25) }), clock.now());
-        EXPECT_TRUE(replica.merge(whole(20, { item("a", "old", 15) }), clock.now()).empty());
+        replica.merge(snapshot(30, { item("a", "new", 25) }), clock.now());
+        EXPECT_TRUE(replica.merge(snapshot(20, { item("a", "old", 15) }), clock.now()).empty());
         EXPECT_TRUE(replica.merge(delta(0, 20, { item("a", "old", 15), removal("a", 16) }), clock.now()).empty());
         EXPECT_EQ(replica.deltaSince(0, clock.now()).items, std::vector<StoreUpdate> { item("a", "new", 25) });
     }
 
-    TEST_F(StoreReplicaTest, aWholeListingShowsWhatVanished)
+    TEST_F(StoreReplicaTest, SnapshotRemovesMissingKeys)
     {
-        replica.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
-        const auto changed = replica.merge(whole(20, { item("a", "1", 4) }), clock.now());
+        replica.merge(snapshot(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
+        const auto changed = replica.merge(snapshot(20, { item("a", "1", 4) }), clock.now());
         ASSERT_EQ(changed.size(), 1U);
         EXPECT_EQ(changed.front(), removal("b", 20));
     }
 
-    TEST_F(StoreReplicaTest, whoStayedAwayLongerThanRemovalsAreKeptGetsEverything)
+    TEST_F(StoreReplicaTest, RequestOlderThanTheKeptRemovalsGetsASnapshot)
     {
-        replica.merge(whole(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
+        replica.merge(snapshot(10, { item("a", "1", 4), item("b", "1", 9) }), clock.now());
         replica.merge(delta(10, 11, { removal("b", 11) }), clock.now());
         EXPECT_FALSE(replica.deltaSince(10, clock.now()).isSnapshot);
         clock.advance(3min);
@@ -83,24 +81,24 @@
         EXPECT_FALSE(replica.deltaSince(11, clock.now()).isSnapshot);
     }
 
-    // Whatever way news takes, in whatever order and however often, all replicas that heard everything are equal.
-    TEST_F(StoreReplicaTest, anyOrderOfNewsGivesTheSameBook)
+    // Guards against replicas that differ after receiving the same deltas in another order or repeatedly.
+    TEST_F(StoreReplicaTest, AnyOrderOfDeltasGivesTheSameReplica)
     {
         for (std::uint32_t seed = 1; seed <= 200; ++seed) {
             SCOPED_TRACE(seed);
             std::mt19937 random(seed);
             std::vector<StoreDelta> changes;
-            std::map<std::string, StoreUpdate> truth;
+            std::map<std::string, StoreUpdate> expected;
             for (std::uint64_t revision = 1; revision <= 60; ++revision) {
                 const std::string key(1, static_cast<char>('a' + random() % 8));
-                const bool isRemoval = truth.contains(key) && random() % 3 == 0;
+                const bool isRemoval = expected.contains(key) && random() % 3 == 0;
                 const StoreUpdate change
                     = isRemoval ? removal(key, revision) : item(key, std::to_string(revision), revision);
                 changes.push_back(delta(revision - 1, revision, { change }));
-                isRemoval ? static_cast<void>(truth.erase(key)) : static_cast<void>(truth[key] = change);
+                isRemoval ? static_cast<void>(expected.erase(key)) : static_cast<void>(expected[key] = change);
             }
             StoreReplica other;
-            other.merge(whole(0, {}), clock.now());
+            other.merge(snapshot(0, {}), clock.now());
             std::vector<StoreDelta> shuffled = changes;
             shuffled.insert(shuffled.end(), changes.begin(), changes.begin() + 20);
             std::ranges::shuffle(shuffled, random);
@@ -113,7 +111,7 @@
             std::map<std::string, StoreUpdate> found;
             for (const StoreUpdate& held : other.deltaSince(0, clock.now()).items)
                 found[held.key] = held;
-            EXPECT_EQ(found, truth);
+            EXPECT_EQ(found, expected);
         }
     }
 
--- a/Tests/News/ValuePatchTest.cpp
+++ b/Tests/News/ValuePatchTest.cpp
@@ -14,7 +14,7 @@
 
     using namespace std::chrono_literals;
 
-    // A large value of which each version differs from the one before in a line.
+    // A large value. Each version differs from the one before in a few lines.
     std::string textOf(std::uint64_t version, int lines = 400)
     {
         std::string text = fmt::format("version {}\n", version);
@@ -36,7 +36,7 @@
         return { from, to, from == 0, false, { itemOf(to, text) } };
     }
 
-    TEST(ValuePatchTest, aPatchIsSmallAndGivesTheValueBack)
+    TEST(ValuePatchTest, PatchIsSmallAndRestoresTheValue)
     {
         const std::string former = textOf(1, 10000);
         const std::string value = textOf(2, 10000);
@@ -46,13 +46,13 @@
         const ValuePatch patch { "configuration", 1, 2, *bytes };
         EXPECT_EQ(applyPatch(former, patch).value(), value);
         {
-            SCOPED_TRACE("never of another value: the checksum shows it");
+            SCOPED_TRACE("a patch for another value is rejected by its checksum");
             EXPECT_FALSE(applyPatch(textOf(3, 10000), patch));
             EXPECT_FALSE(applyPatch("", patch));
         }
     }
 
-    TEST(ValuePatchTest, changedBytesAreRefused)
+    TEST(ValuePatchTest, CorruptBytesAreRejected)
     {
         const std::string former = textOf(1);
         const std::string value = textOf(2);
@@ -63,12 +63,12 @@
             patch.bytes[random() % patch.bytes.size()] ^= static_cast<char>(1 + random() % 255);
             if (random() % 4 == 0)
                 patch.bytes.resize(random() % patch.bytes.size());
-            const auto made = applyPatch(former, patch);
-            EXPECT_TRUE(!made || made.value() == value);
+            const auto patched = applyPatch(former, patch);
+            EXPECT_TRUE(!patched || patched.value() == value);
         }
     }
 
-    TEST(ValuePatchTest, whatHasNothingInCommonTravelsWhole)
+    TEST(ValuePatchTest, UnrelatedValuesHaveNoPatch)
     {
         std::mt19937 random(3);
         std::string noise(5000, ' ');
@@ -77,7 +77,7 @@
         EXPECT_FALSE(patchBytes(textOf(1), noise));
     }
 
-    TEST(ValuePatchTest, whoHoldsAnEarlierVersionGetsWhatChanged)
+    TEST(ValuePatchTest, HolderOfAnEarlierVersionGetsPatches)
     {
         const TimePoint now = ManualClock().now();
         StoreReplica sender;
@@ -90,21 +90,21 @@
         EXPECT_TRUE(delta.items.empty());
         EXPECT_EQ(delta.patches.size(), 4U);
         {
-            SCOPED_TRACE("several versions are one piece of news");
+            SCOPED_TRACE("several versions are one update");
             const auto changed = receiver.merge(delta, now);
             ASSERT_EQ(changed.size(), 1U);
             EXPECT_EQ(changed.front().value, textOf(5));
             EXPECT_EQ(receiver.completeTo(), 5U);
         }
         {
-            SCOPED_TRACE("it can pass them on, and whole to one that knows no patches");
+            SCOPED_TRACE("the receiver can send the patches on, or the whole value");
             EXPECT_EQ(receiver.deltaSince(3, now, StoreReplica::Encoding::Patched).patches.size(), 2U);
-            const StoreDelta whole = receiver.deltaSince(3, now);
-            ASSERT_EQ(whole.items.size(), 1U);
-            EXPECT_EQ(plainValue(whole.items.front()).value(), textOf(5));
+            const StoreDelta full = receiver.deltaSince(3, now);
+            ASSERT_EQ(full.items.size(), 1U);
+            EXPECT_EQ(plainValue(full.items.front()).value(), textOf(5));
         }
         {
-            SCOPED_TRACE("patches of a value that is not here change nothing and complete nothing");
+            SCOPED_TRACE("patches without their base value change and complete nothing");
             StoreReplica other;
             other.merge(storeDelta(0, 2, "another text"), now);
             EXPECT_TRUE(other.merge(delta, now).empty());
@@ -116,9 +116,8 @@
         }
     }
 
-    // Symptom: in a series of versions a zone was one or two steps behind for 0.8 s, though each step is a small patch.
-    // Sequence: the store's answer holds two versions. Cause: only the patch to the last one was found for pushes.
-    TEST(ValuePatchTest, eachOfSeveralVersionsInOneAnswerHasItsPatch)
+    // Guards against patches missing for all but the last version when one answer of the store holds several.
+    TEST(ValuePatchTest, EachVersionOfOneAnswerHasItsPatch)
     {
         const TimePoint now = ManualClock().now();
         StoreReplica replica;
@@ -134,7 +133,7 @@
         EXPECT_EQ(replica.patchTo("another", 3), nullptr);
     }
 
-    TEST(ValuePatchTest, patchesTakeNoMoreMemoryThanTheirValue)
+    TEST(ValuePatchTest, PatchesTakeNoMoreMemoryThanTheirValue)
     {
         const TimePoint now = ManualClock().now();
         StoreReplica replica;
@@ -142,7 +141,7 @@
         replica.mergeFromStore(storeDelta(0, revision, textOf(1)), now);
         std::mt19937 random(9);
         for (; revision < 40; ++revision) {
-            // A third of it is new each time.
+            // A third of the value changes each time.
             std::string text = textOf(1);
             for (std::size_t at = 0; at < text.size() / 3; ++at)
                 text[at] = static_cast<char>('a' + random() % 26);
@@ -157,9 +156,8 @@
         EXPECT_LE(bytes, textOf(1).size());
     }
 
-    // Watchers miss versions, deltas come late, twice, in any order or never; nobody may hold a value that the store
-    // never had at its revision, be complete with an older one, or stay behind for good.
-    TEST(ValuePatchTest, whateverIsLostNobodyHoldsAValueThatWasNeverWritten)
+    // Guards against wrong, incomplete or outdated values when deltas are late, repeated, reordered or lost.
+    TEST(ValuePatchTest, NoReplicaHoldsAValueThatWasNeverWritten)
     {
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
             SCOPED_TRACE(seed);
@@ -189,10 +187,10 @@
                     written[revision] = textOf(random() % 50);
                 const std::uint64_t newest = written.rbegin()->first;
                 StoreReplica& watcher = replicas[random() % watchers];
-                StoreDelta news { watcher.completeTo(), revision, false, false, {} };
+                StoreDelta update { watcher.completeTo(), revision, false, false, {} };
                 if (newest > watcher.completeTo())
-                    news.items.push_back(itemOf(newest, written.at(newest)));
-                watcher.mergeFromStore(news, now);
+                    update.items.push_back(itemOf(newest, written.at(newest)));
+                watcher.mergeFromStore(update, now);
                 StoreReplica& asking = replicas[random() % replicas.size()];
                 StoreDelta answer = ask(asking, replicas[random() % replicas.size()]);
                 if (random() % 3 == 0)
--- a/Tests/News/ZoneDrainTest.cpp
+++ b/Tests/News/ZoneDrainTest.cpp
@@ -10,10 +10,10 @@
 
     using namespace std::chrono_literals;
 
-    // The users' bound from the order's acknowledgement on, and what of it may go to the news.
+    // Bound from the acknowledgement of the order until all balancers apply it.
     constexpr auto bound = 5s;
 
-    // Two zones of three balancers and two servers each. Orders go to "nabua".
+    // Two zones of three balancers and two servers each. The orders drain "nabua".
     struct ZoneDrainTest : testing::TestWithParam<std::uint32_t> {
         ZoneDrainTest()
         {
@@ -25,7 +25,7 @@
             fleet.advance(2s);
         }
 
-        // Whether each balancer that runs keeps new flows out of the zone.
+        // Expects each running balancer to have the zone drained or not. A drained zone gets no new flows.
         void expectDrained(bool isDrained)
         {
             for (auto& balancer : fleet.balancers()) {
@@ -46,8 +46,8 @@
         std::uint32_t caller = 0;
     };
 
-    // Guards against balancers that do not hear of an order, or of its end.
-    TEST_P(ZoneDrainTest, anOrderIsInForceEverywhereWithinASecondAndSoIsItsEnd)
+    // Guards against balancers that do not receive an order, or its removal.
+    TEST_P(ZoneDrainTest, DrainAndItsEndTakeEffectEverywhereWithinASecond)
     {
         fleet.drainZone("nabua");
         fleet.advance(1s);
@@ -57,8 +57,8 @@
         expectDrained(false);
     }
 
-    // Guards against a zone that goes on filling itself since the store answers nobody there.
-    TEST_P(ZoneDrainTest, aZoneThatTheStoreTurnsAwayHearsOfItFromTheOthers)
+    // Guards against a zone that keeps sending flows to itself because the store rejects all of its balancers.
+    TEST_P(ZoneDrainTest, ZoneRejectedByTheStoreReceivesTheDrainFromOthers)
     {
         for (auto& balancer : fleet.balancers())
             balancer.isRejectedByStore = balancer.availabilityZone == "nabua";
@@ -68,8 +68,8 @@
         expectDrained(true);
     }
 
-    // Guards against an order that was given while messages were lost and never got round.
-    TEST_P(ZoneDrainTest, ordersGetRoundWhileAThirdOfTheMessagesIsLost)
+    // Guards against an order that never arrives because messages were lost when it was given.
+    TEST_P(ZoneDrainTest, DrainArrivesWhileAThirdOfTheMessagesIsLost)
     {
         fleet.lossRate = 0.33;
         fleet.drainZone("nabua");
@@ -77,8 +77,8 @@
         expectDrained(true);
     }
 
-    // Guards against an order or an end that fell into a history which the store has dropped.
-    TEST_P(ZoneDrainTest, whatFellIntoADroppedHistoryShowsInTheNextListing)
+    // Guards against missing an order or its removal that the store has compacted.
+    TEST_P(ZoneDrainTest, DrainInACompactedHistoryShowsInTheNextListing)
     {
         fleet.isStoreDown = true;
         fleet.advance(1s);
@@ -96,8 +96,8 @@
         expectDrained(false);
     }
 
-    // Guards against balancers that start after the order, alone or all together, and know nothing of it.
-    TEST_P(ZoneDrainTest, whoStartsAfterTheOrderKeepsIt)
+    // Guards against balancers that miss the order because they start after it, alone or all together.
+    TEST_P(ZoneDrainTest, BalancersThatStartLaterApplyTheDrain)
     {
         fleet.drainZone("nabua");
         for (std::size_t i = 0; i < fleet.balancers().size(); ++i)
@@ -109,8 +109,8 @@
         expectDrained(true);
     }
 
-    // Guards against a listing that is older than the order being kept for long by a balancer that starts.
-    TEST_P(ZoneDrainTest, aListingFromBeforeTheOrderIsNotKept)
+    // Guards against a balancer that starts from a listing older than the order and keeps it.
+    TEST_P(ZoneDrainTest, StaleListingFromBeforeTheDrainIsCorrected)
     {
         fleet.serveStaleListings(true);
         fleet.drainZone("nabua");
@@ -121,8 +121,8 @@
         expectDrained(true);
     }
 
-    // Guards against balancers that were frozen during an order and its end and go on by one of them.
-    TEST_P(ZoneDrainTest, orderRemovalAndOrderWithinASecondEndAsTheLastOne)
+    // Guards against a balancer that was frozen during the orders and applies an earlier one.
+    TEST_P(ZoneDrainTest, LastOfSeveralOrdersWithinASecondTakesEffect)
     {
         fleet.balancers()[4].isFrozen = true;
         fleet.drainZone("nabua");
