--- a/Source/Configuration/Configuration.h
+++ b/Source/Configuration/Configuration.h
@@ -11,9 +11,9 @@
 
 namespace wisteriadock {
 
-// Whether a backend server takes new flows and requests.
+// The state that the operator declares for a backend server.
 enum class BackendServerState {
-    Active, // Takes them.
+    Active, // Takes new flows and requests.
     Draining, // Finishes its existing flows and requests and takes no new ones.
 };
 
