--- a/Source/Membership/MembersPages.cpp
+++ b/Source/Membership/MembersPages.cpp
@@ -1,6 +1,6 @@
 #include "Membership/MembersPages.h"
 
-#include "Wire/PackedBytes.h"
+#include "Wire/Compression.h"
 #include "Wire/PeerMessageCodec.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
     std::string packedRows(const std::vector<MemberRow>& rows)
     {
         const std::vector<std::uint8_t> bytes = encodeMessage(rows);
-        return packBytes({ reinterpret_cast<const char*>(bytes.data()), bytes.size() });
+        return compressBytes({ reinterpret_cast<const char*>(bytes.data()), bytes.size() });
     }
 
     MembersPageMessage packedPage(std::uint32_t after, const MemberTable& table)
@@ -56,7 +56,7 @@
 {
     if (page.packedRows.empty())
         return page.rows;
-    BOOST_OUTCOME_TRY(bytes, unpackBytes(page.packedRows, maxUnpackedBytes));
+    BOOST_OUTCOME_TRY(bytes, decompressBytes(page.packedRows, maxUnpackedBytes));
     return decodeMessage<std::vector<MemberRow>>(
         std::span(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()), maxUnpackedBytes);
 }
--- a/Source/Membership/MembershipMessages.h
+++ b/Source/Membership/MembershipMessages.h
@@ -110,7 +110,7 @@
     // True if no row follows this page.
     bool last = false;
     std::vector<MemberRow> rows;
-    // An array of rows encoded by encodeMessage() and packed by packBytes(); used instead of `rows`.
+    // An array of rows encoded by encodeMessage() and packed by compressBytes(); used instead of `rows`.
     std::string packedRows {};
 
     MSGPACK_DEFINE_ARRAY(after, named, last, rows, packedRows);
--- a/Source/News/CompressedValue.cpp
+++ b/Source/News/CompressedValue.cpp
@@ -1,6 +1,6 @@
 #include "News/CompressedValue.h"
 
-#include "Wire/PackedBytes.h"
+#include "Wire/Compression.h"
 
 #include <fmt/format.h>
 
@@ -12,7 +12,7 @@
 {
     if (item.isCompressed || item.value.size() < compressionThreshold)
         return;
-    std::string compressed = packBytes(item.value);
+    std::string compressed = compressBytes(item.value);
     if (compressed.empty() || compressed.size() >= item.value.size())
         return;
     item.value = std::move(compressed);
@@ -23,7 +23,7 @@
 {
     if (!item.isCompressed)
         return item.value;
-    Result<std::string> value = unpackBytes(item.value, maxDeltaBytes);
+    Result<std::string> value = decompressBytes(item.value, maxDeltaBytes);
     if (value)
         return value;
     return Error { ErrorCode::InvalidArgument,
