--- a/Benchmarks/ConfigurationSpreadBenchmark.cpp
+++ b/Benchmarks/ConfigurationSpreadBenchmark.cpp
@@ -3,7 +3,7 @@
 #include "Forward/ForwardFixture.h"
 #include "News/CompressedValue.h"
 #include "platform/ConfigurationText.h"
-#include "platform/StoreDialect.h"
+#include "platform/StoreCodec.h"
 #include "platform/StoredValues.h"
 
 #include <benchmark/benchmark.h>
@@ -39,7 +39,7 @@
         response.body = platform::encodeChanges({ { { item.key, item.value, 7 } }, 7 });
         const HttpOutcome outcome = response;
         for (auto _ : state)
-            benchmark::DoNotOptimize(platform::StoreDialect::decode(ChangesCall {}, outcome));
+            benchmark::DoNotOptimize(platform::StoreCodec::decode(ChangesCall {}, outcome));
         state.counters["bytes"] = static_cast<double>(response.body.size());
     }
 
--- a/Source/Forwarder/StoreLink.h
+++ b/Source/Forwarder/StoreLink.h
@@ -88,7 +88,7 @@
         metrics_.countStoreCall(call, result ? "ok" : std::string(nameOf(result.error().code)), took);
     }
 
-    KeyValueClient<Http1Client, typename Adapter::StoreDialect> client_;
+    KeyValueClient<Http1Client, typename Adapter::StoreCodec> client_;
     StoreFeed feed_;
     ForwarderMetrics& metrics_;
     Handler handler_;
--- a/Source/KeyValue/KeyValueClient.h
+++ b/Source/KeyValue/KeyValueClient.h
@@ -20,7 +20,7 @@
 
 // How one key-value service spells a call: the request that asks for it, and what an outcome of that request means.
 template <typename T, typename Call, typename Outcome>
-concept KeyValueDialect = requires(const Call& call, const Outcome& outcome)
+concept KeyValueCodec = requires(const Call& call, const Outcome& outcome)
 {
     {
         T::encode(call)
@@ -33,7 +33,7 @@
 // The client of a key-value service. Transport (Http1Client, Http2Client) and dialect vary; this class makes sure that
 // every call is sent once at most, and that its callback runs exactly once, never inside the call, and at the latest
 // when the client is destroyed. Not thread-safe: all calls and callbacks happen on the thread of the io_context.
-template <typename Http, typename Dialect> class KeyValueClient {
+template <typename Http, typename Codec> class KeyValueClient {
 public:
     template <typename Value> using Callback = std::function<void(Result<Value>)>;
 
@@ -51,14 +51,14 @@
     // Sends the call once. A call that can't be encoded ends with the encoder's error, unsent.
     template <typename Call> void send(Call call, TimePoint deadline, Callback<typename Call::Value> callback)
     {
-        Result<HttpRequest> request = Dialect::encode(call);
+        Result<HttpRequest> request = Codec::encode(call);
         if (!request) {
             refuseLater([callback = std::move(callback), error = request.error()] { callback(error); });
             return;
         }
         request.value().authority = authority_;
         auto onOutcome = [call = std::move(call), callback = std::move(callback)](
-                             const auto& outcome) { callback(Dialect::decode(call, outcome)); };
+                             const auto& outcome) { callback(Codec::decode(call, outcome)); };
         http_.send(std::move(request).value(), deadline, std::move(onOutcome));
     }
 
--- a/Source/KeyValue/PlatformClient.h
+++ b/Source/KeyValue/PlatformClient.h
@@ -3,7 +3,7 @@
 #include "Core/Endpoint.h"
 #include "KeyValue/KeyValueClient.h"
 #include "KeyValue/Platform.h"
-#include "KeyValue/PlatformDialect.h"
+#include "KeyValue/PlatformCodec.h"
 #include "Net/Http2Client.h"
 
 #include <boost/asio/io_context.hpp>
@@ -42,7 +42,7 @@
     std::uint64_t bytesTransferred() const { return client_.http().bytesTransferred(); }
 
 private:
-    KeyValueClient<Http2Client, PlatformDialect> client_;
+    KeyValueClient<Http2Client, PlatformCodec> client_;
 };
 
 static_assert(PlatformService<PlatformClient>);
--- a/Source/KeyValue/PlatformDialect.cpp
+++ b/Source/KeyValue/PlatformCodec.cpp
@@ -1,4 +1,4 @@
-#include "KeyValue/PlatformDialect.h"
+#include "KeyValue/PlatformCodec.h"
 
 #include "KeyValue/PlatformCall.h"
 #include "KeyValue/PlatformJson.h"
@@ -41,12 +41,12 @@
 
 }
 
-Result<HttpRequest> PlatformDialect::encode(const GetCall& call)
+Result<HttpRequest> PlatformCodec::encode(const GetCall& call)
 {
     return requestOf(PlatformCall::Get, { { "key", call.key } });
 }
 
-Result<HttpRequest> PlatformDialect::encode(const SwapCall& call)
+Result<HttpRequest> PlatformCodec::encode(const SwapCall& call)
 {
     if (call.value.size() > platformValueLimit)
         return Error { ErrorCode::ResourceExhausted,
@@ -58,53 +58,53 @@
     return requestOf(PlatformCall::CompareAndSwap, body);
 }
 
-Result<HttpRequest> PlatformDialect::encode(const WatchCall& call)
+Result<HttpRequest> PlatformCodec::encode(const WatchCall& call)
 {
     return requestOf(PlatformCall::Watch,
         { { "key", call.key }, { "after_revision", call.revision }, { "timeout_ms", call.wait.count() } });
 }
 
-Result<HttpRequest> PlatformDialect::encode(const GrantLeaseCall& call)
+Result<HttpRequest> PlatformCodec::encode(const GrantLeaseCall& call)
 {
     return requestOf(PlatformCall::GrantLease, { { "time_to_live_ms", call.timeToLive.count() } });
 }
 
-Result<HttpRequest> PlatformDialect::encode(const KeepAliveCall& call)
+Result<HttpRequest> PlatformCodec::encode(const KeepAliveCall& call)
 {
     return requestOf(PlatformCall::KeepAlive, { { "lease", call.lease } });
 }
 
-Result<HttpRequest> PlatformDialect::encode(const ListVmsCall&)
+Result<HttpRequest> PlatformCodec::encode(const ListVmsCall&)
 {
     return requestOf(PlatformCall::ListVms, Json::object());
 }
 
-Result<PlatformEntry> PlatformDialect::decode(const GetCall&, const HttpOutcome& outcome)
+Result<PlatformEntry> PlatformCodec::decode(const GetCall&, const HttpOutcome& outcome)
 {
     return readAnswer<PlatformEntry>(PlatformCall::Get, outcome, entryOfJson);
 }
 
-Result<std::uint64_t> PlatformDialect::decode(const SwapCall&, const HttpOutcome& outcome)
+Result<std::uint64_t> PlatformCodec::decode(const SwapCall&, const HttpOutcome& outcome)
 {
     return readAnswer<std::uint64_t>(PlatformCall::CompareAndSwap, outcome, revisionOfJson);
 }
 
-Result<PlatformEntry> PlatformDialect::decode(const WatchCall&, const HttpOutcome& outcome)
+Result<PlatformEntry> PlatformCodec::decode(const WatchCall&, const HttpOutcome& outcome)
 {
     return readAnswer<PlatformEntry>(PlatformCall::Watch, outcome, entryOfJson);
 }
 
-Result<PlatformLease> PlatformDialect::decode(const GrantLeaseCall&, const HttpOutcome& outcome)
+Result<PlatformLease> PlatformCodec::decode(const GrantLeaseCall&, const HttpOutcome& outcome)
 {
     return readAnswer<PlatformLease>(PlatformCall::GrantLease, outcome, leaseOfJson);
 }
 
-Result<PlatformLease> PlatformDialect::decode(const KeepAliveCall&, const HttpOutcome& outcome)
+Result<PlatformLease> PlatformCodec::decode(const KeepAliveCall&, const HttpOutcome& outcome)
 {
     return readAnswer<PlatformLease>(PlatformCall::KeepAlive, outcome, leaseOfJson);
 }
 
-Result<std::vector<Vm>> PlatformDialect::decode(const ListVmsCall&, const HttpOutcome& outcome)
+Result<std::vector<Vm>> PlatformCodec::decode(const ListVmsCall&, const HttpOutcome& outcome)
 {
     return readAnswer<std::vector<Vm>>(PlatformCall::ListVms, outcome, vmsOfJson);
 }
--- a/Source/KeyValue/PlatformDialect.h
+++ b/Source/KeyValue/PlatformCodec.h
@@ -7,7 +7,7 @@
 namespace wisteriadock {
 
 // The project's own spelling of the platform's calls: JSON posted to /v1/NAME (docs/design/platform.md).
-struct PlatformDialect {
+struct PlatformCodec {
     static Result<HttpRequest> encode(const GetCall&);
     static Result<HttpRequest> encode(const SwapCall&);
     static Result<HttpRequest> encode(const WatchCall&);
--- a/Source/Soak/SoakStore.cpp
+++ b/Source/Soak/SoakStore.cpp
@@ -1,6 +1,6 @@
 #include "Soak/SoakStore.h"
 
-#include "platform/StoreDialect.h"
+#include "platform/StoreCodec.h"
 
 #include <algorithm>
 
--- a/Tests/Fuzz/FuzzTargets.cpp
+++ b/Tests/Fuzz/FuzzTargets.cpp
@@ -7,7 +7,7 @@
 #include "Wire/PeerMessageCodec.h"
 #include "platform/ConfigurationText.h"
 #include "platform/PacketLayout.h"
-#include "platform/StoreDialect.h"
+#include "platform/StoreCodec.h"
 #include "platform/StoredValues.h"
 
 #include <array>
@@ -61,8 +61,8 @@
         HttpResponse response;
         response.status = 200;
         response.body = textOf(input);
-        (void)platform::StoreDialect::decode(ListCall {}, response);
-        (void)platform::StoreDialect::decode(ChangesCall {}, response);
+        (void)platform::StoreCodec::decode(ListCall {}, response);
+        (void)platform::StoreCodec::decode(ChangesCall {}, response);
     }
 
     void runPeerNews(std::span<const std::uint8_t> input)
--- a/Tests/PlatformAdapter/StoreDialectTest.cpp
+++ b/Tests/PlatformAdapter/StoreCodecTest.cpp
@@ -1,4 +1,4 @@
-#include "platform/StoreDialect.h"
+#include "platform/StoreCodec.h"
 
 #include <gtest/gtest.h>
 
@@ -18,9 +18,9 @@
         return response;
     }
 
-    TEST(StoreDialectTest, callsAreSpelledAndReadAlike)
+    TEST(StoreCodecTest, callsAreSpelledAndReadAlike)
     {
-        const auto list = StoreDialect::encode(ListCall { "a b/ü", "k&1", true });
+        const auto list = StoreCodec::encode(ListCall { "a b/ü", "k&1", true });
         EXPECT_EQ(list.value().method, "GET");
         EXPECT_EQ(list.value().path, "/kv-range?prefix=a%20b/%C3%BC&after=k%261&allowStale=1");
         const auto readList = listCallOf(list.value());
@@ -29,7 +29,7 @@
         EXPECT_EQ(readList->after, "k&1");
         EXPECT_TRUE(readList->mayBeStale);
 
-        const auto watch = StoreDialect::encode(ChangesCall { "", 411, std::chrono::milliseconds(2500) });
+        const auto watch = StoreCodec::encode(ChangesCall { "", 411, std::chrono::milliseconds(2500) });
         EXPECT_EQ(watch.value().path, "/kv-watch?prefix=&after=411&waitMs=2500");
         const auto readWatch = changesCallOf(watch.value());
         ASSERT_TRUE(readWatch.has_value());
@@ -38,26 +38,26 @@
         EXPECT_FALSE(listCallOf(watch.value()).has_value());
     }
 
-    TEST(StoreDialectTest, answersAreReadWhole)
+    TEST(StoreCodecTest, answersAreReadWhole)
     {
         const PlatformPage page { { { "k", std::string("v\0\xFF", 3), 5, false } }, true, 9 };
-        const auto readPage = StoreDialect::decode(ListCall {}, answer(200, encodePage(page)));
+        const auto readPage = StoreCodec::decode(ListCall {}, answer(200, encodePage(page)));
         ASSERT_TRUE(readPage) << readPage.error().toString();
         EXPECT_EQ(readPage.value().items.front().value, page.items.front().value);
         EXPECT_TRUE(readPage.value().hasMore);
         EXPECT_EQ(readPage.value().revision, 9U);
 
         const PlatformChanges changes { { { "k", {}, 7, true }, { "l", "w", 8, false } }, 8 };
-        const auto readChanges = StoreDialect::decode(ChangesCall {}, answer(200, encodeChanges(changes)));
+        const auto readChanges = StoreCodec::decode(ChangesCall {}, answer(200, encodeChanges(changes)));
         ASSERT_TRUE(readChanges);
         EXPECT_TRUE(readChanges.value().items[0].isRemoved);
         EXPECT_EQ(readChanges.value().items[1].value, "w");
     }
 
-    TEST(StoreDialectTest, eachWayToFailSaysWhatMayBeConcluded)
+    TEST(StoreCodecTest, eachWayToFailSaysWhatMayBeConcluded)
     {
         const auto codeOf
-            = [](const HttpOutcome& outcome) { return StoreDialect::decode(ChangesCall {}, outcome).error().code; };
+            = [](const HttpOutcome& outcome) { return StoreCodec::decode(ChangesCall {}, outcome).error().code; };
         EXPECT_EQ(codeOf(answer(410, "")), ErrorCode::NotFound);
         EXPECT_EQ(codeOf(answer(429, "")), ErrorCode::Unavailable);
         EXPECT_EQ(codeOf(answer(503, "")), ErrorCode::Unavailable);
@@ -73,10 +73,10 @@
     // Symptom: no balancer heard anything any more, of any server.
     // Sequence: one entry's value is no base64, or of another type.
     // Cause: the whole answer was refused for it.
-    TEST(StoreDialectTest, aValueThatCannotBeReadSpoilsNoOther)
+    TEST(StoreCodecTest, aValueThatCannotBeReadSpoilsNoOther)
     {
         for (const char* value : { "\"*\"", "7", "null", "{}" }) {
-            const auto changes = StoreDialect::decode(ChangesCall {},
+            const auto changes = StoreCodec::decode(ChangesCall {},
                 answer(200,
                     fmt::format(R"({{"events":[{{"key":"k","revision":1,"value":{}}},)"
                                 R"({{"key":"l","revision":2,"value":"eA=="}}],"currentRev":2}})",
@@ -89,7 +89,7 @@
         }
     }
 
-    TEST(StoreDialectTest, changedAnswersAreReadOrRefused)
+    TEST(StoreCodecTest, changedAnswersAreReadOrRefused)
     {
         std::mt19937 random(13);
         const std::string text = encodePage({ { { "k", "value", 5, false }, { "l", "w", 6, false } }, true, 9 });
@@ -97,8 +97,8 @@
             std::string changed = text;
             for (std::uint32_t i = random() % 5; i > 0; --i)
                 changed[random() % changed.size()] = static_cast<char>(random());
-            (void)StoreDialect::decode(ListCall {}, answer(200, changed));
-            (void)StoreDialect::decode(ChangesCall {}, answer(200, changed));
+            (void)StoreCodec::decode(ListCall {}, answer(200, changed));
+            (void)StoreCodec::decode(ChangesCall {}, answer(200, changed));
         }
     }
 
