--- a/Source/KeyValue/PlatformCalls.h
+++ b/Source/KeyValue/PlatformCalls.h
@@ -17,7 +17,7 @@
     std::string key;
 };
 
-struct SwapCall {
+struct CompareAndSwapCall {
     using Value = std::uint64_t;
     std::string key;
     // Writes if the key's revision is still this one; 0 means that the key must not exist.
--- a/Source/KeyValue/PlatformClient.cpp
+++ b/Source/KeyValue/PlatformClient.cpp
@@ -35,7 +35,7 @@
 void PlatformClient::compareAndSwap(const std::string& key, std::uint64_t revision, const std::string& value,
     std::optional<std::uint64_t> lease, TimePoint deadline, Callback<std::uint64_t> callback)
 {
-    client_.send(SwapCall { key, revision, value, lease }, deadline, std::move(callback));
+    client_.send(CompareAndSwapCall { key, revision, value, lease }, deadline, std::move(callback));
 }
 
 void PlatformClient::watch(
--- a/Source/KeyValue/PlatformCodec.cpp
+++ b/Source/KeyValue/PlatformCodec.cpp
@@ -46,7 +46,7 @@
     return requestOf(PlatformCall::Get, { { "key", call.key } });
 }
 
-Result<HttpRequest> PlatformCodec::encode(const SwapCall& call)
+Result<HttpRequest> PlatformCodec::encode(const CompareAndSwapCall& call)
 {
     if (call.value.size() > platformValueLimit)
         return Error { ErrorCode::ResourceExhausted,
@@ -84,7 +84,7 @@
     return readAnswer<PlatformEntry>(PlatformCall::Get, outcome, entryOfJson);
 }
 
-Result<std::uint64_t> PlatformCodec::decode(const SwapCall&, const HttpOutcome& outcome)
+Result<std::uint64_t> PlatformCodec::decode(const CompareAndSwapCall&, const HttpOutcome& outcome)
 {
     return readAnswer<std::uint64_t>(PlatformCall::CompareAndSwap, outcome, revisionOfJson);
 }
--- a/Source/KeyValue/PlatformCodec.h
+++ b/Source/KeyValue/PlatformCodec.h
@@ -9,14 +9,14 @@
 // The project's own spelling of the platform's calls: JSON posted to /v1/NAME (docs/design/platform.md).
 struct PlatformCodec {
     static Result<HttpRequest> encode(const GetCall&);
-    static Result<HttpRequest> encode(const SwapCall&);
+    static Result<HttpRequest> encode(const CompareAndSwapCall&);
     static Result<HttpRequest> encode(const WatchCall&);
     static Result<HttpRequest> encode(const GrantLeaseCall&);
     static Result<HttpRequest> encode(const KeepAliveCall&);
     static Result<HttpRequest> encode(const ListVmsCall&);
 
     static Result<PlatformEntry> decode(const GetCall&, const HttpOutcome&);
-    static Result<std::uint64_t> decode(const SwapCall&, const HttpOutcome&);
+    static Result<std::uint64_t> decode(const CompareAndSwapCall&, const HttpOutcome&);
     static Result<PlatformEntry> decode(const WatchCall&, const HttpOutcome&);
     static Result<PlatformLease> decode(const GrantLeaseCall&, const HttpOutcome&);
     static Result<PlatformLease> decode(const KeepAliveCall&, const HttpOutcome&);
