--- a/Source/Balancer/HolderLink.cpp
+++ b/Source/Balancer/HolderLink.cpp
@@ -53,7 +53,7 @@
     if (!receiver || to == self_)
         return;
     std::vector<std::uint8_t> payload = encodeRequestMessage({ to.incarnation, message });
-    if (payload.size() > largestPeerPayload) {
+    if (payload.size() > maxPeerPayloadBytes) {
         sendLong(*receiver, payload);
         return;
     }
--- a/Source/Balancer/PacketWorker.cpp
+++ b/Source/Balancer/PacketWorker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    static_assert(largestProxyHeader <= largestPacketHead);
+    static_assert(maxProxyHeaderBytes <= largestPacketHead);
 
     // No batch takes nearly as long, unless the process did not run meanwhile.
     constexpr std::chrono::milliseconds longestBatch { 500 };
@@ -98,7 +98,7 @@
         };
         break;
     }
-    std::array<std::uint8_t, largestProxyHeader> head {};
+    std::array<std::uint8_t, maxProxyHeaderBytes> head {};
     const std::size_t headBytes = encodeProxyHeader(header, head);
     batch_->queue(std::span(head.data(), headBytes), packet.value().payload, decision.destination);
 }
--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -306,7 +306,7 @@
     for (; next != records_.end(); ++next) {
         const bool withDetails = next->second.isAlive();
         used += bytesOf(next->second.member, withDetails);
-        if (used > largestPeerPayload)
+        if (used > maxPeerPayloadBytes)
             break;
         rows.push_back(rowOf(next->second, withDetails));
     }
@@ -333,7 +333,7 @@
         if (found == records_.end())
             continue;
         used += bytesOf(found->second.member, true);
-        if (used > largestPeerPayload)
+        if (used > maxPeerPayloadBytes)
             break;
         rows.push_back(rowOf(found->second, true));
     }
--- a/Source/Membership/MembersPages.cpp
+++ b/Source/Membership/MembersPages.cpp
@@ -12,7 +12,7 @@
 
     // The size of a page without its packed rows.
     constexpr std::size_t pageOverheadBytes = 24;
-    constexpr std::size_t maxPackedBytes = largestPeerPayload - pageOverheadBytes;
+    constexpr std::size_t maxPackedBytes = maxPeerPayloadBytes - pageOverheadBytes;
     // Packed first; fewer rows are tried if these do not fit.
     constexpr std::size_t maxPackedRows = 96;
     // The largest unpacked size of maxPackedRows rows with the longest names.
--- a/Source/Peers/PeerLink.cpp
+++ b/Source/Peers/PeerLink.cpp
@@ -8,7 +8,7 @@
     const auto onDatagram = [target = link.get()](const Endpoint& sender, std::span<const std::uint8_t> datagram) {
         target->receive(sender, datagram);
     };
-    BOOST_OUTCOME_TRY(socket, UdpSocket::bind(context, endpoint, onDatagram, largestPeerDatagram));
+    BOOST_OUTCOME_TRY(socket, UdpSocket::bind(context, endpoint, onDatagram, maxPeerDatagramBytes));
     link->socket_ = std::move(socket);
     return link;
 }
--- a/Source/StandIns/BackendStandInServer.cpp
+++ b/Source/StandIns/BackendStandInServer.cpp
@@ -93,7 +93,7 @@
 
     // Back the way it came: from the service's address to the client's.
     const ProxyHeader back { packet.value().header.service, packet.value().header.client, std::nullopt };
-    std::array<std::uint8_t, largestProxyHeader> head;
+    std::array<std::uint8_t, maxProxyHeaderBytes> head;
     const std::size_t headSize = encodeProxyHeader(back, head);
     flowSocket_->send(*replyTo_, std::span(head).first(headSize), encodeFlowPayload(*reply));
 }
--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -164,7 +164,7 @@
     packets_.clear();
     flows_.poll(now, packets_);
     for (const CallerPacket& packet : packets_) {
-        std::array<std::uint8_t, largestProxyHeader> head;
+        std::array<std::uint8_t, maxProxyHeaderBytes> head;
         const std::size_t headSize = encodeProxyHeader(packet.header, head);
         socket_->send(options_.fabric, std::span(head).first(headSize), encodeFlowPayload(packet.payload));
     }
--- a/Source/Wire/PeerMessage.cpp
+++ b/Source/Wire/PeerMessage.cpp
@@ -45,10 +45,10 @@
 
 Result<std::vector<std::uint8_t>> encodePeerEnvelope(const PeerEnvelope& envelope)
 {
-    if (envelope.payload.size() > largestPeerPayload) {
+    if (envelope.payload.size() > maxPeerPayloadBytes) {
         return Error { ErrorCode::ResourceExhausted,
             "payload of " + std::to_string(envelope.payload.size()) + " bytes, at most "
-                + std::to_string(largestPeerPayload) + " fit" };
+                + std::to_string(maxPeerPayloadBytes) + " fit" };
     }
     return encodeMessage(WireEnvelope { peerProtocolVersion, envelope.sender.value, envelope.senderIncarnation,
         static_cast<std::uint8_t>(envelope.kind), envelope.payload });
--- a/Source/Wire/PeerMessage.h
+++ b/Source/Wire/PeerMessage.h
@@ -15,13 +15,13 @@
 inline constexpr std::uint8_t peerProtocolVersion = 1;
 
 // The largest datagram between balancers, in bytes; it fits an Ethernet frame with room for tunnels.
-inline constexpr std::size_t largestPeerDatagram = 1200;
+inline constexpr std::size_t maxPeerDatagramBytes = 1200;
 
 // The most bytes that an envelope adds to its payload.
-inline constexpr std::size_t largestPeerEnvelopeOverhead = 24;
+inline constexpr std::size_t maxPeerEnvelopeOverhead = 24;
 
 // The largest payload of one datagram, in bytes.
-inline constexpr std::size_t largestPeerPayload = largestPeerDatagram - largestPeerEnvelopeOverhead;
+inline constexpr std::size_t maxPeerPayloadBytes = maxPeerDatagramBytes - maxPeerEnvelopeOverhead;
 
 // What a datagram between balancers is about, which says who decodes its payload. The numbers are on the wire.
 enum class PeerMessageKind : std::uint8_t {
@@ -53,7 +53,7 @@
     bool operator==(const PeerEnvelope&) const = default;
 };
 
-// Writes one datagram. Fails with ResourceExhausted when the payload is larger than largestPeerPayload.
+// Writes one datagram. Fails with ResourceExhausted when the payload is larger than maxPeerPayloadBytes.
 Result<std::vector<std::uint8_t>> encodePeerEnvelope(const PeerEnvelope&);
 
 // Reads one datagram. Anything but one whole envelope of a known version and kind gives InvalidArgument.
--- a/Source/Wire/PeerMessageCodec.h
+++ b/Source/Wire/PeerMessageCodec.h
@@ -15,7 +15,7 @@
 namespace wisteriadock {
 
 // The deepest nesting of arrays in a message between balancers.
-inline constexpr std::size_t deepestPeerMessage = 6;
+inline constexpr std::size_t maxPeerMessageDepth = 6;
 
 // Writes a struct that has MSGPACK_DEFINE_ARRAY.
 template <typename Message> std::vector<std::uint8_t> encodeMessage(const Message& message)
@@ -29,12 +29,12 @@
 // Fields that are missing at the end keep their defaults and unknown ones after the end are skipped, so that balancers
 // of two versions understand each other while one replaces the other.
 template <typename Message>
-Result<Message> decodeMessage(std::span<const std::uint8_t> bytes, std::size_t largest = largestPeerDatagram)
+Result<Message> decodeMessage(std::span<const std::uint8_t> bytes, std::size_t largest = maxPeerDatagramBytes)
 {
     if (bytes.empty() || bytes.size() > largest)
         return Error { ErrorCode::InvalidArgument, "message of " + std::to_string(bytes.size()) + " bytes" };
     // Without limits a few bytes that claim a huge array make the decoder reserve gigabytes.
-    const msgpack::unpack_limit limit(largest, largest, largest, largest, largest, deepestPeerMessage);
+    const msgpack::unpack_limit limit(largest, largest, largest, largest, largest, maxPeerMessageDepth);
     // The library reports by exceptions, which end here.
     try {
         std::size_t offset = 0;
--- a/Source/Wire/ProxyHeader.cpp
+++ b/Source/Wire/ProxyHeader.cpp
@@ -41,12 +41,12 @@
     constexpr std::size_t addressesSize = 12;
     constexpr std::size_t tlvOffset = addressesOffset + addressesSize;
 
-    constexpr std::size_t tlvHeadSize = 3;
+    constexpr std::size_t tlvHeaderSize = 3;
     // The first type of the range that the protocol leaves to applications (0xE0 to 0xEF).
     constexpr std::uint8_t forwardMarkType = 0xE0;
     constexpr std::size_t forwardMarkSize = 5;
 
-    static_assert(tlvOffset + tlvHeadSize + forwardMarkSize <= largestProxyHeader);
+    static_assert(tlvOffset + tlvHeaderSize + forwardMarkSize <= maxProxyHeaderBytes);
 
     Error malformed(std::string what) { return { ErrorCode::InvalidArgument, fmt::format("PROXY header: {}", what) }; }
 
@@ -60,11 +60,11 @@
     {
         std::optional<ForwardMark> mark;
         while (!tlvs.empty()) {
-            if (tlvs.size() < tlvHeadSize)
-                return malformed(fmt::format("{} bytes left where a TLV needs {}", tlvs.size(), tlvHeadSize));
+            if (tlvs.size() < tlvHeaderSize)
+                return malformed(fmt::format("{} bytes left where a TLV needs {}", tlvs.size(), tlvHeaderSize));
             const std::uint8_t type = tlvs[0];
             const std::size_t size = load_big_u16(tlvs.data() + 1);
-            tlvs = tlvs.subspan(tlvHeadSize);
+            tlvs = tlvs.subspan(tlvHeaderSize);
             if (size > tlvs.size())
                 return malformed(fmt::format("TLV {:#04x} of {} bytes where {} are left", type, size, tlvs.size()));
 
@@ -101,9 +101,9 @@
         std::uint8_t* const tlv = data + size;
         tlv[0] = forwardMarkType;
         store_big_u16(tlv + 1, forwardMarkSize);
-        tlv[tlvHeadSize] = header.forwardMark->hops;
-        store_big_u32(tlv + tlvHeadSize + 1, header.forwardMark->origin.value);
-        size += tlvHeadSize + forwardMarkSize;
+        tlv[tlvHeaderSize] = header.forwardMark->hops;
+        store_big_u32(tlv + tlvHeaderSize + 1, header.forwardMark->origin.value);
+        size += tlvHeaderSize + forwardMarkSize;
     }
     store_big_u16(data + lengthOffset, static_cast<std::uint16_t>(size - addressesOffset));
     return size;
--- a/Source/Wire/ProxyHeader.h
+++ b/Source/Wire/ProxyHeader.h
@@ -38,9 +38,9 @@
 };
 
 // The largest header that encodeProxyHeader writes, in bytes.
-inline constexpr std::size_t largestProxyHeader = 64;
+inline constexpr std::size_t maxProxyHeaderBytes = 64;
 
-// Writes the header into the buffer and returns its size. The buffer holds largestProxyHeader bytes or more.
+// Writes the header into the buffer and returns its size. The buffer holds maxProxyHeaderBytes bytes or more.
 std::size_t encodeProxyHeader(const ProxyHeader&, std::span<std::uint8_t> buffer);
 
 // Reads a datagram. Anything that is not a whole PROXY v2 DGRAM-over-IPv4 header gives InvalidArgument.
--- a/Tests/Balancer/BalancerDaemonTest.cpp
+++ b/Tests/Balancer/BalancerDaemonTest.cpp
@@ -124,7 +124,7 @@
         {
             SCOPED_TRACE("a packet of a flow");
             const ProxyHeader header { { 0xcb007101, 50000 }, tryonAddress, {} };
-            std::vector<std::uint8_t> datagram(largestProxyHeader);
+            std::vector<std::uint8_t> datagram(maxProxyHeaderBytes);
             datagram.resize(encodeProxyHeader(header, datagram));
             flowDoor_->send(addresses_.flow, datagram);
             runUntil([this] { return !packets_.empty(); });
--- a/Tests/Balancer/PacketPathTest.cpp
+++ b/Tests/Balancer/PacketPathTest.cpp
@@ -21,7 +21,7 @@
 
     std::vector<std::uint8_t> makeDatagram(const ProxyHeader& header, std::string_view payload)
     {
-        std::vector<std::uint8_t> datagram(largestProxyHeader);
+        std::vector<std::uint8_t> datagram(maxProxyHeaderBytes);
         datagram.resize(encodeProxyHeader(header, datagram));
         datagram.insert(datagram.end(), payload.begin(), payload.end());
         return datagram;
--- a/Tests/Membership/MembersPagesTest.cpp
+++ b/Tests/Membership/MembersPagesTest.cpp
@@ -38,7 +38,7 @@
             std::uint32_t after = 0;
             for (pages = 1;; ++pages) {
                 const MembersPageMessage page = pageFor({ after, {}, takesPacked }, table_);
-                EXPECT_LE(encodeMessage(page).size(), largestPeerPayload);
+                EXPECT_LE(encodeMessage(page).size(), maxPeerPayloadBytes);
                 EXPECT_EQ(page.packedRows.empty(), !takesPacked);
                 const auto rows = rowsOf(page);
                 if (!rows || rows.value().empty())
--- a/Tests/Wire/PeerMessageTest.cpp
+++ b/Tests/Wire/PeerMessageTest.cpp
@@ -39,16 +39,16 @@
     TEST(PeerMessageTest, keepsDatagramsWithinTheirBound)
     {
         PeerEnvelope envelope = sampleEnvelope();
-        envelope.payload.assign(largestPeerPayload, 0xAB);
+        envelope.payload.assign(maxPeerPayloadBytes, 0xAB);
         const auto largest = encodePeerEnvelope(envelope);
         ASSERT_TRUE(largest);
-        EXPECT_LE(largest.value().size(), largestPeerDatagram);
+        EXPECT_LE(largest.value().size(), maxPeerDatagramBytes);
         EXPECT_TRUE(decodePeerEnvelope(largest.value()));
 
         envelope.payload.push_back(0xAB);
         ASSERT_FALSE(encodePeerEnvelope(envelope));
         EXPECT_EQ(encodePeerEnvelope(envelope).error().code, ErrorCode::ResourceExhausted);
-        EXPECT_FALSE(decodePeerEnvelope(std::vector<std::uint8_t>(largestPeerDatagram + 1, 0)));
+        EXPECT_FALSE(decodePeerEnvelope(std::vector<std::uint8_t>(maxPeerDatagramBytes + 1, 0)));
     }
 
     TEST(PeerMessageTest, refusesUnknownVersionsAndKinds)
--- a/Tests/Wire/ProxyHeaderTest.cpp
+++ b/Tests/Wire/ProxyHeaderTest.cpp
@@ -15,7 +15,7 @@
     protected:
         static Bytes datagramOf(const ProxyHeader& header, const Bytes& payload)
         {
-            Bytes datagram(largestProxyHeader);
+            Bytes datagram(maxProxyHeaderBytes);
             datagram.resize(encodeProxyHeader(header, datagram));
             datagram.insert(datagram.end(), payload.begin(), payload.end());
             return datagram;
