--- a/Source/Forwarder/PeerNews.cpp
+++ b/Source/Forwarder/PeerNews.cpp
@@ -199,7 +199,7 @@
         rowOf(
             "membership", { PeerMessageKind::Heartbeat, PeerMessageKind::ProbeRequest, PeerMessageKind::ProbeResult }),
         rowOf("member_pages", { PeerMessageKind::MembersRequest, PeerMessageKind::MembersPage }),
-        rowOf("pushes", { PeerMessageKind::News }),
+        rowOf("pushes", { PeerMessageKind::ReplicaSync }),
         { "fetches_asked", fetchNumber_, 0, asked },
         { "fetches_served", fetchesServed_, server_->bytesTransferred(), 0 },
     };
@@ -208,7 +208,7 @@
 void PeerNews::receive(const PeerEnvelope& envelope, const Endpoint& sender)
 {
     const TimePoint now = Clock::now();
-    if (envelope.kind != PeerMessageKind::News) {
+    if (envelope.kind != PeerMessageKind::ReplicaSync) {
         perform(membership_.handle(PeerMessageReceived { sender, envelope }, now), now);
         return;
     }
@@ -271,7 +271,7 @@
     link_->send(push.to,
         { .sender = membership_.view()->self,
             .senderIncarnation = membership_.selfIncarnation(),
-            .kind = PeerMessageKind::News,
+            .kind = PeerMessageKind::ReplicaSync,
             .payload = encodeMessage(push.delta) });
 }
 
--- a/Source/Wire/PeerMessage.cpp
+++ b/Source/Wire/PeerMessage.cpp
@@ -16,7 +16,7 @@
         { PeerMessageKind::Configuration, "configuration" },
         { PeerMessageKind::FlowControl, "flow_control" },
         { PeerMessageKind::Request, "request" },
-        { PeerMessageKind::News, "news" },
+        { PeerMessageKind::ReplicaSync, "news" },
     });
 
     bool isKnown(PeerMessageKind kind)
--- a/Source/Wire/PeerMessage.h
+++ b/Source/Wire/PeerMessage.h
@@ -33,7 +33,7 @@
     Configuration = 6,
     FlowControl = 7,
     Request = 8,
-    News = 9, // What the platform's store holds, from a balancer that watches it.
+    ReplicaSync = 9, // What the platform's store holds, from a balancer that watches it.
 };
 
 // One more than the highest kind.
