--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -34,7 +34,7 @@
         , log_(log)
         , metrics_(metrics)
         , onContradiction_(std::move(onContradiction))
-        , batch_(PacketWait::Never, Adapter::largestPacket)
+        , batch_(PacketWait::Never, Adapter::maxPacketBytes)
     {
     }
     // The socket closes its descriptor itself.
--- a/Tests/Fuzz/FuzzTargets.cpp
+++ b/Tests/Fuzz/FuzzTargets.cpp
@@ -31,7 +31,7 @@
         const auto packet = platform::decodePacket(input);
         if (!packet)
             return;
-        require(packet->payloadBytes + platform::packetHeadBytes == input.size());
+        require(packet->payloadBytes + platform::packetHeaderBytes == input.size());
         std::vector<std::uint8_t> copy(input.begin(), input.end());
         platform::writeToken(copy, 7);
         require(platform::decodePacket(copy)->token == 7);
--- a/Tests/PlatformAdapter/PacketLayoutTest.cpp
+++ b/Tests/PlatformAdapter/PacketLayoutTest.cpp
@@ -11,9 +11,9 @@
 
     std::vector<std::uint8_t> packetOf(const TokenPacket& packet)
     {
-        const PacketHead head = encodeHead(packet);
+        const PacketHeader head = encodeHeader(packet);
         std::vector<std::uint8_t> bytes(head.begin(), head.end());
-        bytes.resize(packetHeadBytes + packet.payloadBytes, 0x5A);
+        bytes.resize(packetHeaderBytes + packet.payloadBytes, 0x5A);
         return bytes;
     }
 
@@ -56,7 +56,7 @@
 
     TEST(PacketLayoutTest, aResetComesFromTheRouteAndIsNearTheAcknowledgement)
     {
-        const PacketHead reset = encodeReset(example());
+        const PacketHeader reset = encodeReset(example());
         const auto decoded = decodePacket(reset);
         ASSERT_TRUE(decoded.has_value());
         EXPECT_EQ(decoded->ends.caller, example().ends.route);
@@ -86,7 +86,7 @@
             EXPECT_FALSE(decodePacket(flagged).has_value()) << int(unknown);
         }
         TokenPacket huge = example();
-        huge.payloadBytes = largestPayload + 1;
+        huge.payloadBytes = maxPayloadBytes + 1;
         EXPECT_FALSE(decodePacket(packetOf(huge)).has_value());
     }
 
@@ -100,7 +100,7 @@
             for (int change = 0; change < 4 && !bytes.empty(); ++change)
                 bytes[random() % bytes.size()] = static_cast<std::uint8_t>(random());
             const auto packet = decodePacket(bytes);
-            EXPECT_TRUE(!packet || packet->payloadBytes + packetHeadBytes == bytes.size());
+            EXPECT_TRUE(!packet || packet->payloadBytes + packetHeaderBytes == bytes.size());
         }
     }
 
