--- a/Source/Forwarder/NewsApplier.h
+++ b/Source/Forwarder/NewsApplier.h
@@ -33,7 +33,7 @@
         for (const StoreUpdate& item : news.items) {
             if (item.key == Adapter::configurationKey)
                 applyConfiguration(item, news, now);
-            else if (const auto zone = Adapter::emptiedZoneOf(item.key))
+            else if (const auto zone = Adapter::evacuatedZoneOf(item.key))
                 applyZoneOrder(*zone, item, news, now);
             else if (const auto id = Adapter::serverIdOf(item.key))
                 std::ranges::move(applyServer(*id, item, news, now), std::back_inserter(transitions));
--- a/Source/Soak/SoakSteps.cpp
+++ b/Source/Soak/SoakSteps.cpp
@@ -252,7 +252,7 @@
 // What another writer leaves under the servers' keys names no server, and does no harm to the entries beside it.
 void SoakRun::writeForeignEntries(const SoakStep& step, TimePoint now)
 {
-    const std::vector<std::string> values = platform::unusableServerEntries();
+    const std::vector<std::string> values = platform::invalidServerEntries();
     for (std::size_t i = 0; i < values.size(); ++i) {
         const std::string key = platform::serverKeyOf(fmt::format("foreign-{:x}", i + 1));
         store_->put(key, values[i]);
@@ -270,7 +270,7 @@
 {
     constexpr auto beyondTheBound = 4s;
     const std::string zone = zoneOf(step);
-    const std::string key = platform::emptiedZoneKeyOf(zone);
+    const std::string key = platform::evacuatedZoneKeyOf(zone);
     store_->put(key, "{}");
     judge_.noteZoneEmptied(zone, now);
     after(step.length + beyondTheBound, now, [this, zone, key] {
--- a/Tests/PlatformAdapter/StoredValuesTest.cpp
+++ b/Tests/PlatformAdapter/StoredValuesTest.cpp
@@ -108,7 +108,7 @@
         EXPECT_FALSE(with("address", "0.0.0.0:80"));
         for (const char* id : { "zz", "i-0", "i-0123456789abcdef0", "---" })
             EXPECT_FALSE(decodeServer(id, entryText)) << id;
-        for (const std::string& entry : unusableServerEntries())
+        for (const std::string& entry : invalidServerEntries())
             EXPECT_FALSE(decodeServer("i-1", entry)) << entry;
         for (const char* bytes : { "", "\xff\xfe", "[1]", "{\"service\":\"\xff\"}", "{\"service\":" })
             EXPECT_FALSE(decodeServer("i-1", bytes));
@@ -136,10 +136,10 @@
         EXPECT_EQ(serverIdOf(serverKeyOf("i-2")), "i-2");
         EXPECT_FALSE(serverIdOf("servers/").has_value());
         EXPECT_FALSE(serverIdOf("op/config").has_value());
-        EXPECT_EQ(emptiedZoneOf("op/evacuate/walu"), "walu");
-        EXPECT_EQ(emptiedZoneOf(emptiedZoneKeyOf("nabua")), "nabua");
-        EXPECT_FALSE(emptiedZoneOf("op/evacuate/").has_value());
-        EXPECT_FALSE(emptiedZoneOf("op/config").has_value());
+        EXPECT_EQ(evacuatedZoneOf("op/evacuate/walu"), "walu");
+        EXPECT_EQ(evacuatedZoneOf(evacuatedZoneKeyOf("nabua")), "nabua");
+        EXPECT_FALSE(evacuatedZoneOf("op/evacuate/").has_value());
+        EXPECT_FALSE(evacuatedZoneOf("op/config").has_value());
         EXPECT_FALSE(serverIdOf("op/evacuate/walu").has_value());
     }
 
