--- a/Source/Core/EventLog.cpp
+++ b/Source/Core/EventLog.cpp
@@ -42,9 +42,9 @@
     // Room for the fields of nearly every line, so that a line is allocated once.
     constexpr std::size_t usualFieldBytes = 512;
 
-    LineRank rankOf(std::string_view part)
+    LinePriority priorityOf(std::string_view part)
     {
-        return part == "flow" || part == "server" ? LineRank::Bulk : LineRank::Story;
+        return part == "flow" || part == "server" ? LinePriority::Low : LinePriority::High;
     }
 
     // Hands spdlog's messages, which are whole lines already, to the buffer.
@@ -56,18 +56,18 @@
         }
 
         // Of the next message.
-        void setRank(LineRank rank) { rank_ = rank; }
+        void setPriority(LinePriority priority) { priority_ = priority; }
 
     protected:
         void sink_it_(const spdlog::details::log_msg& message) override
         {
-            buffer_->add({ message.payload.data(), message.payload.size() }, rank_);
+            buffer_->add({ message.payload.data(), message.payload.size() }, priority_);
         }
         void flush_() override { buffer_->flush(); }
 
     private:
         std::shared_ptr<LineBuffer> buffer_;
-        LineRank rank_ = LineRank::Story;
+        LinePriority priority_ = LinePriority::High;
     };
 
     spdlog::level::level_enum toSpdlog(LogLevel level)
@@ -97,64 +97,64 @@
         ::fcntl(descriptor_, F_SETFL, flags | O_NONBLOCK);
 }
 
-bool LineBuffer::add(std::string_view line, LineRank rank)
+bool LineBuffer::add(std::string_view line, LinePriority priority)
 {
-    std::string& lines = rank == LineRank::Story ? story_ : bulk_;
+    std::string& lines = priority == LinePriority::High ? highPriority_ : lowPriority_;
     std::string note;
-    if (droppedUnsaid_ > 0)
-        note = fmt::format("{{\"part\":\"log\",\"event\":\"lines_dropped\",\"count\":{}}}\n", droppedUnsaid_);
+    if (unreportedDrops_ > 0)
+        note = fmt::format("{{\"part\":\"log\",\"event\":\"lines_dropped\",\"count\":{}}}\n", unreportedDrops_);
     if (lines.size() + note.size() + line.size() + 1 > capacity_) {
         ++dropped_;
-        ++droppedUnsaid_;
+        ++unreportedDrops_;
         return false;
     }
     lines += note;
-    droppedUnsaid_ = 0;
+    unreportedDrops_ = 0;
     lines += line;
     lines += '\n';
     ++lines_;
     return true;
 }
 
-bool LineBuffer::flush() { return writePiece() && !isEmpty(); }
+bool LineBuffer::flush() { return writeChunk() && !isEmpty(); }
 
 void LineBuffer::flushAll()
 {
-    while (writePiece()) { }
+    while (writeChunk()) { }
 }
 
 // True when it wrote something.
-bool LineBuffer::writePiece()
+bool LineBuffer::writeChunk()
 {
-    if (piece_.empty())
-        fillPiece(story_);
-    if (piece_.size() < pieceBytes)
-        fillPiece(bulk_);
-    if (piece_.empty())
+    if (chunk_.empty())
+        fillChunk(highPriority_);
+    if (chunk_.size() < chunkBytes)
+        fillChunk(lowPriority_);
+    if (chunk_.empty())
         return false;
     ssize_t written = -1;
     do
-        written = ::write(descriptor_, piece_.data(), piece_.size());
+        written = ::write(descriptor_, chunk_.data(), chunk_.size());
     while (written < 0 && errno == EINTR);
     // A full pipe is tried again at the next flush. What can never be written only fills the buffer.
     if (written <= 0)
         return false;
-    piece_.erase(0, static_cast<std::size_t>(written));
+    chunk_.erase(0, static_cast<std::size_t>(written));
     return true;
 }
 
 // Moves as many whole lines as the piece has room for, and one in any case into an empty piece.
-void LineBuffer::fillPiece(std::string& lines)
+void LineBuffer::fillChunk(std::string& queue)
 {
-    const std::size_t room = pieceBytes - std::min(pieceBytes, piece_.size());
+    const std::size_t room = chunkBytes - std::min(chunkBytes, chunk_.size());
     std::size_t end = lines.size();
     if (end > room) {
         const std::size_t last = room == 0 ? std::string::npos : lines.rfind('\n', room - 1);
         end = last == std::string::npos ? 0 : last + 1;
     }
-    if (end == 0 && piece_.empty() && !lines.empty())
+    if (end == 0 && chunk_.empty() && !lines.empty())
         end = lines.find('\n') + 1;
-    piece_.append(lines, 0, end);
+    chunk_.append(lines, 0, end);
     lines.erase(0, end);
 }
 
@@ -232,18 +232,18 @@
 
 bool EventLog::admits(std::string_view part, std::string_view event, TimePoint now)
 {
-    if (now >= second_ + std::chrono::seconds(1))
+    if (now >= secondStart_ + std::chrono::seconds(1))
         beginSecond(now);
     std::string kind;
     kind.reserve(part.size() + event.size() + 1);
     ((kind += part) += '.') += event;
-    Spending& spending = spent_[kind];
-    if (spending.lines >= budget_) {
-        ++spending.leftOut;
-        ++leftOut_;
+    Usage& usage = usages_[kind];
+    if (usage.lines >= budget_) {
+        ++usage.suppressed;
+        ++suppressed_;
         return false;
     }
-    ++spending.lines;
+    ++usage.lines;
     return true;
 }
 
@@ -271,13 +271,13 @@
         origin_.availabilityZone, origin_.incarnation);
     line += fields.fields_;
     line += '}';
-    implementation_->sink->setRank(rankOf(part));
+    implementation_->sink->setPriority(priorityOf(part));
     implementation_->logger.log(toSpdlog(level), spdlog::string_view_t(line.data(), line.size()));
 }
 
 bool EventLog::flush(TimePoint now)
 {
-    if (now >= second_ + std::chrono::seconds(1))
+    if (now >= secondStart_ + std::chrono::seconds(1))
         beginSecond(now);
     return buffer_->flush();
 }
@@ -290,12 +290,12 @@
 
 void EventLog::beginSecond(TimePoint now)
 {
-    second_ = now;
-    const auto spent = std::exchange(spent_, {});
-    for (const auto& [kind, spending] : spent) {
-        if (spending.leftOut > 0)
+    secondStart_ = now;
+    const auto usages = std::exchange(usages_, {});
+    for (const auto& [kind, usage] : usages) {
+        if (usage.suppressed > 0)
             writeAdmitted(LogLevel::Warning, "log", "left_out",
-                Event().add("kind", kind).add("count", spending.leftOut).add("budget_per_s", budget_), now);
+                Event().add("kind", kind).add("count", usage.suppressed).add("budget_per_s", budget_), now);
     }
 }
 
--- a/Source/Core/EventLog.h
+++ b/Source/Core/EventLog.h
@@ -14,9 +14,9 @@
 namespace wisteriadock {
 
 // Which lines go first when there are more than a reader takes.
-enum class LineRank {
-    Story, // What became of the process, the store, the configuration and the other balancers.
-    Bulk, // Single flows and servers, of which there may be hundreds at once.
+enum class LinePriority {
+    High, // What became of the process, the store, the configuration and the other balancers.
+    Low, // Single flows and servers, of which there may be hundreds at once.
 };
 
 // Where lines go until they are written: a bounded buffer in front of a descriptor that may be a pipe nobody reads.
@@ -29,37 +29,37 @@
     // Room for some seconds of lines at the usual load; with a stuck reader, memory stays bounded by it.
     static constexpr std::size_t defaultCapacity = std::size_t(256) * 1024;
     // What a pipe takes as a whole (PIPE_BUF). A longer line is a piece by itself.
-    static constexpr std::size_t pieceBytes = 4096;
+    static constexpr std::size_t chunkBytes = 4096;
     // Between two pieces: 160 KB a second at most.
-    static constexpr std::chrono::milliseconds pause { 25 };
+    static constexpr std::chrono::milliseconds chunkInterval { 25 };
 
     explicit LineBuffer(int descriptor, std::size_t capacity = defaultCapacity);
 
     // Takes a line without its end. False when it was dropped.
-    bool add(std::string_view line, LineRank = LineRank::Bulk);
+    bool add(std::string_view line, LinePriority = LinePriority::Low);
     // Writes one piece, the story first. True when the descriptor took it and more is left.
     bool flush();
     // Writes what the descriptor takes at once, for a process that ends.
     void flushAll();
 
-    bool isEmpty() const { return piece_.empty() && story_.empty() && bulk_.empty(); }
+    bool isEmpty() const { return chunk_.empty() && highPriority_.empty() && lowPriority_.empty(); }
     std::uint64_t dropped() const { return dropped_; }
     std::uint64_t lines() const { return lines_; }
 
 private:
-    bool writePiece();
-    void fillPiece(std::string& lines);
+    bool writeChunk();
+    void fillChunk(std::string& queue);
 
     const int descriptor_;
     const std::size_t capacity_;
     // What is being written; empty, or begun with a whole line.
-    std::string piece_;
+    std::string chunk_;
     // Each may fill the capacity, so that neither drops lines of the other.
-    std::string story_;
-    std::string bulk_;
+    std::string highPriority_;
+    std::string lowPriority_;
     std::uint64_t lines_ = 0;
     std::uint64_t dropped_ = 0;
-    std::uint64_t droppedUnsaid_ = 0;
+    std::uint64_t unreportedDrops_ = 0;
 };
 
 // What every line of a process carries.
@@ -115,20 +115,20 @@
     // The same for a line that admits() let through.
     void writeAdmitted(LogLevel, std::string_view part, std::string_view event, const Event&, TimePoint now);
     // Hands a piece of the lines so far to the descriptor, and reports what was left out in the seconds before. True
-    // when it is to be called again after LineBuffer::pause; a reader that takes nothing is tried again later.
+    // when it is to be called again after LineBuffer::chunkInterval; a reader that takes nothing is tried again later.
     bool flush(TimePoint now);
 
     void setLevel(LogLevel);
     LogLevel level() const { return level_; }
     void setBudget(std::uint32_t linesPerSecond) { budget_ = linesPerSecond; }
     LineBuffer& buffer() { return *buffer_; }
-    std::uint64_t leftOut() const { return leftOut_; }
+    std::uint64_t suppressed() const { return suppressed_; }
 
 private:
     struct Implementation;
-    struct Spending {
+    struct Usage {
         std::uint32_t lines = 0;
-        std::uint64_t leftOut = 0;
+        std::uint64_t suppressed = 0;
     };
 
     void beginSecond(TimePoint now);
@@ -138,9 +138,9 @@
     std::unique_ptr<Implementation> implementation_;
     LogLevel level_ = LogLevel::Info;
     std::uint32_t budget_;
-    std::uint64_t leftOut_ = 0;
-    TimePoint second_ = TimePoint::min();
-    std::unordered_map<std::string, Spending> spent_;
+    std::uint64_t suppressed_ = 0;
+    TimePoint secondStart_ = TimePoint::min();
+    std::unordered_map<std::string, Usage> usages_;
 };
 
 }
--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -239,7 +239,7 @@
     {
         if (!log_.flush(now))
             return;
-        logTimer_.expires_after(LineBuffer::pause);
+        logTimer_.expires_after(LineBuffer::chunkInterval);
         logTimer_.async_wait([this](const boost::system::error_code& error) {
             if (!error)
                 flushLog(Clock::now());
--- a/Source/Forwarder/ForwarderAnswers.h
+++ b/Source/Forwarder/ForwarderAnswers.h
@@ -73,7 +73,7 @@
         readings.isWatching = store_.feed().isWatching();
         readings.logLines = log_.buffer().lines();
         readings.logDropped = log_.buffer().dropped();
-        readings.logLeftOut = log_.leftOut();
+        readings.logLeftOut = log_.suppressed();
         readings.traffic = traffic();
         readings.peerBytes = peers_.bytesTransferred();
         readings.storeBytes = store_.bytesTransferred();
--- a/Tests/Core/EventLogTest.cpp
+++ b/Tests/Core/EventLogTest.cpp
@@ -93,7 +93,7 @@
         std::string text = pipe.read();
         EXPECT_EQ(countOf(text, "\"event\":\"malformed\""), 10U);
         EXPECT_EQ(countOf(text, "\"event\":\"stopping\""), 1U);
-        EXPECT_EQ(log.leftOut(), 490U);
+        EXPECT_EQ(log.suppressed(), 490U);
 
         clock.advance(1s);
         log.flush(clock.now());
