--- a/Source/Balancer/BalancerSettings.cpp
+++ b/Source/Balancer/BalancerSettings.cpp
@@ -131,8 +131,8 @@
             { RequestPolicy::Default, "default" },
             { RequestPolicy::BlindRetry, "blind_retry" },
         });
-        section.named("at_most_once", settings.isAtMostOnce, switchNames);
-        section.named("policy", settings.requestPolicy, policyNames);
+        section.enumeration("at_most_once", settings.isAtMostOnce, switchNames);
+        section.enumeration("policy", settings.requestPolicy, policyNames);
         readZones(section, settings.availabilityZone, settings.availabilityZones);
     }
 
--- a/Source/Configuration/ConfigurationParser.cpp
+++ b/Source/Configuration/ConfigurationParser.cpp
@@ -44,7 +44,7 @@
         section.integer(keys::slots, server.slots, 1U, maxSlots);
         section.integer(keys::connections, server.connections, 1U, maxConnections);
         section.integer(keys::weight, server.weight, 1U, maxWeight);
-        section.named(keys::state, server.state, backendServerStateNames);
+        section.enumeration(keys::state, server.state, backendServerStateNames);
         section.integer(keys::slowStartSeconds, server.slowStartSeconds, 0U, maxSlowStartSeconds);
         return { std::move(server), std::move(serviceName), &section };
     }
--- a/Source/Model/ModelScenario.cpp
+++ b/Source/Model/ModelScenario.cpp
@@ -86,7 +86,7 @@
         fault.name = section.instanceName();
         if (!section.has("kind"))
             section.addProblem("kind", "a kind of fault");
-        section.named("kind", fault.kind, faultNames);
+        section.enumeration("kind", fault.kind, faultNames);
         section.milliseconds("at_milliseconds", fault.at, 0ms, length);
         section.milliseconds("length_milliseconds", fault.length, 0ms, longest);
         section.number("share", fault.share, 0, 1);
--- a/Source/Settings/SectionReader.cpp
+++ b/Source/Settings/SectionReader.cpp
@@ -150,7 +150,7 @@
 
 void SectionReader::boolean(std::string_view key, bool& target, Presence presence)
 {
-    named(key, target, booleanNames, presence);
+    enumeration(key, target, booleanNames, presence);
 }
 
 void SectionReader::addProblem(std::string_view key, std::string expected)
--- a/Source/Settings/SectionReader.h
+++ b/Source/Settings/SectionReader.h
@@ -64,7 +64,7 @@
     void boolean(std::string_view key, bool& target, Presence = Presence::Optional);
 
     template <typename Enum, std::size_t Size>
-    void named(
+    void enumeration(
         std::string_view key, Enum& target, const NameTable<Enum, Size>& names, Presence presence = Presence::Optional)
     {
         const IniEntry* entry = declare(key, presence);
--- a/Tests/Settings/SettingsReaderTest.cpp
+++ b/Tests/Settings/SettingsReaderTest.cpp
@@ -40,7 +40,7 @@
             SectionReader& section = reader.section("paint", Presence::Required);
             section.integer("coats", paint_.coats, 1U, 9U);
             section.number("gloss", paint_.gloss, 0, 1);
-            section.named("color", paint_.color, colorNames);
+            section.enumeration("color", paint_.color, colorNames);
             section.milliseconds("drying_milliseconds", paint_.drying, 1ms, 60s);
             section.endpoint("shop", paint_.shop, Presence::Required);
             section.endpoints("others", paint_.others);
