--- a/Source/Settings/IniDocument.cpp
+++ b/Source/Settings/IniDocument.cpp
@@ -80,7 +80,7 @@
     void run()
     {
         ini_parse_stream(&IniLineReader::readLine, this, &IniLineReader::handleEntry, this);
-        checkLastLineWasTaken();
+        checkLastLineWasParsed();
     }
 
 private:
@@ -91,13 +91,13 @@
 
     static int handleEntry(void* self, const char*, const char* key, const char* value)
     {
-        static_cast<IniLineReader*>(self)->takeEntry(key, value);
+        static_cast<IniLineReader*>(self)->addEntry(key, value);
         return 1;
     }
 
     char* nextLine(char* buffer, std::size_t size)
     {
-        checkLastLineWasTaken();
+        checkLastLineWasParsed();
         if (rest_.empty())
             return nullptr;
 
@@ -106,10 +106,10 @@
         rest_.remove_prefix(std::min(lineEnd + 1, rest_.size()));
         ++lineNumber_;
 
-        const bool isForIni = checkLine(line, size);
-        const std::size_t length = isForIni ? line.copy(buffer, line.size()) : 0;
+        const bool isKeyValueLine = checkLine(line, size);
+        const std::size_t length = isKeyValueLine ? line.copy(buffer, line.size()) : 0;
         buffer[length] = '\0';
-        if (isForIni)
+        if (isKeyValueLine)
             pendingLine_ = line;
         return buffer;
     }
@@ -141,13 +141,13 @@
         const std::string_view rest = close == std::string_view::npos ? "" : trim(line.substr(close + 1));
         if (name.empty() || !(rest.empty() || isComment(rest))) {
             // The keys below belong to a section nobody can name; they are read so that their syntax is checked.
-            isSkipping_ = true;
+            isSkippingSection_ = true;
             addProblem({}, line, "a section header such as [section], alone on its line");
             return;
         }
 
         const auto [known, isNew] = lineOfSection_.emplace(name, lineNumber_);
-        isSkipping_ = !isNew;
+        isSkippingSection_ = !isNew;
         if (isNew) {
             document_.sections_.push_back({ name, lineNumber_, {} });
             return;
@@ -156,14 +156,14 @@
             fmt::format("this section once; it stands on line {} already", known->second) });
     }
 
-    void takeEntry(std::string_view key, std::string_view value)
+    void addEntry(std::string_view key, std::string_view value)
     {
         const std::string_view line = std::exchange(pendingLine_, {});
         if (key.empty()) {
             addProblem({}, line, "key = value");
             return;
         }
-        if (isSkipping_)
+        if (isSkippingSection_)
             return;
         if (document_.sections_.empty()) {
             addProblem(key, value, "a section header such as [section] before the first key");
@@ -183,7 +183,7 @@
     }
 
     // libinih calls back for a line only if it could take it apart.
-    void checkLastLineWasTaken()
+    void checkLastLineWasParsed()
     {
         const std::string_view line = std::exchange(pendingLine_, {});
         if (!line.empty())
@@ -193,7 +193,7 @@
     void addProblem(std::string_view key, std::string_view value, std::string expected)
     {
         std::string section;
-        if (!isSkipping_ && !document_.sections_.empty())
+        if (!isSkippingSection_ && !document_.sections_.empty())
             section = document_.sections_.back().name;
         document_.problems_.add(
             { document_.file_, lineNumber_, section, printable(key), printable(value), std::move(expected) });
@@ -203,7 +203,7 @@
     std::string_view rest_;
     std::size_t lineNumber_ = 0;
     std::string_view pendingLine_;
-    bool isSkipping_ = false;
+    bool isSkippingSection_ = false;
     std::unordered_map<std::string, std::size_t> lineOfSection_;
 };
 
