--- a/Source/Forwarder/NewsApplier.h
+++ b/Source/Forwarder/NewsApplier.h
@@ -59,7 +59,7 @@
         arrival.changed = change.value().routes.size() + change.value().removed.size();
         arrival.isTaken = router_.applyConfiguration(std::move(change).value());
         if (!arrival.isTaken)
-            reader_.forget();
+            reader_.reset();
         arrival.revision = item.revision;
         arrival.age = std::chrono::milliseconds(item.ageMilliseconds);
         arrival.reading = Clock::now() - now;
--- a/Tests/PlatformAdapter/ConfigurationTextTest.cpp
+++ b/Tests/PlatformAdapter/ConfigurationTextTest.cpp
@@ -117,7 +117,7 @@
         Table table;
         ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(5, routesTo(3)))));
         ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(4, routesTo(9)))));
-        table.reader.forget();
+        table.reader.reset();
         ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(6, routesTo(4)))));
         EXPECT_TRUE(table.wasWhole);
         EXPECT_EQ(table.routes.size(), 4U);
