--- a/Source/Core/EventLog.cpp
+++ b/Source/Core/EventLog.cpp
@@ -147,15 +147,15 @@
 void LineBuffer::fillChunk(std::string& queue)
 {
     const std::size_t room = chunkBytes - std::min(chunkBytes, chunk_.size());
-    std::size_t end = lines.size();
+    std::size_t end = queue.size();
     if (end > room) {
-        const std::size_t last = room == 0 ? std::string::npos : lines.rfind('\n', room - 1);
+        const std::size_t last = room == 0 ? std::string::npos : queue.rfind('\n', room - 1);
         end = last == std::string::npos ? 0 : last + 1;
     }
-    if (end == 0 && chunk_.empty() && !lines.empty())
-        end = lines.find('\n') + 1;
-    chunk_.append(lines, 0, end);
-    lines.erase(0, end);
+    if (end == 0 && chunk_.empty() && !queue.empty())
+        end = queue.find('\n') + 1;
+    chunk_.append(queue, 0, end);
+    queue.erase(0, end);
 }
 
 Event::Event() { fields_.reserve(usualFieldBytes); }
