--- a/Source/Core/Clock.h
+++ b/Source/Core/Clock.h
@@ -5,12 +5,12 @@
 
 namespace wisteriadock {
 
-// All decisions take the time of the runtime's monotonic clock as an argument; they never read a clock.
+// The monotonic clock. Code that decides takes the current time as an argument instead of reading a clock.
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Duration = Clock::duration;
 
-// Anything that tells the time: the runtime's clock in daemons, a ManualClock in tests.
+// A source of the current time: RuntimeClock in daemons, ManualClock in tests.
 template <typename T>
 concept ClockSource = requires(const T& clock)
 {
@@ -19,19 +19,18 @@
         } -> std::same_as<TimePoint>;
 };
 
-// The runtime's monotonic clock.
 struct RuntimeClock {
     TimePoint now() const { return Clock::now(); }
 };
 
-// A clock that stands still until a test advances it.
+// A clock for tests that changes only by advance().
 class ManualClock {
 public:
     TimePoint now() const { return now_; }
     void advance(Duration step) { now_ += step; }
 
 private:
-    // Far from zero, so that subtracting a lease never underflows.
+    // Starts far from zero, so that subtracting a duration never underflows.
     TimePoint now_ = TimePoint(std::chrono::hours(1));
 };
 
--- a/Source/Core/Endpoint.h
+++ b/Source/Core/Endpoint.h
@@ -14,7 +14,7 @@
     std::uint32_t address = 0;
     std::uint16_t port = 0;
 
-    // Reads "192.0.2.1:443". Fails with InvalidArgument; the detail names the text and what was expected.
+    // Parses "192.0.2.1:443". Fails with InvalidArgument; the detail names the text and the expected form.
     static Result<Endpoint> parse(std::string_view text);
 
     std::string toString() const;
--- a/Source/Core/Error.h
+++ b/Source/Core/Error.h
@@ -9,33 +9,33 @@
 
 namespace wisteriadock {
 
-// What went wrong, in the few classes that callers act on differently.
+// The classes of errors that callers handle differently.
 enum class ErrorCode {
-    InvalidArgument, // The caller's input is malformed; sending it again cannot help.
-    NotFound, // The named thing does not exist.
-    Conflict, // Somebody else changed the thing first; read again, then decide.
-    Unavailable, // The other side was not reached: nothing was done there.
-    Unknown, // The other side was reached, but its answer is lost: it may have acted.
-    DeadlineExceeded, // Given up on; the other side may or may not have acted.
+    InvalidArgument, // The input is malformed; a retry with the same input fails again.
+    NotFound, // The named object does not exist.
+    Conflict, // The object was changed concurrently; read it again before a retry.
+    Unavailable, // The other side was not reached or refused the call; the call had no effect.
+    Unknown, // The call may have reached the other side, but its answer is lost; the call may have taken effect.
+    DeadlineExceeded, // The deadline passed; the call may or may not have taken effect.
     ResourceExhausted, // A documented limit was reached.
-    Cancelled, // The caller itself gave up.
+    Cancelled, // The caller cancelled the call.
 };
 
-// The name of the code as logs and --format json print it ("invalid_argument").
+// Returns the name of the code as in logs and the output of --format json ("invalid_argument").
 std::string_view nameOf(ErrorCode);
 
-// An error as a value. The detail carries the offending value and its place, for people.
+// An error as a value. The detail is text for people that names the offending value and where it was found.
 struct Error {
     ErrorCode code = ErrorCode::InvalidArgument;
     std::string detail;
 
-    // "conflict: base version 4 is not the newest, 5" as logs show it.
+    // Returns code and detail as logs show them, "conflict: base version 4 is not the newest, 5".
     std::string toString() const;
 
     bool operator==(const Error&) const = default;
 };
 
-// Outcome of a fallible call. Reading the value of a failed result is a broken invariant and stops the process.
+// The result of a call that can fail. Reading the value of a failed result terminates the process.
 template <typename T> using Result = boost::outcome_v2::basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
 }
--- a/Source/Core/EventLog.cpp
+++ b/Source/Core/EventLog.cpp
@@ -39,15 +39,15 @@
         fmt::format_to(std::back_inserter(target), FMT_COMPILE("{}.{:03}"), size / 1000, size % 1000);
     }
 
-    // Room for the fields of nearly every line, so that a line is allocated once.
-    constexpr std::size_t usualFieldBytes = 512;
+    // Holds the fields of nearly every line without reallocation.
+    constexpr std::size_t reservedFieldBytes = 512;
 
     LinePriority priorityOf(std::string_view part)
     {
         return part == "flow" || part == "server" ? LinePriority::Low : LinePriority::High;
     }
 
-    // Hands spdlog's messages, which are whole lines already, to the buffer.
+    // Passes spdlog's messages, which are complete lines, to the buffer.
     class LineSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
     public:
         explicit LineSink(std::shared_ptr<LineBuffer> buffer)
@@ -55,7 +55,7 @@
         {
         }
 
-        // Of the next message.
+        // Sets the priority of the next message.
         void setPriority(LinePriority priority) { priority_ = priority; }
 
     protected:
@@ -91,7 +91,7 @@
     : descriptor_(descriptor)
     , capacity_(capacity)
 {
-    // Without this, a reader that stops reading would stop the whole balancer at the next line.
+    // A blocking write would stop the balancer when the reader of the pipe stops reading.
     const int flags = ::fcntl(descriptor_, F_GETFL);
     if (flags >= 0)
         ::fcntl(descriptor_, F_SETFL, flags | O_NONBLOCK);
@@ -99,19 +99,19 @@
 
 bool LineBuffer::add(std::string_view line, LinePriority priority)
 {
-    std::string& lines = priority == LinePriority::High ? highPriority_ : lowPriority_;
+    std::string& queue = priority == LinePriority::High ? highPriority_ : lowPriority_;
     std::string note;
     if (unreportedDrops_ > 0)
         note = fmt::format("{{\"part\":\"log\",\"event\":\"lines_dropped\",\"count\":{}}}\n", unreportedDrops_);
-    if (lines.size() + note.size() + line.size() + 1 > capacity_) {
+    if (queue.size() + note.size() + line.size() + 1 > capacity_) {
         ++dropped_;
         ++unreportedDrops_;
         return false;
     }
-    lines += note;
+    queue += note;
     unreportedDrops_ = 0;
-    lines += line;
-    lines += '\n';
+    queue += line;
+    queue += '\n';
     ++lines_;
     return true;
 }
@@ -123,7 +123,7 @@
     while (writeChunk()) { }
 }
 
-// True when it wrote something.
+// Returns true if bytes were written.
 bool LineBuffer::writeChunk()
 {
     if (chunk_.empty())
@@ -136,14 +136,14 @@
     do
         written = ::write(descriptor_, chunk_.data(), chunk_.size());
     while (written < 0 && errno == EINTR);
-    // A full pipe is tried again at the next flush. What can never be written only fills the buffer.
+    // The next flush tries again. After a permanent error the queues fill up and lines are dropped.
     if (written <= 0)
         return false;
     chunk_.erase(0, static_cast<std::size_t>(written));
     return true;
 }
 
-// Moves as many whole lines as the piece has room for, and one in any case into an empty piece.
+// Moves as many whole lines as fit into the chunk, and at least one into an empty chunk.
 void LineBuffer::fillChunk(std::string& queue)
 {
     const std::size_t room = chunkBytes - std::min(chunkBytes, chunk_.size());
@@ -158,9 +158,9 @@
     queue.erase(0, end);
 }
 
-Event::Event() { fields_.reserve(usualFieldBytes); }
+Event::Event() { fields_.reserve(reservedFieldBytes); }
 
-// Keys are literals of the program, so they need no escapes.
+// Keys are literals and need no escaping.
 void Event::beginField(std::string_view key)
 {
     fields_ += ",\"";
@@ -191,7 +191,7 @@
     return *this;
 }
 
-// Three decimals. Whole thousandths are faster to write than a general floating-point number.
+// Written with three decimals, since integer formatting is faster than formatting a floating-point number.
 Event& Event::add(std::string_view key, double value)
 {
     beginField(key);
--- a/Source/Core/EventLog.h
+++ b/Source/Core/EventLog.h
@@ -13,37 +13,40 @@
 
 namespace wisteriadock {
 
-// Which lines go first when there are more than a reader takes.
+// The order in which waiting log lines are written.
 enum class LinePriority {
-    High, // What became of the process, the store, the configuration and the other balancers.
-    Low, // Single flows and servers, of which there may be hundreds at once.
+    High, // Events of the process, the store, the configuration and the other balancers.
+    Low, // Events of single flows and servers, which may come by the hundreds.
 };
 
-// Where lines go until they are written: a bounded buffer in front of a descriptor that may be a pipe nobody reads.
-// Nothing here ever waits. Lines that do not fit are dropped and counted, and the next line that fits says how many.
+// A bounded buffer of log lines in front of a non-blocking descriptor, usually a pipe. No call blocks, even if nobody
+// reads the pipe. Lines that don't fit are dropped and counted, and a note of the count precedes the next line that
+// fits.
 //
-// Lines are written whole, in pieces that a pipe takes at once or not at all, and with pauses between them: whoever
-// collects the lines of hundreds of processes keeps only so much of a burst, and cuts the rest off in the middle.
+// Whole lines are written in chunks no larger than PIPE_BUF, which a pipe takes atomically. The owner waits for
+// chunkInterval between two chunks, since collectors that serve many processes truncate bursts.
 class LineBuffer {
 public:
-    // Room for some seconds of lines at the usual load; with a stuck reader, memory stays bounded by it.
+    // Bytes of each of the two queues: some seconds of lines at the usual load.
     static constexpr std::size_t defaultCapacity = std::size_t(256) * 1024;
-    // What a pipe takes as a whole (PIPE_BUF). A longer line is a piece by itself.
+    // PIPE_BUF. A longer line forms a chunk of its own.
     static constexpr std::size_t chunkBytes = 4096;
-    // Between two pieces: 160 KB a second at most.
+    // The time between two chunks; limits the output to about 160 KB/s.
     static constexpr std::chrono::milliseconds chunkInterval { 25 };
 
     explicit LineBuffer(int descriptor, std::size_t capacity = defaultCapacity);
 
-    // Takes a line without its end. False when it was dropped.
+    // Queues a line, given without its line end. Returns false if the line was dropped.
     bool add(std::string_view line, LinePriority = LinePriority::Low);
-    // Writes one piece, the story first. True when the descriptor took it and more is left.
+    // Writes one chunk, lines of high priority first. Returns true if the descriptor took bytes and more are waiting.
     bool flush();
-    // Writes what the descriptor takes at once, for a process that ends.
+    // Writes chunks until the descriptor takes no more. Called when the process ends.
     void flushAll();
 
     bool isEmpty() const { return chunk_.empty() && highPriority_.empty() && lowPriority_.empty(); }
+    // The number of dropped lines since the start.
     std::uint64_t dropped() const { return dropped_; }
+    // The number of queued lines since the start, written or not.
     std::uint64_t lines() const { return lines_; }
 
 private:
@@ -52,9 +55,9 @@
 
     const int descriptor_;
     const std::size_t capacity_;
-    // What is being written; empty, or begun with a whole line.
+    // The chunk that is being written; after a partial write it holds the rest.
     std::string chunk_;
-    // Each may fill the capacity, so that neither drops lines of the other.
+    // The queued lines. Each queue has the full capacity, so that neither displaces lines of the other.
     std::string highPriority_;
     std::string lowPriority_;
     std::uint64_t lines_ = 0;
@@ -62,14 +65,15 @@
     std::uint64_t unreportedDrops_ = 0;
 };
 
-// What every line of a process carries.
+// Identifies the process in each of its log lines.
 struct EventOrigin {
     std::string vm;
     std::string availabilityZone;
     std::uint64_t incarnation = 0;
 };
 
-// One line of a structured log while it is put together: a JSON object whose keys stand in the order of the calls.
+// Builds the fields of one log line: a JSON object whose keys appear in the order of the add() calls. Keys are not
+// escaped and must be plain literals.
 class Event {
 public:
     Event();
@@ -82,7 +86,7 @@
     Event& add(std::string_view key, int value) { return add(key, std::int64_t(value)); }
     Event& add(std::string_view key, double value);
     Event& add(std::string_view key, bool value);
-    // Milliseconds with three decimals. The key ends in "_ms".
+    // Written in milliseconds with three decimals. The key must end in "_ms".
     Event& add(std::string_view key, Duration value);
 
 private:
@@ -93,13 +97,15 @@
     std::string fields_;
 };
 
-// The structured log of a daemon: one JSON object a line with a fixed set of first keys, written through spdlog into a
-// LineBuffer (spdlog, not log4cxx: loading that one takes 2.7 ms of processor time at each start, which a VM with 0.055
-// of a core needs 49 ms for, while callers wait). Each kind of event has a budget of lines a second; what goes beyond
-// is counted and summed up in a line of its own, so that a storm of one kind neither costs much nor hides the others.
+// The structured log of a daemon: one JSON object per line with a fixed set of leading keys, written through spdlog
+// into a LineBuffer. (spdlog rather than log4cxx, because log4cxx takes longer to load and delays the start.)
+//
+// Each kind of event, identified by part and event, may write a limited number of lines per second. Further lines are
+// suppressed, and one "left_out" line per second reports their count, so that a burst of one kind neither costs much
+// processor time nor hides other events.
 class EventLog {
 public:
-    // Above the usual rate of a busy balancer; a storm of bad packets stays a few percent of a small VM's processor.
+    // Lines per second and kind of event.
     static constexpr std::uint32_t defaultBudget = 200;
 
     EventLog(EventOrigin, int descriptor, std::uint32_t budgetPerSecond = defaultBudget);
@@ -107,21 +113,22 @@
     EventLog(const EventLog&) = delete;
     EventLog& operator=(const EventLog&) = delete;
 
-    // Whether a line of this kind is within its budget; asking counts. Lets callers skip putting together what would be
-    // left out.
+    // Returns whether a line of this kind is within its budget, and counts it as written or suppressed. Lets callers
+    // skip building a line that would be suppressed.
     bool admits(std::string_view part, std::string_view event, TimePoint now);
-    // Writes the line, if its kind is within the budget.
+    // Writes the line if the level is enabled and the kind is within its budget.
     void write(LogLevel, std::string_view part, std::string_view event, const Event&, TimePoint now);
-    // The same for a line that admits() let through.
+    // Writes a line for which admits() has returned true.
     void writeAdmitted(LogLevel, std::string_view part, std::string_view event, const Event&, TimePoint now);
-    // Hands a piece of the lines so far to the descriptor, and reports what was left out in the seconds before. True
-    // when it is to be called again after LineBuffer::chunkInterval; a reader that takes nothing is tried again later.
+    // Reports the lines suppressed in the previous second and writes one chunk. Returns true if more can be written
+    // after LineBuffer::chunkInterval, and false if nothing is left or the descriptor takes no bytes.
     bool flush(TimePoint now);
 
     void setLevel(LogLevel);
     LogLevel level() const { return level_; }
     void setBudget(std::uint32_t linesPerSecond) { budget_ = linesPerSecond; }
     LineBuffer& buffer() { return *buffer_; }
+    // The number of suppressed lines since the start.
     std::uint64_t suppressed() const { return suppressed_; }
 
 private:
@@ -140,6 +147,7 @@
     std::uint32_t budget_;
     std::uint64_t suppressed_ = 0;
     TimePoint secondStart_ = TimePoint::min();
+    // By "part.event", for the second that began at secondStart_.
     std::unordered_map<std::string, Usage> usages_;
 };
 
--- a/Source/Core/Hash.h
+++ b/Source/Core/Hash.h
@@ -6,12 +6,12 @@
 
 namespace wisteriadock {
 
-// Hashes that all balancers must agree on. They are xxHash's XXH3 with a fixed seed, so that the same input gives the
-// same value on every machine and in every version.
+// Hashes that all balancers must agree on: XXH3 of xxHash, which gives the same value on every machine and in every
+// version.
 std::uint64_t hashBytes(const void* data, std::size_t size, std::uint64_t seed = 0);
 std::uint64_t hashString(std::string_view text, std::uint64_t seed = 0);
 
-// Mixes two words into one; the order of the arguments matters.
+// Hashes two values; the order of the arguments matters.
 std::uint64_t hashPair(std::uint64_t first, std::uint64_t second);
 
 }
--- a/Source/Core/Identifiers.cpp
+++ b/Source/Core/Identifiers.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Zero is kept free to mean "none".
+    // 0 is reserved for "none".
     std::uint32_t identifierOf(std::string_view name, std::uint64_t kindSeed)
     {
         const auto value = static_cast<std::uint32_t>(hashString(name, kindSeed));
--- a/Source/Core/Identifiers.h
+++ b/Source/Core/Identifiers.h
@@ -7,7 +7,7 @@
 
 namespace wisteriadock {
 
-// A number that names one thing of one kind; numbers of different kinds do not mix.
+// A number that identifies an object of one kind; identifiers of different kinds are different types.
 template <typename Kind> struct Identifier {
     std::uint32_t value = 0;
 
@@ -19,8 +19,8 @@
     }
 };
 
-// Identifiers are derived from names, so that every balancer computes the same ones without asking anybody and a
-// name that comes back keeps its number. The configuration check refuses two names with one number.
+// Identifiers are hashes of names, so that all balancers compute the same ones without communication and a name that
+// is removed and added again keeps its identifier. The configuration check rejects names whose hashes collide.
 using BalancerId = Identifier<struct BalancerKind>;
 using ServiceId = Identifier<struct ServiceKind>;
 using BackendServerId = Identifier<struct BackendServerKind>;
--- a/Source/Core/ListenAddress.cpp
+++ b/Source/Core/ListenAddress.cpp
@@ -17,7 +17,7 @@
     if (!text.ends_with(ephemeralPort))
         return Endpoint::parse(text);
 
-    // Endpoint::parse takes no port 0, so the address is read with a port that it does take.
+    // Endpoint::parse refuses port 0, so the address is parsed with another port.
     const std::string withPort = fmt::format("{}:1", text.substr(0, text.size() - ephemeralPort.size()));
     auto endpoint = Endpoint::parse(withPort);
     if (!endpoint) {
--- a/Source/Core/ListenAddress.h
+++ b/Source/Core/ListenAddress.h
@@ -7,7 +7,7 @@
 
 namespace wisteriadock {
 
-// Reads "192.0.2.1:443" like Endpoint::parse, and "192.0.2.1:0" for a port that the kernel shall choose.
+// Parses "192.0.2.1:443" like Endpoint::parse, and also port 0, which lets the kernel choose a port.
 Result<Endpoint> parseListenAddress(std::string_view text);
 
 }
--- a/Source/Core/Log.h
+++ b/Source/Core/Log.h
@@ -8,11 +8,11 @@
 
 namespace wisteriadock {
 
-// Sets the process's log up: one line a message on standard error, "TIME LEVEL [part] message". Call it once in main;
-// calling it again changes only the level.
+// Sets up the log of the process on standard error, one line "TIME LEVEL [part] message" per message. Called once in
+// main; later calls change only the level.
 void configureLog(LogLevel);
 
-// Writes short sentences for one part of the program, under that part's fixed prefix. Copies share the logger.
+// Writes the messages of one part of the program, which each line names. Copies share the logger.
 class Log {
 public:
     explicit Log(std::string_view part);
--- a/Source/Core/LogLevel.h
+++ b/Source/Core/LogLevel.h
@@ -6,7 +6,7 @@
 
 namespace wisteriadock {
 
-// The levels that settings and flags name.
+// The levels of log lines, named in settings and flags.
 enum class LogLevel {
     Debug,
     Info,
--- a/Source/Core/NameTable.h
+++ b/Source/Core/NameTable.h
@@ -8,8 +8,8 @@
 
 namespace wisteriadock {
 
-// Maps the values of an enum to the names that files, logs and metrics show, in both directions.
-// Tables are small and constant, so look-ups are linear.
+// Maps the values of an enum to their names in files, logs and metrics, and back. Look-ups are linear, since the tables
+// are small.
 template <typename Enum, std::size_t Size> class NameTable {
 public:
     using Row = std::pair<Enum, std::string_view>;
@@ -20,7 +20,7 @@
             rows_[i] = rows[i];
     }
 
-    // The name of a value, or "unlisted" for one that is missing from the table.
+    // Returns the name of a value, or "unlisted" for a value that is missing from the table.
     constexpr std::string_view name(Enum value) const
     {
         for (const Row& row : rows_) {
@@ -45,7 +45,7 @@
     std::array<Row, Size> rows_ {};
 };
 
-// Lets the compiler count the rows: makeNameTable<Color>({ { Color::Red, "red" }, … }).
+// Deduces the number of rows: makeNameTable<Color>({ { Color::Red, "red" }, … }).
 template <typename Enum, std::size_t Size>
 constexpr NameTable<Enum, Size> makeNameTable(const std::pair<Enum, std::string_view> (&rows)[Size])
 {
