--- a/Source/Wire/Compression.h
+++ b/Source/Wire/Compression.h
@@ -8,12 +8,11 @@
 
 namespace wisteriadock {
 
-// Packs bytes (zstd, at the fastest level that the library calls ordinary, since a balancer has a few hundredths of a
-// core). Empty when the library can't.
+// Compresses bytes with zstd at a fast level. Returns an empty string if the library fails.
 std::string compressBytes(std::string_view bytes);
 
-// The bytes that compressBytes() packed. Fails with InvalidArgument for bytes that don't unpack, or to more than so
-// many.
-Result<std::string> decompressBytes(std::string_view packed, std::size_t most);
+// Decompresses the output of compressBytes(). Fails with InvalidArgument if the input is malformed or would decompress
+// to more than maxBytes.
+Result<std::string> decompressBytes(std::string_view compressed, std::size_t maxBytes);
 
 }
--- a/Source/Wire/PeerMessage.cpp
+++ b/Source/Wire/PeerMessage.cpp
@@ -28,7 +28,7 @@
         return false;
     }
 
-    // The envelope as it is on the wire.
+    // The wire format of the envelope.
     struct WireEnvelope {
         std::uint8_t version = 0;
         std::uint32_t sender = 0;
--- a/Source/Wire/PeerMessage.h
+++ b/Source/Wire/PeerMessage.h
@@ -11,52 +11,53 @@
 
 namespace wisteriadock {
 
-// The version of the envelope. A balancer drops datagrams of versions it does not know.
+// The version of the envelope. A balancer drops datagrams of any other version.
 inline constexpr std::uint8_t peerProtocolVersion = 1;
 
-// The largest datagram between balancers, in bytes; it fits an Ethernet frame with room for tunnels.
+// The largest datagram between balancers, in bytes. Fits an Ethernet frame with room for tunnel headers.
 inline constexpr std::size_t maxPeerDatagramBytes = 1200;
 
-// The most bytes that an envelope adds to its payload.
+// The maximum number of bytes that an envelope adds to its payload.
 inline constexpr std::size_t maxPeerEnvelopeOverhead = 24;
 
 // The largest payload of one datagram, in bytes.
 inline constexpr std::size_t maxPeerPayloadBytes = maxPeerDatagramBytes - maxPeerEnvelopeOverhead;
 
-// What a datagram between balancers is about, which says who decodes its payload. The numbers are on the wire.
+// The kind of a datagram between balancers, which determines who decodes its payload. The numbers are on the wire.
 enum class PeerMessageKind : std::uint8_t {
-    Heartbeat = 1, // Membership: a sign of life, with news of members.
-    ProbeRequest = 2, // Membership: probe a third balancer for the sender.
-    ProbeResult = 3, // Membership: that balancer answered.
-    MembersRequest = 4, // Membership: send rows of members.
+    Heartbeat = 1, // Membership: a heartbeat with gossip.
+    ProbeRequest = 2, // Membership: asks the receiver to probe a third balancer.
+    ProbeResult = 3, // Membership: the probed balancer has answered.
+    MembersRequest = 4, // Membership: asks for rows of members.
     MembersPage = 5, // Membership: rows of members.
     Configuration = 6,
     FlowControl = 7,
     Request = 8,
-    ReplicaSync = 9, // What the platform's store holds, from a balancer that watches it.
+    ReplicaSync = 9, // Contents of the platform's store, which balancers pass on to each other.
 };
 
-// One more than the highest kind.
+// One more than the highest kind; the size of arrays indexed by kind.
 inline constexpr std::size_t peerMessageKinds = 10;
 
 std::string_view nameOf(PeerMessageKind);
 
-// What every datagram between balancers carries around its payload.
+// The header and payload of a datagram between balancers.
 struct PeerEnvelope {
     BalancerId sender;
-    // Receivers drop messages of an incarnation older than the one they know.
+    // Identifies the start of the sender's process. Receivers drop messages of an incarnation older than the newest one
+    // that they know.
     std::uint64_t senderIncarnation = 0;
     PeerMessageKind kind = PeerMessageKind::Heartbeat;
-    // A message of that kind, as encodeMessage writes it.
+    // The output of encodeMessage for a message of this kind.
     std::vector<std::uint8_t> payload;
 
     bool operator==(const PeerEnvelope&) const = default;
 };
 
-// Writes one datagram. Fails with ResourceExhausted when the payload is larger than maxPeerPayloadBytes.
+// Encodes one datagram. Fails with ResourceExhausted if the payload is larger than maxPeerPayloadBytes.
 Result<std::vector<std::uint8_t>> encodePeerEnvelope(const PeerEnvelope&);
 
-// Reads one datagram. Anything but one whole envelope of a known version and kind gives InvalidArgument.
+// Decodes one datagram. Fails with InvalidArgument unless it is one complete envelope of a known version and kind.
 Result<PeerEnvelope> decodePeerEnvelope(std::span<const std::uint8_t> datagram);
 
 }
--- a/Source/Wire/PeerMessageCodec.h
+++ b/Source/Wire/PeerMessageCodec.h
@@ -14,10 +14,10 @@
 
 namespace wisteriadock {
 
-// The deepest nesting of arrays in a message between balancers.
+// The maximum nesting depth of arrays in a message between balancers.
 inline constexpr std::size_t maxPeerMessageDepth = 6;
 
-// Writes a struct that has MSGPACK_DEFINE_ARRAY.
+// Encodes a struct that has MSGPACK_DEFINE_ARRAY.
 template <typename Message> std::vector<std::uint8_t> encodeMessage(const Message& message)
 {
     msgpack::sbuffer buffer;
@@ -25,17 +25,17 @@
     return { buffer.data(), buffer.data() + buffer.size() };
 }
 
-// Reads what encodeMessage wrote. Input that is short, too long, garbage or of other types gives InvalidArgument.
-// Fields that are missing at the end keep their defaults and unknown ones after the end are skipped, so that balancers
-// of two versions understand each other while one replaces the other.
+// Decodes the output of encodeMessage. Fails with InvalidArgument for input that is truncated, longer than maxBytes,
+// malformed or of other types. Missing fields at the end keep their defaults and unknown fields after the last known
+// one are skipped, so that balancers of two versions work together during an upgrade.
 template <typename Message>
-Result<Message> decodeMessage(std::span<const std::uint8_t> bytes, std::size_t largest = maxPeerDatagramBytes)
+Result<Message> decodeMessage(std::span<const std::uint8_t> bytes, std::size_t maxBytes = maxPeerDatagramBytes)
 {
-    if (bytes.empty() || bytes.size() > largest)
+    if (bytes.empty() || bytes.size() > maxBytes)
         return Error { ErrorCode::InvalidArgument, "message of " + std::to_string(bytes.size()) + " bytes" };
-    // Without limits a few bytes that claim a huge array make the decoder reserve gigabytes.
-    const msgpack::unpack_limit limit(largest, largest, largest, largest, largest, maxPeerMessageDepth);
-    // The library reports by exceptions, which end here.
+    // Without limits, a few bytes that declare a huge array would make the decoder reserve gigabytes.
+    const msgpack::unpack_limit limit(maxBytes, maxBytes, maxBytes, maxBytes, maxBytes, maxPeerMessageDepth);
+    // The library reports errors by exceptions.
     try {
         std::size_t offset = 0;
         const auto handle = msgpack::unpack(
--- a/Source/Wire/ProxyHeader.cpp
+++ b/Source/Wire/ProxyHeader.cpp
@@ -33,7 +33,7 @@
     constexpr std::uint8_t versionTwoCommandProxy = 0x21;
     constexpr std::uint8_t familyInetTransportDgram = 0x12;
 
-    // Where the fields stand, in bytes from the start of the datagram.
+    // Offsets of the fields, in bytes from the start of the datagram.
     constexpr std::size_t commandOffset = signature.size();
     constexpr std::size_t familyOffset = 13;
     constexpr std::size_t lengthOffset = 14;
@@ -42,7 +42,7 @@
     constexpr std::size_t tlvOffset = addressesOffset + addressesSize;
 
     constexpr std::size_t tlvHeaderSize = 3;
-    // The first type of the range that the protocol leaves to applications (0xE0 to 0xEF).
+    // The first type of the range reserved for applications (0xE0 to 0xEF).
     constexpr std::uint8_t forwardMarkType = 0xE0;
     constexpr std::size_t forwardMarkSize = 5;
 
@@ -55,7 +55,7 @@
         return { .origin = { load_big_u32(value.data() + 1) }, .hops = value[0] };
     }
 
-    // TLVs of other types are skipped, as the protocol asks of every receiver.
+    // Skips TLVs of other types, as the protocol requires.
     Result<std::optional<ForwardMark>> readTlvs(std::span<const std::uint8_t> tlvs)
     {
         std::optional<ForwardMark> mark;
@@ -71,7 +71,7 @@
             if (type == forwardMarkType) {
                 if (size != forwardMarkSize)
                     return malformed(fmt::format("forward mark of {} bytes; expected {}", size, forwardMarkSize));
-                // Two marks would let a packet pass the hop limit by carrying an older count beside the newer one.
+                // A packet with two marks could bypass the hop limit by carrying an older hop count next to the newer.
                 if (mark)
                     return malformed("two forward marks; expected one at most");
                 mark = readForwardMark(tlvs.first(size));
--- a/Source/Wire/ProxyHeader.h
+++ b/Source/Wire/ProxyHeader.h
@@ -12,17 +12,17 @@
 
 namespace wisteriadock {
 
-// Added by a balancer that hands a flow packet to another balancer, so that packets never loop.
+// Added by a balancer that forwards a flow packet to another balancer, to prevent forwarding loops.
 struct ForwardMark {
     BalancerId origin;
-    // How many balancers handed the packet on so far.
+    // How many balancers have forwarded the packet so far.
     std::uint8_t hops = 0;
 
     bool operator==(const ForwardMark&) const = default;
 };
 
-// The PROXY protocol version 2 header (DGRAM over IPv4) that stands before each flow packet and carries the true
-// addresses. The forward mark travels as a TLV of the range that the protocol leaves to applications.
+// The PROXY protocol version 2 header (DGRAM over IPv4) that precedes each flow packet and carries its original
+// addresses. The forward mark is a TLV of a type that the protocol reserves for applications.
 struct ProxyHeader {
     Endpoint client;
     Endpoint service;
@@ -33,17 +33,17 @@
 
 struct ProxiedPacket {
     ProxyHeader header;
-    // Points into the datagram it was read from.
+    // Points into the decoded datagram.
     std::span<const std::uint8_t> payload;
 };
 
-// The largest header that encodeProxyHeader writes, in bytes.
+// The maximum size of the header that encodeProxyHeader writes, in bytes.
 inline constexpr std::size_t maxProxyHeaderBytes = 64;
 
-// Writes the header into the buffer and returns its size. The buffer holds maxProxyHeaderBytes bytes or more.
+// Writes the header into the buffer and returns its size in bytes. The buffer must hold maxProxyHeaderBytes.
 std::size_t encodeProxyHeader(const ProxyHeader&, std::span<std::uint8_t> buffer);
 
-// Reads a datagram. Anything that is not a whole PROXY v2 DGRAM-over-IPv4 header gives InvalidArgument.
+// Decodes a datagram. Fails with InvalidArgument unless it begins with a complete PROXY v2 header for DGRAM over IPv4.
 Result<ProxiedPacket> decodeProxiedPacket(std::span<const std::uint8_t> datagram);
 
 }
