--- a/Source/KeyValue/KeyValueClient.h
+++ b/Source/KeyValue/KeyValueClient.h
@@ -18,7 +18,7 @@
 
 namespace wisteriadock {
 
-// How one key-value service spells a call: the request that asks for it, and what an outcome of that request means.
+// The protocol of one key-value service: encodes a call as an HTTP request and decodes the outcome of that request.
 template <typename T, typename Call, typename Outcome>
 concept KeyValueCodec = requires(const Call& call, const Outcome& outcome)
 {
@@ -30,9 +30,9 @@
         } -> std::same_as<Result<typename Call::Value>>;
 };
 
-// The client of a key-value service. Transport (Http1Client, Http2Client) and dialect vary; this class makes sure that
-// every call is sent once at most, and that its callback runs exactly once, never inside the call, and at the latest
-// when the client is destroyed. Not thread-safe: all calls and callbacks happen on the thread of the io_context.
+// The client of a key-value service, over the given transport (Http1Client or Http2Client) and codec. Every call is
+// sent at most once, and its callback runs exactly once, never inside the call, and at the latest when the client is
+// destroyed. Not thread-safe: calls must be made on the thread that runs the io_context, and callbacks run there.
 template <typename Http, typename Codec> class KeyValueClient {
 public:
     template <typename Value> using Callback = std::function<void(Result<Value>)>;
@@ -44,16 +44,16 @@
         , http_(context, service, options...)
     {
     }
-    ~KeyValueClient() { run(*refusals_); }
+    ~KeyValueClient() { run(*unsentCalls_); }
     KeyValueClient(const KeyValueClient&) = delete;
     KeyValueClient& operator=(const KeyValueClient&) = delete;
 
-    // Sends the call once. A call that can't be encoded ends with the encoder's error, unsent.
+    // Sends the call. A call that can't be encoded is not sent and fails with the error of the encoder.
     template <typename Call> void send(Call call, TimePoint deadline, Callback<typename Call::Value> callback)
     {
         Result<HttpRequest> request = Codec::encode(call);
         if (!request) {
-            refuseLater([callback = std::move(callback), error = request.error()] { callback(error); });
+            failLater([callback = std::move(callback), error = request.error()] { callback(error); });
             return;
         }
         request.value().authority = authority_;
@@ -66,28 +66,28 @@
     const Http& http() const { return http_; }
 
 private:
-    // Callbacks of calls that end unsent, waiting for the io_context's next turn.
-    using Refusals = std::vector<std::function<void()>>;
+    // Callbacks of calls that failed without a request, to be run by the io_context.
+    using UnsentCalls = std::vector<std::function<void()>>;
 
-    // A callback that ran inside the call, or after the client's end, would find its owner half built or gone.
-    void refuseLater(std::function<void()> refusal)
+    // Runs the callback later, since its owner may not be ready for it inside the call, but before the client is gone.
+    void failLater(std::function<void()> callback)
     {
-        refusals_->push_back(std::move(refusal));
-        boost::asio::post(context_, [weak = std::weak_ptr(refusals_)] {
-            if (const auto refusals = weak.lock())
-                run(*refusals);
+        unsentCalls_->push_back(std::move(callback));
+        boost::asio::post(context_, [weak = std::weak_ptr(unsentCalls_)] {
+            if (const auto calls = weak.lock())
+                run(*calls);
         });
     }
 
-    static void run(Refusals& refusals)
+    static void run(UnsentCalls& calls)
     {
-        for (const auto& refusal : std::exchange(refusals, {}))
-            refusal();
+        for (const auto& callback : std::exchange(calls, {}))
+            callback();
     }
 
     boost::asio::io_context& context_;
     std::string authority_;
-    std::shared_ptr<Refusals> refusals_ = std::make_shared<Refusals>();
+    std::shared_ptr<UnsentCalls> unsentCalls_ = std::make_shared<UnsentCalls>();
     Http http_;
 };
 
--- a/Source/KeyValue/Platform.h
+++ b/Source/KeyValue/Platform.h
@@ -6,10 +6,11 @@
 
 namespace wisteriadock {
 
-// The platform's key-value service as the rest of the code sees it. Every call is asynchronous, has a deadline and ends
-// exactly once. Errors: NotFound; Conflict (a compare-and-swap lost; the detail holds the current revision);
-// Unavailable (not reached, so nothing was done); Unknown (a write's answer is lost: it may have taken effect);
-// DeadlineExceeded (for reads).
+// The interface of the platform's key-value service: PlatformClient in programs, FakePlatform in tests. Every call is
+// asynchronous, has a deadline and runs its callback exactly once.
+//
+// Errors: NotFound; Conflict (the revision has changed; the detail holds the current one); Unavailable (the call had no
+// effect); Unknown (a write may have taken effect, its answer is lost); DeadlineExceeded (reads only).
 template <typename T>
 concept PlatformService = requires(T& platform, std::string key, std::string value, std::uint64_t revision,
     std::optional<std::uint64_t> lease, std::chrono::milliseconds time, TimePoint deadline,
@@ -17,9 +18,9 @@
     std::function<void(Result<PlatformLease>)> onLease, std::function<void(Result<std::vector<Vm>>)> onVms)
 {
     platform.get(key, deadline, onEntry);
-    // Writes if the key's revision is still the given one; 0 means that the key must not exist.
+    // Writes the value if the key still has the given revision; 0 means that the key must not exist.
     platform.compareAndSwap(key, revision, value, lease, deadline, onRevision);
-    // Answers when the key's revision is above the given one, or with NotFound when nothing changed by the deadline.
+    // Ends as soon as the key has a revision above the given one, or with NotFound shortly before the deadline.
     platform.watch(key, revision, deadline, onEntry);
     platform.grantLease(time, deadline, onLease);
     platform.keepAlive(revision, deadline, onLease);
--- a/Source/KeyValue/PlatformCall.h
+++ b/Source/KeyValue/PlatformCall.h
@@ -7,7 +7,7 @@
 
 namespace wisteriadock {
 
-// The kinds of call that the platform answers and counts.
+// The kinds of platform calls.
 enum class PlatformCall {
     Get,
     CompareAndSwap,
@@ -19,15 +19,15 @@
 
 inline constexpr std::size_t platformCallKinds = 6;
 
-// The name in paths, counters and faults ("compare_and_swap").
+// Returns the name used in paths, counters and the faults of the stand-in ("compare_and_swap").
 std::string_view nameOf(PlatformCall);
 std::optional<PlatformCall> platformCallOf(std::string_view name);
 
-// The HTTP path that takes the call ("/v1/compare_and_swap").
+// Returns the HTTP path of the call ("/v1/compare_and_swap").
 std::string pathOf(PlatformCall);
 std::optional<PlatformCall> platformCallOfPath(std::string_view path);
 
-// Whether the call changes the platform, so that a lost answer leaves its effect unknown.
+// Returns whether the call changes state of the platform, so that its effect is unknown if the answer is lost.
 bool isWrite(PlatformCall);
 
 }
--- a/Source/KeyValue/PlatformCalls.h
+++ b/Source/KeyValue/PlatformCalls.h
@@ -10,7 +10,7 @@
 
 namespace wisteriadock {
 
-// The calls of a key-value service as typed messages. Value is what a successful answer gives.
+// The calls of a key-value service. Value is the type of a successful answer.
 
 struct GetCall {
     using Value = PlatformEntry;
@@ -20,7 +20,7 @@
 struct CompareAndSwapCall {
     using Value = std::uint64_t;
     std::string key;
-    // Writes if the key's revision is still this one; 0 means that the key must not exist.
+    // The expected revision of the key; 0 means that the key must not exist.
     std::uint64_t revision = 0;
     std::string value;
     std::optional<std::uint64_t> lease;
@@ -47,7 +47,7 @@
     using Value = std::vector<Vm>;
 };
 
-// One key as it was last written, or the note that it was removed.
+// A key with its newest value, or a removed key.
 struct PlatformItem {
     std::string key;
     std::string value;
@@ -55,31 +55,31 @@
     bool isRemoved = false;
 };
 
-// Part of a listing. Pages are no snapshot: keys may have changed between two of them.
+// One page of a listing. Pages are not a snapshot: keys may change between two of them.
 struct PlatformPage {
     std::vector<PlatformItem> items;
     bool hasMore = false;
-    // The service's revision when the page was read.
+    // The revision of the store when the page was read.
     std::uint64_t revision = 0;
 };
 
-// The keys under a prefix, from the one that follows `after`.
+// Lists the keys under a prefix, starting with the first key after `after`.
 struct ListCall {
     using Value = PlatformPage;
     std::string prefix;
     std::string after;
-    // A cheap answer that may be seconds old.
+    // Accepts an answer that may be seconds old, which is cheaper for the service.
     bool mayBeStale = false;
 };
 
-// What changed up to a revision.
+// The changes up to a revision.
 struct PlatformChanges {
     std::vector<PlatformItem> items;
     std::uint64_t revision = 0;
 };
 
-// Waits until anything under the prefix changes above the revision, or until the time is over. Fails with NotFound when
-// the service no longer has that history.
+// Waits up to `wait` for a change under the prefix with a revision above the given one. Fails with NotFound if the
+// service no longer has the changes since that revision.
 struct ChangesCall {
     using Value = PlatformChanges;
     std::string prefix;
--- a/Source/KeyValue/PlatformClient.cpp
+++ b/Source/KeyValue/PlatformClient.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-    // The platform must end a watch a little before its deadline. Otherwise answer and deadline race, and a quiet key
-    // looks like a platform that hangs (DeadlineExceeded where NotFound is right).
+    // Returns how long the platform may hold a watch. The platform must answer shortly before the deadline, or an
+    // unchanged key could end with DeadlineExceeded instead of NotFound.
     std::chrono::milliseconds watchTime(TimePoint deadline)
     {
-        constexpr std::chrono::milliseconds longestMargin { 200 };
-        constexpr int marginShare = 10;
+        constexpr std::chrono::milliseconds maxMargin { 200 };
+        constexpr int marginDivisor = 10;
         const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(deadline - Clock::now());
-        const auto margin = std::min(left / marginShare, longestMargin);
+        const auto margin = std::min(left / marginDivisor, maxMargin);
         return std::clamp(left - margin, std::chrono::milliseconds(0), platformTimeLimit);
     }
 
--- a/Source/KeyValue/PlatformClient.h
+++ b/Source/KeyValue/PlatformClient.h
@@ -13,10 +13,11 @@
 
 namespace wisteriadock {
 
-// The platform over HTTP/2 and JSON (docs/design/platform.md), for balancers and the operators' ctl. It sends every
-// call once and never again on its own: whether a write of unknown outcome may be repeated only its caller can tell.
-// Not thread-safe: all calls and callbacks happen on the one thread that runs the io_context. Callbacks run exactly
-// once, never inside the call, and at the latest when the client is destroyed.
+// The client of the platform over HTTP/2 and JSON (docs/design/platform.md), used by balancers and the operators' ctl.
+// Calls are not retried, since only the caller knows whether a write of unknown outcome may be repeated.
+//
+// Not thread-safe: calls must be made on the thread that runs the io_context. Each callback runs exactly once on that
+// thread, never inside the call, and at the latest when the client is destroyed.
 class PlatformClient {
 public:
     template <typename Value> using Callback = std::function<void(Result<Value>)>;
@@ -26,19 +27,20 @@
     PlatformClient& operator=(const PlatformClient&) = delete;
 
     void get(const std::string& key, TimePoint deadline, Callback<PlatformEntry>);
-    // A value over platformValueLimit ends with ResourceExhausted, one that is not UTF-8 with InvalidArgument; neither
-    // is sent. A lease that has lapsed ends with NotFound. No lease unties the key from the one that it had.
+    // Fails without a request for a value larger than platformValueLimit (ResourceExhausted) or not UTF-8
+    // (InvalidArgument). Fails with NotFound if the lease has expired. A write without a lease detaches the key from
+    // its previous lease.
     void compareAndSwap(const std::string& key, std::uint64_t revision, const std::string& value,
         std::optional<std::uint64_t> lease, TimePoint deadline, Callback<std::uint64_t>);
-    // NotFound is the platform's word that the key has no newer value; DeadlineExceeded means that it said nothing.
-    // A key that is deleted ends the watch with NotFound at once.
+    // Fails with NotFound if the key gets no newer value in time or, at once, if the key is deleted. Fails with
+    // DeadlineExceeded if the platform does not answer.
     void watch(const std::string& key, std::uint64_t revision, TimePoint deadline, Callback<PlatformEntry>);
     void grantLease(std::chrono::milliseconds timeToLive, TimePoint deadline, Callback<PlatformLease>);
-    // NotFound when the lease has lapsed.
+    // Fails with NotFound if the lease has expired.
     void keepAlive(std::uint64_t lease, TimePoint deadline, Callback<PlatformLease>);
     void listVms(TimePoint deadline, Callback<std::vector<Vm>>);
 
-    // For the control-traffic metrics.
+    // Bytes sent and received, for the metrics of control traffic.
     std::uint64_t bytesTransferred() const { return client_.http().bytesTransferred(); }
 
 private:
--- a/Source/KeyValue/PlatformCodec.cpp
+++ b/Source/KeyValue/PlatformCodec.cpp
@@ -32,10 +32,10 @@
             return errorOf(outcome.value(), call);
         const auto body = parseJsonObject(outcome.value().body);
         if (!body)
-            return unreadableAnswer(body.error(), call);
+            return malformedAnswer(body.error(), call);
         Result<Value> value = decode(body.value());
         if (!value)
-            return unreadableAnswer(value.error(), call);
+            return malformedAnswer(value.error(), call);
         return value;
     }
 
--- a/Source/KeyValue/PlatformCodec.h
+++ b/Source/KeyValue/PlatformCodec.h
@@ -6,7 +6,7 @@
 
 namespace wisteriadock {
 
-// The project's own spelling of the platform's calls: JSON posted to /v1/NAME (docs/design/platform.md).
+// Encodes the platform's calls as JSON that is posted to /v1/NAME, and decodes the answers (docs/design/platform.md).
 struct PlatformCodec {
     static Result<HttpRequest> encode(const GetCall&);
     static Result<HttpRequest> encode(const CompareAndSwapCall&);
--- a/Source/KeyValue/PlatformJson.h
+++ b/Source/KeyValue/PlatformJson.h
@@ -6,19 +6,19 @@
 
 namespace wisteriadock {
 
-// The JSON shapes between the platform and its clients (docs/design/platform.md). Client and stand-in both use them.
-// Every reader fails with InvalidArgument and names the field and what was expected.
+// The JSON bodies exchanged between the platform and its clients (docs/design/platform.md), used by the client and by
+// the stand-in of the platform. Every reader fails with InvalidArgument and names the field and the expected value.
 using Json = nlohmann::json;
 
-// Reads a text that must be one JSON object.
+// Parses a text that must be one JSON object.
 Result<Json> parseJsonObject(std::string_view text);
-// Fails when a string inside is not UTF-8.
+// Serializes a JSON value. Fails with InvalidArgument if a string in it is not UTF-8.
 Result<std::string> toText(const Json&);
 
 Result<std::uint64_t> unsignedField(const Json& object, const char* name);
-// Absent and null give no value.
+// Returns no value if the field is absent or null.
 Result<std::optional<std::uint64_t>> optionalUnsignedField(const Json& object, const char* name);
-// Refuses times over platformTimeLimit, so that sums of times and clock readings cannot overflow.
+// Refuses durations over platformTimeLimit, so that adding them to a time point cannot overflow.
 Result<std::chrono::milliseconds> millisecondsField(const Json& object, const char* name);
 Result<std::string> textField(const Json& object, const char* name);
 
@@ -26,7 +26,7 @@
 
 Json toJson(const PlatformEntry&);
 Json toJson(const PlatformLease&);
-// An object with the one member "vms".
+// Returns an object with the single member "vms".
 Json toJson(const std::vector<Vm>&);
 Json revisionToJson(std::uint64_t revision);
 
--- a/Source/KeyValue/PlatformOutcome.cpp
+++ b/Source/KeyValue/PlatformOutcome.cpp
@@ -41,7 +41,7 @@
         return 500;
     }
 
-    ErrorCode doubtfulCode(PlatformCall call) { return isWrite(call) ? ErrorCode::Unknown : ErrorCode::Unavailable; }
+    ErrorCode uncertainCode(PlatformCall call) { return isWrite(call) ? ErrorCode::Unknown : ErrorCode::Unavailable; }
 
     ErrorCode codeOfFailure(HttpFailureKind kind, PlatformCall call)
     {
@@ -54,12 +54,12 @@
         case HttpFailureKind::Lost:
         case HttpFailureKind::Cancelled:
         case HttpFailureKind::Incomplete:
-            return doubtfulCode(call);
+            return uncertainCode(call);
         }
-        return doubtfulCode(call);
+        return uncertainCode(call);
     }
 
-    // The detail of a refusal that the platform itself wrote; none for any other body.
+    // Returns the detail of a refusal written by the platform, or nothing for any other body.
     std::optional<std::string> refusalDetail(const HttpResponse& response, ErrorCode code)
     {
         const auto body = parseJsonObject(response.body);
@@ -87,17 +87,17 @@
         if (auto detail = refusalDetail(response, *code))
             return { *code, *std::move(detail) };
     }
-    return { doubtfulCode(call), fmt::format("{}: unexpected answer of status {}", nameOf(call), response.status) };
+    return { uncertainCode(call), fmt::format("{}: unexpected answer of status {}", nameOf(call), response.status) };
 }
 
-Error unreadableAnswer(const Error& reason, PlatformCall call)
+Error malformedAnswer(const Error& reason, PlatformCall call)
 {
-    return { doubtfulCode(call), fmt::format("{}: unreadable answer: {}", nameOf(call), reason.detail) };
+    return { uncertainCode(call), fmt::format("{}: unreadable answer: {}", nameOf(call), reason.detail) };
 }
 
 HttpResponse refusalOf(const Error& error)
 {
-    // The detail may quote a key that is not UTF-8; such bytes are replaced.
+    // The detail may quote a key that is not UTF-8; invalid bytes are replaced.
     const Json body { { "error", nameOf(error.code) }, { "detail", error.detail }, { "executed", "no" } };
     return { statusOf(error.code), { { "content-type", "application/json" } },
         body.dump(-1, ' ', false, Json::error_handler_t::replace) };
--- a/Source/KeyValue/PlatformOutcome.h
+++ b/Source/KeyValue/PlatformOutcome.h
@@ -7,21 +7,21 @@
 
 namespace wisteriadock {
 
-// What the caller of a platform call may conclude when HTTP gave no success. The rule: Unavailable is said of a write
-// only when the platform provably did not act; whatever leaves doubt is Unknown. Reads have no effect to doubt.
+// Map a failed HTTP exchange to the error of the platform call. A failed write is Unavailable only if it certainly had
+// no effect, otherwise Unknown. A read has no effect, so its failure is never Unknown.
 
-// For a request without an answer.
+// Maps a request without a response.
 Error errorOf(const HttpFailure&, PlatformCall);
 
-// For an answer whose status is not 200. Only statuses and bodies that the platform itself writes are believed, so that
-// a 404 or 503 of some other server on that address never passes for the platform's word.
+// Maps a response with a status other than 200. Only statuses with a matching body as the platform writes them keep
+// their meaning, so that a 404 or 503 of a proxy or another server is not mistaken for an answer of the platform.
 Error errorOf(const HttpResponse&, PlatformCall);
 
-// For an answer of status 200 whose body cannot be read.
-Error unreadableAnswer(const Error& reason, PlatformCall);
+// Maps a response of status 200 with a malformed body.
+Error malformedAnswer(const Error& reason, PlatformCall);
 
-// The answer by which the platform refuses a call that it did not act on. The code must be one of InvalidArgument,
-// NotFound, Conflict, ResourceExhausted and Unavailable.
+// Builds the response with which the platform refuses a call that had no effect. The code must be one of
+// InvalidArgument, NotFound, Conflict, ResourceExhausted and Unavailable.
 HttpResponse refusalOf(const Error&);
 
 }
--- a/Source/KeyValue/PlatformTypes.cpp
+++ b/Source/KeyValue/PlatformTypes.cpp
@@ -15,7 +15,7 @@
         { VmState::Leaving, "leaving" },
     });
 
-    // The number stands first in the text, so that no key can imitate it.
+    // The revision precedes the key in the text, so that no key can be mistaken for it.
     constexpr std::string_view conflictPrefix = "current revision ";
 
 }
--- a/Source/KeyValue/PlatformTypes.h
+++ b/Source/KeyValue/PlatformTypes.h
@@ -14,15 +14,15 @@
 
 namespace wisteriadock {
 
-// The largest value that the platform holds, in bytes.
+// The maximum size of a value in the platform's store, in bytes.
 inline constexpr std::size_t platformValueLimit = 1'000'000;
 
-// The error of a compare-and-swap that lost, and the revision that such an error reports as the current one
-// (none for any other error).
+// The error of a compare-and-swap whose expected revision is not the current one.
 Error conflictError(std::string_view key, std::uint64_t expected, std::uint64_t current);
+// Returns the current revision reported by a conflictError(), or nothing for any other error.
 std::optional<std::uint64_t> currentRevisionOf(const Error&);
 
-// A stored value; key and value are UTF-8 text. Revisions are per store and rise with every write.
+// A key with its value; both are UTF-8 text. Revisions are counted per store and rise with every write.
 struct PlatformEntry {
     std::string key;
     std::string value;
@@ -42,11 +42,11 @@
 std::string_view nameOf(VmState);
 std::optional<VmState> vmStateOf(std::string_view name);
 
-// One line of the platform's list of VMs. The list lags: treat it as advice.
+// An entry of the platform's list of VMs. The list may lag behind the real state.
 struct Vm {
     std::string name;
     std::string availabilityZone;
-    // Where the balancer of this VM takes messages from other balancers, as text.
+    // The address on which the balancer of this VM receives messages of other balancers, "192.0.2.1:7000".
     std::string peerAddress;
     VmState state = VmState::Live;
 };
