--- a/Source/Settings/IniDocument.cpp
+++ b/Source/Settings/IniDocument.cpp
@@ -43,7 +43,7 @@
             [](unsigned char character) { return (character < ' ' && character != '\t') || character == 0x7f; });
     }
 
-    // Problems show the text as printable ASCII, so that garbage can't steer an operator's terminal.
+    // Returns an excerpt in printable ASCII, so that the text of a problem can't contain terminal escape sequences.
     std::string printable(std::string_view text)
     {
         constexpr std::size_t maxShownBytes = 60;
@@ -62,11 +62,11 @@
     return found == entries.end() ? nullptr : &*found;
 }
 
-// Feeds libinih line by line and takes its key-value pairs.
+// Passes the lines to libinih one by one and collects the key-value pairs that it finds.
 //
-// It reads section headers and refuses broken lines itself, because libinih would hide both: it says nothing of an
-// empty or repeated section, cuts section names at 49 bytes so that two names may become one, treats an indented line
-// as the continuation of the value before it, and reports only the first syntax error.
+// Parses section headers and checks lines itself, because libinih does not report empty or duplicate sections,
+// truncates section names to 49 bytes, takes an indented line as a continuation of the previous value, and reports only
+// the first syntax error.
 class IniLineReader {
 public:
     IniLineReader(IniDocument& document, std::string_view text)
@@ -114,7 +114,7 @@
         return buffer;
     }
 
-    // Whether the line should hold a key and value, for libinih to take apart.
+    // Returns whether the line should contain a key and a value, which libinih splits.
     bool checkLine(std::string_view line, std::size_t bufferSize)
     {
         if (line.empty() || isComment(line))
@@ -140,7 +140,7 @@
         const std::string name = close == std::string_view::npos ? std::string() : joinWords(line.substr(1, close - 1));
         const std::string_view rest = close == std::string_view::npos ? "" : trim(line.substr(close + 1));
         if (name.empty() || !(rest.empty() || isComment(rest))) {
-            // The keys below belong to a section nobody can name; they are read so that their syntax is checked.
+            // The keys below the broken header are skipped, but their syntax is checked.
             isSkippingSection_ = true;
             addProblem({}, line, "a section header such as [section], alone on its line");
             return;
@@ -182,7 +182,7 @@
         section.entries.push_back({ std::string(key), std::string(value), lineNumber_ });
     }
 
-    // libinih calls back for a line only if it could take it apart.
+    // libinih calls handleEntry() only for lines that it could split.
     void checkLastLineWasParsed()
     {
         const std::string_view line = std::exchange(pendingLine_, {});
--- a/Source/Settings/IniDocument.h
+++ b/Source/Settings/IniDocument.h
@@ -9,7 +9,7 @@
 
 namespace wisteriadock {
 
-// The longest line that a file may have, in bytes without its line end. libinih cuts longer ones in two.
+// The maximum length of a line, in bytes without the line end. libinih would split longer lines.
 constexpr std::size_t maxIniLineBytes = 190;
 constexpr std::size_t maxIniKeysPerSection = 256;
 
@@ -20,7 +20,7 @@
 };
 
 struct IniSection {
-    // The text between the brackets, with runs of blanks as one blank.
+    // The text between the brackets, with each run of blanks replaced by one space.
     std::string name;
     std::size_t line = 0;
     std::vector<IniEntry> entries;
@@ -28,15 +28,14 @@
     const IniEntry* find(std::string_view key) const;
 };
 
-// An INI file as it stands: sections and keys in file order, each with its line. Knows no key by name; a
-// SettingsReader gives the text its meaning.
+// A parsed INI file: sections and keys in file order, each with its line number. SettingsReader interprets the values.
 //
 // Syntax: "[section]", "key = value", comments from ";" or "#" at the start of a line and from " ;" after a value.
-// A value ends with its line. A section and a key within its section stand once.
+// Values do not continue on the next line. Duplicate sections, and duplicate keys in a section, are errors.
 class IniDocument {
 public:
-    // Reads text as the content of the named file; the name only serves the problems. Never fails: what is wrong with
-    // the syntax stands in problems(), and the rest can still be read, so that all problems are found in one go.
+    // Parses the content of a file; the file name appears in problems only. Syntax errors are collected in problems()
+    // and the rest is still parsed, so that all problems are reported at once.
     static IniDocument parse(std::string file, std::string_view text);
 
     const std::string& file() const { return file_; }
--- a/Source/Settings/NearestName.h
+++ b/Source/Settings/NearestName.h
@@ -6,11 +6,11 @@
 
 namespace wisteriadock {
 
-// The number of characters to insert, remove or replace to turn one text into the other (Levenshtein distance).
+// Returns the Levenshtein distance: the number of insertions, deletions and replacements between two texts.
 std::size_t editDistance(std::string_view first, std::string_view second);
 
-// The known name with the least edit distance, to help with a misspelt one; the first of equals, empty if there is
-// none.
+// Returns the known name with the least edit distance, as a suggestion for a misspelt name. Of equally near names the
+// first one wins; empty if there are no known names.
 std::string_view nearestName(std::string_view name, const std::vector<std::string_view>& known);
 
 }
--- a/Source/Settings/SectionReader.cpp
+++ b/Source/Settings/SectionReader.cpp
@@ -27,7 +27,7 @@
             || (character >= '0' && character <= '9');
     }
 
-    // Reads the whole text as a number, or nothing of it.
+    // Parses a number. Fails if anything follows it.
     template <typename Number> bool parseNumber(std::string_view text, Number& number)
     {
         const char* end = text.data() + text.size();
@@ -82,7 +82,7 @@
     if (!entry)
         return;
     double value = 0;
-    // Not-a-number fails both comparisons, and infinity the finite bounds.
+    // The comparisons also reject NaN and infinity.
     if (parseNumber(entry->value, value) && value >= min && value <= max)
         target = value;
     else
@@ -185,7 +185,7 @@
 {
     declaredKeys_.push_back(key);
     const IniEntry* entry = section_ ? section_->find(key) : nullptr;
-    // A missing section is reported once, as a section.
+    // A missing section is reported once by SettingsReader, and not key by key.
     if (!entry && section_ && presence == Presence::Required)
         problems_->add({ file_, section_->line, sectionName_, {}, {}, fmt::format("the key '{}'", key) });
     return entry;
--- a/Source/Settings/SectionReader.h
+++ b/Source/Settings/SectionReader.h
@@ -15,21 +15,21 @@
 
 namespace wisteriadock {
 
-// Whether a file may leave a key or section out.
+// Whether a key or section may be absent from a file.
 enum class Presence {
-    Optional, // The target keeps the value that it had, which is the default.
+    Optional, // If absent, the target keeps its value, the default.
     Required,
 };
 
-// Reads a comma-separated list of endpoints, "192.0.2.1:80,192.0.2.2:80". Fails with InvalidArgument.
+// Parses a comma-separated list of endpoints, "192.0.2.1:80,192.0.2.2:80". Fails with InvalidArgument.
 Result<std::vector<Endpoint>> parseEndpointList(std::string_view text);
 
-// Reads the keys of one section into typed variables. Each call declares one key and, when the file has it, sets the
-// target; a value that can't be used is reported and leaves the target alone. Made by a SettingsReader, which reports
-// the keys that nobody declared. Keys must be literals, since only views of them are kept.
+// Reads the keys of one section into typed variables. Each call declares one key and, if the file has the key, sets the
+// target. An invalid value is reported as a problem and leaves the target unchanged. Created by SettingsReader, which
+// also reports the undeclared keys of the file. Keys must be literals, since only views of them are stored.
 class SectionReader {
 public:
-    // The section is null when the file lacks it.
+    // The section is null if the file does not contain it.
     SectionReader(std::string file, std::string sectionName, const IniSection*, SettingsProblems&);
 
     template <std::integral Int>
@@ -56,13 +56,14 @@
     void number(std::string_view key, double& target, double min, double max, Presence = Presence::Optional);
     void endpoint(std::string_view key, Endpoint& target, Presence = Presence::Optional);
     void endpoints(std::string_view key, std::vector<Endpoint>& target, Presence = Presence::Optional);
-    // Any text but the empty one.
+    // Any text that is not empty.
     void text(std::string_view key, std::string& target, Presence = Presence::Optional);
-    // Text that can serve as a name; see isName().
+    // A valid name; see isName().
     void name(std::string_view key, std::string& target, Presence = Presence::Optional);
     // "true" or "false".
     void boolean(std::string_view key, bool& target, Presence = Presence::Optional);
 
+    // One of the names in the table.
     template <typename Enum, std::size_t Size>
     void enumeration(
         std::string_view key, Enum& target, const NameTable<Enum, Size>& names, Presence presence = Presence::Optional)
@@ -80,17 +81,18 @@
         addUnknownName(*entry, known);
     }
 
-    // Reports a problem that only the caller can see, at the key's line, or at the section's if the key is absent.
+    // Reports a problem found by the caller, at the line of the key, or at the line of the section if the key is
+    // absent.
     void addProblem(std::string_view key, std::string expected);
 
     bool has(std::string_view key) const { return section_ && section_->find(key); }
-    // The whole name, "service tryon".
+    // The full name, "service tryon".
     const std::string& sectionName() const { return sectionName_; }
-    // What follows the first word of the section's name, "tryon"; empty for a section without a second word.
+    // The section's name without its first word, "tryon"; empty if the name is a single word.
     std::string_view instanceName() const;
     std::size_t line() const { return section_ ? section_->line : 0; }
 
-    // Reports the keys of the file that no call declared, each with the nearest declared one.
+    // Reports the keys of the file that no call has declared, each with the nearest declared key.
     void addUnknownKeys();
 
 private:
@@ -106,10 +108,10 @@
     std::vector<std::string_view> declaredKeys_;
 };
 
-// The longest name of a service, backend server, balancer or availability zone.
+// The maximum length of the name of a service, backend server, balancer or availability zone, in characters.
 constexpr std::size_t maxNameLength = 63;
 
-// Whether the text can name something: 1 to 63 letters, digits, "-", "_" and ".", starting with a letter or digit.
+// Returns whether the text is a valid name: 1 to 63 letters, digits, "-", "_" and ".", starting with a letter or digit.
 bool isName(std::string_view text);
 
 }
--- a/Source/Settings/SettingsFile.cpp
+++ b/Source/Settings/SettingsFile.cpp
@@ -12,8 +12,7 @@
     if (!file)
         return Error { ErrorCode::NotFound, fmt::format("{}: can't be opened", path) };
 
-    // One byte more than allowed, to tell a file at the limit from one above it. Reading in blocks keeps the memory at
-    // the size of the file; a pipe has no size to ask for.
+    // Reads at most one block beyond the limit. The size is not queried first, since the path may be a pipe.
     std::string text;
     char block[16 * 1024];
     while (text.size() <= maxBytes && (file.read(block, sizeof(block)) || file.gcount() > 0))
--- a/Source/Settings/SettingsFile.h
+++ b/Source/Settings/SettingsFile.h
@@ -7,11 +7,11 @@
 
 namespace wisteriadock {
 
-// The largest settings file that a daemon reads.
+// The maximum size of a settings file, in bytes.
 constexpr std::size_t maxSettingsFileBytes = 65536;
 
-// Reads a whole file. Fails with NotFound when it can't be opened or read, and with ResourceExhausted when it is larger
-// than the limit; the detail names the file.
+// Reads a whole file. Fails with NotFound if the file can't be opened or read, and with ResourceExhausted if it is
+// larger than maxBytes; the detail names the file.
 Result<std::string> readFile(const std::string& path, std::size_t maxBytes = maxSettingsFileBytes);
 
 }
--- a/Source/Settings/SettingsProblem.h
+++ b/Source/Settings/SettingsProblem.h
@@ -8,30 +8,30 @@
 
 namespace wisteriadock {
 
-// How many problems of one file are kept; later ones are only counted, so that a garbage file can't fill the memory.
+// The maximum number of problems stored per file; later ones are only counted, which bounds the memory.
 constexpr std::size_t maxSettingsProblems = 200;
 
-// One thing that is wrong with a settings or configuration file, for the person who has to mend it.
+// An error in a settings or configuration file, as reported to the operator.
 struct SettingsProblem {
     std::string file;
-    // Counted from 1; 0 when the problem has no line, such as a missing section.
+    // Counted from 1; 0 if the problem has no line, for example a missing section.
     std::size_t line = 0;
-    // Empty when the problem stands outside of any section.
+    // Empty if the problem is outside of any section.
     std::string section;
-    // Empty when the problem is about a whole section or line.
+    // Empty if the problem concerns a whole section or line.
     std::string key;
-    // The offending text.
+    // The invalid text.
     std::string value;
-    // What should have stood there.
+    // What the file should contain instead.
     std::string expected;
 
-    // "FILE:LINE: [section] key = value: expected …", without the parts that are absent.
+    // Returns "FILE:LINE: [section] key = value: expected …", without the parts that are empty.
     std::string toString() const;
 
     bool operator==(const SettingsProblem&) const = default;
 };
 
-// Collects the problems of one file, so that all of them are reported in one go.
+// Collects the problems of one file, so that all of them are reported at once.
 class SettingsProblems {
 public:
     void add(SettingsProblem);
@@ -39,16 +39,17 @@
     void sortByLine();
 
     bool isEmpty() const { return kept_.empty(); }
-    // Whether later problems are only counted, so that nobody needs to work their texts out.
+    // Whether later problems are only counted, so that their texts need not be computed.
     bool isFull() const { return kept_.size() >= maxSettingsProblems; }
     // The first maxSettingsProblems problems, in the order in which they were added.
     const std::vector<SettingsProblem>& kept() const { return kept_; }
+    // The number of problems beyond maxSettingsProblems.
     std::size_t omitted() const { return omitted_; }
 
-    // One problem a line, ending with a line that counts the omitted ones. Empty when there is no problem.
+    // Returns one problem per line, and a last line with the number of omitted problems. Empty if there are none.
     std::string toString() const;
 
-    // The whole list as one InvalidArgument, for callers that only pass errors on.
+    // Returns all problems as one InvalidArgument error.
     Error toError() const;
 
 private:
--- a/Source/Settings/SettingsReader.h
+++ b/Source/Settings/SettingsReader.h
@@ -10,8 +10,8 @@
 
 namespace wisteriadock {
 
-// Gives an INI document its meaning: the caller names the sections that it knows and reads their keys, then asks for
-// everything that is wrong. Used for the settings of every daemon and for the operators' configuration.
+// Reads an INI document: the caller declares the known sections, reads their keys and then collects all problems with
+// finish(). Used for the settings of every daemon and for the operators' configuration.
 //
 //     SettingsReader reader(document);
 //     SectionReader& platform = reader.section("platform", Presence::Required);
@@ -25,23 +25,25 @@
     SettingsReader(const SettingsReader&) = delete;
     SettingsReader& operator=(const SettingsReader&) = delete;
 
-    // The section of this name. If the file lacks it, reading leaves every target at its default.
+    // Declares a section and returns its reader. If the file does not contain the section, all targets keep their
+    // defaults.
     SectionReader& section(std::string_view name, Presence = Presence::Optional);
 
-    // All sections "[kind NAME]" in file order. Reports those whose NAME is missing or no name, and leaves them out.
+    // Declares the sections "[kind NAME]" and returns them in file order. Sections without a valid NAME are reported
+    // and skipped.
     std::vector<SectionReader*> sectionsOf(std::string_view kind);
 
-    // Reports a problem that belongs to no section of the file.
+    // Reports a problem of the file as a whole.
     void addProblem(std::string expected);
 
-    // All problems by line, those of the syntax and of undeclared sections and keys included. Call it once, after all
-    // reads.
+    // Returns all problems sorted by line, including syntax errors and undeclared sections and keys. Call it once,
+    // after all reads.
     SettingsProblems finish();
 
 private:
     const IniDocument& document_;
     SettingsProblems problems_;
-    // References into it stay valid while it grows.
+    // A deque, since callers hold references to the elements.
     std::deque<SectionReader> readers_;
     std::vector<std::string_view> declaredSections_;
     std::vector<std::string_view> declaredKinds_;
