--- a/Source/Settings/IniDocument.cpp
+++ b/Source/Settings/IniDocument.cpp
@@ -153,7 +153,7 @@
             return;
         }
         document_.problems_.add({ document_.file_, lineNumber_, name, {}, {},
-            fmt::format("this section once; it stands on line {} already", known->second) });
+            fmt::format("this section only once; first defined on line {}", known->second) });
     }
 
     void addEntry(std::string_view key, std::string_view value)
@@ -172,7 +172,7 @@
 
         IniSection& section = document_.sections_.back();
         if (const IniEntry* earlier = section.find(key)) {
-            addProblem(key, value, fmt::format("this key once; it stands on line {} already", earlier->line));
+            addProblem(key, value, fmt::format("this key only once; first defined on line {}", earlier->line));
             return;
         }
         if (section.entries.size() >= maxIniKeysPerSection) {
--- a/Tests/Configuration/ConfigurationParserTest.cpp
+++ b/Tests/Configuration/ConfigurationParserTest.cpp
@@ -75,7 +75,7 @@
                 "f.ini:15: [backend_server tryon-2] state = drained: expected one of active, draining; the nearest is "
                 "'draining'" },
             { "duplicate section", "[backend_server scan-1]", "[backend_server tryon-1]",
-                "f.ini:15: [backend_server tryon-1]: expected this section once; it stands on line 5 already" },
+                "f.ini:15: [backend_server tryon-1]: expected this section only once; first defined on line 5" },
             { "two services on one address", "10.0.0.2:443", "10.0.0.1:443",
                 "f.ini:4: [service scanintake] address = 10.0.0.1:443: expected a unique address; this one is already "
                 "used by [service tryon] on line 1" },
--- a/Tests/Settings/IniDocumentTest.cpp
+++ b/Tests/Settings/IniDocumentTest.cpp
@@ -39,9 +39,9 @@
     {
         EXPECT_THAT(problemsOf("k = 1\n[a]\nx = 1\nx = 2\nnonsense\n= 3\n[a]\nz = 1\n[b\ny = 1\n[c] d\nq = \x01\n"),
             testing::ElementsAre("f.ini:1: k = 1: expected a section header such as [section] before the first key",
-                "f.ini:4: [a] x = 2: expected this key once; it stands on line 3 already",
+                "f.ini:4: [a] x = 2: expected this key only once; first defined on line 3",
                 "f.ini:5: [a] nonsense: expected key = value", "f.ini:6: [a] = 3: expected key = value",
-                "f.ini:7: [a]: expected this section once; it stands on line 2 already",
+                "f.ini:7: [a]: expected this section only once; first defined on line 2",
                 "f.ini:9: [b: expected a section header such as [section], alone on its line",
                 "f.ini:11: [c] d: expected a section header such as [section], alone on its line",
                 "f.ini:12: q = ?: expected text without control characters"));
