--- a/Tests/KeyValue/FakePlatformTest.cpp
+++ b/Tests/KeyValue/FakePlatformTest.cpp
@@ -20,7 +20,7 @@
         std::vector<Result<std::uint64_t>> writes_;
     };
 
-    TEST_F(FakePlatformTest, answersInsideTheCallAndWakesWatches)
+    TEST_F(FakePlatformTest, SynchronousAnswersAndWatches)
     {
         std::optional<std::string> seen;
         platform_.watch(
@@ -31,10 +31,10 @@
         EXPECT_EQ(seen, "one");
     }
 
-    TEST_F(FakePlatformTest, playsOutageSlownessAndLostAnswers)
+    TEST_F(FakePlatformTest, OutageDelayAndLostAnswers)
     {
         {
-            SCOPED_TRACE("down: nothing is done, and waiting watches end");
+            SCOPED_TRACE("down: calls have no effect, and open watches end");
             std::optional<ErrorCode> watchEnd;
             platform_.watch("key", 0, clock_.now() + 1s,
                 [&](const Result<PlatformEntry>& entry) { watchEnd = entry.error().code; });
@@ -46,14 +46,14 @@
             platform_.setDown(false);
         }
         {
-            SCOPED_TRACE("lost: it took effect");
+            SCOPED_TRACE("lost answer: the write takes effect");
             platform_.loseAnswers(1);
             write(0, "lost");
             EXPECT_EQ(writes_.at(1).error().code, ErrorCode::Unknown);
             EXPECT_EQ(platform_.store().revision(), 1U);
         }
         {
-            SCOPED_TRACE("slow: it acts at once and answers when released, or never in time");
+            SCOPED_TRACE("slow: writes take effect at once, answers come at release() or too late");
             platform_.setSlow(true);
             write(1, "slow");
             EXPECT_EQ(platform_.store().revision(), 2U);
--- a/Tests/KeyValue/PlatformOutcomeTest.cpp
+++ b/Tests/KeyValue/PlatformOutcomeTest.cpp
@@ -7,10 +7,8 @@
 namespace wisteriadock {
 namespace {
 
-    // Symptom: an operator applies a file twice, or is told that nothing was done although it was.
-    // Sequence: the write reaches the platform; its answer does not come back.
-    // Cause: a write's failure was taken for "not done" where it only means "not known".
-    TEST(PlatformOutcomeTest, onlyProvablyUnsentWritesAreUnavailable)
+    // Guards against reporting a write as having no effect when its outcome is unknown.
+    TEST(PlatformOutcomeTest, FailedWritesAreUnavailableOnlyWithoutEffect)
     {
         struct Row {
             HttpFailureKind kind;
@@ -34,7 +32,7 @@
         }
     }
 
-    TEST(PlatformOutcomeTest, thePlatformsOwnRefusalsKeepCodeAndDetail)
+    TEST(PlatformOutcomeTest, RefusalsKeepCodeAndDetail)
     {
         for (const auto code : { ErrorCode::InvalidArgument, ErrorCode::NotFound, ErrorCode::Conflict,
                  ErrorCode::ResourceExhausted, ErrorCode::Unavailable }) {
@@ -44,10 +42,8 @@
         EXPECT_EQ(currentRevisionOf(conflictError("current revision 9", 4, 5)), 5U);
     }
 
-    // Symptom: a write counts as not done although the platform did it.
-    // Sequence: something between client and platform, or another server on its address, answers in its place.
-    // Cause: its 503 or 404 was taken for the platform's word.
-    TEST(PlatformOutcomeTest, foreignAnswersLeaveDoubt)
+    // Guards against taking the error of a proxy or another server for a refusal by the platform.
+    TEST(PlatformOutcomeTest, AnswersOfOtherServers)
     {
         const HttpResponse foreign[] = {
             { 503, {}, "" },
--- a/Tests/KeyValue/PlatformStandInTest.cpp
+++ b/Tests/KeyValue/PlatformStandInTest.cpp
@@ -9,11 +9,11 @@
     protected:
         std::vector<Vm> listVms()
         {
-            return await<std::vector<Vm>>([&](auto done) { client_->listVms(soon(), done); }).value();
+            return await<std::vector<Vm>>([&](auto done) { client_->listVms(testDeadline(), done); }).value();
         }
     };
 
-    TEST_F(PlatformStandInTest, adminSetsTheListOfVms)
+    TEST_F(PlatformStandInTest, VmListSetByAdmin)
     {
         EXPECT_TRUE(listVms().empty());
         const std::string list = R"("vms":[{"name":"vm-1","availability_zone":"walu",)"
@@ -26,10 +26,10 @@
         EXPECT_EQ(vms[0].peerAddress, "127.0.0.1:7000");
         EXPECT_EQ(vms[0].state, VmState::Leaving);
         ASSERT_EQ(request("POST", "/admin/vms", R"({"lag_ms":3600000,"vms":[]})").status, 200);
-        EXPECT_EQ(listVms().size(), 1U) << "the newer list is not seen yet";
+        EXPECT_EQ(listVms().size(), 1U) << "the new list is delayed";
     }
 
-    TEST_F(PlatformStandInTest, adminTakesAndRestoresCopies)
+    TEST_F(PlatformStandInTest, SnapshotAndRestore)
     {
         ASSERT_TRUE(write("head", 0, "one"));
         EXPECT_EQ(request("POST", "/admin/restore", R"({"name":"old"})").status, 404);
@@ -40,12 +40,12 @@
         EXPECT_EQ(counters()["revision"], 1);
     }
 
-    TEST_F(PlatformStandInTest, adminWorksDuringAnOutageAndCountsApart)
+    TEST_F(PlatformStandInTest, AdminDuringOutage)
     {
         setFaults(R"({"down":"unavailable","slow_ms":5,"lose_answers":{"get":2}})");
         EXPECT_FALSE(get("head"));
         const Json now = counters();
-        EXPECT_EQ(now["calls"]["get"], 0) << "calls that failed by the fault were not acted on";
+        EXPECT_EQ(now["calls"]["get"], 0) << "failed calls have no effect";
         EXPECT_EQ(now["calls_failed"], 1);
         const Json faults = Json::parse(request("GET", "/admin/faults", "").body);
         EXPECT_EQ(faults["down"], "unavailable");
@@ -53,10 +53,8 @@
         EXPECT_EQ(faults["lose_answers"]["get"], 2);
     }
 
-    // Symptom: the count of waiting watches rises though no balancer waits.
-    // Sequence: the stand-in is slow; a caller gives its watch up; then the watch begins.
-    // Cause: the cancellation came before there was a watch to cancel.
-    TEST_F(PlatformStandInTest, aWatchGivenUpBeforeItBeganNeverWaits)
+    // Guards against a watch that stays open because it was cancelled before a slow stand-in started it.
+    TEST_F(PlatformStandInTest, WatchCancelledBeforeItStarts)
     {
         setFaults(R"({"slow_ms":500})");
         const std::string body = R"({"key":"head","after_revision":0,"timeout_ms":3600000})";
@@ -66,11 +64,11 @@
             [&](const HttpOutcome& outcome) { end = outcome.error().kind; });
         runUntil([&] { return end.has_value(); });
         EXPECT_EQ(end, HttpFailureKind::DeadlineExceeded);
-        EXPECT_FALSE(get("head")) << "this call came later, so the watch's turn is over";
+        EXPECT_FALSE(get("head")) << "answered after the delayed watch";
         EXPECT_EQ(counters()["waiting_watches"], 0);
     }
 
-    TEST_F(PlatformStandInTest, refusesWhatItCannotReadAndChangesNothing)
+    TEST_F(PlatformStandInTest, MalformedRequestsChangeNothing)
     {
         for (const char* body : { "", "[]", "{", R"({"key":7})", R"({"key":"k","expected_revision":-1,"value":"v"})",
                  R"({"key":"k","expected_revision":0,"value":null})",
@@ -95,9 +93,9 @@
         EXPECT_EQ(standIn_->store().revision(), 0U);
     }
 
-    TEST_F(PlatformStandInTest, survivesMutatedBodies)
+    TEST_F(PlatformStandInTest, MutatedRequestBodies)
     {
-        std::mt19937 random(20); // The same corpus in every run.
+        std::mt19937 random(20);
         const std::string seeds[] = {
             R"({"key":"k","expected_revision":0,"value":"v","lease":1})",
             R"({"key":"k","after_revision":0,"timeout_ms":0})",
--- a/Tests/KeyValue/PlatformStoreTest.cpp
+++ b/Tests/KeyValue/PlatformStoreTest.cpp
@@ -21,32 +21,35 @@
             return entry ? std::optional(entry.value().value) : std::nullopt;
         }
 
-        std::uint64_t grant(std::chrono::milliseconds time) { return store_.grantLease(time, clock_.now()).value().id; }
+        std::uint64_t grant(std::chrono::milliseconds timeToLive)
+        {
+            return store_.grantLease(timeToLive, clock_.now()).value().id;
+        }
 
         ManualClock clock_;
         PlatformStore store_;
     };
 
-    TEST_F(PlatformStoreTest, revisionsDecideWhoWrites)
+    TEST_F(PlatformStoreTest, CompareAndSwapChecksRevisions)
     {
         ASSERT_EQ(write("head", 0, "one").value(), 1U);
         ASSERT_EQ(write("other", 0, "x").value(), 2U);
         {
-            SCOPED_TRACE("two operators hold revision 1; the first one wins");
+            SCOPED_TRACE("of two writes that expect revision 1 the first one succeeds");
             EXPECT_EQ(write("head", 1, "two").value(), 3U);
-            const auto loser = write("head", 1, "rival");
-            ASSERT_FALSE(loser);
-            EXPECT_EQ(currentRevisionOf(loser.error()), 3U);
+            const auto conflict = write("head", 1, "rival");
+            ASSERT_FALSE(conflict);
+            EXPECT_EQ(currentRevisionOf(conflict.error()), 3U);
         }
         {
-            SCOPED_TRACE("a key that exists cannot be created, one that does not cannot be changed");
+            SCOPED_TRACE("create an existing key, change a missing key");
             EXPECT_EQ(currentRevisionOf(write("head", 0, "again").error()), 3U);
             EXPECT_EQ(currentRevisionOf(write("absent", 5, "x").error()), 0U);
         }
         EXPECT_EQ(valueOf("head"), "two");
     }
 
-    TEST_F(PlatformStoreTest, takesValuesUpToTheLimit)
+    TEST_F(PlatformStoreTest, ValueSizeLimit)
     {
         EXPECT_TRUE(write("largest", 0, std::string(platformValueLimit, 'v')));
         EXPECT_EQ(
@@ -54,21 +57,19 @@
         EXPECT_EQ(valueOf("larger"), std::nullopt);
     }
 
-    // Symptom: a balancer believes that it still holds its key, and nobody else sees it.
-    // Sequence: the balancer is paused past its lease; the lease lapses; the balancer wakes and writes or keeps alive.
-    // Cause: a lease can lapse unseen by its holder; the platform must say so at the next call.
-    TEST_F(PlatformStoreTest, aLeaseLapsesUnseenByItsHolder)
+    // Guards against a paused holder that is not told of the expiry of its lease by its next call.
+    TEST_F(PlatformStoreTest, LeaseExpiresWhileHolderIsPaused)
     {
         const auto lease = grant(100ms);
         ASSERT_TRUE(write("member", 0, "balancer-1", lease));
         {
-            SCOPED_TRACE("kept alive, it holds");
+            SCOPED_TRACE("keepAlive extends the lease");
             clock_.advance(99ms);
             ASSERT_TRUE(store_.keepAlive(lease, clock_.now()));
             clock_.advance(99ms);
             EXPECT_EQ(valueOf("member"), "balancer-1");
         }
-        SCOPED_TRACE("the holder is paused");
+        SCOPED_TRACE("the holder is paused until the lease expires");
         const auto watch = store_.watch("member", 1, clock_.now() + 1h, clock_.now());
         clock_.advance(1ms);
         EXPECT_EQ(store_.nextDeadline(), clock_.now());
@@ -80,10 +81,10 @@
         EXPECT_EQ(valueOf("member"), std::nullopt);
         EXPECT_EQ(store_.keepAlive(lease, clock_.now()).error().code, ErrorCode::NotFound);
         EXPECT_EQ(write("member", 0, "balancer-1", lease).error().code, ErrorCode::NotFound);
-        EXPECT_EQ(write("member", 0, "balancer-2").value(), 3U) << "the deletion took revision 2";
+        EXPECT_EQ(write("member", 0, "balancer-2").value(), 3U) << "the deletion used revision 2";
     }
 
-    TEST_F(PlatformStoreTest, aWriteWithoutTheLeaseUntiesTheKey)
+    TEST_F(PlatformStoreTest, WriteWithoutLeaseDetachesKey)
     {
         ASSERT_TRUE(write("key", 0, "tied", grant(100ms)));
         ASSERT_TRUE(write("key", 1, "untied"));
@@ -91,14 +92,14 @@
         EXPECT_EQ(valueOf("key"), "untied");
     }
 
-    TEST_F(PlatformStoreTest, watchesEndOnceEach)
+    TEST_F(PlatformStoreTest, WatchesEndOnce)
     {
         ASSERT_TRUE(write("head", 0, "one"));
         const auto until = clock_.now() + 100ms;
-        const auto behind = store_.watch("head", 0, until, clock_.now());
+        const auto outdated = store_.watch("head", 0, until, clock_.now());
         auto ended = store_.takeEndedWatches();
-        ASSERT_EQ(ended.size(), 1U) << "what is newer already is answered at once";
-        EXPECT_EQ(ended[0].id, behind);
+        ASSERT_EQ(ended.size(), 1U) << "a newer value is answered at once";
+        EXPECT_EQ(ended[0].id, outdated);
 
         const auto waiting = store_.watch("head", 1, until, clock_.now());
         const auto quiet = store_.watch("quiet", 0, until, clock_.now());
@@ -106,7 +107,7 @@
         store_.cancelWatch(cancelled);
         EXPECT_EQ(store_.waitingWatches(), 2U);
         {
-            SCOPED_TRACE("a write wakes the watches of its key");
+            SCOPED_TRACE("a write ends the watches of its key");
             ASSERT_TRUE(write("head", 1, "two"));
             ended = store_.takeEndedWatches();
             ASSERT_EQ(ended.size(), 1U);
@@ -114,7 +115,7 @@
             EXPECT_EQ(ended[0].result.value().value, "two");
         }
         {
-            SCOPED_TRACE("time ends the others");
+            SCOPED_TRACE("the deadline ends the other watch");
             clock_.advance(100ms);
             store_.advance(clock_.now());
             ended = store_.takeEndedWatches();
@@ -127,10 +128,8 @@
         EXPECT_EQ(store_.nextDeadline(), std::nullopt);
     }
 
-    // Symptom: a balancer that saw revision 3 is handed an older configuration under a revision that it knows.
-    // Sequence: a copy is taken at revision 2; revision 3 is written; the copy is restored; somebody writes again.
-    // Cause: the copy brings its own revision counter back, so that revision 3 names two values.
-    TEST_F(PlatformStoreTest, anOlderCopyBringsItsRevisionsBack)
+    // Guards against a stand-in that does not show the hazard of a restored store: a revision is used for two values.
+    TEST_F(PlatformStoreTest, RestoredSnapshotResetsRevisions)
     {
         const auto lease = grant(100ms);
         ASSERT_TRUE(write("head", 0, "one"));
@@ -147,16 +146,15 @@
         EXPECT_EQ(ended[0].id, watch);
         EXPECT_EQ(ended[0].result.error().code, ErrorCode::Unavailable);
         EXPECT_EQ(valueOf("head"), "one");
-        EXPECT_EQ(valueOf("member"), "balancer-1") << "the lease goes on with the time it had left";
+        EXPECT_EQ(valueOf("member"), "balancer-1") << "the lease keeps its remaining time";
         EXPECT_EQ(write("head", 1, "rival").value(), 3U);
-        EXPECT_GT(grant(100ms), watch) << "numbers of leases never come again";
+        EXPECT_GT(grant(100ms), watch) << "lease ids are not reused";
         clock_.advance(100ms);
         EXPECT_EQ(valueOf("member"), std::nullopt);
     }
 
-    // Symptom: a balancer sends work to a VM that is gone. Sequence: a VM leaves; the list still shows it.
-    // Cause: the platform's list of VMs lags.
-    TEST_F(PlatformStoreTest, theListOfVmsLags)
+    // Guards against a stand-in whose list of VMs is always current, unlike the platform's.
+    TEST_F(PlatformStoreTest, VmListLags)
     {
         const Vm vm { "vm-1", "walu", "127.0.0.1:7000", VmState::Live };
         store_.setVms({ vm }, clock_.now());
--- a/Tests/KeyValue/StandInFixture.h
+++ b/Tests/KeyValue/StandInFixture.h
@@ -10,21 +10,21 @@
 
 namespace wisteriadock {
 
-// A stand-in and a client of it in one process, over loopback on an ephemeral port.
+// Runs the stand-in of the platform and a client of it in one process, over loopback on an ephemeral port.
 class StandInFixture : public testing::Test {
 protected:
-    // Only ends a test that hangs; no test waits for it.
-    static constexpr std::chrono::seconds guard { 20 };
+    // Fails a test that hangs; no passing test waits for it.
+    static constexpr std::chrono::seconds testTimeout { 20 };
 
-    static TimePoint soon() { return Clock::now() + guard; }
+    static TimePoint testDeadline() { return Clock::now() + testTimeout; }
 
     void runUntil(const std::function<bool()>& condition)
     {
-        const TimePoint end = soon();
+        const TimePoint end = testDeadline();
         context_.restart();
         while (!condition() && Clock::now() < end)
             context_.run_one_until(end);
-        ASSERT_TRUE(condition()) << "the condition did not come true";
+        ASSERT_TRUE(condition()) << "timed out waiting for the condition";
     }
 
     template <typename Value> Result<Value> await(const std::function<void(std::function<void(Result<Value>)>)>& call)
@@ -40,14 +40,15 @@
 
     Result<PlatformEntry> get(const std::string& key)
     {
-        return await<PlatformEntry>([&](auto done) { client_->get(key, soon(), done); });
+        return await<PlatformEntry>([&](auto done) { client_->get(key, testDeadline(), done); });
     }
 
     Result<std::uint64_t> write(const std::string& key, std::uint64_t expected, const std::string& value,
         std::optional<std::uint64_t> lease = std::nullopt, std::optional<TimePoint> deadline = std::nullopt)
     {
-        return await<std::uint64_t>(
-            [&](auto done) { client_->compareAndSwap(key, expected, value, lease, deadline.value_or(soon()), done); });
+        return await<std::uint64_t>([&](auto done) {
+            client_->compareAndSwap(key, expected, value, lease, deadline.value_or(testDeadline()), done);
+        });
     }
 
     HttpResponse request(const std::string& method, const std::string& path, const std::string& body)
@@ -59,7 +60,7 @@
         message.body = body;
         std::optional<HttpResponse> response;
         bool ended = false;
-        admin_->send(message, soon(), [&](const HttpOutcome& outcome) {
+        admin_->send(message, testDeadline(), [&](const HttpOutcome& outcome) {
             ended = true;
             if (outcome)
                 response = outcome.value();
