--- a/Tests/PlatformAdapter/ConfigurationTextTest.cpp
+++ b/Tests/PlatformAdapter/ConfigurationTextTest.cpp
@@ -15,10 +15,10 @@
 
     using RoutesByName = std::map<std::string, FlowRoute>;
 
-    FlowRoute route(std::uint32_t number, std::int64_t aim = 250)
+    FlowRoute route(std::uint32_t number, std::int64_t targetLatency = 250)
     {
         return { fmt::format("r-{}", number), { 0xC6120000 + number, 443 }, { { "streams", 1 } },
-            std::chrono::milliseconds(aim) };
+            std::chrono::milliseconds(targetLatency) };
     }
 
     ForwardingConfiguration configurationOf(std::uint64_t version, std::vector<FlowRoute> routes)
@@ -26,8 +26,8 @@
         return { version, std::move(routes), std::chrono::seconds(15) };
     }
 
-    // Stands in for the table of routes.
-    struct Table {
+    // Applies the changes of a ConfigurationReader like the forwarder's table of routes.
+    struct RouteTable {
         ConfigurationReader reader;
         std::map<std::uint32_t, FlowRoute> routes;
         std::uint64_t version = 0;
@@ -66,7 +66,7 @@
         }
     };
 
-    std::vector<FlowRoute> routesTo(std::uint32_t count)
+    std::vector<FlowRoute> makeRoutes(std::uint32_t count)
     {
         std::vector<FlowRoute> routes;
         for (std::uint32_t number = 1; number <= count; ++number)
@@ -74,14 +74,11 @@
         return routes;
     }
 
-    // Symptom: at each change of one route of 10,000 no packet was handled for 1.1 to 2.3 s on a VM with 0.038 of a
-    // core. Sequence: the operators write the whole configuration anew; each balancer reads it and builds its table
-    // anew. Cause: reading took its time for the whole and not for the change. Evidence: the balancers had the version
-    // 0 ms after their zone's watcher; all the rest of the time to its being in force went to reading.
-    TEST(ConfigurationTextTest, onlyWhatChangedIsReadAnew)
+    // Guards against parsing all routes when one route changes, which blocks packet handling on slow VMs.
+    TEST(ConfigurationTextTest, OnlyChangedRoutesAreParsed)
     {
-        Table table;
-        std::vector<FlowRoute> routes = routesTo(1000);
+        RouteTable table;
+        std::vector<FlowRoute> routes = makeRoutes(1000);
         const auto readAndCount = [&](std::uint64_t version) {
             const std::string text = encodeConfiguration(configurationOf(version, routes));
             EXPECT_TRUE(table.read(text));
@@ -94,17 +91,17 @@
         EXPECT_EQ(readAndCount(2), 1U);
         EXPECT_FALSE(table.wasWhole);
         {
-            SCOPED_TRACE("only the version");
+            SCOPED_TRACE("new version without other changes");
             EXPECT_EQ(readAndCount(3), 0U);
         }
         {
-            SCOPED_TRACE("routes more, in the middle and at the end");
+            SCOPED_TRACE("routes added in the middle and at the end");
             routes.insert(routes.begin() + 300, { route(2001), route(2002), route(2003) });
             routes.push_back(route(2004));
             EXPECT_EQ(readAndCount(4), 4U);
         }
         {
-            SCOPED_TRACE("routes gone, one and many in a row");
+            SCOPED_TRACE("routes removed, single and consecutive ones");
             routes.erase(routes.begin());
             routes.erase(routes.begin() + 100, routes.begin() + 150);
             routes.pop_back();
@@ -112,21 +109,21 @@
         }
     }
 
-    TEST(ConfigurationTextTest, aVersionThatDidNotComeIntoForceIsNoBasis)
+    TEST(ConfigurationTextTest, ResetAfterRejectedVersion)
     {
-        Table table;
-        ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(5, routesTo(3)))));
-        ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(4, routesTo(9)))));
+        RouteTable table;
+        ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(5, makeRoutes(3)))));
+        ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(4, makeRoutes(9)))));
         table.reader.reset();
-        ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(6, routesTo(4)))));
+        ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(6, makeRoutes(4)))));
         EXPECT_TRUE(table.wasWhole);
         EXPECT_EQ(table.routes.size(), 4U);
     }
 
-    TEST(ConfigurationTextTest, aTextThatCannotBeReadLeavesTheReaderAsItWas)
+    TEST(ConfigurationTextTest, FailedReadKeepsState)
     {
-        Table table;
-        const std::string good = encodeConfiguration(configurationOf(1, routesTo(5)));
+        RouteTable table;
+        const std::string good = encodeConfiguration(configurationOf(1, makeRoutes(5)));
         ASSERT_TRUE(table.read(good));
         std::string badRoute = good;
         badRoute.replace(badRoute.find("/443/"), 5, "/abc/");
@@ -136,14 +133,14 @@
             ASSERT_FALSE(change) << bad;
             EXPECT_EQ(change.error().code, ErrorCode::InvalidArgument);
         }
-        ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(2, routesTo(6)))));
+        ASSERT_TRUE(table.read(encodeConfiguration(configurationOf(2, makeRoutes(6)))));
         EXPECT_EQ(table.changes, 1U);
     }
 
-    TEST(ConfigurationTextTest, otherLayoutsAreReadToo)
+    TEST(ConfigurationTextTest, OtherTextLayouts)
     {
-        Table table;
-        const std::string plain = encodeConfiguration(configurationOf(1, routesTo(3)));
+        RouteTable table;
+        const std::string plain = encodeConfiguration(configurationOf(1, makeRoutes(3)));
         std::string spaced = plain;
         for (std::size_t at = 0; (at = spaced.find(',', at)) != std::string::npos; at += 2)
             spaced.replace(at, 1, ", ");
@@ -157,7 +154,7 @@
             table.expectSameAs(text);
         }
         {
-            SCOPED_TRACE("of two routes with one address the last one counts");
+            SCOPED_TRACE("two routes with the same address");
             const auto change = table.reader.read(twice);
             ASSERT_TRUE(change);
             EXPECT_TRUE(change.value().isWhole);
@@ -165,13 +162,13 @@
         }
     }
 
-    TEST(ConfigurationTextTest, anySeriesOfChangesEndsAsReadingTheLastOneWhole)
+    TEST(ConfigurationTextTest, RandomChangesMatchFullDecoding)
     {
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
             SCOPED_TRACE(seed);
             std::mt19937 random(seed);
-            Table table;
-            std::vector<FlowRoute> routes = routesTo(400);
+            RouteTable table;
+            std::vector<FlowRoute> routes = makeRoutes(400);
             std::uint32_t newest = 400;
             for (std::uint64_t version = 1; version <= 60; ++version) {
                 for (std::uint32_t i = random() % 4; i > 0; --i)
@@ -191,11 +188,11 @@
         }
     }
 
-    TEST(ConfigurationTextTest, changedTextsAreReadAsAWholeReadingDoesOrRefused)
+    TEST(ConfigurationTextTest, MutatedTextsMatchFullDecoding)
     {
         std::mt19937 random(7);
-        const std::string good = encodeConfiguration(configurationOf(1, routesTo(6)));
-        Table table;
+        const std::string good = encodeConfiguration(configurationOf(1, makeRoutes(6)));
+        RouteTable table;
         ASSERT_TRUE(table.read(good));
         for (int round = 0; round < 20000; ++round) {
             std::string text = good;
@@ -213,10 +210,10 @@
         }
     }
 
-    // Guards against a text being read or refused by where in memory a control character lies.
-    TEST(ConfigurationTextTest, aControlCharacterIsRefusedWhereverItStands)
+    // Guards against control characters being accepted or refused depending on their alignment in memory.
+    TEST(ConfigurationTextTest, ControlCharactersAreRefused)
     {
-        const std::string good = encodeConfiguration(configurationOf(1, routesTo(2)));
+        const std::string good = encodeConfiguration(configurationOf(1, makeRoutes(2)));
         const std::size_t name = good.find("streams");
         for (std::size_t spaces = 0; spaces < 16; ++spaces) {
             std::string text = std::string(spaces, ' ') + good;
@@ -227,11 +224,10 @@
         }
     }
 
-    // Guards against a rate of cold servers that is lost where only changes are read, or that stays when it is taken
-    // away.
-    TEST(ConfigurationTextTest, ratesOfColdServersAreThoseOfTheNewestVersion)
+    // Guards against losing cold start limits when only changes are parsed, and against keeping removed ones.
+    TEST(ConfigurationTextTest, ColdStartLimitsOfNewestVersion)
     {
-        ForwardingConfiguration configuration = configurationOf(1, routesTo(3));
+        ForwardingConfiguration configuration = configurationOf(1, makeRoutes(3));
         configuration.coldStartLimits["streams"] = { std::chrono::milliseconds(2500), 12.5 };
         ConfigurationReader reader;
         EXPECT_EQ(
@@ -245,8 +241,8 @@
         EXPECT_TRUE(reader.read(encodeConfiguration(configuration)).value().coldStartLimits.empty());
     }
 
-    // Guards against routes being refused with a service that can't be read.
-    TEST(ConfigurationTextTest, servicesThatCannotBeReadNameNoRate)
+    // Guards against refusing the routes because of a malformed service.
+    TEST(ConfigurationTextTest, MalformedServicesHaveNoLimit)
     {
         for (const char* services : { "7", "[7]", R"([{"warmupPerS":3}])", R"([{"name":"streams","warmupPerS":"3"}])",
                  R"([{"name":"streams","warmupPerS":-1,"warmupS":2}])" }) {
@@ -257,20 +253,17 @@
         }
     }
 
-    // Symptom: routes that no operator had set were in force, and the configuration's own were not.
-    // Sequence: a text holds an object with a list of its own named "routes", and its own list behind it is empty.
-    // Cause: the first list of that name was taken for the configuration's, and what was left with an empty list in its
-    // place looked like a configuration without routes.
-    TEST(ConfigurationTextTest, aListOfTheSameNameInsideAnObjectIsNotTheRoutes)
+    // Guards against taking a list named "routes" in a nested object for the routes of the configuration.
+    TEST(ConfigurationTextTest, NestedListNamedRoutes)
     {
         const std::string inside = R"({"name":"r-9","hostname":"198.18.0.9","prefix":"/443/","service":"streams"})";
         const std::string text
             = R"({"version":3,"other":{"note":"a \"routes\":[ {","routes":[)" + inside + R"(]},"routes":[]})";
-        Table table;
+        RouteTable table;
         ASSERT_TRUE(table.read(text));
         table.expectSameAs(text);
         {
-            SCOPED_TRACE("also where the configuration has routes, of which only changes are read");
+            SCOPED_TRACE("nested list before routes that are unchanged");
             std::string good = encodeConfiguration(configurationOf(4, { route(1), route(2) }));
             good.insert(1, R"("a":{"routes":[)" + inside + "]},");
             ASSERT_TRUE(table.read(good));
--- a/Tests/PlatformAdapter/PacketLayoutTest.cpp
+++ b/Tests/PlatformAdapter/PacketLayoutTest.cpp
@@ -29,7 +29,7 @@
         return packet;
     }
 
-    TEST(PacketLayoutTest, fieldsStandWhereThePlatformPutsThem)
+    TEST(PacketLayoutTest, HeaderLayout)
     {
         const std::vector<std::uint8_t> expected { 0x64, 0x40, 0x00, 0x07, 0x9C, 0x41, 0x01, 0xBB, 0xC6, 0x12, 0x00,
             0x01, 0, 0, 0, 0, 0x11, 0x22, 0x33, 0x44, 0x55, 0x66, 0x77, 0x88, 1, 2, 3, 4, 0x10, 0, 0, 0, 0, 3, 0x5A,
@@ -45,7 +45,7 @@
         EXPECT_EQ(decoded->payloadBytes, 3U);
     }
 
-    TEST(PacketLayoutTest, theTokenIsWrittenInPlaceAndNothingElse)
+    TEST(PacketLayoutTest, WriteTokenChangesOnlyToken)
     {
         std::vector<std::uint8_t> bytes = packetOf(example());
         std::vector<std::uint8_t> expected = bytes;
@@ -54,7 +54,7 @@
         EXPECT_EQ(bytes, expected);
     }
 
-    TEST(PacketLayoutTest, aResetComesFromTheRouteAndIsNearTheAcknowledgement)
+    TEST(PacketLayoutTest, ResetFromRouteToCaller)
     {
         const PacketHeader reset = encodeReset(example());
         const auto decoded = decodePacket(reset);
@@ -66,13 +66,13 @@
         EXPECT_EQ(decoded->payloadBytes, 0U);
     }
 
-    TEST(PacketLayoutTest, serversAreNamedInFrontOfThePacket)
+    TEST(PacketLayoutTest, ServerPrefix)
     {
         const std::array<std::uint8_t, 8> expected { 0, 0, 0, 0xF2, 0x1E, 0xE4, 0xFC, 0xC9 };
         EXPECT_EQ(serverPrefix(0xF21EE4FCC9), expected);
     }
 
-    TEST(PacketLayoutTest, whatIsNoPacketIsRefused)
+    TEST(PacketLayoutTest, MalformedPacketsAreRefused)
     {
         const std::vector<std::uint8_t> good = packetOf(example());
         for (std::size_t size = 0; size < good.size(); ++size)
@@ -90,8 +90,8 @@
         EXPECT_FALSE(decodePacket(packetOf(huge)).has_value());
     }
 
-    // Random bytes, and packets with random changes: whatever is taken has lengths that fit.
-    TEST(PacketLayoutTest, garbageIsNeverReadBeyondItsEnd)
+    // Guards against accepting a packet whose length field exceeds the datagram.
+    TEST(PacketLayoutTest, RandomBytesAreNotReadBeyondEnd)
     {
         std::mt19937 random(7);
         for (int round = 0; round < 20000; ++round) {
--- a/Tests/PlatformAdapter/StoreCodecTest.cpp
+++ b/Tests/PlatformAdapter/StoreCodecTest.cpp
@@ -18,7 +18,7 @@
         return response;
     }
 
-    TEST(StoreCodecTest, callsAreSpelledAndReadAlike)
+    TEST(StoreCodecTest, CallRoundTrip)
     {
         const auto list = StoreCodec::encode(ListCall { "a b/ü", "k&1", true });
         EXPECT_EQ(list.value().method, "GET");
@@ -38,7 +38,7 @@
         EXPECT_FALSE(listCallOf(watch.value()).has_value());
     }
 
-    TEST(StoreCodecTest, answersAreReadWhole)
+    TEST(StoreCodecTest, AnswerRoundTrip)
     {
         const PlatformPage page { { { "k", std::string("v\0\xFF", 3), 5, false } }, true, 9 };
         const auto readPage = StoreCodec::decode(ListCall {}, answer(200, encodePage(page)));
@@ -54,7 +54,7 @@
         EXPECT_EQ(readChanges.value().items[1].value, "w");
     }
 
-    TEST(StoreCodecTest, eachWayToFailSaysWhatMayBeConcluded)
+    TEST(StoreCodecTest, ErrorCodesOfFailures)
     {
         const auto codeOf
             = [](const HttpOutcome& outcome) { return StoreCodec::decode(ChangesCall {}, outcome).error().code; };
@@ -70,10 +70,8 @@
         EXPECT_EQ(codeOf(HttpFailure { HttpFailureKind::Lost, "" }), ErrorCode::Unknown);
     }
 
-    // Symptom: no balancer heard anything any more, of any server.
-    // Sequence: one entry's value is no base64, or of another type.
-    // Cause: the whole answer was refused for it.
-    TEST(StoreCodecTest, aValueThatCannotBeReadSpoilsNoOther)
+    // Guards against refusing a whole answer because one value is not base64 or of another type.
+    TEST(StoreCodecTest, MalformedValueDoesNotAffectOthers)
     {
         for (const char* value : { "\"*\"", "7", "null", "{}" }) {
             const auto changes = StoreCodec::decode(ChangesCall {},
@@ -89,7 +87,7 @@
         }
     }
 
-    TEST(StoreCodecTest, changedAnswersAreReadOrRefused)
+    TEST(StoreCodecTest, MutatedAnswers)
     {
         std::mt19937 random(13);
         const std::string text = encodePage({ { { "k", "value", 5, false }, { "l", "w", 6, false } }, true, 9 });
--- a/Tests/PlatformAdapter/StoredValuesTest.cpp
+++ b/Tests/PlatformAdapter/StoredValuesTest.cpp
@@ -20,7 +20,7 @@
             {"service":"tryon7","weight":90},{"service":"scan2","weight":10}]}],
         "services":[],"limits":{"idleTimeoutMs":15000}})";
 
-    TEST(StoredValuesTest, aServerEntryIsReadWhole)
+    TEST(StoredValuesTest, ServerEntryRoundTrip)
     {
         const auto server = decodeServer("i-7f3a91c2", entryText);
         ASSERT_TRUE(server) << server.error().toString();
@@ -34,7 +34,7 @@
         EXPECT_EQ(again.value(), server.value());
     }
 
-    TEST(StoredValuesTest, aConfigurationIsReadWhole)
+    TEST(StoredValuesTest, ConfigurationRoundTrip)
     {
         const auto configuration = decodeConfiguration(configurationText);
         ASSERT_TRUE(configuration) << configuration.error().toString();
@@ -48,7 +48,7 @@
         EXPECT_EQ(again.value().routes, configuration.value().routes);
     }
 
-    TEST(StoredValuesTest, whatCannotBeReadIsRefusedWithItsPlace)
+    TEST(StoredValuesTest, ErrorsNameTheField)
     {
         const auto expectProblem = [](const std::string& entry, const std::string& place) {
             const auto server = decodeServer("i-1", entry);
@@ -74,9 +74,8 @@
         EXPECT_FALSE(decodeConfiguration(R"({"version":1})"));
     }
 
-    // An entry may come from a writer that is no server: whichever of its fields is missing, of another type or out of
-    // range, it names no server to use.
-    TEST(StoredValuesTest, anEntryOfAnotherWriterIsRefused)
+    // Guards against using an entry in which any field is missing, of another type or out of range.
+    TEST(StoredValuesTest, InvalidServerEntriesAreRefused)
     {
         const auto good = nlohmann::json::parse(entryText);
         ASSERT_TRUE(decodeServer("i-1", good.dump()));
@@ -114,7 +113,7 @@
             EXPECT_FALSE(decodeServer("i-1", bytes));
     }
 
-    TEST(StoredValuesTest, whenAServerStartedIsAWholeNumberWhereItIsTold)
+    TEST(StoredValuesTest, OptionalStartTime)
     {
         auto entry = nlohmann::json::parse(entryText);
         EXPECT_EQ(decodeServer("i-1", entry.dump()).value().startedAt, 0U);
@@ -130,7 +129,7 @@
         }
     }
 
-    TEST(StoredValuesTest, keysAreToldApart)
+    TEST(StoredValuesTest, KeyPrefixes)
     {
         EXPECT_EQ(serverIdOf("servers/i-1"), "i-1");
         EXPECT_EQ(serverIdOf(serverKeyOf("i-2")), "i-2");
@@ -143,8 +142,8 @@
         EXPECT_FALSE(serverIdOf("op/evacuate/walu").has_value());
     }
 
-    // Every text with random changes is either read or refused; none stops the process.
-    TEST(StoredValuesTest, changedTextsAreReadOrRefused)
+    // Guards against crashes on malformed values.
+    TEST(StoredValuesTest, MutatedValues)
     {
         std::mt19937 random(11);
         const auto change = [&](std::string text) {
