--- a/Tests/Wire/PeerMessageTest.cpp
+++ b/Tests/Wire/PeerMessageTest.cpp
@@ -23,7 +23,7 @@
             encodeMessage(Note { 7, "hello", { 1, 2, 3 } }) };
     }
 
-    TEST(PeerMessageTest, readsWhatItWrote)
+    TEST(PeerMessageTest, RoundTrip)
     {
         const auto datagram = encodePeerEnvelope(sampleEnvelope());
         ASSERT_TRUE(datagram);
@@ -36,7 +36,7 @@
         EXPECT_EQ(note.value().rows.size(), 3U);
     }
 
-    TEST(PeerMessageTest, keepsDatagramsWithinTheirBound)
+    TEST(PeerMessageTest, DatagramSizeLimit)
     {
         PeerEnvelope envelope = sampleEnvelope();
         envelope.payload.assign(maxPeerPayloadBytes, 0xAB);
@@ -51,7 +51,7 @@
         EXPECT_FALSE(decodePeerEnvelope(std::vector<std::uint8_t>(maxPeerDatagramBytes + 1, 0)));
     }
 
-    TEST(PeerMessageTest, refusesUnknownVersionsAndKinds)
+    TEST(PeerMessageTest, UnknownVersionsAndKindsAreRefused)
     {
         auto datagram = encodePeerEnvelope(sampleEnvelope()).value();
         datagram[1] = peerProtocolVersion + 1;
@@ -62,16 +62,15 @@
         EXPECT_FALSE(decodePeerEnvelope(encodePeerEnvelope(envelope).value()));
     }
 
-    // Symptom: a balancer dies of a datagram. Sequence: a datagram arrives cut, with flipped bytes or as plain noise;
-    // a header in it claims four billion rows. Cause: the decoder throws, or reserves what the header claims.
-    TEST(PeerMessageTest, survivesDamagedDatagrams)
+    // Guards against exceptions and huge allocations on damaged datagrams.
+    TEST(PeerMessageTest, DamagedDatagrams)
     {
         const auto whole = encodePeerEnvelope(sampleEnvelope()).value();
         std::mt19937 random(20261202);
-        SCOPED_TRACE("cut");
+        SCOPED_TRACE("truncated datagrams");
         for (std::size_t size = 0; size < whole.size(); ++size)
             EXPECT_FALSE(decodePeerEnvelope(std::span(whole).first(size)));
-        SCOPED_TRACE("flipped");
+        SCOPED_TRACE("one byte changed");
         for (int i = 0; i < 20000; ++i) {
             auto damaged = whole;
             damaged[random() % damaged.size()] = static_cast<std::uint8_t>(random());
@@ -79,7 +78,7 @@
             if (envelope)
                 (void)decodeMessage<Note>(envelope.value().payload);
         }
-        SCOPED_TRACE("noise");
+        SCOPED_TRACE("random bytes");
         for (int i = 0; i < 20000; ++i) {
             std::vector<std::uint8_t> noise(random() % 200);
             for (auto& byte : noise)
@@ -87,7 +86,7 @@
             (void)decodePeerEnvelope(noise);
             (void)decodeMessage<Note>(noise);
         }
-        SCOPED_TRACE("claims");
+        SCOPED_TRACE("declared sizes and nesting beyond the limits");
         const std::vector<std::uint8_t> hugeArray { 0xDD, 0xFF, 0xFF, 0xFF, 0xFF };
         const std::vector<std::uint8_t> hugeText { 0x93, 0x01, 0xDB, 0xFF, 0xFF, 0xFF, 0xFF };
         const std::vector<std::uint8_t> deep(1000, 0x91);
--- a/Tests/Wire/ProxyHeaderTest.cpp
+++ b/Tests/Wire/ProxyHeaderTest.cpp
@@ -28,7 +28,7 @@
             EXPECT_EQ(packet.error().code, ErrorCode::InvalidArgument);
         }
 
-        // A plain header with the TLV bytes after it.
+        // A header without a forward mark, followed by the given TLV bytes.
         Bytes datagramWithTlvs(const Bytes& tlvs) const
         {
             Bytes datagram = datagramOf(plain_, tlvs);
@@ -41,7 +41,7 @@
         const Bytes payload_ { 1, 2, 3 };
     };
 
-    TEST_F(ProxyHeaderTest, readsWhatItWrote)
+    TEST_F(ProxyHeaderTest, RoundTrip)
     {
         for (const ProxyHeader& header : { plain_, marked_ }) {
             SCOPED_TRACE(header.forwardMark ? "with a forward mark" : "without a forward mark");
@@ -56,7 +56,7 @@
         }
     }
 
-    TEST_F(ProxyHeaderTest, writesThePublishedBytes)
+    TEST_F(ProxyHeaderTest, WireFormat)
     {
         const Bytes expected { 0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D, 0x0A, 0x51, 0x55, 0x49, 0x54, 0x0A, // signature
             0x21, 0x12, 0, 20, // version 2 PROXY, IPv4 DGRAM, length
@@ -65,7 +65,7 @@
         EXPECT_EQ(datagramOf(marked_, {}), expected);
     }
 
-    TEST_F(ProxyHeaderTest, skipsTlvsOfOtherTypes)
+    TEST_F(ProxyHeaderTest, OtherTlvTypesAreSkipped)
     {
         const Bytes datagram = datagramWithTlvs({ 0x04, 0, 2, 9, 9, 0xE0, 0, 5, 1, 0, 0, 0, 7, 0xE1, 0, 0 });
         const auto packet = decodeProxiedPacket(datagram);
@@ -74,7 +74,7 @@
         EXPECT_TRUE(packet.value().payload.empty());
     }
 
-    TEST_F(ProxyHeaderTest, refusesEveryShorterHeader)
+    TEST_F(ProxyHeaderTest, TruncatedHeadersAreRefused)
     {
         const Bytes whole = datagramOf(marked_, {});
         for (std::size_t size = 0; size < whole.size(); ++size) {
@@ -83,7 +83,7 @@
         }
     }
 
-    TEST_F(ProxyHeaderTest, refusesEveryWrongFixedByte)
+    TEST_F(ProxyHeaderTest, WrongFixedBytesAreRefused)
     {
         for (std::size_t place = 0; place < 14; ++place) {
             SCOPED_TRACE(place);
@@ -95,7 +95,7 @@
         }
     }
 
-    TEST_F(ProxyHeaderTest, refusesLengthsThatDoNotFit)
+    TEST_F(ProxyHeaderTest, WrongLengthsAreRefused)
     {
         const Bytes whole = datagramOf(plain_, payload_);
         for (const unsigned length : { 0U, 11U, 16U, 255U, 256U, 65535U }) {
@@ -107,7 +107,7 @@
         }
     }
 
-    TEST_F(ProxyHeaderTest, refusesMalformedTlvs)
+    TEST_F(ProxyHeaderTest, MalformedTlvsAreRefused)
     {
         const Bytes mark { 0xE0, 0, 5, 1, 0, 0, 0, 7 };
         Bytes twoMarks = mark;
@@ -127,7 +127,7 @@
         }
     }
 
-    TEST_F(ProxyHeaderTest, outlivesSeededGarbage)
+    TEST_F(ProxyHeaderTest, RandomBytes)
     {
         std::mt19937 random(20240229);
         std::uniform_int_distribution<unsigned> byte(0, 255);
@@ -135,7 +135,7 @@
             Bytes datagram(random() % 80);
             for (std::uint8_t& value : datagram)
                 value = static_cast<std::uint8_t>(byte(random));
-            // Half of the corpus starts like a real header, so that the length and TLV checks are reached too.
+            // Half of the datagrams start with a valid header, to reach the checks of lengths and TLVs.
             if (round % 2 == 0 && datagram.size() >= 16) {
                 const Bytes start = datagramOf(plain_, {});
                 std::copy(start.begin(), start.begin() + 14, datagram.begin());
