--- a/Tests/Settings/IniDocumentTest.cpp
+++ b/Tests/Settings/IniDocumentTest.cpp
@@ -16,7 +16,7 @@
         return lines;
     }
 
-    TEST(IniDocumentTest, keepsOrderAndLines)
+    TEST(IniDocumentTest, OrderAndLineNumbers)
     {
         const IniDocument document = IniDocument::parse(
             "f.ini", "\xEF\xBB\xBF; head\r\n[b]\r\n\r\n  x = 1 ; one\n\ty: two words\n# note\n[ a  c ]\n[empty]");
@@ -35,7 +35,7 @@
         EXPECT_EQ(document.sections()[2].line, 8U);
     }
 
-    TEST(IniDocumentTest, reportsEveryBrokenLineAtOnce)
+    TEST(IniDocumentTest, AllSyntaxErrorsAreReported)
     {
         EXPECT_THAT(problemsOf("k = 1\n[a]\nx = 1\nx = 2\nnonsense\n= 3\n[a]\nz = 1\n[b\ny = 1\n[c] d\nq = \x01\n"),
             testing::ElementsAre("f.ini:1: k = 1: expected a section header such as [section] before the first key",
@@ -47,9 +47,8 @@
                 "f.ini:12: q = ?: expected text without control characters"));
     }
 
-    // Symptom: two services with long names became one. Sequence: their section names shared their first 49 bytes.
-    // Cause: libinih cuts section names there without a word.
-    TEST(IniDocumentTest, keepsLongSectionNamesApart)
+    // Guards against merging sections whose names share their first 49 bytes, to which libinih truncates them.
+    TEST(IniDocumentTest, LongSectionNamesAreDistinct)
     {
         const std::string stem(60, 's');
         const IniDocument document = IniDocument::parse("f.ini", "[" + stem + "1]\n[" + stem + "2]\n");
@@ -57,7 +56,7 @@
         EXPECT_EQ(document.sections().size(), 2U);
     }
 
-    TEST(IniDocumentTest, boundsLinesKeysAndProblems)
+    TEST(IniDocumentTest, LimitsOfLinesKeysAndProblems)
     {
         EXPECT_THAT(problemsOf("[a]\nk = " + std::string(maxIniLineBytes, 'v') + "\n"),
             testing::ElementsAre(testing::EndsWith("expected a line of at most 190 bytes")));
@@ -75,7 +74,7 @@
         EXPECT_THAT(document.problems().toString(), testing::EndsWith("\n7 more problems are not listed"));
     }
 
-    TEST(IniDocumentTest, survivesGarbage)
+    TEST(IniDocumentTest, RandomText)
     {
         std::mt19937 random(20240501);
         const std::string alphabet = std::string("[]=:;# \t\r\n\x01\xff") + "abk1" + '\0';
--- a/Tests/Settings/SettingsReaderTest.cpp
+++ b/Tests/Settings/SettingsReaderTest.cpp
@@ -59,10 +59,10 @@
         std::vector<std::string> problems_;
     };
 
-    TEST_F(SettingsReaderTest, readsEachTypeAndKeepsDefaults)
+    TEST_F(SettingsReaderTest, TypesAndDefaults)
     {
         {
-            SCOPED_TRACE("only the required key: everything else keeps its default");
+            SCOPED_TRACE("only the required key: other targets keep their defaults");
             read("[paint]\nshop = 192.0.2.1:80\n");
             EXPECT_THAT(problems_, testing::IsEmpty());
             EXPECT_EQ(paint_.coats, 2U);
@@ -87,7 +87,7 @@
         }
     }
 
-    TEST_F(SettingsReaderTest, reportsEveryBadValueAndLeavesItsTargetAlone)
+    TEST_F(SettingsReaderTest, InvalidValuesKeepDefaults)
     {
         read("[paint]\ncoats = 10\ngloss = nan\ncolor = gren\ndrying_milliseconds = 1s\nshop = here\nothers = "
              "1.2.3.4:1,\n"
@@ -107,7 +107,7 @@
         EXPECT_EQ(paint_.gloss, 0.5);
     }
 
-    TEST_F(SettingsReaderTest, reportsUnknownAndMissingNames)
+    TEST_F(SettingsReaderTest, UnknownAndMissingNames)
     {
         {
             SCOPED_TRACE("unknown key, unknown section, section without a name, missing key");
@@ -120,14 +120,14 @@
                     testing::StartsWith("f.ini:5: [brush two words]: expected [brush NAME]")));
         }
         {
-            SCOPED_TRACE("missing section, reported once and not key by key");
+            SCOPED_TRACE("missing section is reported once");
             problems_.clear();
             read("");
             EXPECT_THAT(problems_, testing::ElementsAre("f.ini: expected a section [paint]"));
         }
     }
 
-    TEST(NearestNameTest, findsTheLeastEditDistance)
+    TEST(NearestNameTest, EditDistance)
     {
         EXPECT_EQ(editDistance("kitten", "sitting"), 3U);
         EXPECT_EQ(editDistance("", "abc"), 3U);
@@ -135,7 +135,7 @@
         EXPECT_EQ(nearestName("x", {}), "");
     }
 
-    TEST(SettingsFileTest, readsUpToTheLimit)
+    TEST(SettingsFileTest, FileSizeLimit)
     {
         const std::string path = testing::TempDir() + "SettingsFileTest.ini";
         std::ofstream(path) << std::string(100, 'x');
