--- a/Tests/Core/EndpointTest.cpp
+++ b/Tests/Core/EndpointTest.cpp
@@ -5,7 +5,7 @@
 namespace wisteriadock {
 namespace {
 
-    TEST(EndpointTest, readsAndWritesTheSameText)
+    TEST(EndpointTest, RoundTrip)
     {
         const auto endpoint = Endpoint::parse("192.0.2.7:443");
         ASSERT_TRUE(endpoint);
@@ -14,7 +14,7 @@
         EXPECT_EQ(endpoint.value().toString(), "192.0.2.7:443");
     }
 
-    TEST(EndpointTest, refusesMalformedTextAndNamesIt)
+    TEST(EndpointTest, MalformedTextIsRefused)
     {
         for (const char* text :
             { "", "192.0.2.7", "192.0.2:1", "192.0.2.7:0", "192.0.2.7:65536", "a:1", ":1", "192.0.2.7:4x" }) {
--- a/Tests/Core/EventLogTest.cpp
+++ b/Tests/Core/EventLogTest.cpp
@@ -13,7 +13,7 @@
 
     using namespace std::chrono_literals;
 
-    // A pipe whose reader reads when the test says so.
+    // A pipe that the test reads when it calls read().
     struct Pipe {
         std::array<int, 2> ends { -1, -1 };
 
@@ -49,7 +49,7 @@
         return count;
     }
 
-    // Of the numbers that follow this text.
+    // Returns the sum of the numbers that follow each occurrence of the text.
     std::uint64_t sumOf(const std::string& text, const std::string& what)
     {
         std::uint64_t sum = 0;
@@ -64,7 +64,7 @@
         EventLog log { { "edge-1", "walu", 7 }, pipe.ends[1], 10 };
     };
 
-    TEST_F(EventLogTest, aLineIsOneObjectWithItsOriginFirst)
+    TEST_F(EventLogTest, LineFormat)
     {
         log.write(LogLevel::Info, "flow", "opened",
             Event()
@@ -84,7 +84,7 @@
             << line;
     }
 
-    TEST_F(EventLogTest, aStormOfOneKindIsSummedUpAndHidesNoOther)
+    TEST_F(EventLogTest, ExcessLinesOfOneKindAreCounted)
     {
         for (int i = 0; i < 500; ++i)
             log.write(LogLevel::Warning, "flow", "malformed", Event().add("bytes", i), clock.now());
@@ -103,10 +103,8 @@
             << text;
     }
 
-    // Symptom: a balancer stood still although its network was fine.
-    // Sequence: whoever reads its log stops reading, the pipe fills up, and the next line waits for room.
-    // Cause: a write to a full pipe blocks.
-    TEST_F(EventLogTest, aReaderThatNeverReadsHoldsUpNothing)
+    // Guards against blocking on a full log pipe whose reader has stopped.
+    TEST_F(EventLogTest, FullPipeDoesNotBlock)
     {
         log.setBudget(1'000'000);
         const std::string text(900, 'x');
@@ -119,7 +117,7 @@
         EXPECT_GT(dropped, 0U);
         EXPECT_EQ(dropped + log.buffer().lines(), 2000U);
         {
-            SCOPED_TRACE("when it reads again, it learns how many lines are missing");
+            SCOPED_TRACE("the number of dropped lines is reported once the pipe is read again");
             std::string seen;
             while (!log.buffer().isEmpty()) {
                 seen += pipe.read();
@@ -133,7 +131,7 @@
         }
     }
 
-    TEST_F(EventLogTest, linesBelowTheLevelAreNotWritten)
+    TEST_F(EventLogTest, LevelFiltersLines)
     {
         log.write(LogLevel::Debug, "flow", "established", Event(), clock.now());
         log.flush(clock.now());
--- a/Tests/Core/ListenAddressTest.cpp
+++ b/Tests/Core/ListenAddressTest.cpp
@@ -5,7 +5,7 @@
 namespace wisteriadock {
 namespace {
 
-    TEST(ListenAddressTest, takesAnEphemeralPort)
+    TEST(ListenAddressTest, EphemeralPort)
     {
         const auto address = parseListenAddress("127.0.0.1:0");
         ASSERT_TRUE(address);
@@ -13,7 +13,7 @@
         EXPECT_EQ(address.value().address, 0x7F000001U);
     }
 
-    TEST(ListenAddressTest, refusesWhatIsNoAddressAndNamesIt)
+    TEST(ListenAddressTest, InvalidAddressesAreRefused)
     {
         for (const char* text : { ":0", "127.0.0:0", "127.0.0.1", "0", "" }) {
             SCOPED_TRACE(text);
