--- a/Source/KeyValue/KeyValueClient.h
+++ b/Source/KeyValue/KeyValueClient.h
@@ -69,7 +69,7 @@
     // Callbacks of calls that failed without a request, to be run by the io_context.
     using UnsentCalls = std::vector<std::function<void()>>;
 
-    // Runs the callback later, since its owner may not be ready for it inside the call, but before the client is gone.
+    // Defers the callback, so that it never runs inside the call. The destructor runs the deferred callbacks.
     void failLater(std::function<void()> callback)
     {
         unsentCalls_->push_back(std::move(callback));
--- a/Source/KeyValue/PlatformCalls.h
+++ b/Source/KeyValue/PlatformCalls.h
@@ -26,6 +26,7 @@
     std::optional<std::uint64_t> lease;
 };
 
+// Waits up to `wait` for a revision of the key above the given one.
 struct WatchCall {
     using Value = PlatformEntry;
     std::string key;
--- a/Source/KeyValue/PlatformOutcome.h
+++ b/Source/KeyValue/PlatformOutcome.h
@@ -7,8 +7,8 @@
 
 namespace wisteriadock {
 
-// Map a failed HTTP exchange to the error of the platform call. A failed write is Unavailable only if it certainly had
-// no effect, otherwise Unknown. A read has no effect, so its failure is never Unknown.
+// Conversion of failed HTTP exchanges to errors of platform calls. A failed write is Unavailable only if it certainly
+// had no effect, otherwise Unknown. A read has no effect, so its failure is never Unknown.
 
 // Maps a request without a response.
 Error errorOf(const HttpFailure&, PlatformCall);
--- a/Tests/KeyValue/PlatformStoreTest.cpp
+++ b/Tests/KeyValue/PlatformStoreTest.cpp
@@ -57,7 +57,7 @@
         EXPECT_EQ(valueOf("larger"), std::nullopt);
     }
 
-    // Guards against a paused holder that is not told of the expiry of its lease by its next call.
+    // Guards against accepting calls with an expired lease from a holder that was paused.
     TEST_F(PlatformStoreTest, LeaseExpiresWhileHolderIsPaused)
     {
         const auto lease = grant(100ms);
@@ -128,7 +128,7 @@
         EXPECT_EQ(store_.nextDeadline(), std::nullopt);
     }
 
-    // Guards against a stand-in that does not show the hazard of a restored store: a revision is used for two values.
+    // Guards against a stand-in without a hazard of restored stores: one revision then stands for two values.
     TEST_F(PlatformStoreTest, RestoredSnapshotResetsRevisions)
     {
         const auto lease = grant(100ms);
