--- a/Source/Membership/MembersPages.cpp
+++ b/Source/Membership/MembersPages.cpp
@@ -1,6 +1,6 @@
 #include "Membership/MembersPages.h"
 
-#include "Wire/PackedBytes.h"
+#include "Wire/Compression.h"
 #include "Wire/PeerMessageCodec.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
     // The size of a page without its compressed rows.
     constexpr std::size_t pageOverheadBytes = 24;
-    constexpr std::size_t maxCompressedBytes = largestPeerPayload - pageOverheadBytes;
+    constexpr std::size_t maxCompressedBytes = maxPeerPayloadBytes - pageOverheadBytes;
     // The first attempt; fewer rows are tried if these do not fit.
     constexpr std::size_t maxCompressedRows = 96;
     // The largest decompressed size of maxCompressedRows rows with the longest names.
@@ -21,7 +21,7 @@
     std::string compressedRows(const std::vector<MemberRow>& rows)
     {
         const std::vector<std::uint8_t> bytes = encodeMessage(rows);
-        return packBytes({ reinterpret_cast<const char*>(bytes.data()), bytes.size() });
+        return compressBytes({ reinterpret_cast<const char*>(bytes.data()), bytes.size() });
     }
 
     MembersPageMessage compressedPage(std::uint32_t after, const MemberTable& table)
@@ -56,7 +56,7 @@
 {
     if (page.compressedRows.empty())
         return page.rows;
-    BOOST_OUTCOME_TRY(bytes, unpackBytes(page.compressedRows, maxDecompressedBytes));
+    BOOST_OUTCOME_TRY(bytes, decompressBytes(page.compressedRows, maxDecompressedBytes));
     return decodeMessage<std::vector<MemberRow>>(
         std::span(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()), maxDecompressedBytes);
 }
--- a/Source/Wire/ProxyHeader.cpp
+++ b/Source/Wire/ProxyHeader.cpp
@@ -33,7 +33,7 @@
     constexpr std::uint8_t versionTwoCommandProxy = 0x21;
     constexpr std::uint8_t familyInetTransportDgram = 0x12;
 
-    // Where the fields stand, in bytes from the start of the datagram.
+    // Offsets of the fields, in bytes from the start of the datagram.
     constexpr std::size_t commandOffset = signature.size();
     constexpr std::size_t familyOffset = 13;
     constexpr std::size_t lengthOffset = 14;
@@ -41,12 +41,12 @@
     constexpr std::size_t addressesSize = 12;
     constexpr std::size_t tlvOffset = addressesOffset + addressesSize;
 
-    constexpr std::size_t tlvHeadSize = 3;
-    // The first type of the range that the protocol leaves to applications (0xE0 to 0xEF).
+    constexpr std::size_t tlvHeaderSize = 3;
+    // The first type of the range reserved for applications (0xE0 to 0xEF).
     constexpr std::uint8_t forwardMarkType = 0xE0;
     constexpr std::size_t forwardMarkSize = 5;
 
-    static_assert(tlvOffset + tlvHeadSize + forwardMarkSize <= largestProxyHeader);
+    static_assert(tlvOffset + tlvHeaderSize + forwardMarkSize <= maxProxyHeaderBytes);
 
     Error malformed(std::string what) { return { ErrorCode::InvalidArgument, fmt::format("PROXY header: {}", what) }; }
 
@@ -55,23 +55,23 @@
         return { .origin = { load_big_u32(value.data() + 1) }, .hops = value[0] };
     }
 
-    // TLVs of other types are skipped, as the protocol asks of every receiver.
+    // Skips TLVs of other types, as the protocol requires.
     Result<std::optional<ForwardMark>> readTlvs(std::span<const std::uint8_t> tlvs)
     {
         std::optional<ForwardMark> mark;
         while (!tlvs.empty()) {
-            if (tlvs.size() < tlvHeadSize)
-                return malformed(fmt::format("{} bytes left where a TLV needs {}", tlvs.size(), tlvHeadSize));
+            if (tlvs.size() < tlvHeaderSize)
+                return malformed(fmt::format("{} bytes left where a TLV needs {}", tlvs.size(), tlvHeaderSize));
             const std::uint8_t type = tlvs[0];
             const std::size_t size = load_big_u16(tlvs.data() + 1);
-            tlvs = tlvs.subspan(tlvHeadSize);
+            tlvs = tlvs.subspan(tlvHeaderSize);
             if (size > tlvs.size())
                 return malformed(fmt::format("TLV {:#04x} of {} bytes where {} are left", type, size, tlvs.size()));
 
             if (type == forwardMarkType) {
                 if (size != forwardMarkSize)
                     return malformed(fmt::format("forward mark of {} bytes; expected {}", size, forwardMarkSize));
-                // Two marks would let a packet pass the hop limit by carrying an older count beside the newer one.
+                // A packet with two marks could bypass the hop limit by carrying an older hop count next to the newer.
                 if (mark)
                     return malformed("two forward marks; expected one at most");
                 mark = readForwardMark(tlvs.first(size));
@@ -101,9 +101,9 @@
         std::uint8_t* const tlv = data + size;
         tlv[0] = forwardMarkType;
         store_big_u16(tlv + 1, forwardMarkSize);
-        tlv[tlvHeadSize] = header.forwardMark->hops;
-        store_big_u32(tlv + tlvHeadSize + 1, header.forwardMark->origin.value);
-        size += tlvHeadSize + forwardMarkSize;
+        tlv[tlvHeaderSize] = header.forwardMark->hops;
+        store_big_u32(tlv + tlvHeaderSize + 1, header.forwardMark->origin.value);
+        size += tlvHeaderSize + forwardMarkSize;
     }
     store_big_u16(data + lengthOffset, static_cast<std::uint16_t>(size - addressesOffset));
     return size;
--- a/Tests/Membership/MembersPagesTest.cpp
+++ b/Tests/Membership/MembersPagesTest.cpp
@@ -38,7 +38,7 @@
             std::uint32_t after = 0;
             for (pages = 1;; ++pages) {
                 const MembersPageMessage page = pageFor({ after, {}, acceptsCompressed }, table_);
-                EXPECT_LE(encodeMessage(page).size(), largestPeerPayload);
+                EXPECT_LE(encodeMessage(page).size(), maxPeerPayloadBytes);
                 EXPECT_EQ(page.compressedRows.empty(), !acceptsCompressed);
                 const auto rows = rowsOf(page);
                 if (!rows || rows.value().empty())
