--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -8,7 +8,7 @@
 #include "Forwarder/ForwarderMetrics.h"
 #include "Forwarder/ForwarderSettings.h"
 #include "Forwarder/NewsApplier.h"
-#include "Forwarder/PeerNews.h"
+#include "Forwarder/PeerSync.h"
 #include "Forwarder/SettingsReload.h"
 #include "Forwarder/StoreLink.h"
 #include "Forwarder/TokenPacketPath.h"
@@ -116,7 +116,7 @@
         store_.start(startedAt_);
         BOOST_OUTCOME_TRY(socket, PacketSocket::open(settings_.flow));
         BOOST_OUTCOME_TRY(peers,
-            PeerNews::open(context_, self(), settings_.seeds, seed_, log_, metrics_,
+            PeerSync::open(context_, self(), settings_.seeds, seed_, log_, metrics_,
                 [this](const ReplicaChanged& news) { handleNews(news); }));
         peers_ = std::move(peers);
         packets_ = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peers_->exchange(),
@@ -292,7 +292,7 @@
     boost::asio::signal_set signals_;
     boost::asio::steady_timer timer_;
     boost::asio::steady_timer logTimer_;
-    std::unique_ptr<PeerNews> peers_;
+    std::unique_ptr<PeerSync> peers_;
     StoreLink<Adapter> store_;
     std::unique_ptr<TokenPacketPath<Adapter>> packets_;
     std::unique_ptr<ForwarderAnswers<Adapter>> answers_;
--- a/Source/Forwarder/ForwarderAnswers.h
+++ b/Source/Forwarder/ForwarderAnswers.h
@@ -4,7 +4,7 @@
 #include "Forward/TokenRouter.h"
 #include "Forwarder/ForwarderLife.h"
 #include "Forwarder/ForwarderMetrics.h"
-#include "Forwarder/PeerNews.h"
+#include "Forwarder/PeerSync.h"
 #include "Forwarder/StoreLink.h"
 #include "Net/HttpMessage.h"
 
@@ -17,7 +17,7 @@
 // What the forwarder answers over HTTP, whether it is ready and its metrics, and what it reads for that.
 template <typename Adapter> class ForwarderAnswers {
 public:
-    ForwarderAnswers(const TokenRouter& router, const PeerNews& peers, const StoreLink<Adapter>& store,
+    ForwarderAnswers(const TokenRouter& router, const PeerSync& peers, const StoreLink<Adapter>& store,
         const ForwarderLife& life, EventLog& log, ForwarderMetrics& metrics)
         : router_(router)
         , peers_(peers)
@@ -83,7 +83,7 @@
     }
 
     const TokenRouter& router_;
-    const PeerNews& peers_;
+    const PeerSync& peers_;
     const StoreLink<Adapter>& store_;
     const ForwarderLife& life_;
     EventLog& log_;
--- a/Source/Forwarder/PeerNews.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -1,4 +1,4 @@
-#include "Forwarder/PeerNews.h"
+#include "Forwarder/PeerSync.h"
 
 #include "Wire/PeerMessageCodec.h"
 
@@ -41,13 +41,13 @@
 
 }
 
-Result<std::unique_ptr<PeerNews>> PeerNews::open(boost::asio::io_context& context, const Member& self,
+Result<std::unique_ptr<PeerSync>> PeerSync::open(boost::asio::io_context& context, const Member& self,
     std::vector<Endpoint> seeds, std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler,
     ReplicaSyncSettings settings)
 {
-    std::unique_ptr<PeerNews> news(
-        new PeerNews(context, self, std::move(seeds), seed, log, metrics, std::move(handler), settings));
-    PeerNews* target = news.get();
+    std::unique_ptr<PeerSync> news(
+        new PeerSync(context, self, std::move(seeds), seed, log, metrics, std::move(handler), settings));
+    PeerSync* target = news.get();
     BOOST_OUTCOME_TRY(link,
         PeerLink::open(context, self.peerAddress,
             [target](const PeerEnvelope& envelope, const Endpoint& sender) { target->receive(envelope, sender); }));
@@ -59,7 +59,7 @@
     return news;
 }
 
-PeerNews::PeerNews(boost::asio::io_context& context, const Member& self, std::vector<Endpoint> seeds,
+PeerSync::PeerSync(boost::asio::io_context& context, const Member& self, std::vector<Endpoint> seeds,
     std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler, ReplicaSyncSettings settings)
     : context_(context)
     , address_(self.peerAddress)
@@ -74,13 +74,13 @@
 {
 }
 
-PeerNews::~PeerNews()
+PeerSync::~PeerSync()
 {
     // What is still asked for ends with its client, and nothing is left to hear of it.
     ++fetchNumber_;
 }
 
-void PeerNews::start(TimePoint now)
+void PeerSync::start(TimePoint now)
 {
     watchDuty_.start(!seeds_.empty(), now);
     membersLog_.start(now);
@@ -91,7 +91,7 @@
     tick(now);
 }
 
-void PeerNews::adviseSeeds(TimePoint now)
+void PeerSync::adviseSeeds(TimePoint now)
 {
     VmListReceived advice;
     for (const Endpoint& seed : seeds_) {
@@ -101,13 +101,13 @@
     perform(membership_.handle(advice, now), now);
 }
 
-void PeerNews::setSeeds(std::vector<Endpoint> seeds, TimePoint now)
+void PeerSync::setSeeds(std::vector<Endpoint> seeds, TimePoint now)
 {
     seeds_ = std::move(seeds);
     adviseSeeds(now);
 }
 
-std::vector<std::uint32_t> PeerNews::balancersOfZone() const
+std::vector<std::uint32_t> PeerSync::balancersOfZone() const
 {
     const auto view = membership_.view();
     const Member* self = view->findSelf();
@@ -120,7 +120,7 @@
     return ids;
 }
 
-void PeerNews::tick(TimePoint now)
+void PeerSync::tick(TimePoint now)
 {
     if (exchange_.replica().completeTo() > toldRevision_) {
         toldRevision_ = exchange_.replica().completeTo();
@@ -133,7 +133,7 @@
     logBehind(now);
 }
 
-void PeerNews::logBehind(TimePoint now)
+void PeerSync::logBehind(TimePoint now)
 {
     const auto since = exchange_.behindSince();
     if (!since || now - *since < usuallyBehind) {
@@ -152,7 +152,7 @@
         now);
 }
 
-void PeerNews::noteFetchProgress(TimePoint now)
+void PeerSync::noteFetchProgress(TimePoint now)
 {
     const std::uint64_t bytes = fetcher_ ? fetcher_->bytesTransferred() : 0;
     if (bytes > fetchProgress_)
@@ -160,18 +160,18 @@
     fetchProgress_ = bytes;
 }
 
-void PeerNews::handleStore(const DeltaReceived& news, TimePoint now)
+void PeerSync::handleStore(const DeltaReceived& news, TimePoint now)
 {
     perform(exchange_.handleStoreDelta(news.delta, now, news.isForOthers), now);
 }
 
-void PeerNews::leave(TimePoint now)
+void PeerSync::leave(TimePoint now)
 {
     isLeaving_ = true;
     perform(membership_.leave(now), now);
 }
 
-void PeerNews::noteStore(bool isLost, TimePoint now)
+void PeerSync::noteStore(bool isLost, TimePoint now)
 {
     const bool isWatcher = shallWatch(now);
     exchange_.setRole(isWatcher, isLost);
@@ -179,14 +179,14 @@
         perform(membership_.setSelfState(isWatcher && isLost ? MemberState::Detached : MemberState::Serving, now), now);
 }
 
-bool PeerNews::shallWatch(TimePoint now) const { return watchDuty_.isOn(membership_, now); }
+bool PeerSync::shallWatch(TimePoint now) const { return watchDuty_.isOn(membership_, now); }
 
-std::uint64_t PeerNews::bytesTransferred() const
+std::uint64_t PeerSync::bytesTransferred() const
 {
     return link_->bytesTransferred() + server_->bytesTransferred() + fetchedBytes_;
 }
 
-std::vector<TrafficRow> PeerNews::traffic() const
+std::vector<TrafficRow> PeerSync::traffic() const
 {
     const auto rowOf = [this](std::string_view cause, std::initializer_list<PeerMessageKind> kinds) {
         LinkTraffic sum;
@@ -205,7 +205,7 @@
     };
 }
 
-void PeerNews::receive(const PeerEnvelope& envelope, const Endpoint& sender)
+void PeerSync::receive(const PeerEnvelope& envelope, const Endpoint& sender)
 {
     const TimePoint now = Clock::now();
     if (envelope.kind != PeerMessageKind::News) {
@@ -216,7 +216,7 @@
         perform(exchange_.handlePush(envelope.sender, delta.value(), now), now);
 }
 
-void PeerNews::answer(const std::shared_ptr<Http2Exchange>& exchange)
+void PeerSync::answer(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const std::string& path = exchange->request().path;
     std::uint64_t after = 0;
@@ -237,7 +237,7 @@
     exchange->respond(std::move(response));
 }
 
-void PeerNews::perform(const MembershipActions& actions, TimePoint now)
+void PeerSync::perform(const MembershipActions& actions, TimePoint now)
 {
     for (const MembershipAction& action : actions) {
         if (const auto* message = std::get_if<SendPeerMessage>(&action)) {
@@ -250,7 +250,7 @@
     }
 }
 
-void PeerNews::perform(const ReplicaSyncActions& actions, TimePoint now)
+void PeerSync::perform(const ReplicaSyncActions& actions, TimePoint now)
 {
     for (const ReplicaSyncAction& action : actions) {
         if (const auto* push = std::get_if<PushDelta>(&action)) {
@@ -266,7 +266,7 @@
     }
 }
 
-void PeerNews::push(const PushDelta& push)
+void PeerSync::push(const PushDelta& push)
 {
     link_->send(push.to,
         { .sender = membership_.view()->self,
@@ -275,7 +275,7 @@
             .payload = encodeMessage(push.delta) });
 }
 
-void PeerNews::fetch(const FetchDelta& fetch)
+void PeerSync::fetch(const FetchDelta& fetch)
 {
     const Member* member = membership_.view()->find(fetch.from);
     const std::string source = member ? member->name : "unknown";
@@ -309,7 +309,7 @@
         });
 }
 
-void PeerNews::handleFetched(const std::string& source, const HttpOutcome& outcome)
+void PeerSync::handleFetched(const std::string& source, const HttpOutcome& outcome)
 {
     const TimePoint now = Clock::now();
     const bool isAnswer = outcome && outcome.value().status == 200;
--- a/Source/Forwarder/PeerNews.h
+++ b/Source/Forwarder/PeerSync.h
@@ -25,18 +25,18 @@
 
 // This balancer among the others: runs membership and the exchange of news over datagrams, and answers and sends
 // requests for news that is too large for them (HTTP/2). Everything happens on the thread of the io_context.
-class PeerNews {
+class PeerSync {
 public:
     using Handler = std::function<void(const ReplicaChanged&)>;
 
     // Fails with Unavailable when the address can't be bound for datagrams or connections. The handler runs for each
     // piece of news, whoever told of it.
-    static Result<std::unique_ptr<PeerNews>> open(boost::asio::io_context&, const Member& self,
+    static Result<std::unique_ptr<PeerSync>> open(boost::asio::io_context&, const Member& self,
         std::vector<Endpoint> seeds, std::uint64_t seed, EventLog&, ForwarderMetrics&, Handler,
         ReplicaSyncSettings = {});
-    ~PeerNews();
-    PeerNews(const PeerNews&) = delete;
-    PeerNews& operator=(const PeerNews&) = delete;
+    ~PeerSync();
+    PeerSync(const PeerSync&) = delete;
+    PeerSync& operator=(const PeerSync&) = delete;
 
     void start(TimePoint now);
     // Call it every 100 to 250 ms.
@@ -64,7 +64,7 @@
     std::vector<TrafficRow> traffic() const;
 
 private:
-    PeerNews(boost::asio::io_context&, const Member& self, std::vector<Endpoint> seeds, std::uint64_t seed, EventLog&,
+    PeerSync(boost::asio::io_context&, const Member& self, std::vector<Endpoint> seeds, std::uint64_t seed, EventLog&,
         ForwarderMetrics&, Handler, ReplicaSyncSettings);
 
     void receive(const PeerEnvelope&, const Endpoint& sender);
--- a/Source/News/ReplicaSync.h
+++ b/Source/News/ReplicaSync.h
@@ -85,7 +85,7 @@
 // Keeps a balancer's replica of the store in sync with those of the other balancers. Balancers that watch the store
 // push its changes to the others of their availability zone. Membership tells every balancer the revisions of the
 // others, and one that stays behind fetches a delta from one that is ahead. So changes arrive also when pushes are
-// lost, when the store rejects all watchers of a zone, and when only another zone reaches the store. PeerNews calls it
+// lost, when the store rejects all watchers of a zone, and when only another zone reaches the store. PeerSync calls it
 // from one thread and performs the actions that it returns.
 class ReplicaSync {
 public:
--- a/Tests/Forwarder/PeerNewsTest.cpp
+++ b/Tests/Forwarder/PeerSyncTest.cpp
@@ -1,4 +1,4 @@
-#include "Forwarder/PeerNews.h"
+#include "Forwarder/PeerSync.h"
 
 #include "Net/Http1Server.h"
 
@@ -35,7 +35,7 @@
         ForwarderMetrics metrics;
         ServerDirectory directory;
         EvacuatedZones emptiedZones;
-        std::unique_ptr<PeerNews> news;
+        std::unique_ptr<PeerSync> news;
         std::vector<StoreUpdate> received;
 
         Balancer() = default;
@@ -55,7 +55,7 @@
             const auto handler = [this](const ReplicaChanged& changed) {
                 received.insert(received.end(), changed.items.begin(), changed.items.end());
             };
-            auto opened = PeerNews::open(context, self, { { other, port } }, address, log, metrics, handler, settings);
+            auto opened = PeerSync::open(context, self, { { other, port } }, address, log, metrics, handler, settings);
             if (!opened)
                 return false;
             news = std::move(opened).value();
@@ -82,12 +82,12 @@
         }
     };
 
-    struct PeerNewsTest : testing::Test {
+    struct PeerSyncTest : testing::Test {
         ReplicaSyncSettings settings;
         Balancer asking;
         Balancer other;
 
-        PeerNewsTest()
+        PeerSyncTest()
         {
             settings.pushTimeout = 0ms;
             settings.listingTimeout = 0ms;
@@ -132,7 +132,7 @@
     // requests then went to one balancer. Each further one that was given up doubled them. Cause: a request that was
     // replaced counted as one that failed. Evidence: among 571 answers in a run of the landing concerned, 18 came to a
     // balancer that had the same answer some milliseconds before from the same sender.
-    TEST_F(PeerNewsTest, anAnswerThatIsGivenUpIsAskedForOnceMore)
+    TEST_F(PeerSyncTest, anAnswerThatIsGivenUpIsAskedForOnceMore)
     {
         const TimePoint began = Clock::now();
         other.news->handleStore({ largeNews() }, began);
