--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -7,10 +7,10 @@
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
 #include "Forwarder/ForwarderSettings.h"
-#include "Forwarder/NewsApplier.h"
 #include "Forwarder/PeerSync.h"
 #include "Forwarder/SettingsReload.h"
 #include "Forwarder/StoreLink.h"
+#include "Forwarder/StoreUpdateApplier.h"
 #include "Forwarder/TokenPacketPath.h"
 #include "Net/Http1Server.h"
 
@@ -288,7 +288,7 @@
     ForwarderMetrics metrics_;
     TokenRouter router_;
     ForwarderLife life_;
-    NewsApplier<Adapter> applier_;
+    StoreUpdateApplier<Adapter> applier_;
     boost::asio::signal_set signals_;
     boost::asio::steady_timer timer_;
     boost::asio::steady_timer logTimer_;
--- a/Source/Forwarder/NewsApplier.h
+++ b/Source/Forwarder/StoreUpdateApplier.h
@@ -16,9 +16,9 @@
 // Gives news its meaning: decodes what the store holds and hands it to the router. A value that can't be read is
 // refused whole, logged and counted, and spoils nothing else: of the configuration the last good one stays, and a
 // server's entry, which another writer may have put there, names no server to use.
-template <typename Adapter> class NewsApplier {
+template <typename Adapter> class StoreUpdateApplier {
 public:
-    NewsApplier(TokenRouter& router, ForwarderLog& log, ForwarderMetrics& metrics)
+    StoreUpdateApplier(TokenRouter& router, ForwarderLog& log, ForwarderMetrics& metrics)
         : router_(router)
         , log_(log)
         , metrics_(metrics)
