--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -9,7 +9,7 @@
 #include "Forwarder/ForwarderSettings.h"
 #include "Forwarder/PeerSync.h"
 #include "Forwarder/SettingsReload.h"
-#include "Forwarder/StoreLink.h"
+#include "Forwarder/StoreFeedDriver.h"
 #include "Forwarder/StoreUpdateApplier.h"
 #include "Forwarder/TokenPacketPath.h"
 #include "Net/Http1Server.h"
@@ -293,7 +293,7 @@
     boost::asio::steady_timer timer_;
     boost::asio::steady_timer logTimer_;
     std::unique_ptr<PeerSync> peers_;
-    StoreLink<Adapter> store_;
+    StoreFeedDriver<Adapter> store_;
     std::unique_ptr<TokenPacketPath<Adapter>> packets_;
     std::unique_ptr<ForwarderAnswers<Adapter>> answers_;
     std::unique_ptr<Http1Server> ready_;
--- a/Source/Forwarder/ForwarderAnswers.h
+++ b/Source/Forwarder/ForwarderAnswers.h
@@ -5,7 +5,7 @@
 #include "Forwarder/ForwarderLife.h"
 #include "Forwarder/ForwarderMetrics.h"
 #include "Forwarder/PeerSync.h"
-#include "Forwarder/StoreLink.h"
+#include "Forwarder/StoreFeedDriver.h"
 #include "Net/HttpMessage.h"
 
 #include <string>
@@ -17,7 +17,7 @@
 // What the forwarder answers over HTTP, whether it is ready and its metrics, and what it reads for that.
 template <typename Adapter> class ForwarderAnswers {
 public:
-    ForwarderAnswers(const TokenRouter& router, const PeerSync& peers, const StoreLink<Adapter>& store,
+    ForwarderAnswers(const TokenRouter& router, const PeerSync& peers, const StoreFeedDriver<Adapter>& store,
         const ForwarderLife& life, EventLog& log, ForwarderMetrics& metrics)
         : router_(router)
         , peers_(peers)
@@ -84,7 +84,7 @@
 
     const TokenRouter& router_;
     const PeerSync& peers_;
-    const StoreLink<Adapter>& store_;
+    const StoreFeedDriver<Adapter>& store_;
     const ForwarderLife& life_;
     EventLog& log_;
     ForwarderMetrics& metrics_;
--- a/Source/Forwarder/StoreLink.h
+++ b/Source/Forwarder/StoreFeedDriver.h
@@ -14,12 +14,12 @@
 namespace wisteriadock {
 
 // Sends what StoreFeed asks for to the platform's store, and gives it the answers.
-template <typename Adapter> class StoreLink {
+template <typename Adapter> class StoreFeedDriver {
 public:
     // Runs with the actions that concern others: DeltaReceived, StoreUnreachable, StoreReachable.
     using Handler = std::function<void(const StoreFeedAction&)>;
 
-    StoreLink(boost::asio::io_context& context, Endpoint store, std::uint64_t seed, StoreFeedSettings settings,
+    StoreFeedDriver(boost::asio::io_context& context, Endpoint store, std::uint64_t seed, StoreFeedSettings settings,
         ForwarderMetrics& metrics, Handler handler)
         : client_(context, store, Http1Limits {})
         , feed_(seed, settings)
--- a/Source/News/StoreFeed.h
+++ b/Source/News/StoreFeed.h
@@ -96,8 +96,8 @@
 using StoreFeedActions = std::vector<StoreFeedAction>;
 
 // Reads the platform's key-value store: lists it once at the start and then, on balancers that are watchers of their
-// zone, watches it for changes. StoreLink calls it and performs the actions that it returns. Answers may be lost, late
-// or refused to this balancer alone, and connections may stop answering without being closed, so every call has a
+// zone, watches it for changes. StoreFeedDriver calls it and performs the actions that it returns. Answers may be lost,
+// late or refused to this balancer alone, and connections may stop answering without being closed, so every call has a
 // timeout and is repeated after a pause.
 class StoreFeed {
 public:
