--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -2,7 +2,7 @@
 
 #include "Core/EventLog.h"
 #include "Forward/TokenRouter.h"
-#include "Forwarder/ForwarderAnswers.h"
+#include "Forwarder/ForwarderHttpHandler.h"
 #include "Forwarder/ForwarderLife.h"
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
@@ -121,7 +121,7 @@
         peers_ = std::move(peers);
         packets_ = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peers_->exchange(),
             life_, lines_, metrics_, [this](TimePoint now) { store_.noteContradiction(now); });
-        answers_ = std::make_unique<ForwarderAnswers<Adapter>>(router_, *peers_, store_, life_, log_, metrics_);
+        answers_ = std::make_unique<ForwarderHttpHandler<Adapter>>(router_, *peers_, store_, life_, log_, metrics_);
         const auto onRequest = [this](const std::shared_ptr<Http1Exchange>& exchange) {
             exchange->respond(answers_->answer(exchange->request(), Clock::now()));
         };
@@ -295,7 +295,7 @@
     std::unique_ptr<PeerSync> peers_;
     StoreFeedDriver<Adapter> store_;
     std::unique_ptr<TokenPacketPath<Adapter>> packets_;
-    std::unique_ptr<ForwarderAnswers<Adapter>> answers_;
+    std::unique_ptr<ForwarderHttpHandler<Adapter>> answers_;
     std::unique_ptr<Http1Server> ready_;
     std::unique_ptr<Http1Server> metricsServer_;
     bool hasMetPeers_ = false;
--- a/Source/Forwarder/ForwarderAnswers.h
+++ b/Source/Forwarder/ForwarderHttpHandler.h
@@ -15,9 +15,9 @@
 namespace wisteriadock {
 
 // What the forwarder answers over HTTP, whether it is ready and its metrics, and what it reads for that.
-template <typename Adapter> class ForwarderAnswers {
+template <typename Adapter> class ForwarderHttpHandler {
 public:
-    ForwarderAnswers(const TokenRouter& router, const PeerSync& peers, const StoreFeedDriver<Adapter>& store,
+    ForwarderHttpHandler(const TokenRouter& router, const PeerSync& peers, const StoreFeedDriver<Adapter>& store,
         const ForwarderLife& life, EventLog& log, ForwarderMetrics& metrics)
         : router_(router)
         , peers_(peers)
@@ -42,24 +42,24 @@
         if (request.path == Adapter::readinessPath)
             response.status = life_.isReady() ? 200 : 503;
         else if (request.path == "/metrics")
-            response = metricsAt(now);
+            response = metricsResponse(now);
         else
             response.status = 404;
         return response;
     }
 
 private:
-    HttpResponse metricsAt(TimePoint now)
+    HttpResponse metricsResponse(TimePoint now)
     {
         HttpResponse response;
-        Result<std::string> text = metrics_.text(readingsAt(now));
+        Result<std::string> text = metrics_.text(snapshotAt(now));
         response.status = text ? 200 : 503;
         response.headers = { { "content-type", text ? "text/plain; version=0.0.4" : "text/plain" } };
         response.body = text ? std::move(text).value() : text.error().toString() + "\n";
         return response;
     }
 
-    ForwarderMetrics::Readings readingsAt(TimePoint now) const
+    ForwarderMetrics::Readings snapshotAt(TimePoint now) const
     {
         ForwarderMetrics::Readings readings;
         readings.configurationVersion = router_.configurationVersion();
