--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -3,7 +3,7 @@
 #include "Core/EventLog.h"
 #include "Forward/TokenRouter.h"
 #include "Forwarder/ForwarderHttpHandler.h"
-#include "Forwarder/ForwarderLife.h"
+#include "Forwarder/ForwarderLifecycle.h"
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
 #include "Forwarder/ForwarderSettings.h"
@@ -287,7 +287,7 @@
     SettingsReload reload_;
     ForwarderMetrics metrics_;
     TokenRouter router_;
-    ForwarderLife life_;
+    ForwarderLifecycle life_;
     StoreUpdateApplier<Adapter> applier_;
     boost::asio::signal_set signals_;
     boost::asio::steady_timer timer_;
--- a/Source/Forwarder/ForwarderHttpHandler.h
+++ b/Source/Forwarder/ForwarderHttpHandler.h
@@ -2,7 +2,7 @@
 
 #include "Core/EventLog.h"
 #include "Forward/TokenRouter.h"
-#include "Forwarder/ForwarderLife.h"
+#include "Forwarder/ForwarderLifecycle.h"
 #include "Forwarder/ForwarderMetrics.h"
 #include "Forwarder/PeerSync.h"
 #include "Forwarder/StoreFeedDriver.h"
@@ -18,7 +18,7 @@
 template <typename Adapter> class ForwarderHttpHandler {
 public:
     ForwarderHttpHandler(const TokenRouter& router, const PeerSync& peers, const StoreFeedDriver<Adapter>& store,
-        const ForwarderLife& life, EventLog& log, ForwarderMetrics& metrics)
+        const ForwarderLifecycle& life, EventLog& log, ForwarderMetrics& metrics)
         : router_(router)
         , peers_(peers)
         , store_(store)
@@ -85,7 +85,7 @@
     const TokenRouter& router_;
     const PeerSync& peers_;
     const StoreFeedDriver<Adapter>& store_;
-    const ForwarderLife& life_;
+    const ForwarderLifecycle& life_;
     EventLog& log_;
     ForwarderMetrics& metrics_;
 };
--- a/Source/Forwarder/ForwarderLife.cpp
+++ b/Source/Forwarder/ForwarderLifecycle.cpp
@@ -1,17 +1,17 @@
-#include "Forwarder/ForwarderLife.h"
+#include "Forwarder/ForwarderLifecycle.h"
 
 #include <algorithm>
 
 namespace wisteriadock {
 
-bool ForwarderLife::noteInformed()
+bool ForwarderLifecycle::noteInformed()
 {
     const bool isNew = !isInformed_;
     isInformed_ = true;
     return isNew;
 }
 
-bool ForwarderLife::stop(TimePoint now)
+bool ForwarderLifecycle::stop(TimePoint now)
 {
     if (stoppingSince_)
         return false;
@@ -19,7 +19,7 @@
     return true;
 }
 
-bool ForwarderLife::isOver(TimePoint now) const
+bool ForwarderLifecycle::isOver(TimePoint now) const
 {
     if (!stoppingSince_)
         return false;
--- a/Source/Forwarder/ForwarderLife.h
+++ b/Source/Forwarder/ForwarderLifecycle.h
@@ -7,7 +7,7 @@
 
 namespace wisteriadock {
 
-struct LifeSettings {
+struct LifecycleSettings {
     // From the order to stop until the process is killed.
     std::chrono::milliseconds grace { 6000 };
     // The process ends so long before it would be killed.
@@ -18,9 +18,9 @@
 
 // Whether the forwarder calls itself ready, and when a planned stop is over. While it stops it goes on forwarding:
 // packets come until the routers have noticed, and where a zone has few balancers they come until the end.
-class ForwarderLife {
+class ForwarderLifecycle {
 public:
-    explicit ForwarderLife(LifeSettings settings = {})
+    explicit ForwarderLifecycle(LifecycleSettings settings = {})
         : settings_(settings)
     {
     }
@@ -37,7 +37,7 @@
     bool isOver(TimePoint now) const;
 
 private:
-    LifeSettings settings_;
+    LifecycleSettings settings_;
     bool isInformed_ = false;
     std::optional<TimePoint> stoppingSince_;
     TimePoint lastPacket_ = TimePoint::min();
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Forward/TokenRouter.h"
-#include "Forwarder/ForwarderLife.h"
+#include "Forwarder/ForwarderLifecycle.h"
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
 #include "News/ReplicaSync.h"
@@ -25,7 +25,7 @@
     using OnContradiction = std::function<void(TimePoint)>;
 
     TokenPacketPath(boost::asio::io_context& context, PacketSocket socket, TokenRouter& router, const ReplicaSync& news,
-        ForwarderLife& life, ForwarderLog& log, ForwarderMetrics& metrics, OnContradiction onContradiction)
+        ForwarderLifecycle& life, ForwarderLog& log, ForwarderMetrics& metrics, OnContradiction onContradiction)
         : socket_(std::move(socket))
         , descriptor_(context, socket_.descriptor())
         , router_(router)
@@ -132,7 +132,7 @@
     boost::asio::posix::stream_descriptor descriptor_;
     TokenRouter& router_;
     const ReplicaSync& news_;
-    ForwarderLife& life_;
+    ForwarderLifecycle& life_;
     ForwarderLog& log_;
     ForwarderMetrics& metrics_;
     OnContradiction onContradiction_;
--- a/Tests/Forwarder/ForwarderLifeTest.cpp
+++ b/Tests/Forwarder/ForwarderLifecycleTest.cpp
@@ -1,4 +1,4 @@
-#include "Forwarder/ForwarderLife.h"
+#include "Forwarder/ForwarderLifecycle.h"
 
 #include <gtest/gtest.h>
 
@@ -8,10 +8,10 @@
 
     using namespace std::chrono_literals;
 
-    TEST(ForwarderLifeTest, readyOnceInformedUntilToldToStop)
+    TEST(ForwarderLifecycleTest, readyOnceInformedUntilToldToStop)
     {
         ManualClock clock;
-        ForwarderLife life;
+        ForwarderLifecycle life;
         EXPECT_FALSE(life.isReady());
         EXPECT_TRUE(life.noteInformed());
         EXPECT_FALSE(life.noteInformed());
@@ -25,13 +25,13 @@
     // Sequence: the process ends at once, while routers hand it packets for another second, or longer where a zone has
     // no other balancer.
     // Cause: the end of the duty to be ready was taken for the end of the packets.
-    TEST(ForwarderLifeTest, itEndsWhenNoPacketComesAnyMoreAndBeforeItWouldBeKilled)
+    TEST(ForwarderLifecycleTest, itEndsWhenNoPacketComesAnyMoreAndBeforeItWouldBeKilled)
     {
         ManualClock clock;
-        ForwarderLife quiet;
+        ForwarderLifecycle quiet;
         quiet.noteInformed();
         quiet.stop(clock.now());
-        ForwarderLife busy = quiet;
+        ForwarderLifecycle busy = quiet;
         clock.advance(1400ms);
         EXPECT_FALSE(quiet.isOver(clock.now()));
         busy.notePacket(clock.now());
