--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -8,7 +8,7 @@
 #include "Forwarder/ForwarderMetrics.h"
 #include "Forwarder/ForwarderSettings.h"
 #include "Forwarder/PeerSync.h"
-#include "Forwarder/SettingsReload.h"
+#include "Forwarder/SettingsReloader.h"
 #include "Forwarder/StoreFeedDriver.h"
 #include "Forwarder/StoreUpdateApplier.h"
 #include "Forwarder/TokenPacketPath.h"
@@ -284,7 +284,7 @@
     EventLog log_;
     ForwarderLog lines_;
     TrafficReport traffic_;
-    SettingsReload reload_;
+    SettingsReloader reload_;
     ForwarderMetrics metrics_;
     TokenRouter router_;
     ForwarderLifecycle life_;
--- a/Source/Forwarder/SettingsWatch.cpp
+++ b/Source/Forwarder/SettingsFileWatcher.cpp
@@ -1,17 +1,17 @@
-#include "Forwarder/SettingsWatch.h"
+#include "Forwarder/SettingsFileWatcher.h"
 
 #include <sys/stat.h>
 #include <utility>
 
 namespace wisteriadock {
 
-SettingsWatch::SettingsWatch(std::string path)
+SettingsFileWatcher::SettingsFileWatcher(std::string path)
     : path_(std::move(path))
     , last_(stamp())
 {
 }
 
-bool SettingsWatch::hasChanged()
+bool SettingsFileWatcher::hasChanged()
 {
     const Stamp now = stamp();
     // A file that is just being replaced may be missing for a moment.
@@ -21,7 +21,7 @@
     return true;
 }
 
-SettingsWatch::Stamp SettingsWatch::stamp() const
+SettingsFileWatcher::Stamp SettingsFileWatcher::stamp() const
 {
     struct stat found { };
     if (::stat(path_.c_str(), &found) != 0)
--- a/Source/Forwarder/SettingsWatch.h
+++ b/Source/Forwarder/SettingsFileWatcher.h
@@ -9,10 +9,10 @@
 namespace wisteriadock {
 
 // Notices that the settings file was replaced or rewritten, for programs that may not be told.
-class SettingsWatch {
+class SettingsFileWatcher {
 public:
     // Remembers the file as it is now.
-    explicit SettingsWatch(std::string path);
+    explicit SettingsFileWatcher(std::string path);
 
     // True once after each change, as far as the file's identity, size and time show it.
     bool hasChanged();
--- a/Source/Forwarder/SettingsReload.cpp
+++ b/Source/Forwarder/SettingsReloader.cpp
@@ -1,10 +1,10 @@
-#include "Forwarder/SettingsReload.h"
+#include "Forwarder/SettingsReloader.h"
 
 #include <utility>
 
 namespace wisteriadock {
 
-SettingsReload::SettingsReload(ForwarderSettings& settings, std::string path, EventLog& log, OnSeeds onSeeds)
+SettingsReloader::SettingsReloader(ForwarderSettings& settings, std::string path, EventLog& log, OnSeeds onSeeds)
     : settings_(settings)
     , watch_(std::move(path))
     , log_(log)
@@ -13,7 +13,7 @@
 {
 }
 
-void SettingsReload::tick(TimePoint now)
+void SettingsReloader::tick(TimePoint now)
 {
     if (now - lastCheck_ < checkPeriod)
         return;
@@ -22,7 +22,7 @@
         reload("file", now);
 }
 
-void SettingsReload::reload(const char* cause, TimePoint now)
+void SettingsReloader::reload(const char* cause, TimePoint now)
 {
     const auto fresh = watch_.read();
     if (!fresh) {
--- a/Source/Forwarder/SettingsReload.h
+++ b/Source/Forwarder/SettingsReloader.h
@@ -2,7 +2,7 @@
 
 #include "Core/EventLog.h"
 #include "Forwarder/ForwarderSettings.h"
-#include "Forwarder/SettingsWatch.h"
+#include "Forwarder/SettingsFileWatcher.h"
 
 #include <chrono>
 #include <functional>
@@ -13,12 +13,12 @@
 
 // Takes changed settings into force while the process runs: the log's level and budget and the seeds. A file that can't
 // be read whole changes nothing; what needs a restart is named in the log and waits for it.
-class SettingsReload {
+class SettingsReloader {
 public:
     using OnSeeds = std::function<void(const std::vector<Endpoint>&, TimePoint)>;
 
     // The settings stay with the caller, and are those in force.
-    SettingsReload(ForwarderSettings&, std::string path, EventLog&, OnSeeds);
+    SettingsReloader(ForwarderSettings&, std::string path, EventLog&, OnSeeds);
 
     // Looks now and then whether the file has changed, for programs that may not be told.
     void tick(TimePoint now);
@@ -29,7 +29,7 @@
     static constexpr std::chrono::seconds checkPeriod { 2 };
 
     ForwarderSettings& settings_;
-    SettingsWatch watch_;
+    SettingsFileWatcher watch_;
     EventLog& log_;
     OnSeeds onSeeds_;
     TimePoint lastCheck_;
--- a/Tests/Forwarder/ForwarderSettingsTest.cpp
+++ b/Tests/Forwarder/ForwarderSettingsTest.cpp
@@ -1,5 +1,5 @@
 #include "Forwarder/ForwarderSettings.h"
-#include "Forwarder/SettingsWatch.h"
+#include "Forwarder/SettingsFileWatcher.h"
 
 #include <gtest/gtest.h>
 
@@ -85,7 +85,7 @@
         const std::filesystem::path path
             = std::filesystem::temp_directory_path() / ("settings-" + std::to_string(::getpid()));
         std::ofstream(path) << wholeText;
-        SettingsWatch watch(path.string());
+        SettingsFileWatcher watch(path.string());
         EXPECT_FALSE(watch.hasChanged());
         std::ofstream(path) << wholeText << "\n; changed\n";
         EXPECT_TRUE(watch.hasChanged());
--- a/Tests/Forwarder/SettingsReloadTest.cpp
+++ b/Tests/Forwarder/SettingsReloaderTest.cpp
@@ -1,4 +1,4 @@
-#include "Forwarder/SettingsReload.h"
+#include "Forwarder/SettingsReloader.h"
 
 #include <gtest/gtest.h>
 
@@ -19,24 +19,24 @@
                                  "[store]\naddress = 127.0.0.1:4\n";
 
     // A settings file, and what a process makes of its changes.
-    struct SettingsReloadTest : testing::Test {
+    struct SettingsReloaderTest : testing::Test {
         std::string path = testing::TempDir() + "settings-reload-" + std::to_string(::getpid()) + ".ini";
         std::array<int, 2> pipe { -1, -1 };
         ForwarderSettings settings;
         std::vector<Endpoint> seeds;
         std::unique_ptr<EventLog> log;
-        std::unique_ptr<SettingsReload> reload;
+        std::unique_ptr<SettingsReloader> reload;
 
-        SettingsReloadTest()
+        SettingsReloaderTest()
         {
             EXPECT_EQ(::pipe(pipe.data()), 0);
             write("");
             settings = ForwarderSettings::load(path).value();
             log = std::make_unique<EventLog>(EventOrigin { "vm-1", "walu", 1 }, pipe[1]);
-            reload = std::make_unique<SettingsReload>(
+            reload = std::make_unique<SettingsReloader>(
                 settings, path, *log, [this](const std::vector<Endpoint>& fresh, TimePoint) { seeds = fresh; });
         }
-        ~SettingsReloadTest() override
+        ~SettingsReloaderTest() override
         {
             std::remove(path.c_str());
             ::close(pipe[0]);
@@ -54,7 +54,7 @@
         }
     };
 
-    TEST_F(SettingsReloadTest, changedSeedsAndLogSettingsComeIntoForce)
+    TEST_F(SettingsReloaderTest, changedSeedsAndLogSettingsComeIntoForce)
     {
         write("[peers]\nseed_vms = 127.0.0.2:8166\n[log]\nlevel = warning\n");
         reload->reload("signal", Clock::now());
@@ -63,7 +63,7 @@
         EXPECT_EQ(log->level(), LogLevel::Warning);
     }
 
-    TEST_F(SettingsReloadTest, aFileThatCannotBeReadChangesNothing)
+    TEST_F(SettingsReloaderTest, aFileThatCannotBeReadChangesNothing)
     {
         write("[peers]\nseed_vms = 127.0.0.2:8166\n[log]\nlevel = loud\n");
         reload->reload("signal", Clock::now());
@@ -72,7 +72,7 @@
         EXPECT_NE(logged().find("\"event\":\"refused\""), std::string::npos);
     }
 
-    TEST_F(SettingsReloadTest, whatNeedsARestartIsNamedAndWaits)
+    TEST_F(SettingsReloaderTest, whatNeedsARestartIsNamedAndWaits)
     {
         write("[limits]\nlongest_flow_seconds = 30\n");
         reload->reload("file", Clock::now());
