--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -96,7 +96,7 @@
 Result<void> BalancerDaemon::listen()
 {
     const auto onMessage = [this](const PeerEnvelope& envelope, Endpoint sender) { peers_->receive(envelope, sender); };
-    BOOST_OUTCOME_TRY(link, PeerLink::open(context_, settings_.listen.peer, onMessage));
+    BOOST_OUTCOME_TRY(link, PeerSocket::open(context_, settings_.listen.peer, onMessage));
     link_ = std::move(link);
 
     const auto ownPages = [this](const std::shared_ptr<Http2Exchange>& exchange) { return serveOwnPage(exchange); };
--- a/Source/Balancer/BalancerDaemon.h
+++ b/Source/Balancer/BalancerDaemon.h
@@ -14,7 +14,7 @@
 #include "Core/Log.h"
 #include "KeyValue/PlatformClient.h"
 #include "Net/MetricsEndpoint.h"
-#include "Peers/PeerLink.h"
+#include "Peers/PeerSocket.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -80,7 +80,7 @@
     RequestDecisions requestDecisions_;
     std::uint64_t configurationBytesServed_ = 0;
 
-    std::unique_ptr<PeerLink> link_;
+    std::unique_ptr<PeerSocket> link_;
     std::unique_ptr<PeerControl> peers_;
     ConfigurationFeed feed_;
     VmListFeed vms_;
--- a/Source/Balancer/HolderLink.cpp
+++ b/Source/Balancer/HolderLink.cpp
@@ -23,7 +23,7 @@
 
 }
 
-HolderLink::HolderLink(boost::asio::io_context& context, PeerLink& link, const BalancerInstance& self,
+HolderLink::HolderLink(boost::asio::io_context& context, PeerSocket& link, const BalancerInstance& self,
     const Http2Limits& limits, Handler onMessage)
     : link_(link)
     , self_(self)
--- a/Source/Balancer/HolderLink.h
+++ b/Source/Balancer/HolderLink.h
@@ -4,7 +4,7 @@
 #include "Balancer/RequestMessageCodec.h"
 #include "Membership/Member.h"
 #include "Net/Http2Server.h"
-#include "Peers/PeerLink.h"
+#include "Peers/PeerSocket.h"
 
 #include <boost/asio/io_context.hpp>
 
@@ -26,7 +26,7 @@
     using Handler = std::function<void(const BalancerInstance& from, const BalancerMessage&)>;
 
     // The link outlives this object.
-    HolderLink(boost::asio::io_context&, PeerLink&, const BalancerInstance& self, const Http2Limits&, Handler);
+    HolderLink(boost::asio::io_context&, PeerSocket&, const BalancerInstance& self, const Http2Limits&, Handler);
     HolderLink(const HolderLink&) = delete;
     HolderLink& operator=(const HolderLink&) = delete;
 
@@ -41,7 +41,7 @@
     // The member that is this holder now; null when there is none.
     const Member* find(const BalancerInstance&) const;
     const std::shared_ptr<const MembersView>& view() const { return view_; }
-    // By HTTP/2, bodies of both directions; datagrams are counted by the PeerLink.
+    // By HTTP/2, bodies of both directions; datagrams are counted by the PeerSocket.
     std::uint64_t longMessageBytes() const { return longMessageBytes_; }
     std::uint64_t droppedMessages() const { return droppedMessages_; }
 
@@ -49,7 +49,7 @@
     void sendLong(const Member& receiver, const std::vector<std::uint8_t>&);
     void take(const BalancerInstance& from, std::span<const std::uint8_t>);
 
-    PeerLink& link_;
+    PeerSocket& link_;
     BalancerInstance self_;
     Handler onMessage_;
     std::shared_ptr<const MembersView> view_ = std::make_shared<const MembersView>();
--- a/Source/Balancer/PeerControl.cpp
+++ b/Source/Balancer/PeerControl.cpp
@@ -22,7 +22,7 @@
 }
 
 PeerControl::PeerControl(
-    boost::asio::io_context& context, PeerLink& link, FlowEngine& engine, const Member& self, std::uint64_t seed)
+    boost::asio::io_context& context, PeerSocket& link, FlowEngine& engine, const Member& self, std::uint64_t seed)
     : timer_(context)
     , link_(link)
     , engine_(engine)
--- a/Source/Balancer/PeerControl.h
+++ b/Source/Balancer/PeerControl.h
@@ -6,7 +6,7 @@
 #include "Flow/FlowEngine.h"
 #include "KeyValue/PlatformTypes.h"
 #include "Membership/Membership.h"
-#include "Peers/PeerLink.h"
+#include "Peers/PeerSocket.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -26,7 +26,7 @@
     using RequestHandler = std::function<void(const PeerEnvelope&)>;
 
     // The engine and the link outlive the control. The link's datagrams have to be given to receive().
-    PeerControl(boost::asio::io_context&, PeerLink&, FlowEngine&, const Member& self, std::uint64_t seed);
+    PeerControl(boost::asio::io_context&, PeerSocket&, FlowEngine&, const Member& self, std::uint64_t seed);
     PeerControl(const PeerControl&) = delete;
     PeerControl& operator=(const PeerControl&) = delete;
 
@@ -55,7 +55,7 @@
 
     Log log_ { "peers" };
     boost::asio::steady_timer timer_;
-    PeerLink& link_;
+    PeerSocket& link_;
     FlowEngine& engine_;
     Membership membership_;
     ViewHandler onView_;
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -64,8 +64,8 @@
 
 }
 
-RequestControl::RequestControl(
-    boost::asio::io_context& context, PeerLink& link, PlatformClient& platform, const RequestControlSettings& settings)
+RequestControl::RequestControl(boost::asio::io_context& context, PeerSocket& link, PlatformClient& platform,
+    const RequestControlSettings& settings)
     : settings_(settings)
     , homeZone_(settings.zones.empty() ? std::string(wholeFleet) : settings.availabilityZone)
     , timer_(context)
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -53,7 +53,7 @@
 class RequestControl {
 public:
     // Link and platform outlive the control.
-    RequestControl(boost::asio::io_context&, PeerLink&, PlatformClient&, const RequestControlSettings&);
+    RequestControl(boost::asio::io_context&, PeerSocket&, PlatformClient&, const RequestControlSettings&);
     // What still ends afterwards is told to nobody.
     ~RequestControl();
     RequestControl(const RequestControl&) = delete;
--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -49,7 +49,7 @@
         new PeerSync(context, self, std::move(seeds), seed, log, metrics, std::move(handler), settings));
     PeerSync* target = news.get();
     BOOST_OUTCOME_TRY(link,
-        PeerLink::open(context, self.peerAddress,
+        PeerSocket::open(context, self.peerAddress,
             [target](const PeerEnvelope& envelope, const Endpoint& sender) { target->receive(envelope, sender); }));
     news->link_ = std::move(link);
     BOOST_OUTCOME_TRY(server,
@@ -189,7 +189,7 @@
 std::vector<TrafficRow> PeerSync::traffic() const
 {
     const auto rowOf = [this](std::string_view cause, std::initializer_list<PeerMessageKind> kinds) {
-        LinkTraffic sum;
+        DatagramTraffic sum;
         for (const PeerMessageKind kind : kinds)
             sum += link_->trafficOf(kind);
         return TrafficRow { cause, sum.sent + sum.received, sum.sentBytes, sum.receivedBytes };
--- a/Source/Forwarder/PeerSync.h
+++ b/Source/Forwarder/PeerSync.h
@@ -9,7 +9,7 @@
 #include "Net/Http2Server.h"
 #include "News/ReplicaSync.h"
 #include "News/StoreFeed.h"
-#include "Peers/PeerLink.h"
+#include "Peers/PeerSocket.h"
 #include "Peers/WatchDuty.h"
 
 #include <boost/asio/io_context.hpp>
@@ -88,7 +88,7 @@
     Membership membership_;
     WatchDuty watchDuty_;
     ReplicaSync exchange_;
-    std::unique_ptr<PeerLink> link_;
+    std::unique_ptr<PeerSocket> link_;
     std::unique_ptr<Http2Server> server_;
     std::unique_ptr<Http2Client> fetcher_;
     std::uint64_t toldRevision_ = 0;
--- a/Source/Peers/PeerLink.cpp
+++ b/Source/Peers/PeerSocket.cpp
@@ -1,10 +1,11 @@
-#include "Peers/PeerLink.h"
+#include "Peers/PeerSocket.h"
 
 namespace wisteriadock {
 
-Result<std::unique_ptr<PeerLink>> PeerLink::open(boost::asio::io_context& context, Endpoint endpoint, Handler handler)
+Result<std::unique_ptr<PeerSocket>> PeerSocket::open(
+    boost::asio::io_context& context, Endpoint endpoint, Handler handler)
 {
-    std::unique_ptr<PeerLink> link(new PeerLink(std::move(handler)));
+    std::unique_ptr<PeerSocket> link(new PeerSocket(std::move(handler)));
     const auto onDatagram = [target = link.get()](const Endpoint& sender, std::span<const std::uint8_t> datagram) {
         target->receive(sender, datagram);
     };
@@ -13,32 +14,32 @@
     return link;
 }
 
-PeerLink::PeerLink(Handler handler)
+PeerSocket::PeerSocket(Handler handler)
     : handler_(std::move(handler))
 {
 }
 
-void PeerLink::send(Endpoint receiver, const PeerEnvelope& envelope)
+void PeerSocket::send(Endpoint receiver, const PeerEnvelope& envelope)
 {
     const auto datagram = encodePeerEnvelope(envelope);
     if (!datagram) {
         ++malformed_;
         return;
     }
-    LinkTraffic& traffic = traffic_[static_cast<std::size_t>(envelope.kind)];
+    DatagramTraffic& traffic = traffic_[static_cast<std::size_t>(envelope.kind)];
     ++traffic.sent;
     traffic.sentBytes += datagram.value().size();
     socket_->send(receiver, datagram.value());
 }
 
-void PeerLink::receive(Endpoint sender, std::span<const std::uint8_t> datagram)
+void PeerSocket::receive(Endpoint sender, std::span<const std::uint8_t> datagram)
 {
     const auto envelope = decodePeerEnvelope(datagram);
     if (!envelope) {
         ++malformed_;
         return;
     }
-    LinkTraffic& traffic = traffic_[static_cast<std::size_t>(envelope.value().kind)];
+    DatagramTraffic& traffic = traffic_[static_cast<std::size_t>(envelope.value().kind)];
     ++traffic.received;
     traffic.receivedBytes += datagram.size();
     handler_(envelope.value(), sender);
--- a/Tests/Balancer/RequestGroup.cpp
+++ b/Tests/Balancer/RequestGroup.cpp
@@ -45,7 +45,7 @@
         if (balancer.control)
             balancer.control->receive(envelope);
     };
-    balancer.link = std::move(PeerLink::open(context_, anyLoopbackPort, onMessage).value());
+    balancer.link = std::move(PeerSocket::open(context_, anyLoopbackPort, onMessage).value());
     const auto ownPages = [&balancer](const std::shared_ptr<Http2Exchange>& exchange) {
         if (exchange->request().path != "/wisteriadock/ticket")
             return false;
