--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -69,7 +69,7 @@
     , metrics_(metrics)
     , handler_(std::move(handler))
     , membership_({}, self, seed, Clock::now())
-    , watchDuty_({ .numbers = watcherNumbers })
+    , watcherRole_({ .numbers = watcherNumbers })
     , exchange_(self.availabilityZone, seed, settings)
 {
 }
@@ -82,7 +82,7 @@
 
 void PeerSync::start(TimePoint now)
 {
-    watchDuty_.start(!seeds_.empty(), now);
+    watcherRole_.start(!seeds_.empty(), now);
     membersLog_.start(now);
     adviseSeeds(now);
     // Watchers are chosen among those that serve, and until somebody watches nobody learns enough to be ready. Nothing
@@ -179,7 +179,7 @@
         perform(membership_.setSelfState(isWatcher && isLost ? MemberState::Detached : MemberState::Serving, now), now);
 }
 
-bool PeerSync::shallWatch(TimePoint now) const { return watchDuty_.isOn(membership_, now); }
+bool PeerSync::shallWatch(TimePoint now) const { return watcherRole_.isOn(membership_, now); }
 
 std::uint64_t PeerSync::bytesTransferred() const
 {
--- a/Source/Forwarder/PeerSync.h
+++ b/Source/Forwarder/PeerSync.h
@@ -10,7 +10,7 @@
 #include "News/ReplicaSync.h"
 #include "News/StoreFeed.h"
 #include "Peers/PeerSocket.h"
-#include "Peers/WatchDuty.h"
+#include "Peers/WatcherRole.h"
 
 #include <boost/asio/io_context.hpp>
 
@@ -86,7 +86,7 @@
     ForwarderMetrics& metrics_;
     Handler handler_;
     Membership membership_;
-    WatchDuty watchDuty_;
+    WatcherRole watcherRole_;
     ReplicaSync exchange_;
     std::unique_ptr<PeerSocket> link_;
     std::unique_ptr<Http2Server> server_;
--- a/Source/Peers/WatchDuty.cpp
+++ b/Source/Peers/WatcherRole.cpp
@@ -1,13 +1,13 @@
-#include "Peers/WatchDuty.h"
+#include "Peers/WatcherRole.h"
 
 namespace wisteriadock {
 
-void WatchDuty::start(bool expectsOthers, TimePoint now)
+void WatcherRole::start(bool expectsOthers, TimePoint now)
 {
     meetsSince_ = expectsOthers ? std::optional(now) : std::nullopt;
 }
 
-bool WatchDuty::isOn(const Membership& membership, TimePoint now) const
+bool WatcherRole::isOn(const Membership& membership, TimePoint now) const
 {
     const MembersView& view = *membership.view();
     const bool knowsOthers = view.members.size() >= fewestMembersToShareWatching;
--- a/Source/Peers/WatchDuty.h
+++ b/Source/Peers/WatcherRole.h
@@ -9,7 +9,7 @@
 
 namespace wisteriadock {
 
-struct WatchDutySettings {
+struct WatcherRoleSettings {
     WatcherNumbers numbers {};
     // For so long after its start a balancer that has met others goes on learning of more before it goes by its view.
     // Not longer: what a start reads of the platform may be seconds old, and only a watch shows what changed since.
@@ -22,9 +22,9 @@
 // so that it would take itself for the first of its availability zone: when all of a fleet of 195 started together,
 // hundreds of watches were sent within two seconds. Until it has read the view of others it leaves watching to them,
 // for a bounded time, since there may be no others.
-class WatchDuty {
+class WatcherRole {
 public:
-    explicit WatchDuty(WatchDutySettings settings)
+    explicit WatcherRole(WatcherRoleSettings settings)
         : settings_(settings)
     {
     }
@@ -34,7 +34,7 @@
     bool isOn(const Membership&, TimePoint now) const;
 
 private:
-    const WatchDutySettings settings_;
+    const WatcherRoleSettings settings_;
     // Since when it waits for others; none when it does not.
     std::optional<TimePoint> meetsSince_;
 };
--- a/Tests/Peers/WatchDutyTest.cpp
+++ b/Tests/Peers/WatcherRoleTest.cpp
@@ -1,4 +1,4 @@
-#include "Peers/WatchDuty.h"
+#include "Peers/WatcherRole.h"
 
 #include "Support/MembershipNetwork.h"
 
@@ -24,7 +24,7 @@
     // Balancers that start together, and who of them watches.
     struct Fleet {
         MembershipNetwork network { 11 };
-        std::vector<WatchDuty> duties;
+        std::vector<WatcherRole> duties;
         std::set<std::size_t> everWatched;
         std::vector<Duration> watchedAfter = std::vector<Duration>(zones, Duration::max());
         TimePoint startedAt;
@@ -35,7 +35,7 @@
             for (std::size_t i = 0; i < count; ++i) {
                 network.linkMegabits = i < zones * widePerZone ? 200 : 20;
                 network.addWithSeeds(fmt::format("zone{}", i % zones), knownSeeds);
-                duties.emplace_back(WatchDutySettings { .numbers = numbers });
+                duties.emplace_back(WatcherRoleSettings { .numbers = numbers });
                 duties.back().start(knownSeeds > 0, network.now);
             }
         }
@@ -63,7 +63,7 @@
     // in the seconds after all had started or had lost power. Sequence: all start at once; each knows itself and three
     // addresses, and for some seconds hardly anybody else; whoever knows no member of its zone with a wider link
     // watches. Cause: a balancer judged by a view that had just begun to fill.
-    TEST(WatchDutyTest, whenAllStartTogetherFewWatchAndEachZoneIsWatched)
+    TEST(WatcherRoleTest, whenAllStartTogetherFewWatchAndEachZoneIsWatched)
     {
         Fleet fleet;
         fleet.start(195, seeds);
@@ -73,7 +73,7 @@
             EXPECT_LE(after, watchedWithin);
     }
 
-    TEST(WatchDutyTest, aSmallFleetIsWatchedSoonAfterItsStart)
+    TEST(WatcherRoleTest, aSmallFleetIsWatchedSoonAfterItsStart)
     {
         Fleet fleet;
         fleet.start(2 * zones, seeds);
@@ -82,7 +82,7 @@
             EXPECT_LE(after, 2s);
     }
 
-    TEST(WatchDutyTest, whoMeetsNobodyWatchesAlone)
+    TEST(WatcherRoleTest, whoMeetsNobodyWatchesAlone)
     {
         Fleet fleet;
         // Nobody answers: all but the first are cut off from each other.
@@ -99,7 +99,7 @@
         }
     }
 
-    TEST(WatchDutyTest, anotherTakesOverFromAWatcherThatDies)
+    TEST(WatcherRoleTest, anotherTakesOverFromAWatcherThatDies)
     {
         Fleet fleet;
         fleet.start(40, seeds);
