--- a/Source/Balancer/ConfigurationFeed.cpp
+++ b/Source/Balancer/ConfigurationFeed.cpp
@@ -56,7 +56,7 @@
     const TimePoint now = Clock::now();
     // While a version is being read, it is open whether the watch has to hand it over again.
     const bool readsFromPlatform = read_.isReading() && !readsFromPeer_;
-    if (!readsFromPlatform && (!inForce_ || shallWatchConfiguration(*view_)))
+    if (!readsFromPlatform && (!inForce_ || isConfigurationWatcher(*view_)))
         watch_.poll(now);
     if (!read_.isReading())
         peers_.poll(*view_, version(), now);
--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -25,7 +25,7 @@
 
     // One watcher a zone: calls to the store are priced, and whoever misses its zone's watcher hears from other zones.
     // Three in all, so that news gets around whichever of them has just failed.
-    constexpr WatcherNumbers watcherNumbers { 1, 3, 3 };
+    constexpr WatcherCounts watcherCounts { 1, 3, 3 };
 
     Http2Limits fetchLimits()
     {
@@ -69,7 +69,7 @@
     , metrics_(metrics)
     , handler_(std::move(handler))
     , membership_({}, self, seed, Clock::now())
-    , watcherRole_({ .numbers = watcherNumbers })
+    , watcherRole_({ .numbers = watcherCounts })
     , exchange_(self.availabilityZone, seed, settings)
 {
 }
--- a/Source/Peers/ConfigurationWatchers.cpp
+++ b/Source/Peers/ConfigurationWatchers.cpp
@@ -27,15 +27,16 @@
         return { -bandwidthClassOf(member.linkMegabits), hashPair(choiceSeed, member.id.value), member.id };
     }
 
-    std::size_t watchersInZone(std::size_t availabilityZones, const WatcherNumbers& numbers)
+    std::size_t watchersInZone(std::size_t availabilityZones, const WatcherCounts& numbers)
     {
-        const std::size_t share = (numbers.inAll + availabilityZones - 1) / std::max<std::size_t>(availabilityZones, 1);
+        const std::size_t share
+            = (numbers.minTotal + availabilityZones - 1) / std::max<std::size_t>(availabilityZones, 1);
         return std::max(numbers.perAvailabilityZone, share);
     }
 
 }
 
-bool shallWatchConfiguration(const MembersView& view, const WatcherNumbers& numbers)
+bool isConfigurationWatcher(const MembersView& view, const WatcherCounts& numbers)
 {
     const Member* self = view.findSelf();
     if (!self)
@@ -54,10 +55,10 @@
             continue;
         ++(member.state == MemberState::Serving ? servingAhead : detachedAhead);
     }
-    if (known < fewestMembersToShareWatching)
+    if (known < minMembersToElectWatchers)
         return true;
     return mayWatch(*self) && servingAhead < watchersInZone(availabilityZones.size(), numbers)
-        && detachedAhead < numbers.replacedPerAvailabilityZone;
+        && detachedAhead < numbers.maxReplacedPerAvailabilityZone;
 }
 
 }
--- a/Source/Peers/WatcherRole.cpp
+++ b/Source/Peers/WatcherRole.cpp
@@ -10,12 +10,12 @@
 bool WatcherRole::isOn(const Membership& membership, TimePoint now) const
 {
     const MembersView& view = *membership.view();
-    const bool knowsOthers = view.members.size() >= fewestMembersToShareWatching;
+    const bool knowsOthers = view.members.size() >= minMembersToElectWatchers;
     const Duration limit = knowsOthers ? settings_.lookAround : settings_.meetWithin;
     const bool isWaiting = meetsSince_ && now - *meetsSince_ < limit;
     if (isWaiting && !membership.isSettled(now))
         return false;
-    return shallWatchConfiguration(view, settings_.numbers);
+    return isConfigurationWatcher(view, settings_.numbers);
 }
 
 }
--- a/Tests/News/SlowLinkSimulation.cpp
+++ b/Tests/News/SlowLinkSimulation.cpp
@@ -25,7 +25,7 @@
     constexpr double datagramOverhead = 80;
     constexpr double answerOverhead = 300;
     constexpr double itemOverhead = 120;
-    constexpr WatcherNumbers watcherNumbers { 1, 1, 3 };
+    constexpr WatcherCounts watcherCounts { 1, 1, 3 };
 
     const std::string configurationKey = "configuration";
 
@@ -273,7 +273,7 @@
     reportListingProgress(index);
     balancer.sync->setFetchesImmediately(balancer.feed->asksPeers());
     perform(index, balancer.sync->tick(now));
-    const bool isWatcher = shallWatchConfiguration(*view, watcherNumbers);
+    const bool isWatcher = isConfigurationWatcher(*view, watcherCounts);
     balancer.sync->setRole(isWatcher, balancer.feed->isUnreachable());
     perform(index,
         balancer.feed->update(balancer.sync->replica().completeTo(), isWatcher, balancer.sync->behindSince(), now));
--- a/Tests/Peers/ConfigurationWatchersTest.cpp
+++ b/Tests/Peers/ConfigurationWatchersTest.cpp
@@ -13,7 +13,7 @@
 namespace {
 
     // What the forwarders use: one in each zone, three in all, and up to three that are replaced.
-    constexpr WatcherNumbers few { 1, 3, 3 };
+    constexpr WatcherCounts few { 1, 3, 3 };
 
     MembersView viewOf(std::size_t perZone, MemberState state = MemberState::Serving,
         const std::vector<std::string>& zones = { "walu", "laucala" })
@@ -34,18 +34,18 @@
         return view;
     }
 
-    std::vector<BalancerId> watchersOf(MembersView view, std::string_view zone, const WatcherNumbers& numbers)
+    std::vector<BalancerId> watchersOf(MembersView view, std::string_view zone, const WatcherCounts& numbers)
     {
         std::vector<BalancerId> watchers;
         for (const Member& member : view.members) {
             view.self = member.id;
-            if (member.availabilityZone == zone && shallWatchConfiguration(view, numbers))
+            if (member.availabilityZone == zone && isConfigurationWatcher(view, numbers))
                 watchers.push_back(member.id);
         }
         return watchers;
     }
 
-    std::size_t countWatchers(const MembersView& view, std::string_view zone, const WatcherNumbers& numbers = {})
+    std::size_t countWatchers(const MembersView& view, std::string_view zone, const WatcherCounts& numbers = {})
     {
         return watchersOf(view, zone, numbers).size();
     }
@@ -95,7 +95,7 @@
 
     TEST(ConfigurationWatchersTest, everyBalancerOfASmallFleetWatches)
     {
-        EXPECT_TRUE(shallWatchConfiguration(MembersView {}));
+        EXPECT_TRUE(isConfigurationWatcher(MembersView {}));
         EXPECT_EQ(countWatchers(viewOf(1), "walu"), 1U);
         EXPECT_EQ(countWatchers(viewOf(1, MemberState::Joining), "walu"), 1U);
     }
@@ -105,7 +105,7 @@
         MembersView view = viewOf(5);
         for (Member& member : view.members) {
             view.self = member.id;
-            if (member.availabilityZone != "walu" || !shallWatchConfiguration(view))
+            if (member.availabilityZone != "walu" || !isConfigurationWatcher(view))
                 continue;
             member.state = MemberState::Dead;
             break;
--- a/Tests/Peers/WatcherRoleTest.cpp
+++ b/Tests/Peers/WatcherRoleTest.cpp
@@ -16,7 +16,7 @@
     constexpr std::size_t seeds = 3;
     // The first ones of each zone have wide links.
     constexpr std::size_t widePerZone = 3;
-    constexpr WatcherNumbers numbers { 1, 3, 3 };
+    constexpr WatcherCounts numbers { 1, 3, 3 };
     // What a start reads of the platform may be seconds old, and a caller gives an opening up after 1.4 s. So a zone is
     // watched a little later than that at most.
     constexpr auto watchedWithin = 2s;
