--- a/Source/Peers/WatcherRole.cpp
+++ b/Source/Peers/WatcherRole.cpp
@@ -2,17 +2,17 @@
 
 namespace wisteriadock {
 
-void WatcherRole::start(bool expectsOthers, TimePoint now)
+void WatcherRole::start(bool expectsPeers, TimePoint now)
 {
-    meetsSince_ = expectsOthers ? std::optional(now) : std::nullopt;
+    discoveringSince_ = expectsPeers ? std::optional(now) : std::nullopt;
 }
 
 bool WatcherRole::isOn(const Membership& membership, TimePoint now) const
 {
     const MembersView& view = *membership.view();
     const bool knowsOthers = view.members.size() >= minMembersToElectWatchers;
-    const Duration limit = knowsOthers ? settings_.lookAround : settings_.meetWithin;
-    const bool isWaiting = meetsSince_ && now - *meetsSince_ < limit;
+    const Duration limit = knowsOthers ? settings_.settleTimeout : settings_.contactTimeout;
+    const bool isWaiting = discoveringSince_ && now - *discoveringSince_ < limit;
     if (isWaiting && !membership.isSettled(now))
         return false;
     return isConfigurationWatcher(view, settings_.numbers);
--- a/Source/Peers/WatcherRole.h
+++ b/Source/Peers/WatcherRole.h
@@ -13,9 +13,9 @@
     WatcherCounts numbers {};
     // For so long after its start a balancer that has met others goes on learning of more before it goes by its view.
     // Not longer: what a start reads of the platform may be seconds old, and only a watch shows what changed since.
-    std::chrono::milliseconds lookAround { 1000 };
+    std::chrono::milliseconds settleTimeout { 1000 };
     // For so long a balancer that has met hardly anybody waits to meet others.
-    std::chrono::milliseconds meetWithin { 3000 };
+    std::chrono::milliseconds contactTimeout { 3000 };
 };
 
 // Whether this balancer is among those that watch the platform for the others. Who has just started knows few members,
@@ -29,14 +29,14 @@
     {
     }
 
-    // The process begins to meet others; expectsOthers is false where no address of another balancer is known.
-    void start(bool expectsOthers, TimePoint now);
+    // The process begins to meet others; expectsPeers is false where no address of another balancer is known.
+    void start(bool expectsPeers, TimePoint now);
     bool isOn(const Membership&, TimePoint now) const;
 
 private:
     const WatcherRoleSettings settings_;
     // Since when it waits for others; none when it does not.
-    std::optional<TimePoint> meetsSince_;
+    std::optional<TimePoint> discoveringSince_;
 };
 
 }
