--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -69,7 +69,7 @@
     , metrics_(metrics)
     , handler_(std::move(handler))
     , membership_({}, self, seed, Clock::now())
-    , watcherRole_({ .numbers = watcherCounts })
+    , watcherRole_({ .counts = watcherCounts })
     , exchange_(self.availabilityZone, seed, settings)
 {
 }
--- a/Source/Peers/ConfigurationWatchers.cpp
+++ b/Source/Peers/ConfigurationWatchers.cpp
@@ -27,16 +27,16 @@
         return { -bandwidthClassOf(member.linkMegabits), hashPair(choiceSeed, member.id.value), member.id };
     }
 
-    std::size_t watchersInZone(std::size_t availabilityZones, const WatcherCounts& numbers)
+    std::size_t watchersInZone(std::size_t availabilityZones, const WatcherCounts& counts)
     {
         const std::size_t share
-            = (numbers.minTotal + availabilityZones - 1) / std::max<std::size_t>(availabilityZones, 1);
-        return std::max(numbers.perAvailabilityZone, share);
+            = (counts.minTotal + availabilityZones - 1) / std::max<std::size_t>(availabilityZones, 1);
+        return std::max(counts.perAvailabilityZone, share);
     }
 
 }
 
-bool isConfigurationWatcher(const MembersView& view, const WatcherCounts& numbers)
+bool isConfigurationWatcher(const MembersView& view, const WatcherCounts& counts)
 {
     const Member* self = view.findSelf();
     if (!self)
@@ -57,8 +57,8 @@
     }
     if (known < minMembersToElectWatchers)
         return true;
-    return mayWatch(*self) && servingAhead < watchersInZone(availabilityZones.size(), numbers)
-        && detachedAhead < numbers.maxReplacedPerAvailabilityZone;
+    return mayWatch(*self) && servingAhead < watchersInZone(availabilityZones.size(), counts)
+        && detachedAhead < counts.maxReplacedPerAvailabilityZone;
 }
 
 }
--- a/Source/Peers/WatcherRole.cpp
+++ b/Source/Peers/WatcherRole.cpp
@@ -15,7 +15,7 @@
     const bool isWaiting = discoveringSince_ && now - *discoveringSince_ < limit;
     if (isWaiting && !membership.isSettled(now))
         return false;
-    return isConfigurationWatcher(view, settings_.numbers);
+    return isConfigurationWatcher(view, settings_.counts);
 }
 
 }
--- a/Source/Peers/WatcherRole.h
+++ b/Source/Peers/WatcherRole.h
@@ -10,7 +10,7 @@
 namespace wisteriadock {
 
 struct WatcherRoleSettings {
-    WatcherCounts numbers {};
+    WatcherCounts counts {};
     // For so long after its start a balancer that has met others goes on learning of more before it goes by its view.
     // Not longer: what a start reads of the platform may be seconds old, and only a watch shows what changed since.
     std::chrono::milliseconds settleTimeout { 1000 };
--- a/Tests/Peers/ConfigurationWatchersTest.cpp
+++ b/Tests/Peers/ConfigurationWatchersTest.cpp
@@ -34,20 +34,20 @@
         return view;
     }
 
-    std::vector<BalancerId> watchersOf(MembersView view, std::string_view zone, const WatcherCounts& numbers)
+    std::vector<BalancerId> watchersOf(MembersView view, std::string_view zone, const WatcherCounts& counts)
     {
         std::vector<BalancerId> watchers;
         for (const Member& member : view.members) {
             view.self = member.id;
-            if (member.availabilityZone == zone && isConfigurationWatcher(view, numbers))
+            if (member.availabilityZone == zone && isConfigurationWatcher(view, counts))
                 watchers.push_back(member.id);
         }
         return watchers;
     }
 
-    std::size_t countWatchers(const MembersView& view, std::string_view zone, const WatcherCounts& numbers = {})
+    std::size_t countWatchers(const MembersView& view, std::string_view zone, const WatcherCounts& counts = {})
     {
-        return watchersOf(view, zone, numbers).size();
+        return watchersOf(view, zone, counts).size();
     }
 
     void detach(MembersView& view, BalancerId id)
--- a/Tests/Peers/WatcherRoleTest.cpp
+++ b/Tests/Peers/WatcherRoleTest.cpp
@@ -16,7 +16,7 @@
     constexpr std::size_t seeds = 3;
     // The first ones of each zone have wide links.
     constexpr std::size_t widePerZone = 3;
-    constexpr WatcherCounts numbers { 1, 3, 3 };
+    constexpr WatcherCounts counts { 1, 3, 3 };
     // What a start reads of the platform may be seconds old, and a caller gives an opening up after 1.4 s. So a zone is
     // watched a little later than that at most.
     constexpr auto watchedWithin = 2s;
@@ -35,7 +35,7 @@
             for (std::size_t i = 0; i < count; ++i) {
                 network.linkMegabits = i < zones * widePerZone ? 200 : 20;
                 network.addWithSeeds(fmt::format("zone{}", i % zones), knownSeeds);
-                duties.emplace_back(WatcherRoleSettings { .numbers = numbers });
+                duties.emplace_back(WatcherRoleSettings { .counts = counts });
                 duties.back().start(knownSeeds > 0, network.now);
             }
         }
