--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -179,7 +179,7 @@
         perform(membership_.setSelfState(isWatcher && isLost ? MemberState::Detached : MemberState::Serving, now), now);
 }
 
-bool PeerSync::shallWatch(TimePoint now) const { return watcherRole_.isOn(membership_, now); }
+bool PeerSync::shallWatch(TimePoint now) const { return watcherRole_.isWatcher(membership_, now); }
 
 std::uint64_t PeerSync::bytesTransferred() const
 {
--- a/Source/Peers/WatcherRole.cpp
+++ b/Source/Peers/WatcherRole.cpp
@@ -7,7 +7,7 @@
     discoveringSince_ = expectsPeers ? std::optional(now) : std::nullopt;
 }
 
-bool WatcherRole::isOn(const Membership& membership, TimePoint now) const
+bool WatcherRole::isWatcher(const Membership& membership, TimePoint now) const
 {
     const MembersView& view = *membership.view();
     const bool knowsOthers = view.members.size() >= minMembersToElectWatchers;
--- a/Source/Peers/WatcherRole.h
+++ b/Source/Peers/WatcherRole.h
@@ -31,7 +31,7 @@
 
     // The process begins to meet others; expectsPeers is false where no address of another balancer is known.
     void start(bool expectsPeers, TimePoint now);
-    bool isOn(const Membership&, TimePoint now) const;
+    bool isWatcher(const Membership&, TimePoint now) const;
 
 private:
     const WatcherRoleSettings settings_;
--- a/Tests/Peers/WatcherRoleTest.cpp
+++ b/Tests/Peers/WatcherRoleTest.cpp
@@ -51,7 +51,7 @@
         void look()
         {
             for (std::size_t i = 0; i < duties.size(); ++i) {
-                if (!network.isRunning(i) || !duties[i].isOn(*network.nodes()[i].membership, network.now))
+                if (!network.isRunning(i) || !duties[i].isWatcher(*network.nodes()[i].membership, network.now))
                     continue;
                 everWatched.insert(i);
                 watchedAfter[i % zones] = std::min(watchedAfter[i % zones], network.now - startedAt);
