--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -81,7 +81,7 @@
         , reload_(settings_, std::move(settingsPath), log_,
               [this](const std::vector<Endpoint>& seeds, TimePoint now) { peers_->setSeeds(seeds, now); })
         , router_(routerSettings(settings))
-        , life_({ .grace = settings.grace })
+        , lifecycle_({ .grace = settings.grace })
         , applier_(router_, lines_, metrics_)
         , signals_(context_, SIGTERM, SIGINT, SIGHUP)
         , timer_(context_)
@@ -120,8 +120,9 @@
                 [this](const ReplicaChanged& news) { handleNews(news); }));
         peers_ = std::move(peers);
         packets_ = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peers_->exchange(),
-            life_, lines_, metrics_, [this](TimePoint now) { store_.noteContradiction(now); });
-        answers_ = std::make_unique<ForwarderHttpHandler<Adapter>>(router_, *peers_, store_, life_, log_, metrics_);
+            lifecycle_, lines_, metrics_, [this](TimePoint now) { store_.noteContradiction(now); });
+        answers_
+            = std::make_unique<ForwarderHttpHandler<Adapter>>(router_, *peers_, store_, lifecycle_, log_, metrics_);
         const auto onRequest = [this](const std::shared_ptr<Http1Exchange>& exchange) {
             exchange->respond(answers_->answer(exchange->request(), Clock::now()));
         };
@@ -157,8 +158,8 @@
     {
         const TimePoint now = Clock::now();
         applier_.apply(news, now);
-        const bool isInformed = router_.configurationVersion() > 0 && peers_->exchange().replica().completeTo() > 0;
-        if (isInformed && life_.noteInformed()) {
+        const bool hasSynced = router_.configurationVersion() > 0 && peers_->exchange().replica().completeTo() > 0;
+        if (hasSynced && lifecycle_.noteSynced()) {
             // Packets that came before wait in the socket's buffer. Nothing could be done with them but drop them, and
             // callers would send them again only after 200 ms.
             packets_->start();
@@ -211,7 +212,7 @@
         peers_->noteStore(store_.feed().isUnreachable(), now);
         peers_->setAsksAtOnce(store_.feed().asksPeers());
         peers_->tick(now);
-        store_.update(peers_->exchange().replica().completeTo(), peers_->shallWatch(now) && !life_.isStopping(),
+        store_.update(peers_->exchange().replica().completeTo(), peers_->shallWatch(now) && !lifecycle_.isStopping(),
             peers_->exchange().behindSince(), now);
         store_.tick(peers_->exchange().knowsFasterPeer(), now);
         router_.noteStoreContact(peers_->exchange().lastStoreContact());
@@ -226,12 +227,12 @@
         reload_.tick(now);
         if (traffic_.isDue(now))
             traffic_.write(answers_->traffic(), now);
-        if (life_.isOver(now)) {
+        if (lifecycle_.isStopped(now)) {
             end(now);
             return;
         }
         flushLog(now);
-        awaitBeat(life_.isInformed() ? beat : uninformedBeat);
+        awaitBeat(lifecycle_.hasSynced() ? beat : uninformedBeat);
     }
 
     // What is left goes in pieces, so that no burst of lines is more than its reader takes at once.
@@ -270,7 +271,7 @@
 
     void stop(TimePoint now)
     {
-        if (!life_.stop(now))
+        if (!lifecycle_.stop(now))
             return;
         log_.write(LogLevel::Info, "process", "stopping", Event().add("grace_ms", Duration(settings_.grace)), now);
         peers_->leave(now);
@@ -287,7 +288,7 @@
     SettingsReloader reload_;
     ForwarderMetrics metrics_;
     TokenRouter router_;
-    ForwarderLifecycle life_;
+    ForwarderLifecycle lifecycle_;
     StoreUpdateApplier<Adapter> applier_;
     boost::asio::signal_set signals_;
     boost::asio::steady_timer timer_;
--- a/Source/Forwarder/ForwarderHttpHandler.h
+++ b/Source/Forwarder/ForwarderHttpHandler.h
@@ -18,11 +18,11 @@
 template <typename Adapter> class ForwarderHttpHandler {
 public:
     ForwarderHttpHandler(const TokenRouter& router, const PeerSync& peers, const StoreFeedDriver<Adapter>& store,
-        const ForwarderLifecycle& life, EventLog& log, ForwarderMetrics& metrics)
+        const ForwarderLifecycle& lifecycle, EventLog& log, ForwarderMetrics& metrics)
         : router_(router)
         , peers_(peers)
         , store_(store)
-        , life_(life)
+        , lifecycle_(lifecycle)
         , log_(log)
         , metrics_(metrics)
     {
@@ -40,7 +40,7 @@
     {
         HttpResponse response;
         if (request.path == Adapter::readinessPath)
-            response.status = life_.isReady() ? 200 : 503;
+            response.status = lifecycle_.isReady() ? 200 : 503;
         else if (request.path == "/metrics")
             response = metricsResponse(now);
         else
@@ -68,7 +68,7 @@
             readings.newsBehind = now - *since;
         readings.flows = router_.flows().size();
         readings.members = peers_.members();
-        readings.isReady = life_.isReady();
+        readings.isReady = lifecycle_.isReady();
         readings.isStoreLost = store_.feed().isUnreachable();
         readings.isWatching = store_.feed().isWatching();
         readings.logLines = log_.buffer().lines();
@@ -85,7 +85,7 @@
     const TokenRouter& router_;
     const PeerSync& peers_;
     const StoreFeedDriver<Adapter>& store_;
-    const ForwarderLifecycle& life_;
+    const ForwarderLifecycle& lifecycle_;
     EventLog& log_;
     ForwarderMetrics& metrics_;
 };
--- a/Source/Forwarder/ForwarderLifecycle.cpp
+++ b/Source/Forwarder/ForwarderLifecycle.cpp
@@ -4,10 +4,10 @@
 
 namespace wisteriadock {
 
-bool ForwarderLifecycle::noteInformed()
+bool ForwarderLifecycle::noteSynced()
 {
-    const bool isNew = !isInformed_;
-    isInformed_ = true;
+    const bool isNew = !hasSynced_;
+    hasSynced_ = true;
     return isNew;
 }
 
@@ -19,7 +19,7 @@
     return true;
 }
 
-bool ForwarderLifecycle::isOver(TimePoint now) const
+bool ForwarderLifecycle::isStopped(TimePoint now) const
 {
     if (!stoppingSince_)
         return false;
--- a/Source/Forwarder/ForwarderLifecycle.h
+++ b/Source/Forwarder/ForwarderLifecycle.h
@@ -26,19 +26,19 @@
     }
 
     // The routes and the servers are known. True when that makes it ready.
-    bool noteInformed();
+    bool noteSynced();
     // The order to stop. Repeated orders change nothing. True for the first.
     bool stop(TimePoint now);
     void notePacket(TimePoint now) { lastPacket_ = now; }
 
-    bool isInformed() const { return isInformed_; }
-    bool isReady() const { return isInformed_ && !stoppingSince_; }
+    bool hasSynced() const { return hasSynced_; }
+    bool isReady() const { return hasSynced_ && !stoppingSince_; }
     bool isStopping() const { return stoppingSince_.has_value(); }
-    bool isOver(TimePoint now) const;
+    bool isStopped(TimePoint now) const;
 
 private:
     LifecycleSettings settings_;
-    bool isInformed_ = false;
+    bool hasSynced_ = false;
     std::optional<TimePoint> stoppingSince_;
     TimePoint lastPacket_ = TimePoint::min();
 };
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -25,12 +25,12 @@
     using OnContradiction = std::function<void(TimePoint)>;
 
     TokenPacketPath(boost::asio::io_context& context, PacketSocket socket, TokenRouter& router, const ReplicaSync& news,
-        ForwarderLifecycle& life, ForwarderLog& log, ForwarderMetrics& metrics, OnContradiction onContradiction)
+        ForwarderLifecycle& lifecycle, ForwarderLog& log, ForwarderMetrics& metrics, OnContradiction onContradiction)
         : socket_(std::move(socket))
         , descriptor_(context, socket_.descriptor())
         , router_(router)
         , news_(news)
-        , life_(life)
+        , lifecycle_(lifecycle)
         , log_(log)
         , metrics_(metrics)
         , onContradiction_(std::move(onContradiction))
@@ -82,7 +82,7 @@
             log_.malformed(datagram.size(), batch_.sender(index), now);
             return;
         }
-        life_.notePacket(now);
+        lifecycle_.notePacket(now);
         const PacketDecision decision = router_.route(*packet, now);
         metrics_.countPacket(decision.reason, decision.verdict);
         metrics_.observe(decision.progress);
@@ -132,7 +132,7 @@
     boost::asio::posix::stream_descriptor descriptor_;
     TokenRouter& router_;
     const ReplicaSync& news_;
-    ForwarderLifecycle& life_;
+    ForwarderLifecycle& lifecycle_;
     ForwarderLog& log_;
     ForwarderMetrics& metrics_;
     OnContradiction onContradiction_;
--- a/Tests/Forwarder/ForwarderLifecycleTest.cpp
+++ b/Tests/Forwarder/ForwarderLifecycleTest.cpp
@@ -11,14 +11,14 @@
     TEST(ForwarderLifecycleTest, readyOnceInformedUntilToldToStop)
     {
         ManualClock clock;
-        ForwarderLifecycle life;
-        EXPECT_FALSE(life.isReady());
-        EXPECT_TRUE(life.noteInformed());
-        EXPECT_FALSE(life.noteInformed());
-        EXPECT_TRUE(life.isReady());
-        EXPECT_TRUE(life.stop(clock.now()));
-        EXPECT_FALSE(life.stop(clock.now()));
-        EXPECT_FALSE(life.isReady());
+        ForwarderLifecycle lifecycle;
+        EXPECT_FALSE(lifecycle.isReady());
+        EXPECT_TRUE(lifecycle.noteSynced());
+        EXPECT_FALSE(lifecycle.noteSynced());
+        EXPECT_TRUE(lifecycle.isReady());
+        EXPECT_TRUE(lifecycle.stop(clock.now()));
+        EXPECT_FALSE(lifecycle.stop(clock.now()));
+        EXPECT_FALSE(lifecycle.isReady());
     }
 
     // Symptom: flows broke at each planned stop.
@@ -29,22 +29,22 @@
     {
         ManualClock clock;
         ForwarderLifecycle quiet;
-        quiet.noteInformed();
+        quiet.noteSynced();
         quiet.stop(clock.now());
         ForwarderLifecycle busy = quiet;
         clock.advance(1400ms);
-        EXPECT_FALSE(quiet.isOver(clock.now()));
+        EXPECT_FALSE(quiet.isStopped(clock.now()));
         busy.notePacket(clock.now());
         clock.advance(100ms);
-        EXPECT_TRUE(quiet.isOver(clock.now()));
-        EXPECT_FALSE(busy.isOver(clock.now()));
+        EXPECT_TRUE(quiet.isStopped(clock.now()));
+        EXPECT_FALSE(busy.isStopped(clock.now()));
         while (clock.now() < TimePoint(1h) + 5400ms) {
             clock.advance(100ms);
             busy.notePacket(clock.now());
         }
-        EXPECT_FALSE(busy.isOver(clock.now()));
+        EXPECT_FALSE(busy.isStopped(clock.now()));
         clock.advance(100ms);
-        EXPECT_TRUE(busy.isOver(clock.now()));
+        EXPECT_TRUE(busy.isStopped(clock.now()));
     }
 
 }
