--- a/Source/Forwarder/ForwarderLifecycle.cpp
+++ b/Source/Forwarder/ForwarderLifecycle.cpp
@@ -25,7 +25,7 @@
         return false;
     if (now - *stoppingSince_ >= settings_.grace - settings_.margin)
         return true;
-    return now - std::max(lastPacket_, *stoppingSince_) >= settings_.quiet;
+    return now - std::max(lastPacket_, *stoppingSince_) >= settings_.quietPeriod;
 }
 
 }
--- a/Source/Forwarder/ForwarderLifecycle.h
+++ b/Source/Forwarder/ForwarderLifecycle.h
@@ -13,7 +13,7 @@
     // The process ends so long before it would be killed.
     std::chrono::milliseconds margin { 500 };
     // Routers check twice a second and take a balancer out after two misses; after so long without a packet they have.
-    std::chrono::milliseconds quiet { 1500 };
+    std::chrono::milliseconds quietPeriod { 1500 };
 };
 
 // Whether the forwarder calls itself ready, and when a planned stop is over. While it stops it goes on forwarding:
