--- a/Source/Forwarder/ForwarderMetrics.cpp
+++ b/Source/Forwarder/ForwarderMetrics.cpp
@@ -36,7 +36,7 @@
         {
             add(WisteriadockGauge, name, help, value, std::move(labels));
         }
-        void histogram(const char* name, const char* help, const BucketCounts& buckets)
+        void histogram(const char* name, const char* help, const Histogram& buckets)
         {
             WisteriadockMetricSample& sample = add(WisteriadockHistogram, name, help, buckets.sum(), {});
             sample.bounds = buckets.bounds().data();
@@ -90,7 +90,7 @@
 
 }
 
-void BucketCounts::observe(double value)
+void Histogram::observe(double value)
 {
     const auto bucket = std::ranges::lower_bound(bounds_, value) - bounds_.begin();
     ++counts_[static_cast<std::size_t>(bucket)];
--- a/Source/Forwarder/ForwarderMetrics.h
+++ b/Source/Forwarder/ForwarderMetrics.h
@@ -15,9 +15,9 @@
 namespace wisteriadock {
 
 // Observations counted by buckets with fixed upper bounds.
-class BucketCounts {
+class Histogram {
 public:
-    explicit BucketCounts(std::span<const double> bounds)
+    explicit Histogram(std::span<const double> bounds)
         : bounds_(bounds)
         , counts_(bounds.size() + 1)
     {
@@ -105,12 +105,12 @@
     // By call and outcome, and by outcome.
     std::map<std::pair<std::string, std::string>, std::uint64_t> storeCalls_;
     std::map<std::string, std::uint64_t> fetches_;
-    BucketCounts openingTime_;
-    BucketCounts answerTime_;
-    BucketCounts storeTime_;
-    BucketCounts newsLag_;
-    BucketCounts configurationAge_;
-    BucketCounts configurationReading_;
+    Histogram openingTime_;
+    Histogram answerTime_;
+    Histogram storeTime_;
+    Histogram newsLag_;
+    Histogram configurationAge_;
+    Histogram configurationReading_;
 };
 
 }
