--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -147,7 +147,7 @@
         now);
 }
 
-void ForwarderLog::configuration(const ConfigurationArrival& arrival, const ReplicaChanged& news, TimePoint now)
+void ForwarderLog::configuration(const ReceivedConfiguration& arrival, const ReplicaChanged& news, TimePoint now)
 {
     log_.write(LogLevel::Info, "configuration", arrival.isTaken ? "taken" : "older_ignored",
         Event()
--- a/Source/Forwarder/ForwarderLog.h
+++ b/Source/Forwarder/ForwarderLog.h
@@ -11,7 +11,7 @@
 namespace wisteriadock {
 
 // A version of the configuration that came and was read.
-struct ConfigurationArrival {
+struct ReceivedConfiguration {
     std::uint64_t version = 0;
     std::size_t routes = 0;
     // Routes that were new, changed or gone.
@@ -49,7 +49,7 @@
     // mostSingleLines are told in one line: a listing names hundreds of servers, and what matters would go with them.
     void transitions(
         const ServerDirectory::Transitions&, std::uint64_t revision, const std::string& source, TimePoint now);
-    void configuration(const ConfigurationArrival&, const ReplicaChanged&, TimePoint now);
+    void configuration(const ReceivedConfiguration&, const ReplicaChanged&, TimePoint now);
     void unreadable(const std::string& key, const Error&, TimePoint now);
     void news(const ReplicaChanged&, TimePoint now);
     void leftOut(const KnownServer&, TimePoint now);
--- a/Source/Forwarder/StoreUpdateApplier.h
+++ b/Source/Forwarder/StoreUpdateApplier.h
@@ -53,7 +53,7 @@
         Result<ConfigurationChange> change = reader_.read(item.value);
         if (!change)
             return refuse(item, change.error(), now);
-        ConfigurationArrival arrival;
+        ReceivedConfiguration arrival;
         arrival.version = change.value().version;
         arrival.routes = change.value().total;
         arrival.changed = change.value().routes.size() + change.value().removed.size();
