--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -219,11 +219,11 @@
         router_.setBalancers(balancerIdOf(settings_.vm).value, peers_->balancersOfZone(), peers_->isSettled(now), now);
         lines_.transitions(router_.tick(now), peers_->exchange().replica().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
-            lines_.failing(change, now);
+            lines_.failingChange(change, now);
         for (const ZoneReachabilityChange& change : router_.takeZoneChanges())
-            lines_.zone(change, now);
+            lines_.zoneReachability(change, now);
         for (const GroupLivenessChange& change : router_.takeGroupChanges())
-            lines_.group(change, now);
+            lines_.groupLiveness(change, now);
         reload_.tick(now);
         if (traffic_.isDue(now))
             traffic_.write(answers_->traffic(), now);
--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -70,7 +70,7 @@
     const TokenPacket& packet, const PacketDecision& decision, std::string_view requestId, TimePoint now)
 {
     const FlowProgress& progress = decision.progress;
-    const bool isSlow = progress.answerTime && *progress.answerTime > slowAnswer;
+    const bool isSlow = progress.answerTime && *progress.answerTime > slowAnswerThreshold;
     const bool isRequest = progress.beginsRequest || (progress.mayBeRequestHead && !requestId.empty());
     if (!isRequest && !progress.isRetransmission && !isSlow)
         return;
@@ -106,15 +106,15 @@
     for (const ServerTransition& transition : transitions)
         byEvent[eventOf(transition)].push_back(&transition);
     for (const auto& [event, alike] : byEvent) {
-        if (alike.size() > mostSingleLines)
-            manyTransitions(alike, revision, source, now);
+        if (alike.size() > maxSeparateLines)
+            transitionSummary(alike, revision, source, now);
         else
             for (const ServerTransition* one : alike)
                 transition(*one, revision, source, now);
     }
 }
 
-void ForwarderLog::manyTransitions(
+void ForwarderLog::transitionSummary(
     const std::vector<const ServerTransition*>& alike, std::uint64_t revision, const std::string& source, TimePoint now)
 {
     constexpr std::size_t named = 4;
@@ -162,14 +162,14 @@
         now);
 }
 
-void ForwarderLog::unreadable(const std::string& key, const Error& error, TimePoint now)
+void ForwarderLog::rejectedUpdate(const std::string& key, const Error& error, TimePoint now)
 {
     if (!log_.admits("news", "refused", now))
         return;
     log_.writeAdmitted(LogLevel::Error, "news", "refused", Event().add("key", key).add("error", error.toString()), now);
 }
 
-void ForwarderLog::news(const ReplicaChanged& news, TimePoint now)
+void ForwarderLog::updates(const ReplicaChanged& news, TimePoint now)
 {
     log_.write(LogLevel::Debug, "news", "taken",
         Event()
@@ -180,7 +180,7 @@
         now);
 }
 
-void ForwarderLog::leftOut(const KnownServer& server, TimePoint now)
+void ForwarderLog::ejected(const KnownServer& server, TimePoint now)
 {
     log_.write(LogLevel::Warning, "server", "left_out",
         Event()
@@ -192,13 +192,13 @@
         now);
 }
 
-void ForwarderLog::back(const KnownServer& server, TimePoint now)
+void ForwarderLog::recovered(const KnownServer& server, TimePoint now)
 {
     log_.write(LogLevel::Info, "server", "back",
         Event().add("server", server.entry.id).add("service", server.entry.service), now);
 }
 
-void ForwarderLog::failing(const FailingChange& change, TimePoint now)
+void ForwarderLog::failingChange(const FailingChange& change, TimePoint now)
 {
     log_.write(change.isFailing ? LogLevel::Warning : LogLevel::Info, "server",
         change.isFailing ? "unanswered" : "answers",
@@ -209,14 +209,14 @@
         now);
 }
 
-void ForwarderLog::zone(const ZoneReachabilityChange& change, TimePoint now)
+void ForwarderLog::zoneReachability(const ZoneReachabilityChange& change, TimePoint now)
 {
     log_.write(change.hasRecovered ? LogLevel::Info : LogLevel::Warning, "zone",
         change.hasRecovered ? "regained" : "left_out",
         Event().add("zone", change.availabilityZone).add("failures", change.failures), now);
 }
 
-void ForwarderLog::group(const GroupLivenessChange& change, TimePoint now)
+void ForwarderLog::groupLiveness(const GroupLivenessChange& change, TimePoint now)
 {
     log_.write(change.hasRecovered ? LogLevel::Info : LogLevel::Warning, "servers",
         change.hasRecovered ? "back" : "left_out",
@@ -229,7 +229,7 @@
         now);
 }
 
-void ForwarderLog::zoneOrder(
+void ForwarderLog::zoneEvacuation(
     const ZoneEvacuationChange& change, std::chrono::milliseconds age, const std::string& source, TimePoint now)
 {
     Event event;
--- a/Source/Forwarder/ForwarderLog.h
+++ b/Source/Forwarder/ForwarderLog.h
@@ -30,8 +30,8 @@
 class ForwarderLog {
 public:
     // An answer that takes longer than this is logged. The users want most answers within 250 to 500 ms.
-    static constexpr std::chrono::milliseconds slowAnswer { 250 };
-    static constexpr std::size_t mostSingleLines = 16;
+    static constexpr std::chrono::milliseconds slowAnswerThreshold { 250 };
+    static constexpr std::size_t maxSeparateLines = 16;
 
     explicit ForwarderLog(EventLog& log)
         : log_(log)
@@ -46,26 +46,26 @@
     void progress(const TokenPacket&, const PacketDecision&, std::string_view requestId, TimePoint now);
     void malformed(std::size_t bytes, const Endpoint& sender, TimePoint now);
     // What one piece of news, or the passing of time, changed. Changes of a kind that befell more servers than
-    // mostSingleLines are told in one line: a listing names hundreds of servers, and what matters would go with them.
+    // maxSeparateLines are told in one line: a listing names hundreds of servers, and what matters would go with them.
     void transitions(
         const ServerDirectory::Transitions&, std::uint64_t revision, const std::string& source, TimePoint now);
     void configuration(const ReceivedConfiguration&, const ReplicaChanged&, TimePoint now);
-    void unreadable(const std::string& key, const Error&, TimePoint now);
-    void news(const ReplicaChanged&, TimePoint now);
-    void leftOut(const KnownServer&, TimePoint now);
-    void back(const KnownServer&, TimePoint now);
-    void failing(const FailingChange&, TimePoint now);
-    void zone(const ZoneReachabilityChange&, TimePoint now);
-    void group(const GroupLivenessChange&, TimePoint now);
+    void rejectedUpdate(const std::string& key, const Error&, TimePoint now);
+    void updates(const ReplicaChanged&, TimePoint now);
+    void ejected(const KnownServer&, TimePoint now);
+    void recovered(const KnownServer&, TimePoint now);
+    void failingChange(const FailingChange&, TimePoint now);
+    void zoneReachability(const ZoneReachabilityChange&, TimePoint now);
+    void groupLiveness(const GroupLivenessChange&, TimePoint now);
     // age: how long ago a balancer had the order, or its end, from the store.
-    void zoneOrder(
+    void zoneEvacuation(
         const ZoneEvacuationChange&, std::chrono::milliseconds age, const std::string& source, TimePoint now);
 
     EventLog& events() { return log_; }
 
 private:
     void transition(const ServerTransition&, std::uint64_t revision, const std::string& source, TimePoint now);
-    void manyTransitions(
+    void transitionSummary(
         const std::vector<const ServerTransition*>&, std::uint64_t revision, const std::string& source, TimePoint now);
 
     EventLog& log_;
--- a/Source/Forwarder/MembersLog.cpp
+++ b/Source/Forwarder/MembersLog.cpp
@@ -66,7 +66,7 @@
 
 void MembersLog::tell(std::string_view event, const std::vector<Change>& changes, TimePoint now)
 {
-    if (changes.size() > mostSingleLines) {
+    if (changes.size() > maxSeparateLines) {
         log_.write(levelOf(event), "peers", "many",
             Event().add("became", event).add("peers", std::uint64_t(changes.size())), now);
         return;
--- a/Source/Forwarder/MembersLog.h
+++ b/Source/Forwarder/MembersLog.h
@@ -17,7 +17,7 @@
 class MembersLog {
 public:
     // More alike changes in one view are told in one line.
-    static constexpr std::size_t mostSingleLines = 16;
+    static constexpr std::size_t maxSeparateLines = 16;
     // A view that has not settled by then is told all the same.
     static constexpr std::chrono::milliseconds longestMeeting { 10000 };
 
--- a/Source/Forwarder/StoreUpdateApplier.h
+++ b/Source/Forwarder/StoreUpdateApplier.h
@@ -28,7 +28,7 @@
     void apply(const ReplicaChanged& news, TimePoint now)
     {
         metrics_.countUpdates(news.source, news.items.size());
-        log_.news(news, now);
+        log_.updates(news, now);
         ServerDirectory::Transitions transitions;
         for (const StoreUpdate& item : news.items) {
             if (item.key == Adapter::configurationKey)
@@ -73,7 +73,7 @@
     {
         const auto change = router_.setZoneEvacuation(zone, !item.isRemoved, item.revision, now);
         if (change)
-            log_.zoneOrder(*change, std::chrono::milliseconds(item.ageMilliseconds), news.source, now);
+            log_.zoneEvacuation(*change, std::chrono::milliseconds(item.ageMilliseconds), news.source, now);
     }
 
     ServerDirectory::Transitions applyServer(
@@ -99,7 +99,7 @@
     void refuse(const StoreUpdate& item, const Error& error, TimePoint now)
     {
         metrics_.countRejectedUpdate();
-        log_.unreadable(item.key, error, now);
+        log_.rejectedUpdate(item.key, error, now);
     }
 
     TokenRouter& router_;
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -92,9 +92,9 @@
         const std::string_view requestId = showsRequest(*packet, decision) ? Adapter::requestIdOf(datagram) : "";
         log_.packet(*packet, decision, requestId, router_.configurationVersion(), news_.replica().completeTo(), now);
         for (const KnownServer* server : decision.choice.ejected)
-            log_.leftOut(*server, now);
+            log_.ejected(*server, now);
         if (decision.progress.hasRecovered)
-            log_.back(*decision.server, now);
+            log_.recovered(*decision.server, now);
         if (decision.reason == PacketReason::Established)
             log_.progress(*packet, decision, requestId, now);
         if (decision.verdict == PacketVerdict::Forward)
