--- a/Source/Forwarder/MembersLog.cpp
+++ b/Source/Forwarder/MembersLog.cpp
@@ -18,7 +18,7 @@
 
 }
 
-void MembersLog::note(const MembersView& view, bool isSettled, TimePoint now)
+void MembersLog::handleView(const MembersView& view, bool isSettled, TimePoint now)
 {
     if (view.isolated != isIsolated_) {
         isIsolated_ = view.isolated;
@@ -26,8 +26,8 @@
             Event().add("members", std::uint64_t(view.members.size())), now);
     }
     for (const auto& [event, changes] : changesOf(view, now)) {
-        if (event != metEvent || hasToldMeeting_)
-            tell(event, changes, now);
+        if (event != metEvent || hasLoggedDiscovery_)
+            logChanges(event, changes, now);
     }
     tick(view, isSettled, now);
 }
@@ -38,24 +38,24 @@
     for (const Member& member : view.members) {
         if (member.id == view.self)
             continue;
-        const auto [found, isNew] = known_.try_emplace(member.id, Known { member.state, now });
-        Known& known = found->second;
+        const auto [found, isNew] = knownStates_.try_emplace(member.id, KnownState { member.state, now });
+        KnownState& known = found->second;
         if (!isNew && known.state == member.state)
             continue;
         const std::string_view event = isNew ? metEvent : eventOf(known.state, member.state);
         changes[event].push_back({ &member, now - known.since });
         known = { member.state, now };
     }
-    std::erase_if(known_, [&](const auto& row) { return !view.find(row.first); });
+    std::erase_if(knownStates_, [&](const auto& row) { return !view.find(row.first); });
     return changes;
 }
 
 void MembersLog::tick(const MembersView& view, bool isSettled, TimePoint now)
 {
-    const bool isOver = isSettled || now - startedAt_ >= longestMeeting;
-    if (hasToldMeeting_ || !isOver || known_.empty())
+    const bool isOver = isSettled || now - startedAt_ >= maxDiscoveryTime;
+    if (hasLoggedDiscovery_ || !isOver || knownStates_.empty())
         return;
-    hasToldMeeting_ = true;
+    hasLoggedDiscovery_ = true;
     log_.write(LogLevel::Info, "peers", "met_many",
         Event()
             .add("members", std::uint64_t(view.members.size()))
@@ -64,7 +64,7 @@
         now);
 }
 
-void MembersLog::tell(std::string_view event, const std::vector<Change>& changes, TimePoint now)
+void MembersLog::logChanges(std::string_view event, const std::vector<Change>& changes, TimePoint now)
 {
     if (changes.size() > maxSeparateLines) {
         log_.write(levelOf(event), "peers", "many",
@@ -77,7 +77,7 @@
                 .add("peer", change.member->name)
                 .add("peer_zone", change.member->availabilityZone)
                 .add("state", nameOf(change.member->state))
-                .add("former_for_ms", change.formerFor),
+                .add("former_for_ms", change.previousStateTime),
             now);
 }
 
--- a/Source/Forwarder/MembersLog.h
+++ b/Source/Forwarder/MembersLog.h
@@ -19,7 +19,7 @@
     // More alike changes in one view are told in one line.
     static constexpr std::size_t maxSeparateLines = 16;
     // A view that has not settled by then is told all the same.
-    static constexpr std::chrono::milliseconds longestMeeting { 10000 };
+    static constexpr std::chrono::milliseconds maxDiscoveryTime { 10000 };
 
     explicit MembersLog(EventLog& log)
         : log_(log)
@@ -28,30 +28,30 @@
 
     void start(TimePoint now) { startedAt_ = now; }
     // Another view was published.
-    void note(const MembersView&, bool isSettled, TimePoint now);
+    void handleView(const MembersView&, bool isSettled, TimePoint now);
     // Time has passed.
     void tick(const MembersView&, bool isSettled, TimePoint now);
 
 private:
-    struct Known {
+    struct KnownState {
         MemberState state = MemberState::Joining;
         TimePoint since;
     };
     struct Change {
         const Member* member = nullptr;
-        Duration formerFor {};
+        Duration previousStateTime {};
     };
     using Changes = std::map<std::string_view, std::vector<Change>>;
 
     Changes changesOf(const MembersView&, TimePoint now);
-    void tell(std::string_view event, const std::vector<Change>&, TimePoint now);
+    void logChanges(std::string_view event, const std::vector<Change>&, TimePoint now);
 
     EventLog& log_;
     TimePoint startedAt_ = TimePoint::min();
     // Since when each known balancer is in its state.
-    std::map<BalancerId, Known> known_;
+    std::map<BalancerId, KnownState> knownStates_;
     bool isIsolated_ = false;
-    bool hasToldMeeting_ = false;
+    bool hasLoggedDiscovery_ = false;
 };
 
 }
--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -245,7 +245,7 @@
             continue;
         }
         const auto& view = std::get<MembersViewChanged>(action).view;
-        membersLog_.note(*view, membership_.isSettled(now), now);
+        membersLog_.handleView(*view, membership_.isSettled(now), now);
         perform(exchange_.handleView(view, now), now);
     }
 }
--- a/Tests/Forwarder/ForwarderLogTest.cpp
+++ b/Tests/Forwarder/ForwarderLogTest.cpp
@@ -89,9 +89,9 @@
                 view.members.push_back(member);
                 std::ranges::sort(view.members, {}, &Member::id);
                 if (i % 10 == 0)
-                    members.note(view, false, clock.now());
+                    members.handleView(view, false, clock.now());
             }
-            members.note(view, true, clock.now());
+            members.handleView(view, true, clock.now());
         }
 
         void passBeat()
@@ -177,7 +177,7 @@
             view.members.push_back(member);
         }
         std::ranges::sort(view.members, {}, &Member::id);
-        members.note(view, true, clock.now());
+        members.handleView(view, true, clock.now());
         passBeat();
         EXPECT_EQ(countOf("peers", "met"), 1);
     }
