--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -55,18 +55,18 @@
                 .add("seeds", std::uint64_t(settings_.seeds.size())),
             now);
         awaitSignal();
-        awaitBeat(firstBeat);
+        scheduleTick(firstTickDelay);
         context_.run();
     }
 
 private:
     // Membership asks for a tick at least each 250 ms; log lines wait no longer either.
-    static constexpr std::chrono::milliseconds beat { 250 };
+    static constexpr std::chrono::milliseconds tickInterval { 250 };
     // The others are met once packets flow, or after so long: the store answers within some milliseconds, and after a
     // loss of power callers wait for whatever is done before.
-    static constexpr std::chrono::milliseconds firstBeat { 60 };
+    static constexpr std::chrono::milliseconds firstTickDelay { 60 };
     // The same while nothing is known yet, and callers wait.
-    static constexpr std::chrono::milliseconds uninformedBeat { 100 };
+    static constexpr std::chrono::milliseconds unsyncedTickInterval { 100 };
 
     Forwarder(const ForwarderSettings& settings, std::string settingsPath)
         : settings_(settings)
@@ -76,17 +76,17 @@
                   .count()))
         , seed_(balancerIdOf(settings.vm).value ^ incarnation_)
         , log_({ settings.vm, settings.availabilityZone, incarnation_ }, STDOUT_FILENO, settings.logBudget)
-        , lines_(log_)
-        , traffic_(log_, startedAt_)
-        , reload_(settings_, std::move(settingsPath), log_,
-              [this](const std::vector<Endpoint>& seeds, TimePoint now) { peers_->setSeeds(seeds, now); })
+        , forwarderLog_(log_)
+        , trafficReport_(log_, startedAt_)
+        , settingsReloader_(settings_, std::move(settingsPath), log_,
+              [this](const std::vector<Endpoint>& seeds, TimePoint now) { peerSync_->setSeeds(seeds, now); })
         , router_(routerSettings(settings))
         , lifecycle_({ .grace = settings.grace })
-        , applier_(router_, lines_, metrics_)
+        , applier_(router_, forwarderLog_, metrics_)
         , signals_(context_, SIGTERM, SIGINT, SIGHUP)
-        , timer_(context_)
+        , tickTimer_(context_)
         , logTimer_(context_)
-        , store_(context_, settings.store, seed_, feedSettings(settings), metrics_,
+        , storeDriver_(context_, settings.store, seed_, feedSettings(settings), metrics_,
               [this](const StoreFeedAction& action) { perform(action); })
     {
         log_.setLevel(settings.logLevel);
@@ -113,21 +113,22 @@
     Result<void> open()
     {
         // The store's answer is on its way while the rest is made ready.
-        store_.start(startedAt_);
+        storeDriver_.start(startedAt_);
         BOOST_OUTCOME_TRY(socket, PacketSocket::open(settings_.flow));
         BOOST_OUTCOME_TRY(peers,
             PeerSync::open(context_, self(), settings_.seeds, seed_, log_, metrics_,
-                [this](const ReplicaChanged& news) { handleNews(news); }));
-        peers_ = std::move(peers);
-        packets_ = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peers_->exchange(),
-            lifecycle_, lines_, metrics_, [this](TimePoint now) { store_.noteContradiction(now); });
-        answers_
-            = std::make_unique<ForwarderHttpHandler<Adapter>>(router_, *peers_, store_, lifecycle_, log_, metrics_);
+                [this](const ReplicaChanged& news) { handleReplicaChange(news); }));
+        peerSync_ = std::move(peers);
+        packetPath_
+            = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peerSync_->exchange(),
+                lifecycle_, forwarderLog_, metrics_, [this](TimePoint now) { storeDriver_.noteContradiction(now); });
+        httpHandler_ = std::make_unique<ForwarderHttpHandler<Adapter>>(
+            router_, *peerSync_, storeDriver_, lifecycle_, log_, metrics_);
         const auto onRequest = [this](const std::shared_ptr<Http1Exchange>& exchange) {
-            exchange->respond(answers_->answer(exchange->request(), Clock::now()));
+            exchange->respond(httpHandler_->answer(exchange->request(), Clock::now()));
         };
         BOOST_OUTCOME_TRY(ready, Http1Server::listen(context_, settings_.ready, onRequest));
-        ready_ = std::move(ready);
+        readinessServer_ = std::move(ready);
         if (!settings_.metrics.isSet())
             return boost::outcome_v2::success();
         // Flows matter more than figures about them: without a free port the forwarder serves all the same.
@@ -154,15 +155,15 @@
         return member;
     }
 
-    void handleNews(const ReplicaChanged& news)
+    void handleReplicaChange(const ReplicaChanged& news)
     {
         const TimePoint now = Clock::now();
         applier_.apply(news, now);
-        const bool hasSynced = router_.configurationVersion() > 0 && peers_->exchange().replica().completeTo() > 0;
+        const bool hasSynced = router_.configurationVersion() > 0 && peerSync_->exchange().replica().completeTo() > 0;
         if (hasSynced && lifecycle_.noteSynced()) {
             // Packets that came before wait in the socket's buffer. Nothing could be done with them but drop them, and
             // callers would send them again only after 200 ms.
-            packets_->start();
+            packetPath_->start();
             log_.write(LogLevel::Info, "process", "ready",
                 Event()
                     .add("after_ms", now - startedAt_)
@@ -172,67 +173,68 @@
                     .add("source", news.source),
                 now);
             flushLog(now);
-            meetPeers(now);
+            startPeerSync(now);
         }
     }
 
-    void meetPeers(TimePoint now)
+    void startPeerSync(TimePoint now)
     {
-        if (!std::exchange(hasMetPeers_, true))
-            peers_->start(now);
+        if (!std::exchange(hasStartedPeerSync_, true))
+            peerSync_->start(now);
     }
 
     void perform(const StoreFeedAction& action)
     {
         const TimePoint now = Clock::now();
         if (const auto* news = std::get_if<DeltaReceived>(&action)) {
-            peers_->handleStore(*news, now);
+            peerSync_->handleStore(*news, now);
         } else if (const auto* lost = std::get_if<StoreUnreachable>(&action)) {
-            peers_->noteStore(true, now);
+            peerSync_->noteStore(true, now);
             log_.write(LogLevel::Warning, "store", "lost", Event().add("error", lost->error.toString()), now);
         } else if (const auto* regained = std::get_if<StoreReachable>(&action)) {
-            peers_->noteStore(false, now);
+            peerSync_->noteStore(false, now);
             log_.write(LogLevel::Info, "store", "regained", Event().add("away_ms", regained->outage), now);
         }
     }
 
-    void awaitBeat(std::chrono::milliseconds after)
+    void scheduleTick(std::chrono::milliseconds after)
     {
-        timer_.expires_after(after);
-        timer_.async_wait([this](const boost::system::error_code& error) {
+        tickTimer_.expires_after(after);
+        tickTimer_.async_wait([this](const boost::system::error_code& error) {
             if (error)
                 return;
-            onBeat(Clock::now());
+            onTick(Clock::now());
         });
     }
 
-    void onBeat(TimePoint now)
+    void onTick(TimePoint now)
     {
-        meetPeers(now);
-        peers_->noteStore(store_.feed().isUnreachable(), now);
-        peers_->setAsksAtOnce(store_.feed().asksPeers());
-        peers_->tick(now);
-        store_.update(peers_->exchange().replica().completeTo(), peers_->shallWatch(now) && !lifecycle_.isStopping(),
-            peers_->exchange().behindSince(), now);
-        store_.tick(peers_->exchange().knowsFasterPeer(), now);
-        router_.noteStoreContact(peers_->exchange().lastStoreContact());
-        router_.setBalancers(balancerIdOf(settings_.vm).value, peers_->balancersOfZone(), peers_->isSettled(now), now);
-        lines_.transitions(router_.tick(now), peers_->exchange().replica().completeTo(), "time", now);
+        startPeerSync(now);
+        peerSync_->noteStore(storeDriver_.feed().isUnreachable(), now);
+        peerSync_->setAsksAtOnce(storeDriver_.feed().asksPeers());
+        peerSync_->tick(now);
+        storeDriver_.update(peerSync_->exchange().replica().completeTo(),
+            peerSync_->shallWatch(now) && !lifecycle_.isStopping(), peerSync_->exchange().behindSince(), now);
+        storeDriver_.tick(peerSync_->exchange().knowsFasterPeer(), now);
+        router_.noteStoreContact(peerSync_->exchange().lastStoreContact());
+        router_.setBalancers(
+            balancerIdOf(settings_.vm).value, peerSync_->balancersOfZone(), peerSync_->isSettled(now), now);
+        forwarderLog_.transitions(router_.tick(now), peerSync_->exchange().replica().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
-            lines_.failingChange(change, now);
+            forwarderLog_.failingChange(change, now);
         for (const ZoneReachabilityChange& change : router_.takeZoneChanges())
-            lines_.zoneReachability(change, now);
+            forwarderLog_.zoneReachability(change, now);
         for (const GroupLivenessChange& change : router_.takeGroupChanges())
-            lines_.groupLiveness(change, now);
-        reload_.tick(now);
-        if (traffic_.isDue(now))
-            traffic_.write(answers_->traffic(), now);
+            forwarderLog_.groupLiveness(change, now);
+        settingsReloader_.tick(now);
+        if (trafficReport_.isDue(now))
+            trafficReport_.write(httpHandler_->traffic(), now);
         if (lifecycle_.isStopped(now)) {
-            end(now);
+            finish(now);
             return;
         }
         flushLog(now);
-        awaitBeat(lifecycle_.hasSynced() ? beat : uninformedBeat);
+        scheduleTick(lifecycle_.hasSynced() ? tickInterval : unsyncedTickInterval);
     }
 
     // What is left goes in pieces, so that no burst of lines is more than its reader takes at once.
@@ -247,9 +249,9 @@
         });
     }
 
-    void end(TimePoint now)
+    void finish(TimePoint now)
     {
-        traffic_.write(answers_->traffic(), now);
+        trafficReport_.write(httpHandler_->traffic(), now);
         log_.write(LogLevel::Info, "process", "stopped", Event().add("ran_ms", now - startedAt_), now);
         log_.buffer().flushAll();
         context_.stop();
@@ -262,7 +264,7 @@
                 return;
             const TimePoint now = Clock::now();
             if (signal == SIGHUP)
-                reload_.reload("signal", now);
+                settingsReloader_.reload("signal", now);
             else
                 stop(now);
             awaitSignal();
@@ -274,7 +276,7 @@
         if (!lifecycle_.stop(now))
             return;
         log_.write(LogLevel::Info, "process", "stopping", Event().add("grace_ms", Duration(settings_.grace)), now);
-        peers_->leave(now);
+        peerSync_->leave(now);
     }
 
     ForwarderSettings settings_;
@@ -283,23 +285,23 @@
     const std::uint64_t seed_;
     boost::asio::io_context context_ { 1 };
     EventLog log_;
-    ForwarderLog lines_;
-    TrafficReport traffic_;
-    SettingsReloader reload_;
+    ForwarderLog forwarderLog_;
+    TrafficReport trafficReport_;
+    SettingsReloader settingsReloader_;
     ForwarderMetrics metrics_;
     TokenRouter router_;
     ForwarderLifecycle lifecycle_;
     StoreUpdateApplier<Adapter> applier_;
     boost::asio::signal_set signals_;
-    boost::asio::steady_timer timer_;
+    boost::asio::steady_timer tickTimer_;
     boost::asio::steady_timer logTimer_;
-    std::unique_ptr<PeerSync> peers_;
-    StoreFeedDriver<Adapter> store_;
-    std::unique_ptr<TokenPacketPath<Adapter>> packets_;
-    std::unique_ptr<ForwarderHttpHandler<Adapter>> answers_;
-    std::unique_ptr<Http1Server> ready_;
+    std::unique_ptr<PeerSync> peerSync_;
+    StoreFeedDriver<Adapter> storeDriver_;
+    std::unique_ptr<TokenPacketPath<Adapter>> packetPath_;
+    std::unique_ptr<ForwarderHttpHandler<Adapter>> httpHandler_;
+    std::unique_ptr<Http1Server> readinessServer_;
     std::unique_ptr<Http1Server> metricsServer_;
-    bool hasMetPeers_ = false;
+    bool hasStartedPeerSync_ = false;
 };
 
 }
