--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -120,7 +120,7 @@
                 [this](const ReplicaChanged& news) { handleReplicaChange(news); }));
         peerSync_ = std::move(peers);
         packetPath_
-            = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peerSync_->exchange(),
+            = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peerSync_->replicaSync(),
                 lifecycle_, forwarderLog_, metrics_, [this](TimePoint now) { storeDriver_.noteContradiction(now); });
         httpHandler_ = std::make_unique<ForwarderHttpHandler<Adapter>>(
             router_, *peerSync_, storeDriver_, lifecycle_, log_, metrics_);
@@ -159,7 +159,8 @@
     {
         const TimePoint now = Clock::now();
         applier_.apply(news, now);
-        const bool hasSynced = router_.configurationVersion() > 0 && peerSync_->exchange().replica().completeTo() > 0;
+        const bool hasSynced
+            = router_.configurationVersion() > 0 && peerSync_->replicaSync().replica().completeTo() > 0;
         if (hasSynced && lifecycle_.noteSynced()) {
             // Packets that came before wait in the socket's buffer. Nothing could be done with them but drop them, and
             // callers would send them again only after 200 ms.
@@ -213,13 +214,13 @@
         peerSync_->noteStore(storeDriver_.feed().isUnreachable(), now);
         peerSync_->setAsksAtOnce(storeDriver_.feed().asksPeers());
         peerSync_->tick(now);
-        storeDriver_.update(peerSync_->exchange().replica().completeTo(),
-            peerSync_->shallWatch(now) && !lifecycle_.isStopping(), peerSync_->exchange().behindSince(), now);
-        storeDriver_.tick(peerSync_->exchange().knowsFasterPeer(), now);
-        router_.noteStoreContact(peerSync_->exchange().lastStoreContact());
+        storeDriver_.update(peerSync_->replicaSync().replica().completeTo(),
+            peerSync_->shallWatch(now) && !lifecycle_.isStopping(), peerSync_->replicaSync().behindSince(), now);
+        storeDriver_.tick(peerSync_->replicaSync().knowsFasterPeer(), now);
+        router_.noteStoreContact(peerSync_->replicaSync().lastStoreContact());
         router_.setBalancers(
             balancerIdOf(settings_.vm).value, peerSync_->balancersOfZone(), peerSync_->isSettled(now), now);
-        forwarderLog_.transitions(router_.tick(now), peerSync_->exchange().replica().completeTo(), "time", now);
+        forwarderLog_.transitions(router_.tick(now), peerSync_->replicaSync().replica().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
             forwarderLog_.failingChange(change, now);
         for (const ZoneReachabilityChange& change : router_.takeZoneChanges())
--- a/Source/Forwarder/ForwarderHttpHandler.h
+++ b/Source/Forwarder/ForwarderHttpHandler.h
@@ -17,10 +17,10 @@
 // What the forwarder answers over HTTP, whether it is ready and its metrics, and what it reads for that.
 template <typename Adapter> class ForwarderHttpHandler {
 public:
-    ForwarderHttpHandler(const TokenRouter& router, const PeerSync& peers, const StoreFeedDriver<Adapter>& store,
+    ForwarderHttpHandler(const TokenRouter& router, const PeerSync& peerSync, const StoreFeedDriver<Adapter>& store,
         const ForwarderLifecycle& lifecycle, EventLog& log, ForwarderMetrics& metrics)
         : router_(router)
-        , peers_(peers)
+        , peerSync_(peerSync)
         , store_(store)
         , lifecycle_(lifecycle)
         , log_(log)
@@ -30,7 +30,7 @@
 
     std::vector<TrafficRow> traffic() const
     {
-        std::vector<TrafficRow> rows = peers_.traffic();
+        std::vector<TrafficRow> rows = peerSync_.traffic();
         rows.push_back({ "store", metrics_.storeCalls(), 0, store_.bytesTransferred() });
         rows.push_back({ "packets", metrics_.forwarded(), metrics_.forwardedBytes(), metrics_.forwardedBytes() });
         return rows;
@@ -63,11 +63,11 @@
     {
         ForwarderMetrics::Snapshot snapshot;
         snapshot.configurationVersion = router_.configurationVersion();
-        snapshot.replicaRevision = peers_.exchange().replica().completeTo();
-        if (const auto since = peers_.exchange().behindSince())
+        snapshot.replicaRevision = peerSync_.replicaSync().replica().completeTo();
+        if (const auto since = peerSync_.replicaSync().behindSince())
             snapshot.replicaLag = now - *since;
         snapshot.flows = router_.flows().size();
-        snapshot.members = peers_.members();
+        snapshot.members = peerSync_.members();
         snapshot.isReady = lifecycle_.isReady();
         snapshot.isStoreUnreachable = store_.feed().isUnreachable();
         snapshot.isWatching = store_.feed().isWatching();
@@ -75,7 +75,7 @@
         snapshot.logDropped = log_.buffer().dropped();
         snapshot.logSuppressed = log_.leftOut();
         snapshot.traffic = traffic();
-        snapshot.peerBytes = peers_.bytesTransferred();
+        snapshot.peerBytes = peerSync_.bytesTransferred();
         snapshot.storeBytes = store_.bytesTransferred();
         snapshot.directory = &router_.directory();
         snapshot.evacuatedZones = &router_.evacuatedZones();
@@ -83,7 +83,7 @@
     }
 
     const TokenRouter& router_;
-    const PeerSync& peers_;
+    const PeerSync& peerSync_;
     const StoreFeedDriver<Adapter>& store_;
     const ForwarderLifecycle& lifecycle_;
     EventLog& log_;
--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -70,7 +70,7 @@
     , handler_(std::move(handler))
     , membership_({}, self, seed, Clock::now())
     , watcherRole_({ .counts = watcherCounts })
-    , exchange_(self.availabilityZone, seed, settings)
+    , replicaSync_(self.availabilityZone, seed, settings)
 {
 }
 
@@ -122,20 +122,20 @@
 
 void PeerSync::tick(TimePoint now)
 {
-    if (exchange_.replica().completeTo() > toldRevision_) {
-        toldRevision_ = exchange_.replica().completeTo();
+    if (replicaSync_.replica().completeTo() > toldRevision_) {
+        toldRevision_ = replicaSync_.replica().completeTo();
         perform(membership_.setConfigurationVersion(toldRevision_, now), now);
     }
     perform(membership_.tick(now), now);
     membersLog_.tick(*membership_.view(), membership_.isSettled(now), now);
     noteFetchProgress(now);
-    perform(exchange_.tick(now), now);
+    perform(replicaSync_.tick(now), now);
     logBehind(now);
 }
 
 void PeerSync::logBehind(TimePoint now)
 {
-    const auto since = exchange_.behindSince();
+    const auto since = replicaSync_.behindSince();
     if (!since || now - *since < usuallyBehind) {
         hasLoggedBehind_ = hasLoggedBehind_ && since;
         return;
@@ -144,8 +144,8 @@
         return;
     log_.write(LogLevel::Warning, "news", "behind",
         Event()
-            .add("revision", exchange_.replica().completeTo())
-            .add("newest", exchange_.newestPeerRevision())
+            .add("revision", replicaSync_.replica().completeTo())
+            .add("newest", replicaSync_.newestPeerRevision())
             .add("behind_ms", now - *since)
             .add("asking", fetchSource_)
             .add("answer_bytes", fetchProgress_),
@@ -156,13 +156,13 @@
 {
     const std::uint64_t bytes = fetcher_ ? fetcher_->bytesTransferred() : 0;
     if (bytes > fetchProgress_)
-        exchange_.noteFetchProgress(now);
+        replicaSync_.noteFetchProgress(now);
     fetchProgress_ = bytes;
 }
 
 void PeerSync::handleStore(const DeltaReceived& news, TimePoint now)
 {
-    perform(exchange_.handleStoreDelta(news.delta, now, news.isForOthers), now);
+    perform(replicaSync_.handleStoreDelta(news.delta, now, news.isForOthers), now);
 }
 
 void PeerSync::leave(TimePoint now)
@@ -174,7 +174,7 @@
 void PeerSync::noteStore(bool isLost, TimePoint now)
 {
     const bool isWatcher = shallWatch(now);
-    exchange_.setRole(isWatcher, isLost);
+    replicaSync_.setRole(isWatcher, isLost);
     if (!isLeaving_)
         perform(membership_.setSelfState(isWatcher && isLost ? MemberState::Detached : MemberState::Serving, now), now);
 }
@@ -213,7 +213,7 @@
         return;
     }
     if (const auto delta = decodeMessage<StoreDelta>(envelope.payload))
-        perform(exchange_.handlePush(envelope.sender, delta.value(), now), now);
+        perform(replicaSync_.handlePush(envelope.sender, delta.value(), now), now);
 }
 
 void PeerSync::answer(const std::shared_ptr<Http2Exchange>& exchange)
@@ -231,7 +231,8 @@
     }
     const auto encoding = exchange->request().header(takesPatchesHeader).empty() ? StoreReplica::Encoding::Full
                                                                                  : StoreReplica::Encoding::Patched;
-    const std::vector<std::uint8_t> body = encodeMessage(exchange_.replica().deltaSince(after, Clock::now(), encoding));
+    const std::vector<std::uint8_t> body
+        = encodeMessage(replicaSync_.replica().deltaSince(after, Clock::now(), encoding));
     response.body.assign(body.begin(), body.end());
     ++fetchesServed_;
     exchange->respond(std::move(response));
@@ -246,7 +247,7 @@
         }
         const auto& view = std::get<MembersViewChanged>(action).view;
         membersLog_.handleView(*view, membership_.isSettled(now), now);
-        perform(exchange_.handleView(view, now), now);
+        perform(replicaSync_.handleView(view, now), now);
     }
 }
 
@@ -259,8 +260,8 @@
             this->fetch(*fetch);
         } else {
             const auto& changed = std::get<ReplicaChanged>(action);
-            if (changed.source != "store" && exchange_.behindSince())
-                metrics_.observeReplicaLag(now - *exchange_.behindSince());
+            if (changed.source != "store" && replicaSync_.behindSince())
+                metrics_.observeReplicaLag(now - *replicaSync_.behindSince());
             handler_(changed);
         }
     }
@@ -320,7 +321,7 @@
                 .add("source", source)
                 .add("error", outcome ? fmt::format("status {}", outcome.value().status) : outcome.error().detail),
             now);
-        perform(exchange_.handleFetchFailure(now), now);
+        perform(replicaSync_.handleFetchFailure(now), now);
         return;
     }
     const std::string& body = outcome.value().body;
@@ -330,7 +331,7 @@
         metrics_.countFetch("unreadable");
         log_.write(LogLevel::Error, "news", "fetch_unreadable",
             Event().add("source", source).add("error", delta.error().toString()), now);
-        perform(exchange_.handleFetchFailure(now), now);
+        perform(replicaSync_.handleFetchFailure(now), now);
         return;
     }
     metrics_.countFetch("ok");
@@ -345,7 +346,7 @@
             .add("to", delta.value().to)
             .add("whole", boolName(delta.value().isSnapshot)),
         now);
-    perform(exchange_.handleAnswer(source, delta.value(), now), now);
+    perform(replicaSync_.handleAnswer(source, delta.value(), now), now);
 }
 
 }
--- a/Source/Forwarder/PeerSync.h
+++ b/Source/Forwarder/PeerSync.h
@@ -50,10 +50,10 @@
     // Tells the others whether this balancer, if it is to watch the store, can.
     void noteStore(bool isLost, TimePoint now);
     // Whether neighbours are asked for everything without waiting for the store.
-    void setAsksAtOnce(bool asksAtOnce) { exchange_.setFetchesImmediately(asksAtOnce); }
+    void setAsksAtOnce(bool asksAtOnce) { replicaSync_.setFetchesImmediately(asksAtOnce); }
     // Whether this balancer is among those that watch the store.
     bool shallWatch(TimePoint now) const;
-    const ReplicaSync& exchange() const { return exchange_; }
+    const ReplicaSync& replicaSync() const { return replicaSync_; }
     std::size_t members() const { return membership_.view()->members.size(); }
     // Those of this balancer's zone that are alive, itself included.
     std::vector<std::uint32_t> balancersOfZone() const;
@@ -87,7 +87,7 @@
     Handler handler_;
     Membership membership_;
     WatcherRole watcherRole_;
-    ReplicaSync exchange_;
+    ReplicaSync replicaSync_;
     std::unique_ptr<PeerSocket> link_;
     std::unique_ptr<Http2Server> server_;
     std::unique_ptr<Http2Client> fetcher_;
