--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -188,12 +188,12 @@
     {
         const TimePoint now = Clock::now();
         if (const auto* news = std::get_if<DeltaReceived>(&action)) {
-            peerSync_->handleStore(*news, now);
+            peerSync_->handleStoreDelta(*news, now);
         } else if (const auto* lost = std::get_if<StoreUnreachable>(&action)) {
-            peerSync_->noteStore(true, now);
+            peerSync_->noteStoreReachability(true, now);
             log_.write(LogLevel::Warning, "store", "lost", Event().add("error", lost->error.toString()), now);
         } else if (const auto* regained = std::get_if<StoreReachable>(&action)) {
-            peerSync_->noteStore(false, now);
+            peerSync_->noteStoreReachability(false, now);
             log_.write(LogLevel::Info, "store", "regained", Event().add("away_ms", regained->outage), now);
         }
     }
@@ -211,15 +211,15 @@
     void onTick(TimePoint now)
     {
         startPeerSync(now);
-        peerSync_->noteStore(storeDriver_.feed().isUnreachable(), now);
-        peerSync_->setAsksAtOnce(storeDriver_.feed().asksPeers());
+        peerSync_->noteStoreReachability(storeDriver_.feed().isUnreachable(), now);
+        peerSync_->setFetchesImmediately(storeDriver_.feed().asksPeers());
         peerSync_->tick(now);
         storeDriver_.update(peerSync_->replicaSync().replica().completeTo(),
-            peerSync_->shallWatch(now) && !lifecycle_.isStopping(), peerSync_->replicaSync().behindSince(), now);
+            peerSync_->isWatcher(now) && !lifecycle_.isStopping(), peerSync_->replicaSync().behindSince(), now);
         storeDriver_.tick(peerSync_->replicaSync().knowsFasterPeer(), now);
         router_.noteStoreContact(peerSync_->replicaSync().lastStoreContact());
         router_.setBalancers(
-            balancerIdOf(settings_.vm).value, peerSync_->balancersOfZone(), peerSync_->isSettled(now), now);
+            balancerIdOf(settings_.vm).value, peerSync_->liveBalancersOfZone(), peerSync_->isSettled(now), now);
         forwarderLog_.transitions(router_.tick(now), peerSync_->replicaSync().replica().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
             forwarderLog_.failingChange(change, now);
--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -107,7 +107,7 @@
     adviseSeeds(now);
 }
 
-std::vector<std::uint32_t> PeerSync::balancersOfZone() const
+std::vector<std::uint32_t> PeerSync::liveBalancersOfZone() const
 {
     const auto view = membership_.view();
     const Member* self = view->findSelf();
@@ -160,7 +160,7 @@
     fetchProgress_ = bytes;
 }
 
-void PeerSync::handleStore(const DeltaReceived& news, TimePoint now)
+void PeerSync::handleStoreDelta(const DeltaReceived& news, TimePoint now)
 {
     perform(replicaSync_.handleStoreDelta(news.delta, now, news.isForOthers), now);
 }
@@ -171,15 +171,17 @@
     perform(membership_.leave(now), now);
 }
 
-void PeerSync::noteStore(bool isLost, TimePoint now)
+void PeerSync::noteStoreReachability(bool isUnreachable, TimePoint now)
 {
-    const bool isWatcher = shallWatch(now);
-    replicaSync_.setRole(isWatcher, isLost);
+    const bool isWatcher = isWatcher(now);
+    replicaSync_.setRole(isWatcher, isUnreachable);
     if (!isLeaving_)
-        perform(membership_.setSelfState(isWatcher && isLost ? MemberState::Detached : MemberState::Serving, now), now);
+        perform(
+            membership_.setSelfState(isWatcher && isUnreachable ? MemberState::Detached : MemberState::Serving, now),
+            now);
 }
 
-bool PeerSync::shallWatch(TimePoint now) const { return watcherRole_.isWatcher(membership_, now); }
+bool PeerSync::isWatcher(TimePoint now) const { return watcherRole_.isWatcher(membership_, now); }
 
 std::uint64_t PeerSync::bytesTransferred() const
 {
--- a/Source/Forwarder/PeerSync.h
+++ b/Source/Forwarder/PeerSync.h
@@ -42,21 +42,21 @@
     // Call it every 100 to 250 ms.
     void tick(TimePoint now);
     // News that this balancer read from the store.
-    void handleStore(const DeltaReceived&, TimePoint now);
+    void handleStoreDelta(const DeltaReceived&, TimePoint now);
     // A planned stop begins.
     void leave(TimePoint now);
     void setSeeds(std::vector<Endpoint> seeds, TimePoint now);
 
     // Tells the others whether this balancer, if it is to watch the store, can.
-    void noteStore(bool isLost, TimePoint now);
+    void noteStoreReachability(bool isUnreachable, TimePoint now);
     // Whether neighbours are asked for everything without waiting for the store.
-    void setAsksAtOnce(bool asksAtOnce) { replicaSync_.setFetchesImmediately(asksAtOnce); }
+    void setFetchesImmediately(bool fetchesImmediately) { replicaSync_.setFetchesImmediately(fetchesImmediately); }
     // Whether this balancer is among those that watch the store.
-    bool shallWatch(TimePoint now) const;
+    bool isWatcher(TimePoint now) const;
     const ReplicaSync& replicaSync() const { return replicaSync_; }
     std::size_t members() const { return membership_.view()->members.size(); }
     // Those of this balancer's zone that are alive, itself included.
-    std::vector<std::uint32_t> balancersOfZone() const;
+    std::vector<std::uint32_t> liveBalancersOfZone() const;
     // More balancers may be met at any moment while this is false.
     bool isSettled(TimePoint now) const { return membership_.isSettled(now); }
     std::uint64_t bytesTransferred() const;
--- a/Tests/Forwarder/PeerSyncTest.cpp
+++ b/Tests/Forwarder/PeerSyncTest.cpp
@@ -135,7 +135,7 @@
     TEST_F(PeerSyncTest, anAnswerThatIsGivenUpIsAskedForOnceMore)
     {
         const TimePoint began = Clock::now();
-        other.news->handleStore({ largeNews() }, began);
+        other.news->handleStoreDelta({ largeNews() }, began);
         // The other one stands still from here on: connections to it open, but nothing answers.
         waitUntil([&] { return asking.fetches("asked") >= 6; }, [&] { asking.poll(); });
         const auto givenUp = static_cast<std::uint64_t>((Clock::now() - began) / settings.answerTimeout);
