--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -13,15 +13,15 @@
 namespace {
 
     // A request for news is this path and the revision after which it is wanted.
-    constexpr std::string_view newsPath = "/news/";
+    constexpr std::string_view deltaPath = "/news/";
     // Who sends it takes patches of large values; a balancer of an earlier version neither sends it nor looks at it.
-    constexpr const char* takesPatchesHeader = "wisteriadock-takes-patches";
-    constexpr std::chrono::milliseconds connectWithin { 800 };
+    constexpr const char* acceptsPatchesHeader = "wisteriadock-takes-patches";
+    constexpr std::chrono::milliseconds connectTimeout { 800 };
     // The longest that an answer may take, however steadily its bytes come. ReplicaSync gives up a silent one sooner.
-    constexpr std::chrono::milliseconds fetchWithin { 4000 };
+    constexpr std::chrono::milliseconds fetchTimeout { 4000 };
     // Who has been behind others for longer gets a line in the log: a tenth of the time in which the users want a
     // configuration to be in force is usual, a fifth is not.
-    constexpr std::chrono::milliseconds usuallyBehind { 1000 };
+    constexpr std::chrono::milliseconds lagWarningThreshold { 1000 };
 
     // One watcher a zone: calls to the store are priced, and whoever misses its zone's watcher hears from other zones.
     // Three in all, so that news gets around whichever of them has just failed.
@@ -31,7 +31,7 @@
     {
         Http2Limits limits;
         limits.bodyBytes = maxDeltaBytes;
-        limits.connectTimeout = connectWithin;
+        limits.connectTimeout = connectTimeout;
         // All balancers of a large zone may fetch at once after a start.
         limits.connections = 256;
         return limits;
@@ -54,7 +54,8 @@
     news->link_ = std::move(link);
     BOOST_OUTCOME_TRY(server,
         Http2Server::listen(
-            context, self.requestAddress, [target](const auto& exchange) { target->answer(exchange); }, fetchLimits()));
+            context, self.requestAddress, [target](const auto& exchange) { target->answerFetch(exchange); },
+            fetchLimits()));
     news->server_ = std::move(server);
     return news;
 }
@@ -84,27 +85,27 @@
 {
     watcherRole_.start(!seeds_.empty(), now);
     membersLog_.start(now);
-    adviseSeeds(now);
+    passSeedsToMembership(now);
     // Watchers are chosen among those that serve, and until somebody watches nobody learns enough to be ready. Nothing
     // has to be learned from others before packets can be routed by their tokens.
     perform(membership_.setSelfState(MemberState::Serving, now), now);
     tick(now);
 }
 
-void PeerSync::adviseSeeds(TimePoint now)
+void PeerSync::passSeedsToMembership(TimePoint now)
 {
-    VmListReceived advice;
+    VmListReceived seedList;
     for (const Endpoint& seed : seeds_) {
         if (seed.address != address_.address)
-            advice.vms.push_back({ { seed.address, address_.port }, false });
+            seedList.vms.push_back({ { seed.address, address_.port }, false });
     }
-    perform(membership_.handle(advice, now), now);
+    perform(membership_.handle(seedList, now), now);
 }
 
 void PeerSync::setSeeds(std::vector<Endpoint> seeds, TimePoint now)
 {
     seeds_ = std::move(seeds);
-    adviseSeeds(now);
+    passSeedsToMembership(now);
 }
 
 std::vector<std::uint32_t> PeerSync::liveBalancersOfZone() const
@@ -122,25 +123,25 @@
 
 void PeerSync::tick(TimePoint now)
 {
-    if (replicaSync_.replica().completeTo() > toldRevision_) {
-        toldRevision_ = replicaSync_.replica().completeTo();
-        perform(membership_.setConfigurationVersion(toldRevision_, now), now);
+    if (replicaSync_.replica().completeTo() > announcedRevision_) {
+        announcedRevision_ = replicaSync_.replica().completeTo();
+        perform(membership_.setConfigurationVersion(announcedRevision_, now), now);
     }
     perform(membership_.tick(now), now);
     membersLog_.tick(*membership_.view(), membership_.isSettled(now), now);
     noteFetchProgress(now);
     perform(replicaSync_.tick(now), now);
-    logBehind(now);
+    logLag(now);
 }
 
-void PeerSync::logBehind(TimePoint now)
+void PeerSync::logLag(TimePoint now)
 {
     const auto since = replicaSync_.behindSince();
-    if (!since || now - *since < usuallyBehind) {
-        hasLoggedBehind_ = hasLoggedBehind_ && since;
+    if (!since || now - *since < lagWarningThreshold) {
+        hasLoggedLag_ = hasLoggedLag_ && since;
         return;
     }
-    if (std::exchange(hasLoggedBehind_, true))
+    if (std::exchange(hasLoggedLag_, true))
         return;
     log_.write(LogLevel::Warning, "news", "behind",
         Event()
@@ -148,16 +149,16 @@
             .add("newest", replicaSync_.newestPeerRevision())
             .add("behind_ms", now - *since)
             .add("asking", fetchSource_)
-            .add("answer_bytes", fetchProgress_),
+            .add("answer_bytes", fetchReceivedBytes_),
         now);
 }
 
 void PeerSync::noteFetchProgress(TimePoint now)
 {
-    const std::uint64_t bytes = fetcher_ ? fetcher_->bytesTransferred() : 0;
-    if (bytes > fetchProgress_)
+    const std::uint64_t bytes = fetchClient_ ? fetchClient_->bytesTransferred() : 0;
+    if (bytes > fetchReceivedBytes_)
         replicaSync_.noteFetchProgress(now);
-    fetchProgress_ = bytes;
+    fetchReceivedBytes_ = bytes;
 }
 
 void PeerSync::handleStoreDelta(const DeltaReceived& news, TimePoint now)
@@ -185,7 +186,7 @@
 
 std::uint64_t PeerSync::bytesTransferred() const
 {
-    return link_->bytesTransferred() + server_->bytesTransferred() + fetchedBytes_;
+    return link_->bytesTransferred() + server_->bytesTransferred() + finishedFetchBytes_;
 }
 
 std::vector<TrafficRow> PeerSync::traffic() const
@@ -196,7 +197,7 @@
             sum += link_->trafficOf(kind);
         return TrafficRow { cause, sum.sent + sum.received, sum.sentBytes, sum.receivedBytes };
     };
-    const std::uint64_t asked = fetchedBytes_ + (fetcher_ ? fetcher_->bytesTransferred() : 0);
+    const std::uint64_t asked = finishedFetchBytes_ + (fetchClient_ ? fetchClient_->bytesTransferred() : 0);
     return {
         rowOf(
             "membership", { PeerMessageKind::Heartbeat, PeerMessageKind::ProbeRequest, PeerMessageKind::ProbeResult }),
@@ -218,21 +219,21 @@
         perform(replicaSync_.handlePush(envelope.sender, delta.value(), now), now);
 }
 
-void PeerSync::answer(const std::shared_ptr<Http2Exchange>& exchange)
+void PeerSync::answerFetch(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const std::string& path = exchange->request().path;
     std::uint64_t after = 0;
     const char* end = path.data() + path.size();
     const bool isKnown
-        = path.starts_with(newsPath) && std::from_chars(path.data() + newsPath.size(), end, after).ptr == end;
+        = path.starts_with(deltaPath) && std::from_chars(path.data() + deltaPath.size(), end, after).ptr == end;
     HttpResponse response;
     if (!isKnown) {
         response.status = 404;
         exchange->respond(std::move(response));
         return;
     }
-    const auto encoding = exchange->request().header(takesPatchesHeader).empty() ? StoreReplica::Encoding::Full
-                                                                                 : StoreReplica::Encoding::Patched;
+    const auto encoding = exchange->request().header(acceptsPatchesHeader).empty() ? StoreReplica::Encoding::Full
+                                                                                   : StoreReplica::Encoding::Patched;
     const std::vector<std::uint8_t> body
         = encodeMessage(replicaSync_.replica().deltaSince(after, Clock::now(), encoding));
     response.body.assign(body.begin(), body.end());
@@ -283,36 +284,36 @@
     const Member* member = membership_.view()->find(fetch.from);
     const std::string source = member ? member->name : "unknown";
     const TimePoint now = Clock::now();
-    if (fetcher_)
-        fetchedBytes_ += fetcher_->bytesTransferred();
+    if (fetchClient_)
+        finishedFetchBytes_ += fetchClient_->bytesTransferred();
     metrics_.countFetch("asked");
-    if (fetcher_ && fetcher_->openRequests() > 0)
+    if (fetchClient_ && fetchClient_->openRequests() > 0)
         log_.write(LogLevel::Warning, "news", "fetch_given_up",
             Event()
                 .add("source", fetchSource_)
                 .add("after_ms", now - fetchSentAt_)
-                .add("answer_bytes", fetcher_->bytesTransferred()),
+                .add("answer_bytes", fetchClient_->bytesTransferred()),
             now);
     fetchSource_ = source;
     fetchSentAt_ = now;
     // The former request ends with its client, in the middle of this function. It must not count as one that failed:
     // that asked once more from here, and each answer given up doubled the requests.
     ++fetchNumber_;
-    fetcher_ = std::make_unique<Http2Client>(context_, fetch.address, fetchLimits());
-    fetchProgress_ = 0;
+    fetchClient_ = std::make_unique<Http2Client>(context_, fetch.address, fetchLimits());
+    fetchReceivedBytes_ = 0;
     HttpRequest request;
-    request.path = fmt::format("{}{}", newsPath, fetch.after);
+    request.path = fmt::format("{}{}", deltaPath, fetch.after);
     request.authority = fetch.address.toString();
     if (fetch.encoding == StoreReplica::Encoding::Patched)
-        request.headers.push_back({ takesPatchesHeader, "1" });
-    fetcher_->send(
-        std::move(request), now + fetchWithin, [this, source, number = fetchNumber_](const HttpOutcome& outcome) {
+        request.headers.push_back({ acceptsPatchesHeader, "1" });
+    fetchClient_->send(
+        std::move(request), now + fetchTimeout, [this, source, number = fetchNumber_](const HttpOutcome& outcome) {
             if (number == fetchNumber_)
-                handleFetched(source, outcome);
+                handleFetchOutcome(source, outcome);
         });
 }
 
-void PeerSync::handleFetched(const std::string& source, const HttpOutcome& outcome)
+void PeerSync::handleFetchOutcome(const std::string& source, const HttpOutcome& outcome)
 {
     const TimePoint now = Clock::now();
     const bool isAnswer = outcome && outcome.value().status == 200;
--- a/Source/Forwarder/PeerSync.h
+++ b/Source/Forwarder/PeerSync.h
@@ -68,15 +68,15 @@
         ForwarderMetrics&, Handler, ReplicaSyncSettings);
 
     void receive(const PeerEnvelope&, const Endpoint& sender);
-    void answer(const std::shared_ptr<Http2Exchange>&);
+    void answerFetch(const std::shared_ptr<Http2Exchange>&);
     void perform(const MembershipActions&, TimePoint now);
     void perform(const ReplicaSyncActions&, TimePoint now);
     void push(const PushDelta&);
     void fetch(const FetchDelta&);
-    void handleFetched(const std::string& source, const HttpOutcome&);
+    void handleFetchOutcome(const std::string& source, const HttpOutcome&);
     void noteFetchProgress(TimePoint now);
-    void logBehind(TimePoint now);
-    void adviseSeeds(TimePoint now);
+    void logLag(TimePoint now);
+    void passSeedsToMembership(TimePoint now);
 
     boost::asio::io_context& context_;
     const Endpoint address_;
@@ -90,19 +90,19 @@
     ReplicaSync replicaSync_;
     std::unique_ptr<PeerSocket> link_;
     std::unique_ptr<Http2Server> server_;
-    std::unique_ptr<Http2Client> fetcher_;
-    std::uint64_t toldRevision_ = 0;
+    std::unique_ptr<Http2Client> fetchClient_;
+    std::uint64_t announcedRevision_ = 0;
     bool isLeaving_ = false;
-    std::uint64_t fetchedBytes_ = 0;
+    std::uint64_t finishedFetchBytes_ = 0;
     // Bytes of the fetch in progress at the last look.
-    std::uint64_t fetchProgress_ = 0;
+    std::uint64_t fetchReceivedBytes_ = 0;
     // Whom the fetch in progress asks, and since when; empty when there is none.
     std::string fetchSource_;
     TimePoint fetchSentAt_;
     // Ends of former fetches don't count.
     std::uint64_t fetchNumber_ = 0;
     std::uint64_t fetchesServed_ = 0;
-    bool hasLoggedBehind_ = false;
+    bool hasLoggedLag_ = false;
 };
 
 }
