--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -174,11 +174,10 @@
 
 void PeerSync::noteStoreReachability(bool isUnreachable, TimePoint now)
 {
-    const bool isWatcher = isWatcher(now);
-    replicaSync_.setRole(isWatcher, isUnreachable);
+    const bool watches = isWatcher(now);
+    replicaSync_.setRole(watches, isUnreachable);
     if (!isLeaving_)
-        perform(
-            membership_.setSelfState(isWatcher && isUnreachable ? MemberState::Detached : MemberState::Serving, now),
+        perform(membership_.setSelfState(watches && isUnreachable ? MemberState::Detached : MemberState::Serving, now),
             now);
 }
 
