--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -45,19 +45,19 @@
     std::vector<Endpoint> seeds, std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler,
     ReplicaSyncSettings settings)
 {
-    std::unique_ptr<PeerSync> news(
+    std::unique_ptr<PeerSync> peerSync(
         new PeerSync(context, self, std::move(seeds), seed, log, metrics, std::move(handler), settings));
-    PeerSync* target = news.get();
+    PeerSync* target = peerSync.get();
     BOOST_OUTCOME_TRY(link,
         PeerSocket::open(context, self.peerAddress,
             [target](const PeerEnvelope& envelope, const Endpoint& sender) { target->receive(envelope, sender); }));
-    news->link_ = std::move(link);
+    peerSync->link_ = std::move(link);
     BOOST_OUTCOME_TRY(server,
         Http2Server::listen(
             context, self.requestAddress, [target](const auto& exchange) { target->answerFetch(exchange); },
             fetchLimits()));
-    news->server_ = std::move(server);
-    return news;
+    peerSync->server_ = std::move(server);
+    return peerSync;
 }
 
 PeerSync::PeerSync(boost::asio::io_context& context, const Member& self, std::vector<Endpoint> seeds,
@@ -161,9 +161,9 @@
     fetchReceivedBytes_ = bytes;
 }
 
-void PeerSync::handleStoreDelta(const DeltaReceived& news, TimePoint now)
+void PeerSync::handleStoreDelta(const DeltaReceived& received, TimePoint now)
 {
-    perform(replicaSync_.handleStoreDelta(news.delta, now, news.isForOthers), now);
+    perform(replicaSync_.handleStoreDelta(received.delta, now, received.isForOthers), now);
 }
 
 void PeerSync::leave(TimePoint now)
