--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -117,7 +117,7 @@
         BOOST_OUTCOME_TRY(socket, PacketSocket::open(settings_.flow));
         BOOST_OUTCOME_TRY(peers,
             PeerSync::open(context_, self(), settings_.seeds, seed_, log_, metrics_,
-                [this](const ReplicaChanged& news) { handleReplicaChange(news); }));
+                [this](const ReplicaChanged& changed) { handleReplicaChange(changed); }));
         peerSync_ = std::move(peers);
         packetPath_
             = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peerSync_->replicaSync(),
@@ -155,10 +155,10 @@
         return member;
     }
 
-    void handleReplicaChange(const ReplicaChanged& news)
+    void handleReplicaChange(const ReplicaChanged& changed)
     {
         const TimePoint now = Clock::now();
-        applier_.apply(news, now);
+        applier_.apply(changed, now);
         const bool hasSynced
             = router_.configurationVersion() > 0 && peerSync_->replicaSync().replica().completeTo() > 0;
         if (hasSynced && lifecycle_.noteSynced()) {
@@ -169,9 +169,9 @@
                 Event()
                     .add("after_ms", now - startedAt_)
                     .add("configuration_version", router_.configurationVersion())
-                    .add("revision", news.revision)
+                    .add("revision", changed.revision)
                     .add("servers", std::uint64_t(router_.directory().size()))
-                    .add("source", news.source),
+                    .add("source", changed.source),
                 now);
             flushLog(now);
             startPeerSync(now);
@@ -187,8 +187,8 @@
     void perform(const StoreFeedAction& action)
     {
         const TimePoint now = Clock::now();
-        if (const auto* news = std::get_if<DeltaReceived>(&action)) {
-            peerSync_->handleStoreDelta(*news, now);
+        if (const auto* received = std::get_if<DeltaReceived>(&action)) {
+            peerSync_->handleStoreDelta(*received, now);
         } else if (const auto* lost = std::get_if<StoreUnreachable>(&action)) {
             peerSync_->noteStoreReachability(true, now);
             log_.write(LogLevel::Warning, "store", "lost", Event().add("error", lost->error.toString()), now);
--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -147,7 +147,7 @@
         now);
 }
 
-void ForwarderLog::configuration(const ReceivedConfiguration& received, const ReplicaChanged& news, TimePoint now)
+void ForwarderLog::configuration(const ReceivedConfiguration& received, const ReplicaChanged& changed, TimePoint now)
 {
     log_.write(LogLevel::Info, "configuration", received.isApplied ? "taken" : "older_ignored",
         Event()
@@ -155,9 +155,9 @@
             .add("routes", std::uint64_t(received.routes))
             .add("changed", std::uint64_t(received.changedRoutes))
             .add("revision", received.revision)
-            .add("source", news.source)
+            .add("source", changed.source)
             .add("age_ms", Duration(received.age))
-            .add("behind_ms", news.lag)
+            .add("behind_ms", changed.lag)
             .add("read_ms", received.applyTime),
         now);
 }
@@ -169,14 +169,14 @@
     log_.writeAdmitted(LogLevel::Error, "news", "refused", Event().add("key", key).add("error", error.toString()), now);
 }
 
-void ForwarderLog::updates(const ReplicaChanged& news, TimePoint now)
+void ForwarderLog::updates(const ReplicaChanged& changed, TimePoint now)
 {
     log_.write(LogLevel::Debug, "news", "taken",
         Event()
-            .add("source", news.source)
-            .add("items", std::uint64_t(news.items.size()))
-            .add("revision", news.revision)
-            .add("in_doubt", news.isInDoubt),
+            .add("source", changed.source)
+            .add("items", std::uint64_t(changed.items.size()))
+            .add("revision", changed.revision)
+            .add("in_doubt", changed.isInDoubt),
         now);
 }
 
--- a/Source/Forwarder/StoreUpdateApplier.h
+++ b/Source/Forwarder/StoreUpdateApplier.h
@@ -25,24 +25,24 @@
     {
     }
 
-    void apply(const ReplicaChanged& news, TimePoint now)
+    void apply(const ReplicaChanged& changed, TimePoint now)
     {
-        metrics_.countUpdates(news.source, news.items.size());
-        log_.updates(news, now);
+        metrics_.countUpdates(changed.source, changed.items.size());
+        log_.updates(changed, now);
         ServerDirectory::Transitions transitions;
-        for (const StoreUpdate& item : news.items) {
+        for (const StoreUpdate& item : changed.items) {
             if (item.key == Adapter::configurationKey)
-                applyConfiguration(item, news, now);
+                applyConfiguration(item, changed, now);
             else if (const auto zone = Adapter::emptiedZoneOf(item.key))
-                applyZoneOrder(*zone, item, news, now);
+                applyZoneOrder(*zone, item, changed, now);
             else if (const auto id = Adapter::serverIdOf(item.key))
-                std::ranges::move(applyServer(*id, item, news, now), std::back_inserter(transitions));
+                std::ranges::move(applyServer(*id, item, changed, now), std::back_inserter(transitions));
         }
-        log_.transitions(transitions, news.revision, news.source, now);
+        log_.transitions(transitions, changed.revision, changed.source, now);
     }
 
 private:
-    void applyConfiguration(const StoreUpdate& item, const ReplicaChanged& news, TimePoint now)
+    void applyConfiguration(const StoreUpdate& item, const ReplicaChanged& changed, TimePoint now)
     {
         // Operators replace the configuration and never take it away; without one nothing could be routed.
         if (item.isRemoved)
@@ -63,24 +63,24 @@
         received.revision = item.revision;
         received.age = std::chrono::milliseconds(item.ageMilliseconds);
         received.applyTime = Clock::now() - now;
-        log_.configuration(received, news, now);
+        log_.configuration(received, changed, now);
         if (received.isApplied)
             metrics_.observeConfiguration(received.age + received.applyTime, received.applyTime);
     }
 
     // The order is the key, and its value says nothing: an order with a value that can't be read is one too.
-    void applyZoneOrder(const std::string& zone, const StoreUpdate& item, const ReplicaChanged& news, TimePoint now)
+    void applyZoneOrder(const std::string& zone, const StoreUpdate& item, const ReplicaChanged& changed, TimePoint now)
     {
         const auto change = router_.setZoneEvacuation(zone, !item.isRemoved, item.revision, now);
         if (change)
-            log_.zoneEvacuation(*change, std::chrono::milliseconds(item.ageMilliseconds), news.source, now);
+            log_.zoneEvacuation(*change, std::chrono::milliseconds(item.ageMilliseconds), changed.source, now);
     }
 
     ServerDirectory::Transitions applyServer(
-        const std::string& id, const StoreUpdate& item, const ReplicaChanged& news, TimePoint now)
+        const std::string& id, const StoreUpdate& item, const ReplicaChanged& changed, TimePoint now)
     {
         if (item.isRemoved)
-            return router_.removeServer(id, news.isInDoubt, now);
+            return router_.removeServer(id, changed.isInDoubt, now);
         const auto server = readServer(id, item);
         if (!server) {
             refuse(item, server.error(), now);
