--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -24,12 +24,13 @@
     // Runs when a packet names a server that is not known here, or a service without servers that may get it.
     using OnContradiction = std::function<void(TimePoint)>;
 
-    TokenPacketPath(boost::asio::io_context& context, PacketSocket socket, TokenRouter& router, const ReplicaSync& news,
-        ForwarderLifecycle& lifecycle, ForwarderLog& log, ForwarderMetrics& metrics, OnContradiction onContradiction)
+    TokenPacketPath(boost::asio::io_context& context, PacketSocket socket, TokenRouter& router,
+        const ReplicaSync& replicaSync, ForwarderLifecycle& lifecycle, ForwarderLog& log, ForwarderMetrics& metrics,
+        OnContradiction onContradiction)
         : socket_(std::move(socket))
         , descriptor_(context, socket_.descriptor())
         , router_(router)
-        , news_(news)
+        , replicaSync_(replicaSync)
         , lifecycle_(lifecycle)
         , log_(log)
         , metrics_(metrics)
@@ -42,26 +43,26 @@
     TokenPacketPath(const TokenPacketPath&) = delete;
     TokenPacketPath& operator=(const TokenPacketPath&) = delete;
 
-    void start() { await(); }
+    void start() { awaitReadable(); }
 
 private:
     // So many batches are handled before other work of the process gets its turn.
-    static constexpr int batchesInARow = 4;
+    static constexpr int maxBatchesPerWakeup = 4;
 
-    void await()
+    void awaitReadable()
     {
         descriptor_.async_wait(
             boost::asio::posix::stream_descriptor::wait_read, [this](const boost::system::error_code& error) {
                 if (error)
                     return;
                 receive();
-                await();
+                awaitReadable();
             });
     }
 
     void receive()
     {
-        for (int i = 0; i < batchesInARow; ++i) {
+        for (int i = 0; i < maxBatchesPerWakeup; ++i) {
             const unsigned received = batch_.receive(socket_.descriptor());
             if (received == 0)
                 return;
@@ -89,8 +90,9 @@
         if (decision.reason == PacketReason::TokenUnknown || decision.reason == PacketReason::NoServer
             || decision.reason == PacketReason::ZonesEvacuated)
             onContradiction_(now);
-        const std::string_view requestId = showsRequest(*packet, decision) ? Adapter::requestIdOf(datagram) : "";
-        log_.packet(*packet, decision, requestId, router_.configurationVersion(), news_.replica().completeTo(), now);
+        const std::string_view requestId = shouldLogRequest(*packet, decision) ? Adapter::requestIdOf(datagram) : "";
+        log_.packet(
+            *packet, decision, requestId, router_.configurationVersion(), replicaSync_.replica().completeTo(), now);
         for (const KnownServer* server : decision.choice.ejected)
             log_.ejected(*server, now);
         if (decision.progress.hasRecovered)
@@ -104,7 +106,7 @@
     }
 
     // Whether the log names the request of this packet: where one begins, and where one fails.
-    static bool showsRequest(const TokenPacket& packet, const PacketDecision& decision)
+    static bool shouldLogRequest(const TokenPacket& packet, const PacketDecision& decision)
     {
         const bool hasFailed = decision.verdict != PacketVerdict::Forward;
         const FlowProgress& progress = decision.progress;
@@ -124,14 +126,14 @@
     // Callers take packets on the port on which the forwarder takes theirs.
     void reset(const TokenPacket& cause)
     {
-        const auto head = Adapter::encodeReset(cause);
-        batch_.queue(head, {}, { cause.ends.caller.address, socket_.address().port });
+        const auto header = Adapter::encodeReset(cause);
+        batch_.queue(header, {}, { cause.ends.caller.address, socket_.address().port });
     }
 
     PacketSocket socket_;
     boost::asio::posix::stream_descriptor descriptor_;
     TokenRouter& router_;
-    const ReplicaSync& news_;
+    const ReplicaSync& replicaSync_;
     ForwarderLifecycle& lifecycle_;
     ForwarderLog& log_;
     ForwarderMetrics& metrics_;
