--- a/Source/Forwarder/StoreUpdateApplier.h
+++ b/Source/Forwarder/StoreUpdateApplier.h
@@ -34,7 +34,7 @@
             if (item.key == Adapter::configurationKey)
                 applyConfiguration(item, changed, now);
             else if (const auto zone = Adapter::emptiedZoneOf(item.key))
-                applyZoneOrder(*zone, item, changed, now);
+                applyZoneEvacuation(*zone, item, changed, now);
             else if (const auto id = Adapter::serverIdOf(item.key))
                 std::ranges::move(applyServer(*id, item, changed, now), std::back_inserter(transitions));
         }
@@ -46,13 +46,13 @@
     {
         // Operators replace the configuration and never take it away; without one nothing could be routed.
         if (item.isRemoved)
-            return refuse(item, { ErrorCode::NotFound, "the configuration was removed; the last one stays" }, now);
+            return reject(item, { ErrorCode::NotFound, "the configuration was removed; the last one stays" }, now);
         // The book unpacks what can be unpacked.
         if (item.isCompressed)
-            return refuse(item, plainValue(item).error(), now);
+            return reject(item, plainValue(item).error(), now);
         Result<ConfigurationChange> change = reader_.read(item.value);
         if (!change)
-            return refuse(item, change.error(), now);
+            return reject(item, change.error(), now);
         ReceivedConfiguration received;
         received.version = change.value().version;
         received.routes = change.value().total;
@@ -69,7 +69,8 @@
     }
 
     // The order is the key, and its value says nothing: an order with a value that can't be read is one too.
-    void applyZoneOrder(const std::string& zone, const StoreUpdate& item, const ReplicaChanged& changed, TimePoint now)
+    void applyZoneEvacuation(
+        const std::string& zone, const StoreUpdate& item, const ReplicaChanged& changed, TimePoint now)
     {
         const auto change = router_.setZoneEvacuation(zone, !item.isRemoved, item.revision, now);
         if (change)
@@ -83,7 +84,7 @@
             return router_.removeServer(id, changed.isInDoubt, now);
         const auto server = readServer(id, item);
         if (!server) {
-            refuse(item, server.error(), now);
+            reject(item, server.error(), now);
             return router_.invalidateServer(id, item.revision, now);
         }
         return router_.putServer(server.value(), item.revision, now);
@@ -96,7 +97,7 @@
         return Adapter::decodeServer(id, item.value);
     }
 
-    void refuse(const StoreUpdate& item, const Error& error, TimePoint now)
+    void reject(const StoreUpdate& item, const Error& error, TimePoint now)
     {
         metrics_.countRejectedUpdate();
         log_.rejectedUpdate(item.key, error, now);
