--- a/Source/Forwarder/StoreFeedDriver.h
+++ b/Source/Forwarder/StoreFeedDriver.h
@@ -34,10 +34,10 @@
         perform(feed_.update(completeTo, shallWatch, behindSince, now));
     }
     void noteContradiction(TimePoint now) { perform(feed_.noteContradiction(now)); }
-    void tick(bool knowsWiderNeighbour, TimePoint now)
+    void tick(bool knowsFasterPeer, TimePoint now)
     {
         if (const auto progress = client_.http().progress())
-            perform(feed_.handlePageProgress(progress->received, progress->total, knowsWiderNeighbour, now));
+            perform(feed_.handlePageProgress(progress->received, progress->total, knowsFasterPeer, now));
         perform(feed_.tick(now));
     }
 
@@ -80,12 +80,12 @@
             });
     }
 
-    template <typename Value> void count(const char* call, const Result<Value>& result, Duration took)
+    template <typename Value> void count(const char* call, const Result<Value>& result, Duration duration)
     {
         // An idle connection of a store that stopped answering is as silent as the one that was just given up.
         if (!result)
             client_.http().closeIdle();
-        metrics_.countStoreCall(call, result ? "ok" : std::string(nameOf(result.error().code)), took);
+        metrics_.countStoreCall(call, result ? "ok" : std::string(nameOf(result.error().code)), duration);
     }
 
     KeyValueClient<Http1Client, typename Adapter::StoreDialect> client_;
