--- a/Source/Forwarder/ForwarderSettings.cpp
+++ b/Source/Forwarder/ForwarderSettings.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-    constexpr std::uint32_t largestLogBudget = 1'000'000;
-    constexpr double longestSeconds = 86'400;
-    constexpr double largestFactor = 1000;
-    constexpr std::uint32_t largestGroup = 1'000'000;
+    constexpr std::uint32_t maxLogBudget = 1'000'000;
+    constexpr double maxSeconds = 86'400;
+    constexpr double maxFactor = 1000;
+    constexpr std::uint32_t maxGroupSize = 1'000'000;
     // Flows a second.
-    constexpr double largestSlack = 1e9;
+    constexpr double maxSlack = 1e9;
     // Mbit/s.
-    constexpr double widestLink = 1e9;
-    constexpr std::chrono::milliseconds shortestPatience { 1 };
+    constexpr double maxLinkMegabits = 1e9;
+    constexpr std::chrono::milliseconds minTimeout { 1 };
     // A day, which switches a mechanism off.
-    constexpr std::chrono::milliseconds longestPatience { 86'400'000 };
+    constexpr std::chrono::milliseconds maxTimeout { 86'400'000 };
 
     void readAddresses(SettingsReader& reader, ForwarderSettings& settings)
     {
@@ -31,19 +31,19 @@
     }
 
     // The platform gives its bounds in seconds, whole or not.
-    void readSeconds(SectionReader& section, std::string_view key, std::chrono::milliseconds& target, double least)
+    void readSeconds(SectionReader& section, std::string_view key, std::chrono::milliseconds& target, double minimum)
     {
         double seconds = std::chrono::duration<double>(target).count();
-        section.number(key, seconds, least, longestSeconds);
+        section.number(key, seconds, minimum, maxSeconds);
         target = std::chrono::milliseconds(static_cast<std::int64_t>(seconds * 1000));
     }
 
     void readOpening(SettingsReader& reader, OpeningSettings& opening)
     {
         SectionReader& section = reader.section("opening");
-        const auto factor = [&](std::string_view key, float& target, double least) {
+        const auto factor = [&](std::string_view key, float& target, double minimum) {
             double value = static_cast<double>(target);
-            section.number(key, value, least, largestFactor);
+            section.number(key, value, minimum, maxFactor);
             target = static_cast<float>(value);
         };
         factor("load_weight", opening.loadWeight, 0);
@@ -51,9 +51,9 @@
         factor("idle_flow_weight", opening.idleFlowWeight, 0);
         factor("cold_factor", opening.coldFactor, 1);
         factor("failing_penalty", opening.failingPenalty, 0);
-        section.integer<std::uint32_t>("silent_servers_of_a_group", opening.groupEjectionThreshold, 0, largestGroup);
-        section.milliseconds("patience_milliseconds", opening.openingTimeout, shortestPatience, longestPatience);
-        section.milliseconds("zone_proof_milliseconds", opening.zoneLivenessTimeout, shortestPatience, longestPatience);
+        section.integer<std::uint32_t>("silent_servers_of_a_group", opening.groupEjectionThreshold, 0, maxGroupSize);
+        section.milliseconds("patience_milliseconds", opening.openingTimeout, minTimeout, maxTimeout);
+        section.milliseconds("zone_proof_milliseconds", opening.zoneLivenessTimeout, minTimeout, maxTimeout);
     }
 
     void readLog(SettingsReader& reader, ForwarderSettings& settings)
@@ -65,7 +65,7 @@
             settings.logLevel = parsed.value();
         else
             section.addProblem("level", "debug, info, warning or error");
-        section.integer<std::uint32_t>("lines_per_second_and_kind", settings.logBudget, 1, largestLogBudget);
+        section.integer<std::uint32_t>("lines_per_second_and_kind", settings.logBudget, 1, maxLogBudget);
     }
 
 }
@@ -83,10 +83,10 @@
     readSeconds(limits, "longest_flow_seconds", settings.longestFlow, 1);
     readSeconds(limits, "grace_seconds", settings.grace, 0);
     double linkMegabits = settings.linkMegabits;
-    limits.number("link_megabits_per_second", linkMegabits, 0, widestLink);
+    limits.number("link_megabits_per_second", linkMegabits, 0, maxLinkMegabits);
     settings.linkMegabits = static_cast<std::uint32_t>(linkMegabits);
-    limits.number("cold_overage", settings.coldStart.overage, 0, largestFactor);
-    limits.number("cold_slack_flows", settings.coldStart.slack, 0, largestSlack);
+    limits.number("cold_overage", settings.coldStart.overage, 0, maxFactor);
+    limits.number("cold_slack_flows", settings.coldStart.slack, 0, maxSlack);
     readOpening(reader, settings.opening);
     readLog(reader, settings);
     const SettingsProblems problems = reader.finish();
