--- a/Source/Forwarder/SettingsFileWatcher.cpp
+++ b/Source/Forwarder/SettingsFileWatcher.cpp
@@ -7,21 +7,21 @@
 
 SettingsFileWatcher::SettingsFileWatcher(std::string path)
     : path_(std::move(path))
-    , last_(stamp())
+    , lastState_(currentState())
 {
 }
 
 bool SettingsFileWatcher::hasChanged()
 {
-    const Stamp now = stamp();
+    const FileState now = currentState();
     // A file that is just being replaced may be missing for a moment.
-    if (now == last_ || now.size < 0)
+    if (now == lastState_ || now.size < 0)
         return false;
-    last_ = now;
+    lastState_ = now;
     return true;
 }
 
-SettingsFileWatcher::Stamp SettingsFileWatcher::stamp() const
+SettingsFileWatcher::FileState SettingsFileWatcher::currentState() const
 {
     struct stat found { };
     if (::stat(path_.c_str(), &found) != 0)
--- a/Source/Forwarder/SettingsFileWatcher.h
+++ b/Source/Forwarder/SettingsFileWatcher.h
@@ -19,18 +19,18 @@
     Result<ForwarderSettings> read() const { return ForwarderSettings::load(path_); }
 
 private:
-    struct Stamp {
+    struct FileState {
         std::uint64_t inode = 0;
         std::int64_t size = -1;
-        std::int64_t changedNanoseconds = 0;
+        std::int64_t modifiedNanoseconds = 0;
 
-        bool operator==(const Stamp&) const = default;
+        bool operator==(const FileState&) const = default;
     };
 
-    Stamp stamp() const;
+    FileState currentState() const;
 
     std::string path_;
-    Stamp last_;
+    FileState lastState_;
 };
 
 }
--- a/Source/Forwarder/SettingsReloader.h
+++ b/Source/Forwarder/SettingsReloader.h
@@ -26,10 +26,10 @@
     void reload(const char* cause, TimePoint now);
 
 private:
-    static constexpr std::chrono::seconds checkPeriod { 2 };
+    static constexpr std::chrono::seconds checkInterval { 2 };
 
     ForwarderSettings& settings_;
-    SettingsFileWatcher watch_;
+    SettingsFileWatcher watcher_;
     EventLog& log_;
     OnSeeds onSeeds_;
     TimePoint lastCheck_;
