--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -20,14 +20,14 @@
     }
 
     // How long ago; negative when it never was.
-    double ageOf(TimePoint then, TimePoint now)
+    double millisecondsSince(TimePoint time, TimePoint now)
     {
-        return then == TimePoint::min() ? -1.0 : std::chrono::duration<double, std::milli>(now - then).count();
+        return time == TimePoint::min() ? -1.0 : std::chrono::duration<double, std::milli>(now - time).count();
     }
 
 }
 
-std::string flowNameOf(const FlowEnds& ends) { return ends.caller.toString() + ">" + ends.route.toString(); }
+std::string flowName(const FlowEnds& ends) { return ends.caller.toString() + ">" + ends.route.toString(); }
 
 void ForwarderLog::packet(const TokenPacket& packet, const PacketDecision& decision, std::string_view requestId,
     std::uint64_t configurationVersion, std::uint64_t revision, TimePoint now)
@@ -37,7 +37,7 @@
     if (level < log_.level() || !log_.admits("flow", reason, now))
         return;
     Event event;
-    event.add("flow", flowNameOf(packet.ends)).add("verdict", nameOf(decision.verdict));
+    event.add("flow", flowName(packet.ends)).add("verdict", nameOf(decision.verdict));
     if (packet.opens)
         event.add("copies", decision.copies);
     else
@@ -50,7 +50,7 @@
     if (const KnownServer* server = decision.server) {
         event.add("server", server->entry.id).add("server_zone", server->entry.availabilityZone);
         event.add("server_state", nameOf(server->state)).add("server_revision", server->revision);
-        event.add("silent_ms", ageOf(server->seen.lastProgress, now));
+        event.add("silent_ms", millisecondsSince(server->seen.lastProgress, now));
         event.add("flows", server->seen.flows).add("busy", server->seen.busy);
     }
     if (decision.admission.isRefused)
@@ -80,11 +80,11 @@
         return;
     const KnownServer& server = *decision.server;
     Event event;
-    event.add("flow", flowNameOf(packet.ends));
+    event.add("flow", flowName(packet.ends));
     if (!requestId.empty())
         event.add("request", requestId);
     event.add("server", server.entry.id).add("server_state", nameOf(server.state));
-    event.add("silent_ms", ageOf(server.seen.lastProgress, now));
+    event.add("silent_ms", millisecondsSince(server.seen.lastProgress, now));
     event.add("flows", server.seen.flows).add("busy", server.seen.busy);
     if (progress.answerTime)
         event.add("former_answer_ms", *progress.answerTime);
@@ -105,28 +105,29 @@
     std::map<std::string_view, std::vector<const ServerTransition*>> byEvent;
     for (const ServerTransition& transition : transitions)
         byEvent[eventOf(transition)].push_back(&transition);
-    for (const auto& [event, alike] : byEvent) {
-        if (alike.size() > maxSeparateLines)
-            transitionSummary(alike, revision, source, now);
+    for (const auto& [event, group] : byEvent) {
+        if (group.size() > maxSeparateLines)
+            transitionSummary(group, revision, source, now);
         else
-            for (const ServerTransition* one : alike)
+            for (const ServerTransition* transition : group)
                 transition(*one, revision, source, now);
     }
 }
 
 void ForwarderLog::transitionSummary(
-    const std::vector<const ServerTransition*>& alike, std::uint64_t revision, const std::string& source, TimePoint now)
+    const std::vector<const ServerTransition*>& group, std::uint64_t revision, const std::string& source, TimePoint now)
 {
-    constexpr std::size_t named = 4;
+    constexpr std::size_t maxNames = 4;
     std::string names;
-    for (std::size_t i = 0; i < named; ++i)
-        names += (i == 0 ? "" : ",") + alike[i]->id;
-    const auto unknown = std::ranges::count_if(alike, [](const ServerTransition* one) { return one->isNew; });
+    for (std::size_t i = 0; i < maxNames; ++i)
+        names += (i == 0 ? "" : ",") + group[i]->id;
+    const auto newServers
+        = std::ranges::count_if(group, [](const ServerTransition* transition) { return transition->isNew; });
     log_.write(LogLevel::Info, "server", "many",
         Event()
-            .add("became", eventOf(*alike.front()))
-            .add("servers", std::uint64_t(alike.size()))
-            .add("unknown_before", std::uint64_t(unknown))
+            .add("became", eventOf(*group.front()))
+            .add("servers", std::uint64_t(group.size()))
+            .add("unknown_before", std::uint64_t(newServers))
             .add("among", names)
             .add("revision", revision)
             .add("source", source),
@@ -187,7 +188,7 @@
             .add("server", server.entry.id)
             .add("service", server.entry.service)
             .add("failures", server.seen.failures)
-            .add("silent_ms", ageOf(server.seen.lastProgress, now))
+            .add("silent_ms", millisecondsSince(server.seen.lastProgress, now))
             .add("for_ms", server.seen.ejectedUntil - now),
         now);
 }
--- a/Source/Forwarder/ForwarderLog.h
+++ b/Source/Forwarder/ForwarderLog.h
@@ -25,7 +25,7 @@
     Duration applyTime {};
 };
 
-// The forwarder's log lines, one function for each kind of event (docs/OPERATIONS.md lists them). A flow is named by
+// The forwarder's log lines, one function for each kind of event (docs/OPERATIONS.md lists them). A flow is maxNames by
 // the addresses and ports of its two ends, "CALLER>ROUTE", which callers and packet captures show too.
 class ForwarderLog {
 public:
@@ -72,6 +72,6 @@
 };
 
 // "192.0.2.7:40001>198.51.100.1:443".
-std::string flowNameOf(const FlowEnds&);
+std::string flowName(const FlowEnds&);
 
 }
