--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -109,7 +109,7 @@
         if (group.size() > maxSeparateLines)
             transitionSummary(group, revision, source, now);
         else
-            for (const ServerTransition* transition : group)
+            for (const ServerTransition* one : group)
                 transition(*one, revision, source, now);
     }
 }
--- a/Source/Forwarder/ForwarderLog.h
+++ b/Source/Forwarder/ForwarderLog.h
@@ -25,7 +25,7 @@
     Duration applyTime {};
 };
 
-// The forwarder's log lines, one function for each kind of event (docs/OPERATIONS.md lists them). A flow is maxNames by
+// The forwarder's log lines, one function for each kind of event (docs/OPERATIONS.md lists them). A flow is named by
 // the addresses and ports of its two ends, "CALLER>ROUTE", which callers and packet captures show too.
 class ForwarderLog {
 public:
