--- a/Source/PacketIo/PacketBatch.cpp
+++ b/Source/PacketIo/PacketBatch.cpp
@@ -7,23 +7,23 @@
 
 namespace wisteriadock {
 
-PacketBatch::PacketBatch(PacketWait wait, std::size_t largestDatagram)
+PacketBatch::PacketBatch(PacketWait wait, std::size_t maxDatagramBytes)
     : wait_(wait)
-    , largestDatagram_(largestDatagram)
-    , bytes_(capacity * largestDatagram)
+    , maxDatagramBytes_(maxDatagramBytes)
+    , bytes_(capacity * maxDatagramBytes)
 {
     for (std::size_t i = 0; i < capacity; ++i) {
-        incomingParts_[i] = { .iov_base = bytes_.data() + i * largestDatagram, .iov_len = largestDatagram };
+        incomingParts_[i] = { .iov_base = bytes_.data() + i * maxDatagramBytes, .iov_len = maxDatagramBytes };
         incoming_[i].msg_hdr.msg_iov = &incomingParts_[i];
         incoming_[i].msg_hdr.msg_iovlen = 1;
         incoming_[i].msg_hdr.msg_name = &senders_[i];
         incoming_[i].msg_hdr.msg_namelen = sizeof(senders_[i]);
 
         Outgoing& outgoing = outgoing_[i];
-        msghdr& head = outgoingHeads_[i].msg_hdr;
-        head.msg_name = &outgoing.destination;
-        head.msg_namelen = sizeof(outgoing.destination);
-        head.msg_iov = outgoing.parts.data();
+        msghdr& header = outgoingHeaders_[i].msg_hdr;
+        header.msg_name = &outgoing.destination;
+        header.msg_namelen = sizeof(outgoing.destination);
+        header.msg_iov = outgoing.parts.data();
     }
 }
 
@@ -41,13 +41,13 @@
     const mmsghdr& message = incoming_[index];
     if (message.msg_hdr.msg_flags & MSG_TRUNC)
         return {};
-    return { bytes_.data() + index * largestDatagram_, message.msg_len };
+    return { bytes_.data() + index * maxDatagramBytes_, message.msg_len };
 }
 
 std::span<std::uint8_t> PacketBatch::mutableDatagram(unsigned index)
 {
     const std::span<const std::uint8_t> bytes = datagram(index);
-    return { bytes_.data() + index * largestDatagram_, bytes.size() };
+    return { bytes_.data() + index * maxDatagramBytes_, bytes.size() };
 }
 
 Endpoint PacketBatch::sender(unsigned index) const { return toEndpoint(senders_[index]); }
@@ -56,16 +56,17 @@
 {
     Outgoing& outgoing = nextOutgoing(destination);
     outgoing.parts[0] = { .iov_base = const_cast<std::uint8_t*>(datagram.data()), .iov_len = datagram.size() };
-    outgoingHeads_[queued_ - 1].msg_hdr.msg_iovlen = 1;
+    outgoingHeaders_[queued_ - 1].msg_hdr.msg_iovlen = 1;
 }
 
-void PacketBatch::queue(std::span<const std::uint8_t> head, std::span<const std::uint8_t> payload, Endpoint destination)
+void PacketBatch::queue(
+    std::span<const std::uint8_t> header, std::span<const std::uint8_t> payload, Endpoint destination)
 {
     Outgoing& outgoing = nextOutgoing(destination);
-    std::copy(head.begin(), head.end(), outgoing.head.begin());
-    outgoing.parts[0] = { .iov_base = outgoing.head.data(), .iov_len = head.size() };
+    std::copy(header.begin(), header.end(), outgoing.header.begin());
+    outgoing.parts[0] = { .iov_base = outgoing.header.data(), .iov_len = header.size() };
     outgoing.parts[1] = { .iov_base = const_cast<std::uint8_t*>(payload.data()), .iov_len = payload.size() };
-    outgoingHeads_[queued_ - 1].msg_hdr.msg_iovlen = 2;
+    outgoingHeaders_[queued_ - 1].msg_hdr.msg_iovlen = 2;
 }
 
 unsigned PacketBatch::send(int descriptor)
@@ -73,7 +74,7 @@
     unsigned refused = 0;
     unsigned next = 0;
     while (next < queued_) {
-        const int sent = ::sendmmsg(descriptor, &outgoingHeads_[next], queued_ - next, 0);
+        const int sent = ::sendmmsg(descriptor, &outgoingHeaders_[next], queued_ - next, 0);
         if (sent > 0) {
             next += static_cast<unsigned>(sent);
             continue;
--- a/Source/PacketIo/PacketBatch.h
+++ b/Source/PacketIo/PacketBatch.h
@@ -13,10 +13,10 @@
 namespace wisteriadock {
 
 // The largest datagram that the packet path passes on, headers included.
-inline constexpr std::size_t largestPacket = 9216;
+inline constexpr std::size_t maxPacketBytes = 9216;
 
 // The most that a queued message may carry before its payload.
-inline constexpr std::size_t largestPacketHead = 64;
+inline constexpr std::size_t maxPacketHeaderBytes = 64;
 
 // Whether receiving waits for the first datagram of a batch.
 enum class PacketWait {
@@ -28,8 +28,8 @@
 // Payloads are never copied: outgoing messages point into the buffers they arrived in.
 class PacketBatch {
 public:
-    // Longer datagrams than largestDatagram are cut and come out empty.
-    explicit PacketBatch(PacketWait = PacketWait::ForOne, std::size_t largestDatagram = largestPacket);
+    // Longer datagrams than maxDatagramBytes are cut and come out empty.
+    explicit PacketBatch(PacketWait = PacketWait::ForOne, std::size_t maxDatagramBytes = maxPacketBytes);
     PacketBatch(const PacketBatch&) = delete;
     PacketBatch& operator=(const PacketBatch&) = delete;
 
@@ -43,10 +43,10 @@
     std::span<std::uint8_t> mutableDatagram(unsigned index);
     Endpoint sender(unsigned index) const;
 
-    // Queues a datagram of this batch as it is, or a part of it behind a head of at most largestPacketHead bytes, which
-    // is copied. At most one message a datagram.
+    // Queues a datagram of this batch as it is, or a part of it behind a header of at most maxPacketHeaderBytes bytes,
+    // which is copied. At most one message a datagram.
     void queue(std::span<const std::uint8_t> datagram, Endpoint destination);
-    void queue(std::span<const std::uint8_t> head, std::span<const std::uint8_t> payload, Endpoint destination);
+    void queue(std::span<const std::uint8_t> header, std::span<const std::uint8_t> payload, Endpoint destination);
     // Sends all that was queued. Returns the number of messages that the kernel refused.
     unsigned send(int descriptor);
     // Drops all that was queued, and returns how many messages that were.
@@ -58,13 +58,13 @@
     struct Outgoing {
         sockaddr_in destination {};
         std::array<iovec, 2> parts {};
-        std::array<std::uint8_t, largestPacketHead> head {};
+        std::array<std::uint8_t, maxPacketHeaderBytes> header {};
     };
 
     Outgoing& nextOutgoing(Endpoint destination);
 
     const PacketWait wait_;
-    const std::size_t largestDatagram_;
+    const std::size_t maxDatagramBytes_;
     unsigned received_ = 0;
     unsigned queued_ = 0;
     std::vector<std::uint8_t> bytes_;
@@ -72,7 +72,7 @@
     std::array<mmsghdr, capacity> incoming_ {};
     std::array<sockaddr_in, capacity> senders_ {};
     std::array<Outgoing, capacity> outgoing_ {};
-    std::array<mmsghdr, capacity> outgoingHeads_ {};
+    std::array<mmsghdr, capacity> outgoingHeaders_ {};
 };
 
 }
--- a/Source/PacketIo/PacketSocket.cpp
+++ b/Source/PacketIo/PacketSocket.cpp
@@ -24,7 +24,7 @@
     constexpr std::uint32_t clientAddressOffset = 16;
     constexpr std::uint32_t clientPortOffset = 24;
     // Spreads neighbouring addresses over the group (Knuth's multiplicative hash).
-    constexpr std::uint32_t spreadFactor = 2654435761U;
+    constexpr std::uint32_t hashMultiplier = 2654435761U;
 
     Error systemError(const char* what, Endpoint endpoint)
     {
@@ -88,7 +88,7 @@
         BPF_STMT(BPF_MISC | BPF_TAX, 0),
         BPF_STMT(BPF_LD | BPF_H | BPF_ABS, clientPortOffset),
         BPF_STMT(BPF_ALU | BPF_XOR | BPF_X, 0),
-        BPF_STMT(BPF_ALU | BPF_MUL | BPF_K, spreadFactor),
+        BPF_STMT(BPF_ALU | BPF_MUL | BPF_K, hashMultiplier),
         BPF_STMT(BPF_ALU | BPF_RSH | BPF_K, 16),
         BPF_STMT(BPF_ALU | BPF_MOD | BPF_K, members),
         BPF_STMT(BPF_RET | BPF_A, 0),
