--- a/Source/Balancer/PacketCounters.h
+++ b/Source/Balancer/PacketCounters.h
@@ -12,7 +12,7 @@
 
 // Why the packet path dropped a packet: the flow engine's reasons, and its own.
 enum class PacketDrop : std::uint8_t {
-    Malformed, // No whole PROXY v2 header, or longer than largestPacket.
+    Malformed, // No whole PROXY v2 header, or longer than maxPacketBytes.
     UnknownAddress,
     NoBackendServer,
     NoArbiter,
--- a/Source/Balancer/PacketWorker.cpp
+++ b/Source/Balancer/PacketWorker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    static_assert(largestProxyHeader <= largestPacketHead);
+    static_assert(largestProxyHeader <= maxPacketHeaderBytes);
 
     // No batch takes nearly as long, unless the process did not run meanwhile.
     constexpr std::chrono::milliseconds longestBatch { 500 };
