--- a/Tests/Forwarder/PeerSyncTest.cpp
+++ b/Tests/Forwarder/PeerSyncTest.cpp
@@ -18,7 +18,7 @@
 
     constexpr std::uint32_t loopback = 0x7F000001;
     // How long the test waits for what must happen, before it gives up.
-    constexpr auto patience = 20s;
+    constexpr auto testTimeout = 20s;
 
     // A port that nothing listened on a moment ago.
     std::uint16_t freePort()
@@ -35,7 +35,7 @@
         ForwarderMetrics metrics;
         ServerDirectory directory;
         EvacuatedZones evacuatedZones;
-        std::unique_ptr<PeerSync> news;
+        std::unique_ptr<PeerSync> peerSync;
         std::vector<StoreUpdate> received;
 
         Balancer() = default;
@@ -58,8 +58,8 @@
             auto opened = PeerSync::open(context, self, { { other, port } }, address, log, metrics, handler, settings);
             if (!opened)
                 return false;
-            news = std::move(opened).value();
-            news->start(Clock::now());
+            peerSync = std::move(opened).value();
+            peerSync->start(Clock::now());
             return true;
         }
 
@@ -67,7 +67,7 @@
         {
             context.poll();
             context.restart();
-            news->tick(Clock::now());
+            peerSync->tick(Clock::now());
         }
 
         std::uint64_t fetches(const std::string& outcome)
@@ -84,8 +84,8 @@
 
     struct PeerSyncTest : testing::Test {
         ReplicaSyncSettings settings;
-        Balancer asking;
-        Balancer other;
+        Balancer client;
+        Balancer server;
 
         PeerSyncTest()
         {
@@ -95,20 +95,20 @@
             bool isOpen = false;
             for (int i = 0; i < 20 && !isOpen; ++i) {
                 const std::uint16_t port = freePort();
-                isOpen = asking.open(loopback, loopback + 1, port, settings)
-                    && other.open(loopback + 1, loopback, port, settings);
+                isOpen = client.open(loopback, loopback + 1, port, settings)
+                    && server.open(loopback + 1, loopback, port, settings);
             }
             EXPECT_TRUE(isOpen);
-            waitUntil([&] { return asking.news->members() == 2 && other.news->members() == 2; },
+            waitUntil([&] { return client.peerSync->members() == 2 && server.peerSync->members() == 2; },
                 [&] {
-                    asking.poll();
-                    other.poll();
+                    client.poll();
+                    server.poll();
                 });
         }
 
         template <typename Condition, typename Step> void waitUntil(Condition condition, Step step)
         {
-            const TimePoint end = Clock::now() + patience;
+            const TimePoint end = Clock::now() + testTimeout;
             while (!condition()) {
                 ASSERT_LT(Clock::now(), end);
                 step();
@@ -117,12 +117,12 @@
         }
 
         // Larger than a datagram, also when packed.
-        static StoreDelta largeNews()
+        static StoreDelta largeDelta()
         {
             std::mt19937 random(1);
-            std::string noise(20000, ' ');
-            std::ranges::generate(noise, [&] { return static_cast<char>(random()); });
-            return { 0, 5, false, false, { { "configuration", noise, 5, false } } };
+            std::string randomBytes(20000, ' ');
+            std::ranges::generate(randomBytes, [&] { return static_cast<char>(random()); });
+            return { 0, 5, false, false, { { "configuration", randomBytes, 5, false } } };
         }
     };
 
@@ -135,27 +135,28 @@
     TEST_F(PeerSyncTest, anAnswerThatIsGivenUpIsAskedForOnceMore)
     {
         const TimePoint began = Clock::now();
-        other.news->handleStoreDelta({ largeNews() }, began);
+        server.peerSync->handleStoreDelta({ largeDelta() }, began);
         // The other one stands still from here on: connections to it open, but nothing answers.
-        waitUntil([&] { return asking.fetches("asked") >= 6; }, [&] { asking.poll(); });
-        const auto givenUp = static_cast<std::uint64_t>((Clock::now() - began) / settings.answerTimeout);
-        EXPECT_LE(asking.fetches("asked"), 1 + givenUp);
+        waitUntil([&] { return client.fetches("asked") >= 6; }, [&] { client.poll(); });
+        const auto timeouts = static_cast<std::uint64_t>((Clock::now() - began) / settings.answerTimeout);
+        EXPECT_LE(client.fetches("asked"), 1 + timeouts);
         {
             SCOPED_TRACE("also while the connection has not been opened, as to a VM without power");
-            const std::uint64_t before = asking.fetches("asked");
+            const std::uint64_t before = client.fetches("asked");
             const TimePoint since = Clock::now();
-            waitUntil([&] { return asking.fetches("asked") >= before + 6; }, [&] { asking.news->tick(Clock::now()); });
-            const auto more = static_cast<std::uint64_t>((Clock::now() - since) / settings.answerTimeout);
-            EXPECT_LE(asking.fetches("asked"), before + 1 + more);
+            waitUntil(
+                [&] { return client.fetches("asked") >= before + 6; }, [&] { client.peerSync->tick(Clock::now()); });
+            const auto moreTimeouts = static_cast<std::uint64_t>((Clock::now() - since) / settings.answerTimeout);
+            EXPECT_LE(client.fetches("asked"), before + 1 + moreTimeouts);
         }
         {
             SCOPED_TRACE("once it answers again, one answer is enough");
-            waitUntil([&] { return !asking.received.empty(); },
+            waitUntil([&] { return !client.received.empty(); },
                 [&] {
-                    other.poll();
-                    asking.poll();
+                    server.poll();
+                    client.poll();
                 });
-            EXPECT_EQ(asking.fetches("ok"), 1U);
+            EXPECT_EQ(client.fetches("ok"), 1U);
         }
     }
 
