--- a/Tests/Forwarder/ForwarderLifecycleTest.cpp
+++ b/Tests/Forwarder/ForwarderLifecycleTest.cpp
@@ -28,15 +28,15 @@
     TEST(ForwarderLifecycleTest, itEndsWhenNoPacketComesAnyMoreAndBeforeItWouldBeKilled)
     {
         ManualClock clock;
-        ForwarderLifecycle quiet;
-        quiet.noteSynced();
-        quiet.stop(clock.now());
-        ForwarderLifecycle busy = quiet;
+        ForwarderLifecycle idle;
+        idle.noteSynced();
+        idle.stop(clock.now());
+        ForwarderLifecycle busy = idle;
         clock.advance(1400ms);
-        EXPECT_FALSE(quiet.isStopped(clock.now()));
+        EXPECT_FALSE(idle.isStopped(clock.now()));
         busy.notePacket(clock.now());
         clock.advance(100ms);
-        EXPECT_TRUE(quiet.isStopped(clock.now()));
+        EXPECT_TRUE(idle.isStopped(clock.now()));
         EXPECT_FALSE(busy.isStopped(clock.now()));
         while (clock.now() < TimePoint(1h) + 5400ms) {
             clock.advance(100ms);
--- a/Tests/Forwarder/ForwarderLogTest.cpp
+++ b/Tests/Forwarder/ForwarderLogTest.cpp
@@ -21,30 +21,30 @@
     using namespace std::chrono_literals;
 
     constexpr std::size_t serversAtStart = 300;
-    constexpr std::size_t neighboursAtStart = 300;
+    constexpr std::size_t peersAtStart = 300;
     // What the reader takes at each beat of the forwarder.
     constexpr std::size_t readerBytes = 4096;
-    constexpr auto beat = 250ms;
+    constexpr auto tickInterval = 250ms;
     // An engineer who follows a restart sees within a second that the forwarder serves.
-    constexpr int beatsToTellReady = 4;
+    constexpr int ticksToLogReady = 4;
 
     // A pipe that holds as much as its reader takes at once.
-    struct ThinReader {
+    struct SlowReader {
         std::array<int, 2> ends { -1, -1 };
 
-        ThinReader()
+        SlowReader()
         {
             EXPECT_EQ(::pipe(ends.data()), 0);
             ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
             ::fcntl(ends[1], F_SETPIPE_SZ, readerBytes);
         }
-        ~ThinReader()
+        ~SlowReader()
         {
             ::close(ends[0]);
             ::close(ends[1]);
         }
-        ThinReader(const ThinReader&) = delete;
-        ThinReader& operator=(const ThinReader&) = delete;
+        SlowReader(const SlowReader&) = delete;
+        SlowReader& operator=(const SlowReader&) = delete;
 
         std::string read() const
         {
@@ -58,11 +58,11 @@
     // A forwarder's log at a start of hundreds, as the forwarder writes it.
     struct ForwarderLogTest : testing::Test {
         ManualClock clock;
-        ThinReader reader;
+        SlowReader reader;
         EventLog log { { "edge-1", "walu", 7 }, reader.ends[1] };
         ForwarderLog lines { log };
         MembersLog members { log };
-        std::string seen;
+        std::string output;
 
         void writeStart()
         {
@@ -76,11 +76,11 @@
             log.write(LogLevel::Info, "process", "ready", Event().add("servers", serversAtStart), clock.now());
         }
 
-        void meetNeighbours()
+        void meetPeers()
         {
             members.start(clock.now());
             MembersView view;
-            for (std::size_t i = 0; i < neighboursAtStart; ++i) {
+            for (std::size_t i = 0; i < peersAtStart; ++i) {
                 Member member;
                 member.name = fmt::format("edge-walu-{}", i);
                 member.id = balancerIdOf(member.name);
@@ -94,17 +94,17 @@
             members.handleView(view, true, clock.now());
         }
 
-        void passBeat()
+        void passTick()
         {
             log.flush(clock.now());
-            seen += reader.read();
-            clock.advance(beat);
+            output += reader.read();
+            clock.advance(tickInterval);
         }
 
-        std::vector<nlohmann::json> linesSeen() const
+        std::vector<nlohmann::json> linesRead() const
         {
             std::vector<nlohmann::json> found;
-            std::istringstream input(seen);
+            std::istringstream input(output);
             for (std::string line; std::getline(input, line);)
                 found.push_back(nlohmann::json::parse(line, nullptr, false));
             return found;
@@ -116,7 +116,7 @@
         }
         std::ptrdiff_t countOf(const char* part, const char* event) const
         {
-            return std::ranges::count_if(linesSeen(), [&](const auto& line) { return isEvent(line, part, event); });
+            return std::ranges::count_if(linesRead(), [&](const auto& line) { return isEvent(line, part, event); });
         }
     };
 
@@ -128,10 +128,10 @@
     TEST_F(ForwarderLogTest, aStartOfHundredsTellsWhatMattersToAThinReader)
     {
         writeStart();
-        meetNeighbours();
-        for (int i = 0; i < beatsToTellReady; ++i)
-            passBeat();
-        for (const auto& line : linesSeen())
+        meetPeers();
+        for (int i = 0; i < ticksToLogReady; ++i)
+            passTick();
+        for (const auto& line : linesRead())
             EXPECT_TRUE(line.is_object());
         EXPECT_EQ(countOf("process", "started"), 1);
         EXPECT_EQ(countOf("process", "ready"), 1);
@@ -153,21 +153,21 @@
         for (std::size_t i = 0; i < 150; ++i)
             log.write(LogLevel::Info, "flow", "opened", Event().add("flow", i), clock.now());
         log.write(LogLevel::Warning, "store", "lost", Event(), clock.now());
-        passBeat();
+        passTick();
         EXPECT_EQ(countOf("store", "lost"), 1);
-        for (const auto& line : linesSeen())
+        for (const auto& line : linesRead())
             EXPECT_TRUE(line.is_object());
         {
             SCOPED_TRACE("which come later and whole");
             for (int i = 0; i < 20; ++i)
-                passBeat();
+                passTick();
             EXPECT_EQ(countOf("flow", "opened"), 150);
         }
     }
 
     TEST_F(ForwarderLogTest, aNeighbourThatComesLaterIsToldByItself)
     {
-        meetNeighbours();
+        meetPeers();
         MembersView view;
         for (const char* name : { "edge-walu-0", "edge-walu-new" }) {
             Member member;
@@ -178,7 +178,7 @@
         }
         std::ranges::sort(view.members, {}, &Member::id);
         members.handleView(view, true, clock.now());
-        passBeat();
+        passTick();
         EXPECT_EQ(countOf("peers", "met"), 1);
     }
 
--- a/Tests/Forwarder/ForwarderSettingsTest.cpp
+++ b/Tests/Forwarder/ForwarderSettingsTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    constexpr const char* wholeText = R"([forwarder]
+    constexpr const char* completeText = R"([forwarder]
 vm = edge-walu-1
 availability_zone = walu
 
@@ -40,7 +40,7 @@
 
     TEST(ForwarderSettingsTest, aWholeFileIsRead)
     {
-        const auto settings = ForwarderSettings::parse("file", wholeText);
+        const auto settings = ForwarderSettings::parse("file", completeText);
         ASSERT_TRUE(settings) << settings.error().detail;
         EXPECT_EQ(settings.value().vm, "edge-walu-1");
         EXPECT_EQ(settings.value().store, Endpoint::parse("10.200.1.7:8169").value());
@@ -55,7 +55,7 @@
 
     TEST(ForwarderSettingsTest, allProblemsAreToldAtOnceWithTheirPlaces)
     {
-        std::string text = wholeText;
+        std::string text = completeText;
         text.replace(text.find("10.1.0.10:8172"), 14, "nowhere");
         text.replace(text.find("[store]"), 7, "[stroe]");
         text.replace(text.find("level = warning"), 15, "level = loud");
@@ -68,7 +68,7 @@
 
     TEST(ForwarderSettingsTest, whatNeedsARestartIsNamed)
     {
-        const ForwarderSettings before = ForwarderSettings::parse("file", wholeText).value();
+        const ForwarderSettings before = ForwarderSettings::parse("file", completeText).value();
         ForwarderSettings after = before;
         EXPECT_TRUE(before.differencesThatNeedRestart(after).empty());
         after.seeds.clear();
@@ -84,14 +84,14 @@
     {
         const std::filesystem::path path
             = std::filesystem::temp_directory_path() / ("settings-" + std::to_string(::getpid()));
-        std::ofstream(path) << wholeText;
-        SettingsFileWatcher watch(path.string());
-        EXPECT_FALSE(watch.hasChanged());
-        std::ofstream(path) << wholeText << "\n; changed\n";
-        EXPECT_TRUE(watch.hasChanged());
-        EXPECT_FALSE(watch.hasChanged());
+        std::ofstream(path) << completeText;
+        SettingsFileWatcher watcher(path.string());
+        EXPECT_FALSE(watcher.hasChanged());
+        std::ofstream(path) << completeText << "\n; changed\n";
+        EXPECT_TRUE(watcher.hasChanged());
+        EXPECT_FALSE(watcher.hasChanged());
         std::filesystem::remove(path);
-        EXPECT_FALSE(watch.hasChanged());
+        EXPECT_FALSE(watcher.hasChanged());
     }
 
 }
--- a/Tests/Forwarder/SettingsReloaderTest.cpp
+++ b/Tests/Forwarder/SettingsReloaderTest.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-    constexpr const char* head = "[forwarder]\nvm = vm-1\navailability_zone = walu\n"
-                                 "[listen]\nflow = 127.0.0.1:1\nready = 127.0.0.1:2\npeer = 127.0.0.1:3\n"
-                                 "[store]\naddress = 127.0.0.1:4\n";
+    constexpr const char* requiredText = "[forwarder]\nvm = vm-1\navailability_zone = walu\n"
+                                         "[listen]\nflow = 127.0.0.1:1\nready = 127.0.0.1:2\npeer = 127.0.0.1:3\n"
+                                         "[store]\naddress = 127.0.0.1:4\n";
 
     // A settings file, and what a process makes of its changes.
     struct SettingsReloaderTest : testing::Test {
@@ -25,7 +25,7 @@
         ForwarderSettings settings;
         std::vector<Endpoint> seeds;
         std::unique_ptr<EventLog> log;
-        std::unique_ptr<SettingsReloader> reload;
+        std::unique_ptr<SettingsReloader> reloader;
 
         SettingsReloaderTest()
         {
@@ -33,8 +33,8 @@
             write("");
             settings = ForwarderSettings::load(path).value();
             log = std::make_unique<EventLog>(EventOrigin { "vm-1", "walu", 1 }, pipe[1]);
-            reload = std::make_unique<SettingsReloader>(
-                settings, path, *log, [this](const std::vector<Endpoint>& fresh, TimePoint) { seeds = fresh; });
+            reloader = std::make_unique<SettingsReloader>(
+                settings, path, *log, [this](const std::vector<Endpoint>& changed, TimePoint) { seeds = changed; });
         }
         ~SettingsReloaderTest() override
         {
@@ -43,7 +43,7 @@
             ::close(pipe[1]);
         }
 
-        void write(const std::string& more) const { std::ofstream(path) << head << more; }
+        void write(const std::string& more) const { std::ofstream(path) << requiredText << more; }
 
         std::string logged()
         {
@@ -57,7 +57,7 @@
     TEST_F(SettingsReloaderTest, changedSeedsAndLogSettingsComeIntoForce)
     {
         write("[peers]\nseed_vms = 127.0.0.2:8166\n[log]\nlevel = warning\n");
-        reload->reload("signal", Clock::now());
+        reloader->reload("signal", Clock::now());
         ASSERT_EQ(seeds.size(), 1U);
         EXPECT_EQ(settings.seeds, seeds);
         EXPECT_EQ(log->level(), LogLevel::Warning);
@@ -66,7 +66,7 @@
     TEST_F(SettingsReloaderTest, aFileThatCannotBeReadChangesNothing)
     {
         write("[peers]\nseed_vms = 127.0.0.2:8166\n[log]\nlevel = loud\n");
-        reload->reload("signal", Clock::now());
+        reloader->reload("signal", Clock::now());
         EXPECT_TRUE(seeds.empty());
         EXPECT_TRUE(settings.seeds.empty());
         EXPECT_NE(logged().find("\"event\":\"refused\""), std::string::npos);
@@ -75,7 +75,7 @@
     TEST_F(SettingsReloaderTest, whatNeedsARestartIsNamedAndWaits)
     {
         write("[limits]\nlongest_flow_seconds = 30\n");
-        reload->reload("file", Clock::now());
+        reloader->reload("file", Clock::now());
         EXPECT_NE(logged().find("\"needs_restart\":\"limits.longest_flow_seconds\""), std::string::npos);
         EXPECT_EQ(settings.longestFlow, ForwarderSettings().longestFlow);
     }
