--- a/Tests/Peers/ConfigurationWatchersTest.cpp
+++ b/Tests/Peers/ConfigurationWatchersTest.cpp
@@ -13,7 +13,7 @@
 namespace {
 
     // What the forwarders use: one in each zone, three in all, and up to three that are replaced.
-    constexpr WatcherCounts few { 1, 3, 3 };
+    constexpr WatcherCounts forwarderCounts { 1, 3, 3 };
 
     MembersView viewOf(std::size_t perZone, MemberState state = MemberState::Serving,
         const std::vector<std::string>& zones = { "walu", "laucala" })
@@ -64,14 +64,14 @@
         MembersView view = viewOf(20);
         for (Member& member : view.members)
             member.linkMegabits = member.name == "walu-7" || member.name == "walu-12" ? 200 : 10;
-        const auto watchers = watchersOf(view, "walu", few);
+        const auto watchers = watchersOf(view, "walu", forwarderCounts);
         ASSERT_EQ(watchers.size(), 2U);
         for (const BalancerId id : watchers)
             EXPECT_EQ(view.find(id)->linkMegabits, 200U);
         {
             SCOPED_TRACE("a thin one steps in for a wide one that the store does not answer");
             detach(view, watchers.front());
-            EXPECT_EQ(watchersOf(view, "walu", few).size(), 3U);
+            EXPECT_EQ(watchersOf(view, "walu", forwarderCounts).size(), 3U);
         }
         {
             SCOPED_TRACE("links that differ little are alike, so that the choice stays where it was");
@@ -80,7 +80,7 @@
             MembersView alike = view;
             for (Member& member : alike.members)
                 member.linkMegabits = 0;
-            EXPECT_EQ(watchersOf(view, "walu", few), watchersOf(alike, "walu", few));
+            EXPECT_EQ(watchersOf(view, "walu", forwarderCounts), watchersOf(alike, "walu", forwarderCounts));
         }
     }
 
@@ -116,9 +116,11 @@
 
     TEST(ConfigurationWatchersTest, oneOfEachZoneIsEnoughWhereThereAreThree)
     {
-        EXPECT_EQ(countWatchers(viewOf(5, MemberState::Serving, { "walu", "laucala", "nabua" }), "walu", few), 1U);
-        EXPECT_EQ(countWatchers(viewOf(5), "walu", few), 2U);
-        EXPECT_EQ(countWatchers(viewOf(5, MemberState::Serving, { "walu" }), "walu", few), 3U);
+        EXPECT_EQ(
+            countWatchers(viewOf(5, MemberState::Serving, { "walu", "laucala", "nabua" }), "walu", forwarderCounts),
+            1U);
+        EXPECT_EQ(countWatchers(viewOf(5), "walu", forwarderCounts), 2U);
+        EXPECT_EQ(countWatchers(viewOf(5, MemberState::Serving, { "walu" }), "walu", forwarderCounts), 3U);
     }
 
     // Symptom: a zone would have no news of its own for as long as the store turns its only watcher away.
@@ -127,19 +129,19 @@
     TEST(ConfigurationWatchersTest, aWatcherThatTheStoreDoesNotAnswerIsReplacedAndGoesOnTrying)
     {
         MembersView view = viewOf(5, MemberState::Serving, { "walu", "laucala", "nabua" });
-        const std::vector<BalancerId> first = watchersOf(view, "walu", few);
+        const std::vector<BalancerId> first = watchersOf(view, "walu", forwarderCounts);
         ASSERT_EQ(first.size(), 1U);
         detach(view, first[0]);
-        const std::vector<BalancerId> second = watchersOf(view, "walu", few);
+        const std::vector<BalancerId> second = watchersOf(view, "walu", forwarderCounts);
         EXPECT_EQ(second.size(), 2U);
         EXPECT_EQ(std::ranges::count(second, first[0]), 1);
         {
             SCOPED_TRACE("the store answers nobody: no more than three of a zone go on calling it");
             for (std::size_t i = 0; i < 5; ++i) {
-                for (const BalancerId id : watchersOf(view, "walu", few))
+                for (const BalancerId id : watchersOf(view, "walu", forwarderCounts))
                     detach(view, id);
             }
-            EXPECT_EQ(countWatchers(view, "walu", few), 3U);
+            EXPECT_EQ(countWatchers(view, "walu", forwarderCounts), 3U);
         }
     }
 
--- a/Tests/Peers/WatcherRoleTest.cpp
+++ b/Tests/Peers/WatcherRoleTest.cpp
@@ -15,28 +15,28 @@
     constexpr std::size_t zones = 5;
     constexpr std::size_t seeds = 3;
     // The first ones of each zone have wide links.
-    constexpr std::size_t widePerZone = 3;
+    constexpr std::size_t fastLinksPerZone = 3;
     constexpr WatcherCounts counts { 1, 3, 3 };
     // What a start reads of the platform may be seconds old, and a caller gives an opening up after 1.4 s. So a zone is
     // watched a little later than that at most.
-    constexpr auto watchedWithin = 2s;
+    constexpr auto maxTimeToWatch = 2s;
 
     // Balancers that start together, and who of them watches.
     struct Fleet {
         MembershipNetwork network { 11 };
-        std::vector<WatcherRole> duties;
-        std::set<std::size_t> everWatched;
-        std::vector<Duration> watchedAfter = std::vector<Duration>(zones, Duration::max());
+        std::vector<WatcherRole> roles;
+        std::set<std::size_t> watchersSoFar;
+        std::vector<Duration> timeToWatch = std::vector<Duration>(zones, Duration::max());
         TimePoint startedAt;
 
         void start(std::size_t count, std::size_t knownSeeds)
         {
             startedAt = network.now;
             for (std::size_t i = 0; i < count; ++i) {
-                network.linkMegabits = i < zones * widePerZone ? 200 : 20;
+                network.linkMegabits = i < zones * fastLinksPerZone ? 200 : 20;
                 network.addWithSeeds(fmt::format("zone{}", i % zones), knownSeeds);
-                duties.emplace_back(WatcherRoleSettings { .counts = counts });
-                duties.back().start(knownSeeds > 0, network.now);
+                roles.emplace_back(WatcherRoleSettings { .counts = counts });
+                roles.back().start(knownSeeds > 0, network.now);
             }
         }
 
@@ -44,17 +44,17 @@
         {
             for (const TimePoint end = network.now + time; network.now < end;) {
                 network.run(100ms);
-                look();
+                recordWatchers();
             }
         }
 
-        void look()
+        void recordWatchers()
         {
-            for (std::size_t i = 0; i < duties.size(); ++i) {
-                if (!network.isRunning(i) || !duties[i].isWatcher(*network.nodes()[i].membership, network.now))
+            for (std::size_t i = 0; i < roles.size(); ++i) {
+                if (!network.isRunning(i) || !roles[i].isWatcher(*network.nodes()[i].membership, network.now))
                     continue;
-                everWatched.insert(i);
-                watchedAfter[i % zones] = std::min(watchedAfter[i % zones], network.now - startedAt);
+                watchersSoFar.insert(i);
+                timeToWatch[i % zones] = std::min(timeToWatch[i % zones], network.now - startedAt);
             }
         }
     };
@@ -68,9 +68,9 @@
         Fleet fleet;
         fleet.start(195, seeds);
         fleet.run(20s);
-        EXPECT_LE(fleet.everWatched.size(), 2 * zones);
-        for (const Duration after : fleet.watchedAfter)
-            EXPECT_LE(after, watchedWithin);
+        EXPECT_LE(fleet.watchersSoFar.size(), 2 * zones);
+        for (const Duration after : fleet.timeToWatch)
+            EXPECT_LE(after, maxTimeToWatch);
     }
 
     TEST(WatcherRoleTest, aSmallFleetIsWatchedSoonAfterItsStart)
@@ -78,7 +78,7 @@
         Fleet fleet;
         fleet.start(2 * zones, seeds);
         fleet.run(3s);
-        for (const Duration after : fleet.watchedAfter)
+        for (const Duration after : fleet.timeToWatch)
             EXPECT_LE(after, 2s);
     }
 
@@ -89,13 +89,13 @@
         fleet.network.isCut = [](std::size_t, std::size_t) { return true; };
         fleet.start(zones, seeds);
         fleet.run(4s);
-        EXPECT_EQ(fleet.everWatched.size(), zones);
+        EXPECT_EQ(fleet.watchersSoFar.size(), zones);
         {
             SCOPED_TRACE("at once, where no address of another is known");
-            Fleet lone;
-            lone.start(1, 0);
-            lone.run(100ms);
-            EXPECT_EQ(lone.everWatched.size(), 1U);
+            Fleet single;
+            single.start(1, 0);
+            single.run(100ms);
+            EXPECT_EQ(single.watchersSoFar.size(), 1U);
         }
     }
 
@@ -104,12 +104,12 @@
         Fleet fleet;
         fleet.start(40, seeds);
         fleet.run(10s);
-        for (const std::size_t watcher : std::set<std::size_t>(fleet.everWatched))
+        for (const std::size_t watcher : std::set<std::size_t>(fleet.watchersSoFar))
             fleet.network.kill(watcher);
         fleet.startedAt = fleet.network.now;
-        fleet.watchedAfter.assign(zones, Duration::max());
+        fleet.timeToWatch.assign(zones, Duration::max());
         fleet.run(15s);
-        for (const Duration after : fleet.watchedAfter)
+        for (const Duration after : fleet.timeToWatch)
             EXPECT_LE(after, 15s);
     }
 
