--- a/Source/Peers/ConfigurationWatchers.cpp
+++ b/Source/Peers/ConfigurationWatchers.cpp
@@ -58,7 +58,7 @@
     if (known < minMembersToElectWatchers)
         return true;
     return mayWatch(*self) && servingAhead < watchersInZone(availabilityZones.size(), counts)
-        && detachedAhead < counts.maxReplacedPerAvailabilityZone;
+        && detachedAhead < counts.maxDetachedPerAvailabilityZone;
 }
 
 }
--- a/Source/Peers/ConfigurationWatchers.h
+++ b/Source/Peers/ConfigurationWatchers.h
@@ -15,7 +15,7 @@
     std::size_t minTotal = 0;
     // At most this many watchers of a zone that can't reach the platform are replaced. When none of them can, the
     // platform is assumed to be down for all.
-    std::size_t maxReplacedPerAvailabilityZone = 3;
+    std::size_t maxDetachedPerAvailabilityZone = 3;
 };
 
 // With fewer known balancers all of them watch: a balancer that knows so few may be cut off from the watchers.
