--- a/Source/Forwarder/ForwarderLog.cpp
+++ b/Source/Forwarder/ForwarderLog.cpp
@@ -19,7 +19,7 @@
         return transition.isRestart ? "restarted" : nameOf(transition.after);
     }
 
-    // How long ago; negative when it never was.
+    // Negative when time is unset.
     double millisecondsSince(TimePoint time, TimePoint now)
     {
         return time == TimePoint::min() ? -1.0 : std::chrono::duration<double, std::milli>(now - time).count();
--- a/Source/Forwarder/ForwarderMetrics.cpp
+++ b/Source/Forwarder/ForwarderMetrics.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-    // Seconds. An answer in the zone opens a flow within milliseconds; callers send again after 0.2 s.
+    // Upper bounds in seconds.
     constexpr std::array openingBuckets { 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0 };
     constexpr std::array answerBuckets { 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0 };
     constexpr std::array storeBuckets { 0.005, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0 };
@@ -23,7 +23,7 @@
 
     double secondsOf(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-    // Collects samples in the layout that the module takes.
+    // Collects samples in the layout that the formatting module takes.
     class Samples {
     public:
         using Labels = std::vector<WisteriadockMetricLabel>;
@@ -57,13 +57,12 @@
         }
 
         std::vector<WisteriadockMetricSample> samples_;
-        // Labels stay where they are while others come.
+        // A deque, since the samples point to the labels.
         std::deque<Labels> labels_;
     };
 
-    // The module lies beside the program. The program's search path names that place, but where something stands
-    // between the program and the loader, as the address sanitizer does, the loader does not see whose path it is to
-    // use.
+    // The module is in the directory of the program, which the program's RPATH names. A wrapper of dlopen(), as in the
+    // address sanitizer, hides the caller and thereby its RPATH, hence the second attempt with a full path.
     void* openModule()
     {
         if (void* const module = dlopen(metricsTextModule, RTLD_NOW | RTLD_LOCAL))
@@ -73,7 +72,7 @@
         return error ? nullptr : dlopen((program.parent_path() / metricsTextModule).c_str(), RTLD_NOW | RTLD_LOCAL);
     }
 
-    // The module is loaded once and stays, as its libraries can't be unloaded safely.
+    // The module is never unloaded, since its libraries can't be unloaded safely.
     Result<WisteriadockWriteMetrics> loadWriter()
     {
         static void* const module = openModule();
--- a/Source/Forwarder/ForwarderSettings.cpp
+++ b/Source/Forwarder/ForwarderSettings.cpp
@@ -11,12 +11,11 @@
     constexpr double maxSeconds = 86'400;
     constexpr double maxFactor = 1000;
     constexpr std::uint32_t maxGroupSize = 1'000'000;
-    // Flows a second.
+    // Flows per second.
     constexpr double maxSlack = 1e9;
-    // Mbit/s.
     constexpr double maxLinkMegabits = 1e9;
     constexpr std::chrono::milliseconds minTimeout { 1 };
-    // A day, which switches a mechanism off.
+    // A day effectively disables a timeout.
     constexpr std::chrono::milliseconds maxTimeout { 86'400'000 };
 
     void readAddresses(SettingsReader& reader, ForwarderSettings& settings)
@@ -30,7 +29,7 @@
         reader.section("peers").endpoints("seed_vms", settings.seeds);
     }
 
-    // The platform gives its bounds in seconds, whole or not.
+    // Reads a duration in seconds, which may have a fraction.
     void readSeconds(SectionReader& section, std::string_view key, std::chrono::milliseconds& target, double minimum)
     {
         double seconds = std::chrono::duration<double>(target).count();
--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -12,19 +12,18 @@
 
 namespace {
 
-    // A request for news is this path and the revision after which it is wanted.
+    // A fetch requests this path followed by the revision after which changes are wanted.
     constexpr std::string_view deltaPath = "/news/";
-    // Who sends it takes patches of large values; a balancer of an earlier version neither sends it nor looks at it.
+    // Sent by balancers that accept patches of large values. Earlier versions neither send nor read it.
     constexpr const char* acceptsPatchesHeader = "wisteriadock-takes-patches";
     constexpr std::chrono::milliseconds connectTimeout { 800 };
-    // The longest that an answer may take, however steadily its bytes come. ReplicaSync gives up a silent one sooner.
+    // Limit for a whole answer, even while its bytes keep arriving. ReplicaSync abandons a stalled one sooner.
     constexpr std::chrono::milliseconds fetchTimeout { 4000 };
-    // Who has been behind others for longer gets a line in the log: a tenth of the time in which the users want a
-    // configuration to be in force is usual, a fifth is not.
+    // A longer lag behind other balancers is logged.
     constexpr std::chrono::milliseconds lagWarningThreshold { 1000 };
 
-    // One watcher a zone: calls to the store are priced, and whoever misses its zone's watcher hears from other zones.
-    // Three in all, so that news gets around whichever of them has just failed.
+    // One watcher per zone, since calls to the store are costly and other zones stand in for a lost watcher. At least
+    // three in total, so that changes spread while one of them has failed.
     constexpr WatcherCounts watcherCounts { 1, 3, 3 };
 
     Http2Limits fetchLimits()
@@ -32,7 +31,7 @@
         Http2Limits limits;
         limits.bodyBytes = maxDeltaBytes;
         limits.connectTimeout = connectTimeout;
-        // All balancers of a large zone may fetch at once after a start.
+        // All balancers of a large zone may fetch at the same time after a start.
         limits.connections = 256;
         return limits;
     }
@@ -77,7 +76,7 @@
 
 PeerSync::~PeerSync()
 {
-    // What is still asked for ends with its client, and nothing is left to hear of it.
+    // The outcome of a fetch that is still open arrives when its client is destroyed, and must be ignored.
     ++fetchNumber_;
 }
 
@@ -86,8 +85,8 @@
     watcherRole_.start(!seeds_.empty(), now);
     membersLog_.start(now);
     passSeedsToMembership(now);
-    // Watchers are chosen among those that serve, and until somebody watches nobody learns enough to be ready. Nothing
-    // has to be learned from others before packets can be routed by their tokens.
+    // Serving from the start: watchers are chosen among serving members, and without a watcher no balancer becomes
+    // ready. Routing packets by their tokens needs no state of other balancers.
     perform(membership_.setSelfState(MemberState::Serving, now), now);
     tick(now);
 }
@@ -295,8 +294,8 @@
             now);
     fetchSource_ = source;
     fetchSentAt_ = now;
-    // The former request ends with its client, in the middle of this function. It must not count as one that failed:
-    // that asked once more from here, and each answer given up doubled the requests.
+    // Replacing the client below ends the previous request and reports its outcome. It must not count as a failure:
+    // that would start another fetch from here, and the number of requests would grow with each one abandoned.
     ++fetchNumber_;
     fetchClient_ = std::make_unique<Http2Client>(context_, fetch.address, fetchLimits());
     fetchReceivedBytes_ = 0;
--- a/Source/Forwarder/SettingsFileWatcher.cpp
+++ b/Source/Forwarder/SettingsFileWatcher.cpp
@@ -14,7 +14,7 @@
 bool SettingsFileWatcher::hasChanged()
 {
     const FileState now = currentState();
-    // A file that is just being replaced may be missing for a moment.
+    // A file that is being replaced may be missing for a moment.
     if (now == lastState_ || now.size < 0)
         return false;
     lastState_ = now;
--- a/Source/PacketIo/PacketBatch.cpp
+++ b/Source/PacketIo/PacketBatch.cpp
@@ -79,8 +79,7 @@
             next += static_cast<unsigned>(sent);
             continue;
         }
-        // The error belongs to the first message. It is skipped, so that one destination that can't be reached doesn't
-        // hold up the packets behind it.
+        // The error belongs to the first message. Skip it, so that an unreachable destination does not block the rest.
         ++refused;
         ++next;
     }
--- a/Source/PacketIo/PacketBatch.h
+++ b/Source/PacketIo/PacketBatch.h
@@ -44,8 +44,8 @@
     std::span<std::uint8_t> mutableDatagram(unsigned index);
     Endpoint sender(unsigned index) const;
 
-    // Queues a datagram of this batch as it is, or a part of it behind a header of at most maxPacketHeaderBytes bytes,
-    // which is copied. At most one message a datagram.
+    // Queues a datagram of this batch as it is, or a part of it after a header of at most maxPacketHeaderBytes, which
+    // is copied. At most one message may be queued for each datagram.
     void queue(std::span<const std::uint8_t> datagram, Endpoint destination);
     void queue(std::span<const std::uint8_t> header, std::span<const std::uint8_t> payload, Endpoint destination);
     // Sends all queued messages. Returns the number of those that the kernel refused.
--- a/Source/PacketIo/PacketSocket.cpp
+++ b/Source/PacketIo/PacketSocket.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-    // Room for bursts while a thread is off the processor; the kernel may grant less.
+    // Holds bursts of packets while the thread is not scheduled. The kernel may grant less.
     constexpr int bufferBytes = 4 * 1024 * 1024;
 
-    // Where the PROXY v2 header has the client's address and port.
+    // Offsets of the client's address and port in the PROXY v2 header.
     constexpr std::uint32_t clientAddressOffset = 16;
     constexpr std::uint32_t clientPortOffset = 24;
-    // Spreads neighbouring addresses over the group (Knuth's multiplicative hash).
+    // Multiplicative hash by Knuth, which spreads adjacent addresses over the group.
     constexpr std::uint32_t hashMultiplier = 2654435761U;
 
     Error systemError(const char* what, Endpoint endpoint)
@@ -64,7 +64,7 @@
 {
     BOOST_OUTCOME_TRY(descriptor, createSocket());
     PacketSocket socket(descriptor);
-    // The address becomes shareable only once it is bound, so that binding fails while any other socket has it.
+    // SO_REUSEPORT is set only after binding, so that binding fails while any other socket has the address.
     BOOST_OUTCOME_TRY(socket.bindTo(endpoint));
     const int enabled = 1;
     BOOST_OUTCOME_TRY(socket.setOption(SOL_SOCKET, SO_REUSEPORT, &enabled, sizeof(enabled), "SO_REUSEPORT"));
@@ -127,7 +127,7 @@
     return boost::outcome_v2::success();
 }
 
-// A kernel that grants less still works, with fewer packets kept in a burst.
+// Errors are ignored: with smaller buffers only more packets of a burst are dropped.
 void PacketSocket::enlargeBuffers()
 {
     (void)::setsockopt(descriptor_, SOL_SOCKET, SO_RCVBUF, &bufferBytes, sizeof(bufferBytes));
--- a/Source/Peers/ConfigurationWatchers.cpp
+++ b/Source/Peers/ConfigurationWatchers.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    // Sets this choice apart from other rendezvous choices among the same members.
+    // Makes this choice independent of other rendezvous choices among the same members.
     constexpr std::uint64_t choiceSeed = 0x636f6e66;
 
     bool mayWatch(const Member& member)
@@ -20,8 +20,8 @@
         return member.state == MemberState::Serving || member.state == MemberState::Detached;
     }
 
-    // Wide links first: the store's answer holds the whole configuration at each change of it, which takes 2 s on a
-    // link of 10 Mbit/s for 10,000 routes, and the zone's readiness checks and heartbeats wait behind it.
+    // Members of lower rank watch first. Fast links rank lowest: every change of the configuration transfers all of it,
+    // which blocks readiness checks and heartbeats on a slow link.
     std::tuple<int, std::uint64_t, BalancerId> rankOf(const Member& member)
     {
         return { -bandwidthClassOf(member.linkMegabits), hashPair(choiceSeed, member.id.value), member.id };
--- a/Source/Peers/ConfigurationWatchers.h
+++ b/Source/Peers/ConfigurationWatchers.h
@@ -13,8 +13,8 @@
     std::size_t perAvailabilityZone = 2;
     // At least this many in all availability zones together: with few zones each has more. 0 sets no minimum.
     std::size_t minTotal = 0;
-    // At most this many watchers of a zone that can't reach the platform are replaced. When none of them can, the
-    // platform is assumed to be down for all.
+    // At most this many detached watchers of a zone keep trying, beside the replacements chosen for them. When the
+    // platform answers none of these, it is assumed to be down for all, and no more are chosen.
     std::size_t maxDetachedPerAvailabilityZone = 3;
 };
 
