--- a/Source/Forwarder/PeerSync.cpp
+++ b/Source/Forwarder/PeerSync.cpp
@@ -195,13 +195,13 @@
             sum += link_->trafficOf(kind);
         return TrafficRow { cause, sum.sent + sum.received, sum.sentBytes, sum.receivedBytes };
     };
-    const std::uint64_t asked = finishedFetchBytes_ + (fetchClient_ ? fetchClient_->bytesTransferred() : 0);
+    const std::uint64_t fetchBytes = finishedFetchBytes_ + (fetchClient_ ? fetchClient_->bytesTransferred() : 0);
     return {
         rowOf(
             "membership", { PeerMessageKind::Heartbeat, PeerMessageKind::ProbeRequest, PeerMessageKind::ProbeResult }),
         rowOf("member_pages", { PeerMessageKind::MembersRequest, PeerMessageKind::MembersPage }),
         rowOf("pushes", { PeerMessageKind::News }),
-        { "fetches_asked", fetchNumber_, 0, asked },
+        { "fetches_asked", fetchNumber_, 0, fetchBytes },
         { "fetches_served", fetchesServed_, server_->bytesTransferred(), 0 },
     };
 }
