--- a/Source/Peers/Backoff.cpp
+++ b/Source/Peers/Backoff.cpp
@@ -15,9 +15,9 @@
 std::chrono::milliseconds Backoff::next()
 {
     const auto half = static_cast<std::uint64_t>(pause_.count()) / 2;
-    const std::chrono::milliseconds spread(half + random_() % (half + 1));
+    const std::chrono::milliseconds delay(half + random_() % (half + 1));
     pause_ = std::min(pause_ * 2, longest_);
-    return spread;
+    return delay;
 }
 
 }
--- a/Source/Peers/ConfigurationWatchers.cpp
+++ b/Source/Peers/ConfigurationWatchers.cpp
@@ -27,7 +27,7 @@
         return { -bandwidthClassOf(member.linkMegabits), hashPair(choiceSeed, member.id.value), member.id };
     }
 
-    std::size_t watchersInZone(std::size_t availabilityZones, const WatcherCounts& counts)
+    std::size_t watchersPerZone(std::size_t availabilityZones, const WatcherCounts& counts)
     {
         const std::size_t share
             = (counts.minTotal + availabilityZones - 1) / std::max<std::size_t>(availabilityZones, 1);
@@ -57,7 +57,7 @@
     }
     if (known < minMembersToElectWatchers)
         return true;
-    return mayWatch(*self) && servingAhead < watchersInZone(availabilityZones.size(), counts)
+    return mayWatch(*self) && servingAhead < watchersPerZone(availabilityZones.size(), counts)
         && detachedAhead < counts.maxDetachedPerAvailabilityZone;
 }
 
