--- a/Source/Forwarder/ForwarderMetrics.cpp
+++ b/Source/Forwarder/ForwarderMetrics.cpp
@@ -51,9 +51,9 @@
             WisteriadockMetricKind kind, const char* name, const char* help, double value, Labels labels)
         {
             labels_.push_back(std::move(labels));
-            const Labels& kept = labels_.back();
-            return samples_.emplace_back(
-                WisteriadockMetricSample { kind, name, help, kept.data(), kept.size(), value, nullptr, nullptr, 0 });
+            const Labels& storedLabels = labels_.back();
+            return samples_.emplace_back(WisteriadockMetricSample {
+                kind, name, help, storedLabels.data(), storedLabels.size(), value, nullptr, nullptr, 0 });
         }
 
         std::vector<WisteriadockMetricSample> samples_;
@@ -165,24 +165,24 @@
     for (const auto& [outcome, count] : fetches_)
         samples.count("wisteriadock_forwarder_fetches_total",
             "News asked of other balancers (asked), and what came of it", count, { { "outcome", outcome.c_str() } });
-    const auto state = [&](const char* what, auto value) {
+    const auto addState = [&](const char* what, auto value) {
         samples.gauge("wisteriadock_forwarder_state", "Versions, ages and sizes, by what is measured",
             static_cast<double>(value), { { "of", what } });
     };
-    state("configuration_version", snapshot.configurationVersion);
-    state("news_revision", snapshot.replicaRevision);
-    state("news_behind_seconds", secondsOf(snapshot.replicaLag));
-    state("flows", snapshot.flows);
-    state("members", snapshot.members);
-    state("ready", snapshot.isReady);
-    state("store_lost", snapshot.isStoreUnreachable);
-    state("watching_store", snapshot.isWatching);
-    state("log_lines", snapshot.logLines);
-    state("log_lines_dropped", snapshot.logDropped);
-    state("log_lines_left_out", snapshot.logSuppressed);
-    state("peer_bytes", snapshot.peerBytes);
-    state("store_bytes", snapshot.storeBytes);
-    state("servers_failing", snapshot.directory->countFailing());
+    addState("configuration_version", snapshot.configurationVersion);
+    addState("news_revision", snapshot.replicaRevision);
+    addState("news_behind_seconds", secondsOf(snapshot.replicaLag));
+    addState("flows", snapshot.flows);
+    addState("members", snapshot.members);
+    addState("ready", snapshot.isReady);
+    addState("store_lost", snapshot.isStoreUnreachable);
+    addState("watching_store", snapshot.isWatching);
+    addState("log_lines", snapshot.logLines);
+    addState("log_lines_dropped", snapshot.logDropped);
+    addState("log_lines_left_out", snapshot.logSuppressed);
+    addState("peer_bytes", snapshot.peerBytes);
+    addState("store_bytes", snapshot.storeBytes);
+    addState("servers_failing", snapshot.directory->countFailing());
     const char* bytesHelp = "Bytes by what they were for; those of connections count as sent";
     for (const TrafficRow& row : snapshot.traffic) {
         samples.count("wisteriadock_forwarder_traffic_bytes_total", bytesHelp, row.sentBytes,
@@ -193,10 +193,10 @@
     for (const auto& [zone, since] : snapshot.evacuatedZones->all())
         samples.gauge("wisteriadock_forwarder_emptied_zone", "1 for each zone that operators ordered to be emptied", 1,
             { { "zone", zone.c_str() } });
-    for (const ServerState believed :
+    for (const ServerState serverState :
         { ServerState::Ready, ServerState::Draining, ServerState::Doubtful, ServerState::Gone, ServerState::Ended })
         samples.gauge("wisteriadock_forwarder_servers", "Backend servers by what this balancer believes of them",
-            static_cast<double>(snapshot.directory->countOf(believed)), { { "state", nameOf(believed).data() } });
+            static_cast<double>(snapshot.directory->countOf(serverState)), { { "state", nameOf(serverState).data() } });
     samples.histogram(
         "wisteriadock_forwarder_opening_seconds", "From the opening packet to the caller's next one", openingTime_);
     samples.histogram("wisteriadock_forwarder_answer_seconds",
--- a/Source/Forwarder/MembersLog.cpp
+++ b/Source/Forwarder/MembersLog.cpp
@@ -52,8 +52,8 @@
 
 void MembersLog::tick(const MembersView& view, bool isSettled, TimePoint now)
 {
-    const bool isOver = isSettled || now - startedAt_ >= maxDiscoveryTime;
-    if (hasLoggedDiscovery_ || !isOver || knownStates_.empty())
+    const bool isDiscoveryOver = isSettled || now - startedAt_ >= maxDiscoveryTime;
+    if (hasLoggedDiscovery_ || !isDiscoveryOver || knownStates_.empty())
         return;
     hasLoggedDiscovery_ = true;
     log_.write(LogLevel::Info, "peers", "met_many",
