--- a/Tests/Forwarder/ForwarderLifecycleTest.cpp
+++ b/Tests/Forwarder/ForwarderLifecycleTest.cpp
@@ -8,7 +8,7 @@
 
     using namespace std::chrono_literals;
 
-    TEST(ForwarderLifecycleTest, readyOnceInformedUntilToldToStop)
+    TEST(ForwarderLifecycleTest, ReadyFromTheFirstSyncToTheStop)
     {
         ManualClock clock;
         ForwarderLifecycle lifecycle;
@@ -21,11 +21,8 @@
         EXPECT_FALSE(lifecycle.isReady());
     }
 
-    // Symptom: flows broke at each planned stop.
-    // Sequence: the process ends at once, while routers hand it packets for another second, or longer where a zone has
-    // no other balancer.
-    // Cause: the end of the duty to be ready was taken for the end of the packets.
-    TEST(ForwarderLifecycleTest, itEndsWhenNoPacketComesAnyMoreAndBeforeItWouldBeKilled)
+    // Guards against a planned stop that breaks flows because the process exits while routers still send it packets.
+    TEST(ForwarderLifecycleTest, StopEndsWithoutPacketsOrBeforeTheKill)
     {
         ManualClock clock;
         ForwarderLifecycle idle;
--- a/Tests/Forwarder/ForwarderLogTest.cpp
+++ b/Tests/Forwarder/ForwarderLogTest.cpp
@@ -22,13 +22,13 @@
 
     constexpr std::size_t serversAtStart = 300;
     constexpr std::size_t peersAtStart = 300;
-    // What the reader takes at each beat of the forwarder.
+    // Bytes that the reader accepts at each tick of the forwarder.
     constexpr std::size_t readerBytes = 4096;
     constexpr auto tickInterval = 250ms;
-    // An engineer who follows a restart sees within a second that the forwarder serves.
+    // The log must show within a second after a restart that the forwarder is ready.
     constexpr int ticksToLogReady = 4;
 
-    // A pipe that holds as much as its reader takes at once.
+    // A pipe that holds as many bytes as its reader takes at once.
     struct SlowReader {
         std::array<int, 2> ends { -1, -1 };
 
@@ -55,7 +55,7 @@
         }
     };
 
-    // A forwarder's log at a start of hundreds, as the forwarder writes it.
+    // Writes the log of a forwarder that starts with hundreds of servers and peers.
     struct ForwarderLogTest : testing::Test {
         ManualClock clock;
         SlowReader reader;
@@ -120,12 +120,9 @@
         }
     };
 
-    // Symptom: after a loss of all power, logs of 195 machines held 195 process.started and no process.ready, and a
-    // hundredth of all lines was cut in the middle, so that nobody could say when a machine began to serve.
-    // Sequence: a start writes one line for each of 293 servers and 195 neighbours at once; the collector keeps some
-    // kilobytes of such a burst and cuts off the rest.
-    // Cause: a listing was told like as many changes, and everything was written at once in the order in which it came.
-    TEST_F(ForwarderLogTest, aStartOfHundredsTellsWhatMattersToAThinReader)
+    // Guards against a burst of lines at the start that exceeds what the log's reader accepts, so that the line
+    // process.ready is lost and others are truncated.
+    TEST_F(ForwarderLogTest, StartWithHundredsOfServersFitsASlowReader)
     {
         writeStart();
         meetPeers();
@@ -137,18 +134,18 @@
         EXPECT_EQ(countOf("process", "ready"), 1);
         EXPECT_TRUE(log.buffer().isEmpty());
         {
-            SCOPED_TRACE("the listing is told in one line, and what is not like the rest by itself");
+            SCOPED_TRACE("the listing is logged in one line, and the only draining server in its own");
             EXPECT_EQ(countOf("server", "many"), 1);
             EXPECT_EQ(countOf("server", "draining"), 1);
         }
         {
-            SCOPED_TRACE("and those that were met as well");
+            SCOPED_TRACE("the peers discovered are logged in one line");
             EXPECT_EQ(countOf("peers", "met_many"), 1);
             EXPECT_EQ(countOf("peers", "met"), 0);
         }
     }
 
-    TEST_F(ForwarderLogTest, theStoryGoesBeforeLinesOfSingleFlows)
+    TEST_F(ForwarderLogTest, HighPriorityLinesPrecedeLinesOfFlows)
     {
         for (std::size_t i = 0; i < 150; ++i)
             log.write(LogLevel::Info, "flow", "opened", Event().add("flow", i), clock.now());
@@ -158,14 +155,14 @@
         for (const auto& line : linesRead())
             EXPECT_TRUE(line.is_object());
         {
-            SCOPED_TRACE("which come later and whole");
+            SCOPED_TRACE("the lines of flows follow and are complete");
             for (int i = 0; i < 20; ++i)
                 passTick();
             EXPECT_EQ(countOf("flow", "opened"), 150);
         }
     }
 
-    TEST_F(ForwarderLogTest, aNeighbourThatComesLaterIsToldByItself)
+    TEST_F(ForwarderLogTest, PeerDiscoveredLaterHasItsOwnLine)
     {
         meetPeers();
         MembersView view;
--- a/Tests/Forwarder/ForwarderMetricsTest.cpp
+++ b/Tests/Forwarder/ForwarderMetricsTest.cpp
@@ -31,7 +31,7 @@
             return text ? text.value() : std::string();
         }
 
-        // The value behind a metric's name and labels, as the text has it; empty when it is not there.
+        // The text of a metric's value; empty when the metric, given by name and labels, is missing.
         std::string valueOf(const std::string& metric)
         {
             const std::string text = "\n" + textOrError();
@@ -43,7 +43,7 @@
         }
     };
 
-    TEST_F(ForwarderMetricsTest, packetsCountByOutcomeAndReason)
+    TEST_F(ForwarderMetricsTest, PacketsByVerdictAndReason)
     {
         metrics.countPacket(PacketReason::NoRoute, PacketVerdict::Reset);
         metrics.countPacket(PacketReason::NoRoute, PacketVerdict::Drop);
@@ -54,7 +54,7 @@
         EXPECT_EQ(valueOf("wisteriadock_forwarder_malformed_packets_total"), "1");
     }
 
-    TEST_F(ForwarderMetricsTest, latenciesStandInHistograms)
+    TEST_F(ForwarderMetricsTest, HistogramsOfLatencies)
     {
         FlowProgress progress;
         progress.openingTime = 4ms;
@@ -63,7 +63,7 @@
         metrics.countStoreCall("watch", "ok", 2500ms);
         metrics.observeReplicaLag(400ms);
         {
-            SCOPED_TRACE("each in the bucket that holds it and all above");
+            SCOPED_TRACE("an observation counts in its bucket and all higher ones");
             EXPECT_EQ(valueOf("wisteriadock_forwarder_opening_seconds_bucket{le=\"0.002\"}"), "0");
             EXPECT_EQ(valueOf("wisteriadock_forwarder_opening_seconds_bucket{le=\"0.005\"}"), "1");
             EXPECT_EQ(valueOf("wisteriadock_forwarder_answer_seconds_bucket{le=\"0.2\"}"), "0");
@@ -74,7 +74,7 @@
         EXPECT_EQ(valueOf("wisteriadock_forwarder_news_lag_seconds_count"), "1");
     }
 
-    TEST_F(ForwarderMetricsTest, whatIsBelievedOfServersIsReadWhenAsked)
+    TEST_F(ForwarderMetricsTest, ServersByStateAreCountedAtEachRead)
     {
         put(server(1));
         put(server(2));
--- a/Tests/Forwarder/ForwarderSettingsTest.cpp
+++ b/Tests/Forwarder/ForwarderSettingsTest.cpp
@@ -38,7 +38,7 @@
 lines_per_second_and_kind = 50
 )";
 
-    TEST(ForwarderSettingsTest, aWholeFileIsRead)
+    TEST(ForwarderSettingsTest, CompleteFile)
     {
         const auto settings = ForwarderSettings::parse("file", completeText);
         ASSERT_TRUE(settings) << settings.error().detail;
@@ -53,7 +53,7 @@
         EXPECT_EQ(settings.value().logLevel, LogLevel::Warning);
     }
 
-    TEST(ForwarderSettingsTest, allProblemsAreToldAtOnceWithTheirPlaces)
+    TEST(ForwarderSettingsTest, AllProblemsAreReportedTogetherWithTheirLines)
     {
         std::string text = completeText;
         text.replace(text.find("10.1.0.10:8172"), 14, "nowhere");
@@ -66,7 +66,7 @@
             EXPECT_NE(settings.error().detail.find(part), std::string::npos) << part << "\n" << settings.error().detail;
     }
 
-    TEST(ForwarderSettingsTest, whatNeedsARestartIsNamed)
+    TEST(ForwarderSettingsTest, DifferencesThatNeedARestart)
     {
         const ForwarderSettings before = ForwarderSettings::parse("file", completeText).value();
         ForwarderSettings after = before;
@@ -80,7 +80,7 @@
             before.differencesThatNeedRestart(after), (std::vector<std::string> { "forwarder.vm", "store.address" }));
     }
 
-    TEST(ForwarderSettingsTest, aChangeOfTheFileIsNoticedOnce)
+    TEST(ForwarderSettingsTest, EachChangeOfTheFileIsDetectedOnce)
     {
         const std::filesystem::path path
             = std::filesystem::temp_directory_path() / ("settings-" + std::to_string(::getpid()));
--- a/Tests/Forwarder/ForwarderStartTest.cpp
+++ b/Tests/Forwarder/ForwarderStartTest.cpp
@@ -30,16 +30,14 @@
         }
     };
 
-    // Symptom: a VM served nothing, and its process started again and again.
-    // Sequence: the platform gives another of the VM's addresses the port on which metrics are read.
-    // Cause: an address that could not be bound ended the process, whatever it was for.
-    TEST_F(ForwarderStartTest, aTakenMetricsPortDoesNotKeepItFromServing)
+    // Guards against a forwarder that exits because the port of its metrics is taken.
+    TEST_F(ForwarderStartTest, StartsWhenTheMetricsPortIsTaken)
     {
         settings.metrics = other->address();
         EXPECT_TRUE(start());
     }
 
-    TEST_F(ForwarderStartTest, aTakenReadinessPortEndsTheStartWithItsAddress)
+    TEST_F(ForwarderStartTest, FailsWhenTheReadinessPortIsTaken)
     {
         settings.ready = other->address();
         const auto result = start();
--- a/Tests/Forwarder/PeerSyncTest.cpp
+++ b/Tests/Forwarder/PeerSyncTest.cpp
@@ -17,17 +17,17 @@
     using namespace std::chrono_literals;
 
     constexpr std::uint32_t loopback = 0x7F000001;
-    // How long the test waits for what must happen, before it gives up.
+    // The test fails when a condition does not hold within this time.
     constexpr auto testTimeout = 20s;
 
-    // A port that nothing listened on a moment ago.
+    // A port that was free at the time of the call.
     std::uint16_t freePort()
     {
         boost::asio::io_context context;
         return Http1Server::listen(context, { loopback, 0 }, [](const auto&) {}).value()->address().port;
     }
 
-    // One of two balancers on loopback addresses. It stands still while poll() is not called.
+    // One of two balancers on loopback addresses. It handles nothing unless poll() is called.
     struct Balancer {
         boost::asio::io_context context;
         int descriptor = ::open("/dev/null", O_WRONLY | O_CLOEXEC);
@@ -116,7 +116,7 @@
             }
         }
 
-        // Larger than a datagram, also when packed.
+        // Larger than a datagram, even compressed.
         static StoreDelta largeDelta()
         {
             std::mt19937 random(1);
@@ -126,22 +126,18 @@
         }
     };
 
-    // Symptom: links were full of answers that nobody waited for any more, and a large configuration did not get
-    // through. Sequence: an answer is slow and given up; the next balancer is asked. To end the former request reported
-    // its end as an answer that failed, which asked once more and ended the new request before it was sent; both
-    // requests then went to one balancer. Each further one that was given up doubled them. Cause: a request that was
-    // replaced counted as one that failed. Evidence: among 571 answers in a run of the landing concerned, 18 came to a
-    // balancer that had the same answer some milliseconds before from the same sender.
-    TEST_F(PeerSyncTest, anAnswerThatIsGivenUpIsAskedForOnceMore)
+    // Guards against an abandoned fetch that counts as a failure and starts another one, so that the number of requests
+    // doubles with each fetch abandoned.
+    TEST_F(PeerSyncTest, AnAbandonedFetchIsSentOnceMore)
     {
         const TimePoint began = Clock::now();
         server.peerSync->handleStoreDelta({ largeDelta() }, began);
-        // The other one stands still from here on: connections to it open, but nothing answers.
+        // The server is not polled from here on: connections to it are accepted by the kernel, but get no answer.
         waitUntil([&] { return client.fetches("asked") >= 6; }, [&] { client.poll(); });
         const auto timeouts = static_cast<std::uint64_t>((Clock::now() - began) / settings.answerTimeout);
         EXPECT_LE(client.fetches("asked"), 1 + timeouts);
         {
-            SCOPED_TRACE("also while the connection has not been opened, as to a VM without power");
+            SCOPED_TRACE("the connection is never established, as with a VM that is powered off");
             const std::uint64_t before = client.fetches("asked");
             const TimePoint since = Clock::now();
             waitUntil(
@@ -150,7 +146,7 @@
             EXPECT_LE(client.fetches("asked"), before + 1 + moreTimeouts);
         }
         {
-            SCOPED_TRACE("once it answers again, one answer is enough");
+            SCOPED_TRACE("the server answers again: one fetch suffices");
             waitUntil([&] { return !client.received.empty(); },
                 [&] {
                     server.poll();
--- a/Tests/Forwarder/SettingsReloaderTest.cpp
+++ b/Tests/Forwarder/SettingsReloaderTest.cpp
@@ -18,7 +18,7 @@
                                          "[listen]\nflow = 127.0.0.1:1\nready = 127.0.0.1:2\npeer = 127.0.0.1:3\n"
                                          "[store]\naddress = 127.0.0.1:4\n";
 
-    // A settings file, and what a process makes of its changes.
+    // A settings file and the reloader that watches it.
     struct SettingsReloaderTest : testing::Test {
         std::string path = testing::TempDir() + "settings-reload-" + std::to_string(::getpid()) + ".ini";
         std::array<int, 2> pipe { -1, -1 };
@@ -54,7 +54,7 @@
         }
     };
 
-    TEST_F(SettingsReloaderTest, changedSeedsAndLogSettingsComeIntoForce)
+    TEST_F(SettingsReloaderTest, ChangedSeedsAndLogSettingsAreApplied)
     {
         write("[peers]\nseed_vms = 127.0.0.2:8166\n[log]\nlevel = warning\n");
         reloader->reload("signal", Clock::now());
@@ -63,7 +63,7 @@
         EXPECT_EQ(log->level(), LogLevel::Warning);
     }
 
-    TEST_F(SettingsReloaderTest, aFileThatCannotBeReadChangesNothing)
+    TEST_F(SettingsReloaderTest, InvalidFileChangesNothing)
     {
         write("[peers]\nseed_vms = 127.0.0.2:8166\n[log]\nlevel = loud\n");
         reloader->reload("signal", Clock::now());
@@ -72,7 +72,7 @@
         EXPECT_NE(logged().find("\"event\":\"refused\""), std::string::npos);
     }
 
-    TEST_F(SettingsReloaderTest, whatNeedsARestartIsNamedAndWaits)
+    TEST_F(SettingsReloaderTest, SettingsThatNeedARestartAreOnlyLogged)
     {
         write("[limits]\nlongest_flow_seconds = 30\n");
         reloader->reload("file", Clock::now());
--- a/Tests/Forwarder/TrafficReportTest.cpp
+++ b/Tests/Forwarder/TrafficReportTest.cpp
@@ -12,7 +12,7 @@
 
     using namespace std::chrono_literals;
 
-    TEST(TrafficReportTest, oneLineInTenSecondsTellsEachCause)
+    TEST(TrafficReportTest, OneLinePerPeriodWithEveryCause)
     {
         int ends[2];
         ASSERT_EQ(pipe(ends), 0);
--- a/Tests/Peers/ConfigurationWatchersTest.cpp
+++ b/Tests/Peers/ConfigurationWatchersTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    // What the forwarders use: one in each zone, three in all, and up to three that are replaced.
+    // The counts that the forwarder uses.
     constexpr WatcherCounts forwarderCounts { 1, 3, 3 };
 
     MembersView viewOf(std::size_t perZone, MemberState state = MemberState::Serving,
@@ -55,11 +55,8 @@
         std::ranges::find(view.members, id, &Member::id)->state = MemberState::Detached;
     }
 
-    // Symptom: the readiness checks of three balancers failed for seconds at a change of the configuration, and the
-    // last of each zone had it 5 s late. Sequence: the zone's watcher reads the store's answer, and its zone the news,
-    // over a link of 10 Mbit/s, while two balancers with 200 Mbit/s stand beside. Cause: the choice did not look at the
-    // links.
-    TEST(ConfigurationWatchersTest, wideLinksWatchFirst)
+    // Guards against a watcher with a slow link, which delays each change and fails its readiness checks meanwhile.
+    TEST(ConfigurationWatchersTest, FastLinksWatchFirst)
     {
         MembersView view = viewOf(20);
         for (Member& member : view.members)
@@ -69,12 +66,12 @@
         for (const BalancerId id : watchers)
             EXPECT_EQ(view.find(id)->linkMegabits, 200U);
         {
-            SCOPED_TRACE("a thin one steps in for a wide one that the store does not answer");
+            SCOPED_TRACE("a member with a slow link replaces a detached watcher with a fast one");
             detach(view, watchers.front());
             EXPECT_EQ(watchersOf(view, "walu", forwarderCounts).size(), 3U);
         }
         {
-            SCOPED_TRACE("links that differ little are alike, so that the choice stays where it was");
+            SCOPED_TRACE("links of one bandwidth class do not change the choice");
             for (Member& member : view.members)
                 member.linkMegabits = member.name == "walu-7" ? 600 : 1000;
             MembersView alike = view;
@@ -84,7 +81,7 @@
         }
     }
 
-    TEST(ConfigurationWatchersTest, twoOfEachZoneWatchHoweverLargeItIs)
+    TEST(ConfigurationWatchersTest, TwoWatchersPerZoneOfAnySize)
     {
         for (const std::size_t perZone : { 2U, 3U, 40U }) {
             SCOPED_TRACE(perZone);
@@ -93,14 +90,14 @@
         }
     }
 
-    TEST(ConfigurationWatchersTest, everyBalancerOfASmallFleetWatches)
+    TEST(ConfigurationWatchersTest, AllBalancersOfASmallFleetWatch)
     {
         EXPECT_TRUE(isConfigurationWatcher(MembersView {}));
         EXPECT_EQ(countWatchers(viewOf(1), "walu"), 1U);
         EXPECT_EQ(countWatchers(viewOf(1, MemberState::Joining), "walu"), 1U);
     }
 
-    TEST(ConfigurationWatchersTest, anotherTakesOverWhenAWatcherDies)
+    TEST(ConfigurationWatchersTest, ADeadWatcherIsReplaced)
     {
         MembersView view = viewOf(5);
         for (Member& member : view.members) {
@@ -114,7 +111,7 @@
         EXPECT_EQ(countWatchers(view, "walu"), 2U);
     }
 
-    TEST(ConfigurationWatchersTest, oneOfEachZoneIsEnoughWhereThereAreThree)
+    TEST(ConfigurationWatchersTest, MinimumTotalRaisesWatchersPerZone)
     {
         EXPECT_EQ(
             countWatchers(viewOf(5, MemberState::Serving, { "walu", "laucala", "nabua" }), "walu", forwarderCounts),
@@ -123,10 +120,8 @@
         EXPECT_EQ(countWatchers(viewOf(5, MemberState::Serving, { "walu" }), "walu", forwarderCounts), 3U);
     }
 
-    // Symptom: a zone would have no news of its own for as long as the store turns its only watcher away.
-    // Sequence: the store refuses the calls of some balancers, those that watch among them.
-    // Cause: a watcher that the store does not answer lives and serves, so it was never replaced.
-    TEST(ConfigurationWatchersTest, aWatcherThatTheStoreDoesNotAnswerIsReplacedAndGoesOnTrying)
+    // Guards against a zone without changes of its own while the store rejects the calls of its only watcher.
+    TEST(ConfigurationWatchersTest, ADetachedWatcherIsReplacedAndKeepsTrying)
     {
         MembersView view = viewOf(5, MemberState::Serving, { "walu", "laucala", "nabua" });
         const std::vector<BalancerId> first = watchersOf(view, "walu", forwarderCounts);
@@ -136,7 +131,7 @@
         EXPECT_EQ(second.size(), 2U);
         EXPECT_EQ(std::ranges::count(second, first[0]), 1);
         {
-            SCOPED_TRACE("the store answers nobody: no more than three of a zone go on calling it");
+            SCOPED_TRACE("the store answers nobody: at most three members of a zone keep calling it");
             for (std::size_t i = 0; i < 5; ++i) {
                 for (const BalancerId id : watchersOf(view, "walu", forwarderCounts))
                     detach(view, id);
--- a/Tests/Peers/WatcherRoleTest.cpp
+++ b/Tests/Peers/WatcherRoleTest.cpp
@@ -14,14 +14,13 @@
 
     constexpr std::size_t zones = 5;
     constexpr std::size_t seeds = 3;
-    // The first ones of each zone have wide links.
+    // The first balancers of each zone have fast links.
     constexpr std::size_t fastLinksPerZone = 3;
     constexpr WatcherCounts counts { 1, 3, 3 };
-    // What a start reads of the platform may be seconds old, and a caller gives an opening up after 1.4 s. So a zone is
-    // watched a little later than that at most.
+    // Data read at the start may be seconds old, so that a zone must be watched soon after it.
     constexpr auto maxTimeToWatch = 2s;
 
-    // Balancers that start together, and who of them watches.
+    // Simulated balancers that start together, and which of them watch.
     struct Fleet {
         MembershipNetwork network { 11 };
         std::vector<WatcherRole> roles;
@@ -59,11 +58,8 @@
         }
     };
 
-    // Symptom: of the calls to the platform's service on a day of 195 balancers four in five were watches, most of them
-    // in the seconds after all had started or had lost power. Sequence: all start at once; each knows itself and three
-    // addresses, and for some seconds hardly anybody else; whoever knows no member of its zone with a wider link
-    // watches. Cause: a balancer judged by a view that had just begun to fill.
-    TEST(WatcherRoleTest, whenAllStartTogetherFewWatchAndEachZoneIsWatched)
+    // Guards against a burst of watches when a whole fleet starts and each balancer still knows few others.
+    TEST(WatcherRoleTest, FewBalancersWatchWhenAllStartTogether)
     {
         Fleet fleet;
         fleet.start(195, seeds);
@@ -73,7 +69,7 @@
             EXPECT_LE(after, maxTimeToWatch);
     }
 
-    TEST(WatcherRoleTest, aSmallFleetIsWatchedSoonAfterItsStart)
+    TEST(WatcherRoleTest, ASmallFleetIsWatchedSoonAfterItsStart)
     {
         Fleet fleet;
         fleet.start(2 * zones, seeds);
@@ -82,16 +78,16 @@
             EXPECT_LE(after, 2s);
     }
 
-    TEST(WatcherRoleTest, whoMeetsNobodyWatchesAlone)
+    TEST(WatcherRoleTest, AnIsolatedBalancerWatches)
     {
         Fleet fleet;
-        // Nobody answers: all but the first are cut off from each other.
+        // No message is delivered.
         fleet.network.isCut = [](std::size_t, std::size_t) { return true; };
         fleet.start(zones, seeds);
         fleet.run(4s);
         EXPECT_EQ(fleet.watchersSoFar.size(), zones);
         {
-            SCOPED_TRACE("at once, where no address of another is known");
+            SCOPED_TRACE("at once when no address of another balancer is known");
             Fleet single;
             single.start(1, 0);
             single.run(100ms);
@@ -99,7 +95,7 @@
         }
     }
 
-    TEST(WatcherRoleTest, anotherTakesOverFromAWatcherThatDies)
+    TEST(WatcherRoleTest, ADeadWatcherIsReplaced)
     {
         Fleet fleet;
         fleet.start(40, seeds);
