--- a/Source/Forwarder/ForwarderLog.h
+++ b/Source/Forwarder/ForwarderLog.h
@@ -31,7 +31,8 @@
 public:
     // An answer that takes longer is logged.
     static constexpr std::chrono::milliseconds slowAnswerThreshold { 250 };
-    // More transitions of servers of one kind are logged in one line.
+    // More transitions of one kind are logged in one line, since a listing of hundreds of servers would displace
+    // others.
     static constexpr std::size_t maxSeparateLines = 16;
 
     explicit ForwarderLog(EventLog& log)
@@ -45,8 +46,8 @@
     // What a packet of an open flow shows: a new request, a retransmission, or a late answer to the request before.
     void progress(const TokenPacket&, const PacketDecision&, std::string_view requestId, TimePoint now);
     void malformed(std::size_t bytes, const Endpoint& sender, TimePoint now);
-    // State changes of servers. source: "store", "time" or the name of the balancer that sent the update. A listing
-    // changes hundreds of servers, which would displace other lines.
+    // State changes of servers; many of one kind are logged in one line. source: "store", "time" or the name of the
+    // balancer that sent the update.
     void transitions(
         const ServerDirectory::Transitions&, std::uint64_t revision, const std::string& source, TimePoint now);
     void configuration(const ReceivedConfiguration&, const ReplicaChanged&, TimePoint now);
--- a/Source/Forwarder/PeerSync.h
+++ b/Source/Forwarder/PeerSync.h
@@ -44,7 +44,7 @@
     void tick(TimePoint now);
     // A delta that this balancer read from the store.
     void handleStoreDelta(const DeltaReceived&, TimePoint now);
-    // A planned stop begins: the other balancers are told.
+    // Begins a planned stop and announces it to the other balancers.
     void leave(TimePoint now);
     void setSeeds(std::vector<Endpoint> seeds, TimePoint now);
 
@@ -61,8 +61,9 @@
     std::vector<std::uint32_t> liveBalancersOfZone() const;
     // False while other balancers are still being discovered.
     bool isSettled(TimePoint now) const { return membership_.isSettled(now); }
+    // Bytes of datagrams, of fetches served, and of fetches sent before the one in progress.
     std::uint64_t bytesTransferred() const;
-    // The same by cause.
+    // Messages and bytes by cause, those of the fetch in progress included.
     std::vector<TrafficRow> traffic() const;
 
 private:
--- a/Source/Forwarder/StoreUpdateApplier.h
+++ b/Source/Forwarder/StoreUpdateApplier.h
@@ -68,7 +68,7 @@
             metrics_.observeConfiguration(received.age + received.applyTime, received.applyTime);
     }
 
-    // The key alone is the order. Its value is ignored, so it need not be readable.
+    // A zone is evacuated while its key exists. The value is ignored, so it need not be readable.
     void applyZoneEvacuation(
         const std::string& zone, const StoreUpdate& item, const ReplicaChanged& changed, TimePoint now)
     {
