--- a/Source/Balancer/OpenTries.cpp
+++ b/Source/Balancer/ActiveAttempts.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/OpenTries.h"
+#include "Balancer/ActiveAttempts.h"
 
 #include "Balancer/RequestRefusal.h"
 #include "Balancer/ServiceLookup.h"
@@ -20,17 +20,17 @@
 
 }
 
-OpenTries::OpenTries(const BalancerInstance& self, CancelHandler onCancelled)
+ActiveAttempts::ActiveAttempts(const BalancerInstance& self, CancelHandler onCancelled)
     : self_(self)
     , onCancelled_(std::move(onCancelled))
 {
 }
 
-OpenTry& OpenTries::open(const std::shared_ptr<Http2Exchange>& exchange, const CheckedRequest& checked,
+ActiveAttempt& ActiveAttempts::open(const std::shared_ptr<Http2Exchange>& exchange, const CheckedRequest& checked,
     const Configuration& configuration, std::shared_ptr<const HttpRequest> forwarded)
 {
-    const AttemptId id = ++last_;
-    const auto opened = std::make_shared<OpenTry>();
+    const AttemptId id = ++lastId_;
+    const auto opened = std::make_shared<ActiveAttempt>();
     opened->exchange = exchange;
     opened->forwarded = std::move(forwarded);
     opened->since = Clock::now();
@@ -50,7 +50,7 @@
     if (!service && !attempt.problem)
         attempt.problem = RefusalReason::NoServer;
 
-    tries_.emplace(id, opened);
+    attempts_.emplace(id, opened);
     exchange->onCancelled([this, alive = std::weak_ptr<int>(alive_), id] {
         if (!alive.expired())
             cancel(id);
@@ -58,13 +58,13 @@
     return *opened;
 }
 
-OpenTry* OpenTries::find(AttemptId id)
+ActiveAttempt* ActiveAttempts::find(AttemptId id)
 {
-    const auto found = tries_.find(id);
-    return found == tries_.end() ? nullptr : found->second.get();
+    const auto found = attempts_.find(id);
+    return found == attempts_.end() ? nullptr : found->second.get();
 }
 
-void OpenTries::cancel(AttemptId id)
+void ActiveAttempts::cancel(AttemptId id)
 {
     const auto closed = close(id);
     if (!closed)
@@ -74,7 +74,7 @@
     onCancelled_(id);
 }
 
-void OpenTries::answer(AttemptId id, HttpResponse response)
+void ActiveAttempts::answer(AttemptId id, HttpResponse response)
 {
     const auto closed = close(id);
     if (!closed)
@@ -88,7 +88,7 @@
     closed->exchange->respond(std::move(response));
 }
 
-void OpenTries::refuse(AttemptId id, const Refusal& refusal)
+void ActiveAttempts::refuse(AttemptId id, const Refusal& refusal)
 {
     const auto closed = close(id);
     if (!closed)
@@ -108,20 +108,20 @@
     closed->exchange->respond(problem.toResponse());
 }
 
-void OpenTries::redirect(AttemptId id)
+void ActiveAttempts::redirect(AttemptId id)
 {
     if (const auto closed = close(id))
         closed->exchange->respond(
             writeHopAnswer({ .owner = self_, .ending = HopEnding::Redirect, .refusal = {}, .response = {} }));
 }
 
-std::shared_ptr<OpenTry> OpenTries::close(AttemptId id)
+std::shared_ptr<ActiveAttempt> ActiveAttempts::close(AttemptId id)
 {
-    const auto found = tries_.find(id);
-    if (found == tries_.end())
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end())
         return nullptr;
     auto closed = std::move(found->second);
-    tries_.erase(found);
+    attempts_.erase(found);
     return closed;
 }
 
--- a/Source/Balancer/OpenTries.h
+++ b/Source/Balancer/ActiveAttempts.h
@@ -16,7 +16,7 @@
 namespace wisteriadock {
 
 // A request that is being answered here: one of a caller, or one that another balancer forwarded.
-struct OpenTry {
+struct ActiveAttempt {
     std::shared_ptr<Http2Exchange> exchange;
     // Set for a forwarded try: the request as its caller sent it.
     std::shared_ptr<const HttpRequest> forwarded;
@@ -33,19 +33,19 @@
 
 // The requests that are being answered, by try, and their final answers: each gets one, on its own stream.
 // RequestControl calls it.
-class OpenTries {
+class ActiveAttempts {
 public:
     using CancelHandler = std::function<void(AttemptId)>;
 
     // The handler runs when a caller or the forwarding balancer gives a try up, which is closed by then.
-    OpenTries(const BalancerInstance& self, CancelHandler);
-    ~OpenTries() { alive_.reset(); }
-    OpenTries(const OpenTries&) = delete;
-    OpenTries& operator=(const OpenTries&) = delete;
+    ActiveAttempts(const BalancerInstance& self, CancelHandler);
+    ~ActiveAttempts() { alive_.reset(); }
+    ActiveAttempts(const ActiveAttempts&) = delete;
+    ActiveAttempts& operator=(const ActiveAttempts&) = delete;
 
-    OpenTry& open(const std::shared_ptr<Http2Exchange>&, const CheckedRequest&, const Configuration&,
+    ActiveAttempt& open(const std::shared_ptr<Http2Exchange>&, const CheckedRequest&, const Configuration&,
         std::shared_ptr<const HttpRequest> forwarded = nullptr);
-    OpenTry* find(AttemptId);
+    ActiveAttempt* find(AttemptId);
 
     // These end a try; one that has ended already is ignored.
     void answer(AttemptId, HttpResponse);
@@ -58,13 +58,13 @@
 
 private:
     void cancel(AttemptId);
-    std::shared_ptr<OpenTry> close(AttemptId);
+    std::shared_ptr<ActiveAttempt> close(AttemptId);
     void count(RequestEnding ending) { ++counts_[static_cast<std::size_t>(ending)]; }
 
     BalancerInstance self_;
     CancelHandler onCancelled_;
-    std::map<AttemptId, std::shared_ptr<OpenTry>> tries_;
-    AttemptId last_ = 0;
+    std::map<AttemptId, std::shared_ptr<ActiveAttempt>> attempts_;
+    AttemptId lastId_ = 0;
     RequestCounts counts_ {};
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
--- a/Source/Balancer/TryForwarder.cpp
+++ b/Source/Balancer/AttemptForwarder.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/TryForwarder.h"
+#include "Balancer/AttemptForwarder.h"
 
 #include <algorithm>
 #include <chrono>
@@ -17,26 +17,26 @@
 
 }
 
-TryForwarder::TryForwarder(boost::asio::io_context& context, HolderLink& link, const BalancerInstance& self,
-    const Http2Limits& limits, ForwardEnds ends)
+AttemptForwarder::AttemptForwarder(boost::asio::io_context& context, HolderLink& link, const BalancerInstance& self,
+    const Http2Limits& limits, ForwardHandlers handlers)
     : link_(link)
     , self_(self)
-    , ends_(std::move(ends))
-    , book_(self, acknowledgeTimeout)
+    , handlers_(std::move(handlers))
+    , pendingForwards_(self, acknowledgeTimeout)
     , clients_(context, limits)
 {
 }
 
-void TryForwarder::forward(AttemptId id, const HttpRequest& request, const KeyDigest& key,
+void AttemptForwarder::forward(AttemptId id, const HttpRequest& request, const KeyDigest& key,
     std::optional<RefusalReason> problem, const BalancerInstance& owner, TimePoint deadline)
 {
     const TimePoint now = Clock::now();
     const Member* member = link_.find(owner);
     if (!member) {
-        ends_.onRedirect(id, owner);
+        handlers_.onRedirect(id, owner);
         return;
     }
-    const ForwardToken token = book_.open(id, key, owner, deadline + answerTravelTime, now);
+    const ForwardToken token = pendingForwards_.open(id, key, owner, deadline + answerTravelTime, now);
     const auto timeLeft = std::chrono::duration_cast<std::chrono::microseconds>(deadline - now);
     const std::weak_ptr<int> alive = alive_;
     Hop hop { id, key, owner, member->requestAddress, 0 };
@@ -49,13 +49,13 @@
     hops_.emplace(token.number, hop);
 }
 
-void TryForwarder::cancel(AttemptId id)
+void AttemptForwarder::cancel(AttemptId id)
 {
-    book_.cancel(id);
+    pendingForwards_.cancel(id);
     closeHop(id);
 }
 
-void TryForwarder::closeHop(AttemptId id)
+void AttemptForwarder::closeHop(AttemptId id)
 {
     const auto found = std::ranges::find_if(hops_, [&](const auto& entry) { return entry.second.id == id; });
     if (found == hops_.end())
@@ -65,7 +65,7 @@
     clients_.cancel(hop.address, hop.request);
 }
 
-void TryForwarder::applyMembers()
+void AttemptForwarder::applyMembers()
 {
     std::set<BalancerInstance> owners;
     for (const auto& [number, hop] : hops_)
@@ -74,7 +74,7 @@
         const Member* member = link_.find(owner);
         if (member && member->state != MemberState::Dead)
             continue;
-        for (const AbandonedForward& lost : book_.removeOwner(owner))
+        for (const AbandonedForward& lost : pendingForwards_.removeOwner(owner))
             abandon(lost);
     }
     clients_.keepOnly([&](Endpoint address) {
@@ -83,19 +83,19 @@
     });
 }
 
-void TryForwarder::tick(TimePoint now)
+void AttemptForwarder::tick(TimePoint now)
 {
-    for (const AbandonedForward& lost : book_.expire(now))
+    for (const AbandonedForward& lost : pendingForwards_.expire(now))
         abandon(lost);
 }
 
-void TryForwarder::abandon(const AbandonedForward& lost)
+void AttemptForwarder::abandon(const AbandonedForward& lost)
 {
     closeHop(lost.id);
-    ends_.onLost(lost.id, lost.reason);
+    handlers_.onLost(lost.id, lost.reason);
 }
 
-void TryForwarder::finish(const ForwardToken& token, HttpOutcome outcome)
+void AttemptForwarder::finish(const ForwardToken& token, HttpOutcome outcome)
 {
     const auto found = hops_.find(token.number);
     if (found == hops_.end())
@@ -108,42 +108,42 @@
     }
     auto answer = readHopAnswer(std::move(outcome.value()));
     if (!answer) {
-        book_.cancel(hop.id);
-        ends_.onLost(hop.id, RefusalReason::HomeUnreachable);
+        pendingForwards_.cancel(hop.id);
+        handlers_.onLost(hop.id, RefusalReason::HomeUnreachable);
         return;
     }
     finishAnswered(token, hop, std::move(answer.value()));
 }
 
 // A try that provably never got to the owner may go again: the owner runs a key once however often it comes.
-void TryForwarder::finishFailed(const ForwardToken& token, const Hop& hop, HttpFailureKind kind)
+void AttemptForwarder::finishFailed(const ForwardToken& token, const Hop& hop, HttpFailureKind kind)
 {
     const bool neverArrived = kind == HttpFailureKind::NotSent || kind == HttpFailureKind::Refused;
-    if (neverArrived && book_.redirect(hop.owner, token)) {
-        ends_.onRedirect(hop.id, hop.owner);
+    if (neverArrived && pendingForwards_.redirect(hop.owner, token)) {
+        handlers_.onRedirect(hop.id, hop.owner);
         return;
     }
-    book_.cancel(hop.id);
+    pendingForwards_.cancel(hop.id);
     const bool isLate = kind == HttpFailureKind::DeadlineExceeded;
-    ends_.onLost(hop.id, isLate ? RefusalReason::DeadlinePassed : RefusalReason::HomeUnreachable);
+    handlers_.onLost(hop.id, isLate ? RefusalReason::DeadlinePassed : RefusalReason::HomeUnreachable);
 }
 
-void TryForwarder::finishAnswered(const ForwardToken& token, const Hop& hop, HopAnswer answer)
+void AttemptForwarder::finishAnswered(const ForwardToken& token, const Hop& hop, HopAnswer answer)
 {
-    if (answer.ending == HopEnding::Redirect && book_.redirect(answer.owner, token)) {
-        ends_.onRedirect(hop.id, hop.owner);
+    if (answer.ending == HopEnding::Redirect && pendingForwards_.redirect(answer.owner, token)) {
+        handlers_.onRedirect(hop.id, hop.owner);
         return;
     }
     const std::uint64_t received = answer.response.body.size();
     const PendingForwardTable::Resolved settled
-        = book_.resolve(answer.owner, { token, hop.key, answer.declaredBytes, received });
+        = pendingForwards_.resolve(answer.owner, { token, hop.key, answer.declaredBytes, received });
     if (settled.delivery != Delivery::Deliver || answer.ending == HopEnding::Redirect) {
-        book_.cancel(hop.id);
-        ends_.onLost(hop.id, RefusalReason::OutcomeUnknown);
+        pendingForwards_.cancel(hop.id);
+        handlers_.onLost(hop.id, RefusalReason::OutcomeUnknown);
     } else if (answer.ending == HopEnding::Refusal) {
-        ends_.onRefusal(hop.id, answer.refusal);
+        handlers_.onRefusal(hop.id, answer.refusal);
     } else {
-        ends_.onAnswer(hop.id, std::move(answer.response));
+        handlers_.onAnswer(hop.id, std::move(answer.response));
     }
 }
 
--- a/Source/Balancer/TryForwarder.h
+++ b/Source/Balancer/AttemptForwarder.h
@@ -17,7 +17,7 @@
 namespace wisteriadock {
 
 // How a forwarded try ended.
-struct ForwardEnds {
+struct ForwardHandlers {
     std::function<void(AttemptId, HttpResponse)> onAnswer;
     // The owner's own word.
     std::function<void(AttemptId, const Refusal&)> onRefusal;
@@ -28,20 +28,24 @@
 };
 
 // Sends tries over HTTP/2 to the balancers that own their keys and takes the answers. RequestControl calls it.
-class TryForwarder {
+class AttemptForwarder {
 public:
     // The link outlives the forwarder.
-    TryForwarder(boost::asio::io_context&, HolderLink&, const BalancerInstance& self, const Http2Limits&, ForwardEnds);
+    AttemptForwarder(
+        boost::asio::io_context&, HolderLink&, const BalancerInstance& self, const Http2Limits&, ForwardHandlers);
     // What still ends afterwards is told to nobody.
-    ~TryForwarder() { alive_.reset(); }
-    TryForwarder(const TryForwarder&) = delete;
-    TryForwarder& operator=(const TryForwarder&) = delete;
+    ~AttemptForwarder() { alive_.reset(); }
+    AttemptForwarder(const AttemptForwarder&) = delete;
+    AttemptForwarder& operator=(const AttemptForwarder&) = delete;
 
     // Exactly one of the ends follows, unless the try is cancelled.
     void forward(AttemptId, const HttpRequest&, const KeyDigest&, std::optional<RefusalReason> problem,
         const BalancerInstance& owner, TimePoint deadline);
     void cancel(AttemptId);
-    void acknowledge(const BalancerInstance& from, const ForwardToken& token) { book_.acknowledge(from, token); }
+    void acknowledge(const BalancerInstance& from, const ForwardToken& token)
+    {
+        pendingForwards_.acknowledge(from, token);
+    }
     // Gives up what went to owners that are dead or have started again.
     void applyMembers();
     void tick(TimePoint now);
@@ -63,8 +67,8 @@
 
     HolderLink& link_;
     BalancerInstance self_;
-    ForwardEnds ends_;
-    PendingForwardTable book_;
+    ForwardHandlers handlers_;
+    PendingForwardTable pendingForwards_;
     // By token number. A hop that is not here any more is nobody's.
     std::map<std::uint64_t, Hop> hops_;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -26,8 +26,8 @@
     constexpr auto firstRecordPatience = 2000ms;
     constexpr auto comeBackIn = 1000ms;
     // Within the time after which the forwarding balancer gives the try up.
-    constexpr auto receiptPeriod = 200ms;
-    constexpr int receiptRepeats = 2;
+    constexpr auto acknowledgementPeriod = 200ms;
+    constexpr int acknowledgementRepeats = 2;
     constexpr auto loanSlack = 5000ms;
 
     RunnerSettings runnerSettingsOf(const RequestControlSettings& settings)
@@ -70,7 +70,7 @@
     , homeZone_(settings.zones.empty() ? std::string(wholeFleet) : settings.availabilityZone)
     , timer_(context)
     , random_(settings.seed)
-    , tries_(settings.self, [this](AttemptId id) { cancelled(id); })
+    , attempts_(settings.self, [this](AttemptId id) { cancelled(id); })
     , runner_(runnerSettingsOf(settings))
     , router_(std::make_unique<RequestRouter>(settings.self, zonesOf(settings)))
     , link_(context, link, settings.self, settings.http,
@@ -78,8 +78,8 @@
     , terms_(platform, *router_, link_, homeZone_, settings.self, settings.seed,
           [this](const ClaimTerm& term) { adopt(term); })
     , forwarder_(context, link_, settings.self, settings.http,
-          { .onAnswer = [this](AttemptId id, HttpResponse response) { tries_.answer(id, std::move(response)); },
-              .onRefusal = [this](AttemptId id, const Refusal& refusal) { tries_.refuse(id, refusal); },
+          { .onAnswer = [this](AttemptId id, HttpResponse response) { attempts_.answer(id, std::move(response)); },
+              .onRefusal = [this](AttemptId id, const Refusal& refusal) { attempts_.refuse(id, refusal); },
               .onLost = [this](AttemptId id, RefusalReason reason) { refuseUnknown(id, reason); },
               .onRedirect =
                   [this](AttemptId id, const BalancerInstance& owner) {
@@ -141,7 +141,7 @@
     runner_.tick(now);
     forwarder_.tick(now);
     routeDue(now);
-    repeatReceipts(now);
+    repeatAcknowledgements(now);
     act();
 }
 
@@ -156,7 +156,7 @@
 void RequestControl::handle(const BalancerInstance& from, const BalancerMessage& message)
 {
     const TimePoint now = Clock::now();
-    if (const auto* received = std::get_if<TryReceived>(&message)) {
+    if (const auto* received = std::get_if<AttemptReceived>(&message)) {
         forwarder_.acknowledge(from, received->token);
     } else if (const auto* digest = std::get_if<TermDigest>(&message)) {
         terms_.compare(from, *digest);
@@ -180,12 +180,12 @@
                                                     .headerBytes = headerBytesOf(request),
                                                     .bodyBytes = request.body.size() },
         router_->zones(), settings_.limits);
-    const OpenTry& opened = tries_.open(exchange, checked, *configuration_);
+    const ActiveAttempt& opened = attempts_.open(exchange, checked, *configuration_);
     const AttemptId id = opened.attempt.id;
     if (opened.isKeyed)
         route(id, now);
     else if (opened.attempt.problem)
-        tries_.refuse(id, { *opened.attempt.problem, Executed::No, {} });
+        attempts_.refuse(id, { *opened.attempt.problem, Executed::No, {} });
     else
         runner_.arrive(UnkeyedAttempt { id, opened.attempt.service, opened.attempt.deadline }, now);
     act();
@@ -193,7 +193,7 @@
 
 void RequestControl::route(AttemptId id, TimePoint now)
 {
-    OpenTry& opened = *tries_.find(id);
+    ActiveAttempt& opened = *attempts_.find(id);
     const KeyedAttempt& attempt = opened.attempt;
     if (now >= attempt.deadline) {
         refuseUnknown(id, RefusalReason::DeadlinePassed);
@@ -215,37 +215,38 @@
 
 void RequestControl::routeLater(AttemptId id, TimePoint now)
 {
-    if (tries_.find(id))
-        later_.push_back({ id, now + rerouteAfter });
+    if (attempts_.find(id))
+        delayedRoutes_.push_back({ id, now + rerouteAfter });
 }
 
 void RequestControl::routeDue(TimePoint now)
 {
     std::vector<AttemptId> due;
-    std::erase_if(later_, [&](const LaterRoute& later) {
+    std::erase_if(delayedRoutes_, [&](const DelayedRoute& later) {
         if (now < later.at)
             return false;
         due.push_back(later.id);
         return true;
     });
     for (const AttemptId id : due) {
-        if (tries_.find(id))
+        if (attempts_.find(id))
             route(id, now);
     }
 }
 
 // What goes wrong without it: one lost datagram, and a try whose work is under way is answered "unknown".
-void RequestControl::repeatReceipts(TimePoint now)
+void RequestControl::repeatAcknowledgements(TimePoint now)
 {
-    for (LaterReceipt& receipt : receipts_) {
-        if (now < receipt.at)
+    for (PendingAcknowledgement& acknowledgement : acknowledgements_) {
+        if (now < acknowledgement.at)
             continue;
-        receipt.at = now + receiptPeriod;
-        receipt.left = tries_.find(receipt.id) ? receipt.left - 1 : -1;
-        if (receipt.left >= 0)
-            link_.send(receipt.token.entry, TryReceived { receipt.token });
+        acknowledgement.at = now + acknowledgementPeriod;
+        acknowledgement.left = attempts_.find(acknowledgement.id) ? acknowledgement.left - 1 : -1;
+        if (acknowledgement.left >= 0)
+            link_.send(acknowledgement.token.entry, AttemptReceived { acknowledgement.token });
     }
-    std::erase_if(receipts_, [](const LaterReceipt& receipt) { return receipt.left <= 0; });
+    std::erase_if(
+        acknowledgements_, [](const PendingAcknowledgement& acknowledgement) { return acknowledgement.left <= 0; });
 }
 
 bool RequestControl::takeFromBalancer(const std::shared_ptr<Http2Exchange>& exchange)
@@ -277,14 +278,15 @@
             { .owner = hop.value().owner, .ending = HopEnding::Redirect, .refusal = {}, .response = {} }));
         return;
     }
-    link_.send(hop.value().token.entry, TryReceived { hop.value().token });
+    link_.send(hop.value().token.entry, AttemptReceived { hop.value().token });
     CheckedRequest checked;
     checked.key = key.value();
     checked.timeLeft = std::min<Duration>(hop.value().timeLeft, settings_.limits.maxDeadline);
     checked.problem = hop.value().problem;
-    const OpenTry& opened = tries_.open(
+    const ActiveAttempt& opened = attempts_.open(
         exchange, checked, *configuration_, std::make_shared<const HttpRequest>(std::move(hop.value().request)));
-    receipts_.push_back({ opened.attempt.id, hop.value().token, now + receiptPeriod, receiptRepeats });
+    acknowledgements_.push_back(
+        { opened.attempt.id, hop.value().token, now + acknowledgementPeriod, acknowledgementRepeats });
     runner_.arrive(opened.attempt, now);
     act();
 }
@@ -306,7 +308,7 @@
 
 void RequestControl::perform(const StartWork& start)
 {
-    const OpenTry* content = tries_.find(start.content);
+    const ActiveAttempt* content = attempts_.find(start.content);
     const BackendServer* server = configuration_->findBackendServer(start.server);
     if (!content || !server)
         runner_.workFailed(start.work, HttpFailureKind::NotSent, Clock::now());
@@ -338,9 +340,9 @@
 
 void RequestControl::perform(const RedirectAttempt& redirect)
 {
-    const OpenTry* opened = tries_.find(redirect.id);
+    const ActiveAttempt* opened = attempts_.find(redirect.id);
     if (opened && opened->forwarded) {
-        tries_.redirect(redirect.id);
+        attempts_.redirect(redirect.id);
         return;
     }
     terms_.want(Clock::now());
@@ -349,7 +351,7 @@
 
 void RequestControl::refuseUnknown(AttemptId id, RefusalReason reason)
 {
-    tries_.refuse(id, { reason, Executed::Unknown, drawRetryAfter(comeBackIn, random_) });
+    attempts_.refuse(id, { reason, Executed::Unknown, drawRetryAfter(comeBackIn, random_) });
 }
 
 HttpResponse RequestControl::issueTicket()
@@ -380,7 +382,7 @@
 RequestFigures RequestControl::figures() const
 {
     RequestFigures figures;
-    figures.endings = tries_.counts();
+    figures.endings = attempts_.counts();
     figures.claimsHeld = runner_.buckets().table().size();
     figures.bucketsLost = runner_.buckets().lostBuckets();
     for (std::uint32_t bucket = 0; bucket < claimBucketCount; ++bucket)
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -1,9 +1,9 @@
 #pragma once
 
+#include "Balancer/ActiveAttempts.h"
+#include "Balancer/AttemptForwarder.h"
 #include "Balancer/HolderLink.h"
-#include "Balancer/OpenTries.h"
 #include "Balancer/TermControl.h"
-#include "Balancer/TryForwarder.h"
 #include "Balancer/WorkSender.h"
 #include "Configuration/Configuration.h"
 #include "Net/Http2Server.h"
@@ -78,13 +78,13 @@
 
 private:
     // The word that a forwarded try has come, to be said again: datagrams get lost.
-    struct LaterReceipt {
+    struct PendingAcknowledgement {
         AttemptId id = 0;
         ForwardToken token;
         TimePoint at;
         int left = 0;
     };
-    struct LaterRoute {
+    struct DelayedRoute {
         AttemptId id = 0;
         TimePoint at;
     };
@@ -93,7 +93,7 @@
     void scheduleTick();
     void tick(TimePoint now);
     void routeDue(TimePoint now);
-    void repeatReceipts(TimePoint now);
+    void repeatAcknowledgements(TimePoint now);
     void handle(const BalancerInstance& from, const BalancerMessage&);
     void takeHop(const std::shared_ptr<Http2Exchange>&);
 
@@ -105,8 +105,8 @@
     void act();
     void perform(const StartWork&);
     void perform(const CancelWork& cancel) { sender_.cancel(cancel.work); }
-    void perform(const AnswerAttempt& answer) { tries_.answer(answer.id, *answer.answer); }
-    void perform(const RefuseAttempt& refusal) { tries_.refuse(refusal.id, refusal.refusal); }
+    void perform(const AnswerAttempt& answer) { attempts_.answer(answer.id, *answer.answer); }
+    void perform(const RefuseAttempt& refusal) { attempts_.refuse(refusal.id, refusal.refusal); }
     void perform(const RedirectAttempt&);
     void perform(const OutgoingMessage& message) { link_.send(message.to, message.message); }
     void perform(const FetchTerm&) { terms_.want(Clock::now()); }
@@ -120,9 +120,9 @@
     boost::asio::steady_timer timer_;
     std::mt19937_64 random_;
     std::shared_ptr<const Configuration> configuration_ = std::make_shared<const Configuration>();
-    OpenTries tries_;
-    std::vector<LaterRoute> later_;
-    std::vector<LaterReceipt> receipts_;
+    ActiveAttempts attempts_;
+    std::vector<DelayedRoute> delayedRoutes_;
+    std::vector<PendingAcknowledgement> acknowledgements_;
     std::uint64_t recoveries_ = 0;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 
@@ -131,7 +131,7 @@
     // Destroyed first: their open requests end inside their destructors.
     HolderLink link_;
     TermControl terms_;
-    TryForwarder forwarder_;
+    AttemptForwarder forwarder_;
     WorkSender sender_;
 };
 
--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -80,7 +80,7 @@
     void describe(auto& archive, BorrowSlot& value) { fields(archive, value.service, value.nonce); }
     void describe(auto& archive, SlotReply& value) { fields(archive, value.nonce, value.isLent, value.server); }
     void describe(auto& archive, ReturnSlot& value) { fields(archive, value.nonce, value.server); }
-    void describe(auto& archive, TryReceived& value) { fields(archive, value.token); }
+    void describe(auto& archive, AttemptReceived& value) { fields(archive, value.token); }
     void describe(auto& archive, TermDigest::Row& value) { fields(archive, value.zone, value.epoch); }
     void describe(auto& archive, TermDigest& value) { fields(archive, value.rows); }
 
@@ -209,7 +209,7 @@
     {
         if (kind < messageKinds)
             return emptyMessage(kind);
-        return kind == messageKinds ? BalancerMessage(TryReceived {}) : BalancerMessage(TermDigest {});
+        return kind == messageKinds ? BalancerMessage(AttemptReceived {}) : BalancerMessage(TermDigest {});
     }
 
     template <typename Archive> void contents(Archive& archive, BalancerMessage& message)
@@ -217,7 +217,7 @@
         const auto describeOne = [&](auto& content) { describe(archive, content); };
         if (auto* request = std::get_if<RequestMessage>(&message))
             std::visit(describeOne, *request);
-        else if (auto* received = std::get_if<TryReceived>(&message))
+        else if (auto* received = std::get_if<AttemptReceived>(&message))
             describeOne(*received);
         else
             describeOne(std::get<TermDigest>(message));
--- a/Source/Balancer/RequestMessageCodec.h
+++ b/Source/Balancer/RequestMessageCodec.h
@@ -13,10 +13,10 @@
 namespace wisteriadock {
 
 // The owner's word that a forwarded try has reached it (PendingForwardTable.h).
-struct TryReceived {
+struct AttemptReceived {
     ForwardToken token;
 
-    bool operator==(const TryReceived&) const = default;
+    bool operator==(const AttemptReceived&) const = default;
 };
 
 // The newest ownership epochs that the sender knows. The receiver sends the records that are newer.
@@ -33,7 +33,7 @@
 };
 
 // Everything that balancers say to each other about requests, but for the requests themselves.
-using BalancerMessage = std::variant<RequestMessage, TryReceived, TermDigest>;
+using BalancerMessage = std::variant<RequestMessage, AttemptReceived, TermDigest>;
 
 // A message and the start of the receiver that it is meant for. A balancer that has started again since has lost what
 // the message builds on, and drops it.
--- a/Tests/Balancer/PacketPathTest.cpp
+++ b/Tests/Balancer/PacketPathTest.cpp
@@ -53,7 +53,8 @@
                 const auto packet = decodeProxiedPacket(bytes);
                 ASSERT_TRUE(packet);
                 const auto payload = packet.value().payload;
-                receipts_.push_back({ name, packet.value().header, std::string(payload.begin(), payload.end()) });
+                acknowledgements_.push_back(
+                    { name, packet.value().header, std::string(payload.begin(), payload.end()) });
             };
             return std::move(UdpSocket::bind(context_, anyLoopbackPort, take).value());
         }
@@ -106,12 +107,12 @@
 
         void awaitReceipts(std::size_t count)
         {
-            runUntil([&] { return receipts_.size() >= count; });
-            ASSERT_EQ(receipts_.size(), count);
+            runUntil([&] { return acknowledgements_.size() >= count; });
+            ASSERT_EQ(acknowledgements_.size(), count);
         }
 
         FlowEngine engine_ { settings(), self, 11 };
-        std::vector<Receipt> receipts_;
+        std::vector<Receipt> acknowledgements_;
         std::unique_ptr<UdpSocket> tryon_;
         std::unique_ptr<UdpSocket> scanintake_;
         std::unique_ptr<UdpSocket> fabric_;
@@ -126,11 +127,11 @@
         send({ client, scanintakeAddress, {} }, "scan");
         awaitReceipts(2);
 
-        EXPECT_EQ(receipts_[0].server, "try1");
-        EXPECT_EQ(receipts_[0].header, (ProxyHeader { client, tryonAddress, {} }));
-        EXPECT_EQ(receipts_[0].payload, "frame");
-        EXPECT_EQ(receipts_[1].server, "scan1");
-        EXPECT_EQ(receipts_[1].payload, "scan");
+        EXPECT_EQ(acknowledgements_[0].server, "try1");
+        EXPECT_EQ(acknowledgements_[0].header, (ProxyHeader { client, tryonAddress, {} }));
+        EXPECT_EQ(acknowledgements_[0].payload, "frame");
+        EXPECT_EQ(acknowledgements_[1].server, "scan1");
+        EXPECT_EQ(acknowledgements_[1].payload, "scan");
     }
 
     TEST_F(PacketPathTest, takesTheForwardMarkOffForTheBackendServer)
@@ -138,8 +139,8 @@
         const ForwardMark mark { balancerIdOf("b2"), 1 };
         send({ { 0xcb007101, 50000 }, tryonAddress, mark }, "frame");
         awaitReceipts(1);
-        EXPECT_EQ(receipts_[0].header.forwardMark, std::nullopt);
-        EXPECT_EQ(receipts_[0].payload, "frame");
+        EXPECT_EQ(acknowledgements_[0].header.forwardMark, std::nullopt);
+        EXPECT_EQ(acknowledgements_[0].payload, "frame");
     }
 
     TEST_F(PacketPathTest, countsAndDropsWhatItCantPlace)
--- a/Tests/Balancer/RequestMessageCodecTest.cpp
+++ b/Tests/Balancer/RequestMessageCodecTest.cpp
@@ -57,9 +57,9 @@
         }
         {
             SCOPED_TRACE("the shell's own");
-            const TryReceived received { { first, 3 } };
+            const AttemptReceived received { { first, 3 } };
             EXPECT_EQ(
-                std::get<TryReceived>(decodeRequestMessage(encodeRequestMessage({ 5, received })).value().message),
+                std::get<AttemptReceived>(decodeRequestMessage(encodeRequestMessage({ 5, received })).value().message),
                 received);
             const TermDigest digest { { { "walu", 9 }, { "nabua", 2 } } };
             EXPECT_EQ(std::get<TermDigest>(decodeRequestMessage(encodeRequestMessage({ 5, digest })).value().message),
