--- a/Source/Balancer/AttemptForwarder.cpp
+++ b/Source/Balancer/AttemptForwarder.cpp
@@ -17,9 +17,9 @@
 
 }
 
-AttemptForwarder::AttemptForwarder(boost::asio::io_context& context, HolderLink& link, const BalancerInstance& self,
-    const Http2Limits& limits, ForwardHandlers handlers)
-    : link_(link)
+AttemptForwarder::AttemptForwarder(boost::asio::io_context& context, RequestMessageTransport& transport,
+    const BalancerInstance& self, const Http2Limits& limits, ForwardHandlers handlers)
+    : transport_(transport)
     , self_(self)
     , handlers_(std::move(handlers))
     , pendingForwards_(self, acknowledgeTimeout)
@@ -31,7 +31,7 @@
     std::optional<RefusalReason> problem, const BalancerInstance& owner, TimePoint deadline)
 {
     const TimePoint now = Clock::now();
-    const Member* member = link_.find(owner);
+    const Member* member = transport_.find(owner);
     if (!member) {
         handlers_.onRedirect(id, owner);
         return;
@@ -71,7 +71,7 @@
     for (const auto& [number, hop] : hops_)
         owners.insert(hop.owner);
     for (const BalancerInstance& owner : owners) {
-        const Member* member = link_.find(owner);
+        const Member* member = transport_.find(owner);
         if (member && member->state != MemberState::Dead)
             continue;
         for (const AbandonedForward& lost : pendingForwards_.removeOwner(owner))
@@ -79,7 +79,7 @@
     }
     clients_.keepOnly([&](Endpoint address) {
         return std::ranges::any_of(
-            link_.view()->members, [&](const Member& member) { return member.requestAddress == address; });
+            transport_.view()->members, [&](const Member& member) { return member.requestAddress == address; });
     });
 }
 
--- a/Source/Balancer/AttemptForwarder.h
+++ b/Source/Balancer/AttemptForwarder.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "Balancer/HolderLink.h"
 #include "Balancer/Http2ClientPool.h"
 #include "Balancer/RequestHop.h"
+#include "Balancer/RequestMessageTransport.h"
 #include "Core/Clock.h"
 #include "Request/PendingForwardTable.h"
 
@@ -31,8 +31,8 @@
 class AttemptForwarder {
 public:
     // The link outlives the forwarder.
-    AttemptForwarder(
-        boost::asio::io_context&, HolderLink&, const BalancerInstance& self, const Http2Limits&, ForwardHandlers);
+    AttemptForwarder(boost::asio::io_context&, RequestMessageTransport&, const BalancerInstance& self,
+        const Http2Limits&, ForwardHandlers);
     // What still ends afterwards is told to nobody.
     ~AttemptForwarder() { alive_.reset(); }
     AttemptForwarder(const AttemptForwarder&) = delete;
@@ -65,7 +65,7 @@
     void abandon(const AbandonedForward&);
     void closeHop(AttemptId);
 
-    HolderLink& link_;
+    RequestMessageTransport& transport_;
     BalancerInstance self_;
     ForwardHandlers handlers_;
     PendingForwardTable pendingForwards_;
--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -96,8 +96,8 @@
 Result<void> BalancerDaemon::listen()
 {
     const auto onMessage = [this](const PeerEnvelope& envelope, Endpoint sender) { peers_->receive(envelope, sender); };
-    BOOST_OUTCOME_TRY(link, PeerLink::open(context_, settings_.listen.peer, onMessage));
-    link_ = std::move(link);
+    BOOST_OUTCOME_TRY(socket, PeerLink::open(context_, settings_.listen.peer, onMessage));
+    peerSocket_ = std::move(socket);
 
     const auto ownPages = [this](const std::shared_ptr<Http2Exchange>& exchange) { return serveOwnPage(exchange); };
     BOOST_OUTCOME_TRY(requests,
@@ -114,7 +114,7 @@
 
 BalancerAddresses BalancerDaemon::addresses() const
 {
-    return { packets_->address(), link_->address(), requests_->address(), metricsEndpoint_->address() };
+    return { packets_->address(), peerSocket_->address(), requests_->address(), metricsEndpoint_->address() };
 }
 
 Member BalancerDaemon::describeSelf() const
@@ -133,7 +133,7 @@
 
 void BalancerDaemon::connectParts()
 {
-    peers_ = std::make_unique<PeerControl>(context_, *link_, engine_, describeSelf(), seed_);
+    peers_ = std::make_unique<PeerControl>(context_, *peerSocket_, engine_, describeSelf(), seed_);
     if (settings_.isAtMostOnce)
         startRequestControl(incarnation_);
     else if (settings_.requestPolicy == RequestPolicy::BlindRetry)
@@ -170,7 +170,7 @@
 {
     requests_->setControl(nullptr);
     control_ = std::make_unique<RequestControl>(
-        context_, *link_, platform_, controlSettingsOf(settings_, { self_, incarnation }, seed_));
+        context_, *peerSocket_, platform_, controlSettingsOf(settings_, { self_, incarnation }, seed_));
     control_->applyConfiguration(configuration_);
     requests_->setControl(control_.get());
 }
@@ -294,12 +294,13 @@
         figures.control = control_->figures();
     figures.openRequests = requests_->openRequests();
     figures.controlBytes = {
-        .peers = link_->bytesTransferred(),
+        .peers = peerSocket_->bytesTransferred(),
         .platform = platform_.bytesTransferred(),
         .configuration = feed_.peerBytes() + configurationBytesServed_,
         .requests = figures.control.longMessageBytes,
     };
-    figures.malformedPeerMessages = link_->malformed() + peers_->droppedMessages() + figures.control.droppedMessages;
+    figures.malformedPeerMessages
+        = peerSocket_->malformed() + peers_->droppedMessages() + figures.control.droppedMessages;
     figures.httpProtocolErrors = requests_->protocolErrors();
     figures.configurationVersion = feed_.version();
     figures.processCpuSeconds = processCpuSeconds();
--- a/Source/Balancer/BalancerDaemon.h
+++ b/Source/Balancer/BalancerDaemon.h
@@ -80,7 +80,7 @@
     RequestDecisions requestDecisions_;
     std::uint64_t configurationBytesServed_ = 0;
 
-    std::unique_ptr<PeerLink> link_;
+    std::unique_ptr<PeerLink> peerSocket_;
     std::unique_ptr<PeerControl> peers_;
     ConfigurationFeed feed_;
     VmListFeed vms_;
--- a/Source/Balancer/HolderText.cpp
+++ b/Source/Balancer/BalancerInstanceText.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/HolderText.h"
+#include "Balancer/BalancerInstanceText.h"
 
 #include <fmt/format.h>
 
@@ -15,12 +15,12 @@
     return value;
 }
 
-std::string writeHolder(const BalancerInstance& holder)
+std::string writeInstance(const BalancerInstance& instance)
 {
-    return fmt::format("{}-{}", holder.id.value, holder.incarnation);
+    return fmt::format("{}-{}", instance.id.value, instance.incarnation);
 }
 
-Result<BalancerInstance> readHolder(std::string_view text)
+Result<BalancerInstance> readInstance(std::string_view text)
 {
     const std::size_t dash = text.find('-');
     if (dash == std::string_view::npos)
@@ -32,7 +32,7 @@
 
 std::string writeToken(const ForwardToken& token)
 {
-    return fmt::format("{}-{}", writeHolder(token.entry), token.number);
+    return fmt::format("{}-{}", writeInstance(token.entry), token.number);
 }
 
 Result<ForwardToken> readToken(std::string_view text)
@@ -40,7 +40,7 @@
     const std::size_t dash = text.rfind('-');
     if (dash == std::string_view::npos)
         return Error { ErrorCode::InvalidArgument, fmt::format("\"{}\" names no try", text.substr(0, 32)) };
-    BOOST_OUTCOME_TRY(entry, readHolder(text.substr(0, dash)));
+    BOOST_OUTCOME_TRY(entry, readInstance(text.substr(0, dash)));
     BOOST_OUTCOME_TRY(number, readNumber(text.substr(dash + 1)));
     return ForwardToken { entry, number };
 }
--- a/Source/Balancer/HolderText.h
+++ b/Source/Balancer/BalancerInstanceText.h
@@ -9,8 +9,8 @@
 namespace wisteriadock {
 
 // Holders and tokens in headers between balancers: "17-1700000000000" and "17-1700000000000-4".
-std::string writeHolder(const BalancerInstance&);
-Result<BalancerInstance> readHolder(std::string_view text);
+std::string writeInstance(const BalancerInstance&);
+Result<BalancerInstance> readInstance(std::string_view text);
 std::string writeToken(const ForwardToken&);
 Result<ForwardToken> readToken(std::string_view text);
 
--- a/Source/Balancer/PeerControl.cpp
+++ b/Source/Balancer/PeerControl.cpp
@@ -22,9 +22,9 @@
 }
 
 PeerControl::PeerControl(
-    boost::asio::io_context& context, PeerLink& link, FlowEngine& engine, const Member& self, std::uint64_t seed)
+    boost::asio::io_context& context, PeerLink& socket, FlowEngine& engine, const Member& self, std::uint64_t seed)
     : timer_(context)
-    , link_(link)
+    , socket_(socket)
     , engine_(engine)
     , membership_({}, self, seed, Clock::now())
     , view_(membership_.view())
@@ -142,7 +142,7 @@
 {
     for (const MembershipAction& action : actions) {
         if (const auto* message = std::get_if<SendPeerMessage>(&action))
-            link_.send(message->to, message->envelope);
+            socket_.send(message->to, message->envelope);
         else
             publish(std::get<MembersViewChanged>(action).view, now);
     }
@@ -155,7 +155,7 @@
         const Member* receiver = view_->find(action.to);
         if (!receiver)
             continue;
-        link_.send(receiver->peerAddress,
+        socket_.send(receiver->peerAddress,
             {
                 .sender = view_->self,
                 .senderIncarnation = membership_.selfIncarnation(),
--- a/Source/Balancer/PeerControl.h
+++ b/Source/Balancer/PeerControl.h
@@ -55,7 +55,7 @@
 
     Log log_ { "peers" };
     boost::asio::steady_timer timer_;
-    PeerLink& link_;
+    PeerLink& socket_;
     FlowEngine& engine_;
     Membership membership_;
     ViewHandler onView_;
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -1,6 +1,6 @@
 #include "Balancer/RequestControl.h"
 
-#include "Balancer/HolderText.h"
+#include "Balancer/BalancerInstanceText.h"
 #include "Balancer/RequestRefusal.h"
 #include "Request/RequestRouter.h"
 #include "Request/RetryAfter.h"
@@ -64,8 +64,8 @@
 
 }
 
-RequestControl::RequestControl(
-    boost::asio::io_context& context, PeerLink& link, PlatformClient& platform, const RequestControlSettings& settings)
+RequestControl::RequestControl(boost::asio::io_context& context, PeerLink& socket, PlatformClient& platform,
+    const RequestControlSettings& settings)
     : settings_(settings)
     , homeZone_(settings.zones.empty() ? std::string(wholeFleet) : settings.availabilityZone)
     , timer_(context)
@@ -73,11 +73,11 @@
     , attempts_(settings.self, [this](AttemptId id) { cancelled(id); })
     , runner_(runnerSettingsOf(settings))
     , router_(std::make_unique<RequestRouter>(settings.self, zonesOf(settings)))
-    , link_(context, link, settings.self, settings.http,
+    , transport_(context, socket, settings.self, settings.http,
           [this](const BalancerInstance& from, const BalancerMessage& message) { handle(from, message); })
-    , terms_(platform, *router_, link_, homeZone_, settings.self, settings.seed,
+    , terms_(platform, *router_, transport_, homeZone_, settings.self, settings.seed,
           [this](const ClaimTerm& term) { adopt(term); })
-    , forwarder_(context, link_, settings.self, settings.http,
+    , forwarder_(context, transport_, settings.self, settings.http,
           { .onAnswer = [this](AttemptId id, HttpResponse response) { attempts_.answer(id, std::move(response)); },
               .onRefusal = [this](AttemptId id, const Refusal& refusal) { attempts_.refuse(id, refusal); },
               .onLost = [this](AttemptId id, RefusalReason reason) { refuseUnknown(id, reason); },
@@ -99,14 +99,14 @@
 {
     configuration_ = std::move(configuration);
     sender_.applyConfiguration(*configuration_);
-    runner_.configure(*configuration_, *link_.view(), Clock::now());
+    runner_.configure(*configuration_, *transport_.view(), Clock::now());
     act();
 }
 
 void RequestControl::applyMembers(const std::shared_ptr<const MembersView>& view)
 {
     const TimePoint now = Clock::now();
-    link_.applyMembers(view);
+    transport_.applyMembers(view);
     runner_.configure(*configuration_, *view, now);
     forwarder_.applyMembers();
     terms_.applyMembers(homeView(), now);
@@ -116,7 +116,7 @@
 // Without a list of zones the ownership record names all balancers, wherever they stand.
 MembersView RequestControl::homeView() const
 {
-    MembersView view = *link_.view();
+    MembersView view = *transport_.view();
     if (settings_.zones.empty()) {
         for (Member& member : view.members)
             member.availabilityZone = homeZone_;
@@ -204,7 +204,7 @@
         routeLater(id, now);
         return;
     }
-    const Route found = router_->route(attempt.key, *link_.view());
+    const Route found = router_->route(attempt.key, *transport_.view());
     if (found.kind == AttemptRouteKind::Unreachable || ++opened.hops > mostHops)
         refuseUnknown(id, attempt.problem.value_or(RefusalReason::HomeUnreachable));
     else if (found.kind == AttemptRouteKind::Local)
@@ -243,7 +243,7 @@
         acknowledgement.at = now + acknowledgementPeriod;
         acknowledgement.left = attempts_.find(acknowledgement.id) ? acknowledgement.left - 1 : -1;
         if (acknowledgement.left >= 0)
-            link_.send(acknowledgement.token.entry, AttemptReceived { acknowledgement.token });
+            transport_.send(acknowledgement.token.entry, AttemptReceived { acknowledgement.token });
     }
     std::erase_if(
         acknowledgements_, [](const PendingAcknowledgement& acknowledgement) { return acknowledgement.left <= 0; });
@@ -253,7 +253,7 @@
 {
     const std::string& path = exchange->request().path;
     if (path == longMessagePath)
-        link_.receive(*exchange);
+        transport_.receive(*exchange);
     else if (path == workPath)
         takeHop(exchange);
     else
@@ -265,7 +265,7 @@
 {
     const TimePoint now = Clock::now();
     auto hop = readHop(exchange->request());
-    const bool isFromMember = hop && link_.view()->find(hop.value().token.entry.id);
+    const bool isFromMember = hop && transport_.view()->find(hop.value().token.entry.id);
     const auto key = hop ? RequestKey::parse(hop.value().request.header("idempotency-key"), router_->zones())
                          : Result<RequestKey>(hop.error());
     if (!isFromMember || !key) {
@@ -278,7 +278,7 @@
             { .owner = hop.value().owner, .ending = HopEnding::Redirect, .refusal = {}, .response = {} }));
         return;
     }
-    link_.send(hop.value().token.entry, AttemptReceived { hop.value().token });
+    transport_.send(hop.value().token.entry, AttemptReceived { hop.value().token });
     CheckedRequest checked;
     checked.key = key.value();
     checked.timeLeft = std::min<Duration>(hop.value().timeLeft, settings_.limits.maxDeadline);
@@ -390,8 +390,8 @@
     figures.recoveries = recoveries_;
     for (const Service& service : configuration_->services)
         figures.queued += runner_.admission().queued(service.id);
-    figures.longMessageBytes = link_.longMessageBytes();
-    figures.droppedMessages = link_.droppedMessages();
+    figures.longMessageBytes = transport_.longMessageBytes();
+    figures.droppedMessages = transport_.droppedMessages();
     return figures;
 }
 
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -2,7 +2,7 @@
 
 #include "Balancer/ActiveAttempts.h"
 #include "Balancer/AttemptForwarder.h"
-#include "Balancer/HolderLink.h"
+#include "Balancer/RequestMessageTransport.h"
 #include "Balancer/TermControl.h"
 #include "Balancer/WorkSender.h"
 #include "Configuration/Configuration.h"
@@ -62,7 +62,7 @@
     void applyConfiguration(std::shared_ptr<const Configuration>);
     void applyMembers(const std::shared_ptr<const MembersView>&);
     // A datagram of the kind Request.
-    void receive(const PeerEnvelope& envelope) { link_.receive(envelope); }
+    void receive(const PeerEnvelope& envelope) { transport_.receive(envelope); }
 
     // Takes what only balancers send; false for anything else.
     bool takeFromBalancer(const std::shared_ptr<Http2Exchange>&);
@@ -108,7 +108,7 @@
     void perform(const AnswerAttempt& answer) { attempts_.answer(answer.id, *answer.answer); }
     void perform(const RefuseAttempt& refusal) { attempts_.refuse(refusal.id, refusal.refusal); }
     void perform(const RedirectAttempt&);
-    void perform(const OutgoingMessage& message) { link_.send(message.to, message.message); }
+    void perform(const OutgoingMessage& message) { transport_.send(message.to, message.message); }
     void perform(const FetchTerm&) { terms_.want(Clock::now()); }
     void finishWork(WorkId, BackendServerId, HttpOutcome);
 
@@ -129,7 +129,7 @@
     RequestRunner runner_;
     std::unique_ptr<RequestRouter> router_;
     // Destroyed first: their open requests end inside their destructors.
-    HolderLink link_;
+    RequestMessageTransport transport_;
     TermControl terms_;
     AttemptForwarder forwarder_;
     WorkSender sender_;
--- a/Source/Balancer/RequestHop.cpp
+++ b/Source/Balancer/RequestHop.cpp
@@ -1,6 +1,6 @@
 #include "Balancer/RequestHop.h"
 
-#include "Balancer/HolderText.h"
+#include "Balancer/BalancerInstanceText.h"
 #include "Core/NameTable.h"
 
 #include <string>
@@ -58,7 +58,7 @@
     HttpRequest request = std::move(hop.request);
     removeHopHeaders(request.headers);
     add(request.headers, tokenHeader, writeToken(hop.token));
-    add(request.headers, ownerHeader, writeHolder(hop.owner));
+    add(request.headers, ownerHeader, writeInstance(hop.owner));
     add(request.headers, timeHeader, std::to_string(hop.timeLeft.count()));
     if (hop.problem)
         add(request.headers, problemHeader, nameOf(*hop.problem));
@@ -74,7 +74,7 @@
 {
     HopRequest hop;
     BOOST_OUTCOME_TRY(token, readToken(request.header(tokenHeader)));
-    BOOST_OUTCOME_TRY(owner, readHolder(request.header(ownerHeader)));
+    BOOST_OUTCOME_TRY(owner, readInstance(request.header(ownerHeader)));
     BOOST_OUTCOME_TRY(timeLeft, readNumber(request.header(timeHeader)));
     hop.token = token;
     hop.owner = owner;
@@ -96,7 +96,7 @@
 {
     HttpResponse response = std::move(answer.response);
     removeHopHeaders(response.headers);
-    add(response.headers, ownerHeader, writeHolder(answer.owner));
+    add(response.headers, ownerHeader, writeInstance(answer.owner));
     add(response.headers, endingHeader, endingNames.name(answer.ending));
     add(response.headers, bytesHeader, std::to_string(response.body.size()));
     if (answer.ending == HopEnding::Refusal) {
@@ -114,7 +114,7 @@
     if (!ending)
         return Error { ErrorCode::InvalidArgument, "not an owner's answer, status " + std::to_string(response.status) };
     answer.ending = *ending;
-    BOOST_OUTCOME_TRY(owner, readHolder(response.header(ownerHeader)));
+    BOOST_OUTCOME_TRY(owner, readInstance(response.header(ownerHeader)));
     BOOST_OUTCOME_TRY(bytes, readNumber(response.header(bytesHeader)));
     answer.owner = owner;
     answer.declaredBytes = bytes;
--- a/Source/Balancer/HolderLink.cpp
+++ b/Source/Balancer/RequestMessageTransport.cpp
@@ -1,6 +1,6 @@
-#include "Balancer/HolderLink.h"
+#include "Balancer/RequestMessageTransport.h"
 
-#include "Balancer/HolderText.h"
+#include "Balancer/BalancerInstanceText.h"
 
 #include <fmt/format.h>
 
@@ -23,16 +23,16 @@
 
 }
 
-HolderLink::HolderLink(boost::asio::io_context& context, PeerLink& link, const BalancerInstance& self,
-    const Http2Limits& limits, Handler onMessage)
-    : link_(link)
+RequestMessageTransport::RequestMessageTransport(boost::asio::io_context& context, PeerLink& socket,
+    const BalancerInstance& self, const Http2Limits& limits, Handler onMessage)
+    : socket_(socket)
     , self_(self)
     , onMessage_(std::move(onMessage))
     , clients_(context, limits)
 {
 }
 
-void HolderLink::applyMembers(std::shared_ptr<const MembersView> view)
+void RequestMessageTransport::applyMembers(std::shared_ptr<const MembersView> view)
 {
     view_ = std::move(view);
     clients_.keepOnly([&](Endpoint address) {
@@ -41,13 +41,13 @@
     });
 }
 
-const Member* HolderLink::find(const BalancerInstance& holder) const
+const Member* RequestMessageTransport::find(const BalancerInstance& instance) const
 {
-    const Member* member = view_->find(holder.id);
-    return member && member->incarnation == holder.incarnation ? member : nullptr;
+    const Member* member = view_->find(instance.id);
+    return member && member->incarnation == instance.incarnation ? member : nullptr;
 }
 
-void HolderLink::send(const BalancerInstance& to, const BalancerMessage& message)
+void RequestMessageTransport::send(const BalancerInstance& to, const BalancerMessage& message)
 {
     const Member* receiver = find(to);
     if (!receiver || to == self_)
@@ -57,34 +57,34 @@
         sendLong(*receiver, payload);
         return;
     }
-    link_.send(receiver->peerAddress,
+    socket_.send(receiver->peerAddress,
         { .sender = self_.id,
             .senderIncarnation = self_.incarnation,
             .kind = PeerMessageKind::Request,
             .payload = std::move(payload) });
 }
 
-void HolderLink::sendLong(const Member& receiver, const std::vector<std::uint8_t>& payload)
+void RequestMessageTransport::sendLong(const Member& receiver, const std::vector<std::uint8_t>& payload)
 {
     HttpRequest request;
     request.method = "POST";
     request.path = longMessagePath;
     request.authority = receiver.name;
-    request.headers = { { std::string(senderHeader), writeHolder(self_) } };
+    request.headers = { { std::string(senderHeader), writeInstance(self_) } };
     request.body.assign(payload.begin(), payload.end());
     longMessageBytes_ += payload.size();
     clients_.of(receiver.requestAddress).send(std::move(request), Clock::now() + sendDeadline, [](const HttpOutcome&) {
     });
 }
 
-void HolderLink::receive(const PeerEnvelope& envelope)
+void RequestMessageTransport::receive(const PeerEnvelope& envelope)
 {
     take({ envelope.sender, envelope.senderIncarnation }, envelope.payload);
 }
 
-void HolderLink::receive(Http2Exchange& exchange)
+void RequestMessageTransport::receive(Http2Exchange& exchange)
 {
-    const auto sender = readHolder(exchange.request().header(senderHeader));
+    const auto sender = readInstance(exchange.request().header(senderHeader));
     longMessageBytes_ += exchange.request().body.size();
     if (sender)
         take(sender.value(), bytesOf(exchange.request().body));
@@ -95,7 +95,7 @@
 
 // What an earlier start of the sender said is over, and what was meant for an earlier start of this balancer builds on
 // claims that it has lost: acting on either would vouch for copies that are gone.
-void HolderLink::take(const BalancerInstance& from, std::span<const std::uint8_t> payload)
+void RequestMessageTransport::take(const BalancerInstance& from, std::span<const std::uint8_t> payload)
 {
     const Member* sender = view_->find(from.id);
     const bool isCurrent = sender && from.id != self_.id && from.incarnation >= sender->incarnation;
--- a/Source/Balancer/HolderLink.h
+++ b/Source/Balancer/RequestMessageTransport.h
@@ -21,14 +21,15 @@
 
 // Carries messages about requests between balancers: by datagram, or by HTTP/2 when they don't fit one. Either may lose
 // them; the Request library sends again what matters. Everything runs on the thread of the io_context.
-class HolderLink {
+class RequestMessageTransport {
 public:
     using Handler = std::function<void(const BalancerInstance& from, const BalancerMessage&)>;
 
     // The link outlives this object.
-    HolderLink(boost::asio::io_context&, PeerLink&, const BalancerInstance& self, const Http2Limits&, Handler);
-    HolderLink(const HolderLink&) = delete;
-    HolderLink& operator=(const HolderLink&) = delete;
+    RequestMessageTransport(
+        boost::asio::io_context&, PeerLink&, const BalancerInstance& self, const Http2Limits&, Handler);
+    RequestMessageTransport(const RequestMessageTransport&) = delete;
+    RequestMessageTransport& operator=(const RequestMessageTransport&) = delete;
 
     void applyMembers(std::shared_ptr<const MembersView>);
     // To nobody when that start of the balancer is over, or not known yet.
@@ -49,7 +50,7 @@
     void sendLong(const Member& receiver, const std::vector<std::uint8_t>&);
     void take(const BalancerInstance& from, std::span<const std::uint8_t>);
 
-    PeerLink& link_;
+    PeerLink& socket_;
     BalancerInstance self_;
     Handler onMessage_;
     std::shared_ptr<const MembersView> view_ = std::make_shared<const MembersView>();
--- a/Source/Balancer/TermControl.cpp
+++ b/Source/Balancer/TermControl.cpp
@@ -22,11 +22,11 @@
 
 }
 
-TermControl::TermControl(PlatformClient& platform, RequestRouter& router, HolderLink& link, std::string zone,
-    const BalancerInstance& self, std::uint64_t seed, AdoptHandler onAdopted)
+TermControl::TermControl(PlatformClient& platform, RequestRouter& router, RequestMessageTransport& transport,
+    std::string zone, const BalancerInstance& self, std::uint64_t seed, AdoptHandler onAdopted)
     : platform_(platform)
     , router_(router)
-    , link_(link)
+    , transport_(transport)
     , zone_(std::move(zone))
     , self_(self)
     , random_(seed)
@@ -74,7 +74,7 @@
     lookAt_ = now + comparisonPeriod + std::chrono::milliseconds(random_() % readJitterMilliseconds);
 }
 
-void TermControl::ask(const BalancerInstance& holder) { link_.send(holder, digest()); }
+void TermControl::ask(const BalancerInstance& to) { transport_.send(to, digest()); }
 
 void TermControl::learn(const ClaimTerm& term, TimePoint now)
 {
@@ -97,7 +97,7 @@
         for (const TermDigest::Row& row : theirs.rows)
             epoch = row.zone == zone ? row.epoch : epoch;
         if (ownEpoch > epoch)
-            link_.send(from, RequestMessage(TermUpdate { *own }));
+            transport_.send(from, RequestMessage(TermUpdate { *own }));
         isBehind = isBehind || epoch > ownEpoch;
     }
     if (isBehind)
@@ -128,7 +128,7 @@
 {
     for (int i = 0; i < newsReceivers; ++i) {
         if (const auto other = randomOther())
-            link_.send(*other, RequestMessage(TermUpdate { term }));
+            transport_.send(*other, RequestMessage(TermUpdate { term }));
     }
 }
 
@@ -185,7 +185,7 @@
 {
     std::optional<BalancerInstance> chosen;
     std::uint64_t seen = 0;
-    for (const Member& member : link_.view()->members) {
+    for (const Member& member : transport_.view()->members) {
         if (member.id != self_.id && member.state != MemberState::Dead && random_() % ++seen == 0)
             chosen = BalancerInstance { member.id, member.incarnation };
     }
--- a/Source/Balancer/TermControl.h
+++ b/Source/Balancer/TermControl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Balancer/HolderLink.h"
+#include "Balancer/RequestMessageTransport.h"
 #include "Core/Clock.h"
 #include "Core/Log.h"
 #include "KeyValue/PlatformClient.h"
@@ -26,8 +26,8 @@
     using AdoptHandler = std::function<void(const ClaimTerm&)>;
 
     // Platform, router and link outlive the control. The handler gets each newer record of the own zone.
-    TermControl(PlatformClient&, RequestRouter&, HolderLink&, std::string zone, const BalancerInstance& self,
-        std::uint64_t seed, AdoptHandler);
+    TermControl(PlatformClient&, RequestRouter&, RequestMessageTransport&, std::string zone,
+        const BalancerInstance& self, std::uint64_t seed, AdoptHandler);
     TermControl(const TermControl&) = delete;
     TermControl& operator=(const TermControl&) = delete;
 
@@ -57,7 +57,7 @@
     Log log_ { "claims" };
     PlatformClient& platform_;
     RequestRouter& router_;
-    HolderLink& link_;
+    RequestMessageTransport& transport_;
     std::string zone_;
     BalancerInstance self_;
     std::mt19937_64 random_;
--- a/Tests/Balancer/RequestGroup.cpp
+++ b/Tests/Balancer/RequestGroup.cpp
@@ -45,7 +45,7 @@
         if (balancer.control)
             balancer.control->receive(envelope);
     };
-    balancer.link = std::move(PeerLink::open(context_, anyLoopbackPort, onMessage).value());
+    balancer.socket = std::move(PeerLink::open(context_, anyLoopbackPort, onMessage).value());
     const auto ownPages = [&balancer](const std::shared_ptr<Http2Exchange>& exchange) {
         if (exchange->request().path != "/wisteriadock/ticket")
             return false;
@@ -61,7 +61,7 @@
     member.name = "b" + std::to_string(index);
     member.id = balancerIdOf(member.name);
     member.availabilityZone = zones_[index % zones_.size()];
-    member.peerAddress = balancer.link->address();
+    member.peerAddress = balancer.socket->address();
     member.requestAddress = balancer.front->address();
     member.incarnation = 1000 + index;
     member.state = MemberState::Serving;
@@ -71,7 +71,7 @@
     settings.availabilityZone = member.availabilityZone;
     settings.zones = zones_;
     settings.seed = index;
-    balancer.control = std::make_unique<RequestControl>(context_, *balancer.link, *balancer.platform, settings);
+    balancer.control = std::make_unique<RequestControl>(context_, *balancer.socket, *balancer.platform, settings);
     balancer.front->setControl(balancer.control.get());
 }
 
@@ -80,7 +80,7 @@
     Balancer& balancer = balancers_[index];
     balancer.front.reset();
     balancer.control.reset();
-    balancer.link.reset();
+    balancer.socket.reset();
     balancer.member.state = MemberState::Dead;
 }
 
--- a/Tests/Balancer/RequestGroup.h
+++ b/Tests/Balancer/RequestGroup.h
@@ -18,7 +18,7 @@
 protected:
     struct Balancer {
         Member member;
-        std::unique_ptr<PeerLink> link;
+        std::unique_ptr<PeerLink> socket;
         std::unique_ptr<PlatformClient> platform;
         RequestDecisions decisions { {}, 1 };
         std::unique_ptr<RequestControl> control;
