--- a/Source/Balancer/ActiveAttempts.cpp
+++ b/Source/Balancer/ActiveAttempts.cpp
@@ -70,7 +70,7 @@
     if (!closed)
         return;
     if (!closed->forwarded)
-        count(RequestEnding::Cancelled);
+        count(RequestOutcomeKind::Cancelled);
     onCancelled_(id);
 }
 
@@ -81,10 +81,10 @@
         return;
     if (closed->forwarded) {
         closed->exchange->respond(writeHopAnswer(
-            { .owner = self_, .ending = HopEnding::Answer, .refusal = {}, .response = std::move(response) }));
+            { .owner = self_, .outcome = HopOutcome::Answer, .refusal = {}, .response = std::move(response) }));
         return;
     }
-    count(RequestEnding::Answered);
+    count(RequestOutcomeKind::Answered);
     closed->exchange->respond(std::move(response));
 }
 
@@ -95,16 +95,16 @@
         return;
     if (closed->forwarded) {
         closed->exchange->respond(
-            writeHopAnswer({ .owner = self_, .ending = HopEnding::Refusal, .refusal = refusal, .response = {} }));
+            writeHopAnswer({ .owner = self_, .outcome = HopOutcome::Refusal, .refusal = refusal, .response = {} }));
         return;
     }
     RequestProblem problem = problemOf(refusal, closed->detail);
     if (closed->namesNoService && refusal.reason == RefusalReason::NoServer) {
         problem.status = notFound;
         problem.title = "The request names no known service";
-        problem.ending = RequestEnding::UnknownService;
+        problem.outcome = RequestOutcomeKind::UnknownService;
     }
-    count(problem.ending);
+    count(problem.outcome);
     closed->exchange->respond(problem.toResponse());
 }
 
@@ -112,7 +112,7 @@
 {
     if (const auto closed = close(id))
         closed->exchange->respond(
-            writeHopAnswer({ .owner = self_, .ending = HopEnding::Redirect, .refusal = {}, .response = {} }));
+            writeHopAnswer({ .owner = self_, .outcome = HopOutcome::Redirect, .refusal = {}, .response = {} }));
 }
 
 std::shared_ptr<ActiveAttempt> ActiveAttempts::close(AttemptId id)
--- a/Source/Balancer/ActiveAttempts.h
+++ b/Source/Balancer/ActiveAttempts.h
@@ -59,7 +59,7 @@
 private:
     void cancel(AttemptId);
     std::shared_ptr<ActiveAttempt> close(AttemptId);
-    void count(RequestEnding ending) { ++counts_[static_cast<std::size_t>(ending)]; }
+    void count(RequestOutcomeKind outcome) { ++counts_[static_cast<std::size_t>(outcome)]; }
 
     BalancerInstance self_;
     CancelHandler onCancelled_;
--- a/Source/Balancer/AttemptForwarder.cpp
+++ b/Source/Balancer/AttemptForwarder.cpp
@@ -130,17 +130,17 @@
 
 void AttemptForwarder::finishAnswered(const ForwardToken& token, const Hop& hop, HopAnswer answer)
 {
-    if (answer.ending == HopEnding::Redirect && pendingForwards_.redirect(answer.owner, token)) {
+    if (answer.outcome == HopOutcome::Redirect && pendingForwards_.redirect(answer.owner, token)) {
         handlers_.onRedirect(hop.id, hop.owner);
         return;
     }
     const std::uint64_t received = answer.response.body.size();
     const PendingForwardTable::Resolved settled
         = pendingForwards_.resolve(answer.owner, { token, hop.key, answer.declaredBytes, received });
-    if (settled.delivery != Delivery::Deliver || answer.ending == HopEnding::Redirect) {
+    if (settled.delivery != Delivery::Deliver || answer.outcome == HopOutcome::Redirect) {
         pendingForwards_.cancel(hop.id);
         handlers_.onLost(hop.id, RefusalReason::OutcomeUnknown);
-    } else if (answer.ending == HopEnding::Refusal) {
+    } else if (answer.outcome == HopOutcome::Refusal) {
         handlers_.onRefusal(hop.id, answer.refusal);
     } else {
         handlers_.onAnswer(hop.id, std::move(answer.response));
--- a/Source/Balancer/BalancerMetrics.cpp
+++ b/Source/Balancer/BalancerMetrics.cpp
@@ -63,8 +63,8 @@
         packetsDropped_[i] = &addCounter(
             "wisteriadock_packets_dropped_total", "Flow packets dropped, by reason", { { "reason", reason } });
     }
-    for (std::size_t i = 0; i < requestEndingCount; ++i) {
-        const std::string outcome(nameOf(static_cast<RequestEnding>(i)));
+    for (std::size_t i = 0; i < requestOutcomeKindCount; ++i) {
+        const std::string outcome(nameOf(static_cast<RequestOutcomeKind>(i)));
         requests_[i]
             = &addCounter("wisteriadock_requests_total", "Requests ended, by outcome", { { "outcome", outcome } });
     }
@@ -100,8 +100,8 @@
 void BalancerMetrics::updateRequests(const BalancerFigures& figures)
 {
     const RequestFigures& control = figures.control;
-    for (std::size_t i = 0; i < requestEndingCount; ++i)
-        raiseTo(*requests_[i], static_cast<double>(figures.requests[i] + control.endings[i]));
+    for (std::size_t i = 0; i < requestOutcomeKindCount; ++i)
+        raiseTo(*requests_[i], static_cast<double>(figures.requests[i] + control.outcomes[i]));
     openRequests_.Set(static_cast<double>(figures.openRequests));
     queuedRequests_.Set(static_cast<double>(control.queued));
     claimsHeld_.Set(static_cast<double>(control.claimsHeld));
--- a/Source/Balancer/BalancerMetrics.h
+++ b/Source/Balancer/BalancerMetrics.h
@@ -78,7 +78,7 @@
     prometheus::Gauge& exceptions_;
     prometheus::Gauge& unsettledServices_;
 
-    std::array<prometheus::Counter*, requestEndingCount> requests_ {};
+    std::array<prometheus::Counter*, requestOutcomeKindCount> requests_ {};
     prometheus::Gauge& openRequests_;
     prometheus::Gauge& queuedRequests_;
     prometheus::Gauge& claimsHeld_;
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -275,7 +275,7 @@
     // Meant for an earlier start of this balancer, which knew what this one has lost.
     if (hop.value().owner != settings_.self) {
         exchange->respond(writeHopAnswer(
-            { .owner = hop.value().owner, .ending = HopEnding::Redirect, .refusal = {}, .response = {} }));
+            { .owner = hop.value().owner, .outcome = HopOutcome::Redirect, .refusal = {}, .response = {} }));
         return;
     }
     transport_.send(hop.value().token.entry, AttemptReceived { hop.value().token });
@@ -382,7 +382,7 @@
 RequestFigures RequestControl::figures() const
 {
     RequestFigures figures;
-    figures.endings = attempts_.counts();
+    figures.outcomes = attempts_.counts();
     figures.claimsHeld = runner_.buckets().table().size();
     figures.bucketsLost = runner_.buckets().lostBuckets();
     for (std::uint32_t bucket = 0; bucket < claimBucketCount; ++bucket)
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -37,7 +37,7 @@
 
 // Figures for the metrics.
 struct RequestFigures {
-    RequestCounts endings {};
+    RequestCounts outcomes {};
     std::size_t claimsHeld = 0;
     std::size_t bucketsRecovering = 0;
     std::size_t bucketsLost = 0;
--- a/Source/Balancer/RequestCounts.h
+++ b/Source/Balancer/RequestCounts.h
@@ -7,7 +7,7 @@
 
 namespace wisteriadock {
 
-// How many requests ended in which way, by RequestEnding.
-using RequestCounts = std::array<std::uint64_t, requestEndingCount>;
+// How many requests ended in which way, by RequestOutcomeKind.
+using RequestCounts = std::array<std::uint64_t, requestOutcomeKindCount>;
 
 }
--- a/Source/Balancer/RequestDecisions.cpp
+++ b/Source/Balancer/RequestDecisions.cpp
@@ -29,7 +29,7 @@
 
     RequestProblem invalid(std::string title)
     {
-        return { .status = 400, .title = std::move(title), .ending = RequestEnding::Invalid };
+        return { .status = 400, .title = std::move(title), .outcome = RequestOutcomeKind::Invalid };
     }
 
     std::optional<std::chrono::milliseconds> parseDeadline(std::string_view text, std::chrono::milliseconds longest)
@@ -72,7 +72,7 @@
     const Service* service = serviceOf(request);
     if (!service) {
         return RequestProblem {
-            .status = 404, .title = "The request names no known service", .ending = RequestEnding::UnknownService
+            .status = 404, .title = "The request names no known service", .outcome = RequestOutcomeKind::UnknownService
         };
     }
     if (!isIdempotent(request.method) && request.header(idempotencyKeyHeader).empty())
@@ -90,7 +90,7 @@
     if (!server) {
         return RequestProblem { .title = "No backend server of the service has a free slot",
             .retryAfter = spreadRetryAfter(),
-            .ending = RequestEnding::NoServer };
+            .outcome = RequestOutcomeKind::NoServer };
     }
     ++use_[server->id].outstanding;
     return ForwardRequest { .server = server->id, .address = server->requestAddress, .deadline = now + time };
@@ -133,17 +133,17 @@
     case HttpFailureKind::Refused:
         return { .title = "The backend server did not take the request",
             .retryAfter = spreadRetryAfter(),
-            .ending = RequestEnding::NotExecuted };
+            .outcome = RequestOutcomeKind::NotExecuted };
     case HttpFailureKind::DeadlineExceeded:
         return { .status = 504,
             .title = "The backend server did not answer by the deadline",
             .executed = Executed::Unknown,
-            .ending = RequestEnding::Unknown };
+            .outcome = RequestOutcomeKind::Unknown };
     case HttpFailureKind::Cancelled:
         return { .status = 499,
             .title = "The caller gave up",
             .executed = Executed::Unknown,
-            .ending = RequestEnding::Cancelled };
+            .outcome = RequestOutcomeKind::Cancelled };
     case HttpFailureKind::Lost:
     case HttpFailureKind::Incomplete:
         break;
@@ -151,7 +151,7 @@
     return { .status = 502,
         .title = "The backend server's answer was lost",
         .executed = Executed::Unknown,
-        .ending = RequestEnding::Unknown };
+        .outcome = RequestOutcomeKind::Unknown };
 }
 
 std::chrono::seconds RequestDecisions::spreadRetryAfter()
--- a/Source/Balancer/RequestFront.cpp
+++ b/Source/Balancer/RequestFront.cpp
@@ -82,7 +82,7 @@
 {
     if (outcome) {
         decisions_.finished(sent.server);
-        count(RequestEnding::Answered);
+        count(RequestOutcomeKind::Answered);
         exchange->respond(std::move(outcome.value()));
         return;
     }
@@ -101,7 +101,7 @@
 
 void RequestFront::refuse(Http2Exchange& exchange, const RequestProblem& problem)
 {
-    count(problem.ending);
+    count(problem.outcome);
     exchange.respond(problem.toResponse());
 }
 
--- a/Source/Balancer/RequestFront.h
+++ b/Source/Balancer/RequestFront.h
@@ -55,7 +55,7 @@
     void finish(const std::shared_ptr<Http2Exchange>&, const ForwardRequest&, int attempts, HttpOutcome);
     void refuse(Http2Exchange&, const RequestProblem&);
     void cancel(Endpoint server, Http2Client::RequestId);
-    void count(RequestEnding ending) { ++counts_[static_cast<std::size_t>(ending)]; }
+    void count(RequestOutcomeKind outcome) { ++counts_[static_cast<std::size_t>(outcome)]; }
     Http2Client& clientOf(Endpoint server);
 
     boost::asio::io_context& context_;
--- a/Source/Balancer/RequestHop.cpp
+++ b/Source/Balancer/RequestHop.cpp
@@ -18,16 +18,16 @@
     constexpr std::string_view methodHeader = "x-wisteriadock-method";
     constexpr std::string_view pathHeader = "x-wisteriadock-path";
     constexpr std::string_view authorityHeader = "x-wisteriadock-authority";
-    constexpr std::string_view endingHeader = "x-wisteriadock-ending";
+    constexpr std::string_view outcomeHeader = "x-wisteriadock-ending";
     constexpr std::string_view reasonHeader = "x-wisteriadock-reason";
     constexpr std::string_view executedHeader = "x-wisteriadock-executed";
     constexpr std::string_view retryHeader = "x-wisteriadock-retry-after";
     constexpr std::string_view bytesHeader = "x-wisteriadock-body-bytes";
 
-    constexpr auto endingNames = makeNameTable<HopEnding>({
-        { HopEnding::Answer, "answer" },
-        { HopEnding::Refusal, "refusal" },
-        { HopEnding::Redirect, "redirect" },
+    constexpr auto outcomeNames = makeNameTable<HopOutcome>({
+        { HopOutcome::Answer, "answer" },
+        { HopOutcome::Refusal, "refusal" },
+        { HopOutcome::Redirect, "redirect" },
     });
 
     constexpr auto lastReason = RefusalReason::BackupUnreachable;
@@ -97,9 +97,9 @@
     HttpResponse response = std::move(answer.response);
     removeHopHeaders(response.headers);
     add(response.headers, ownerHeader, writeInstance(answer.owner));
-    add(response.headers, endingHeader, endingNames.name(answer.ending));
+    add(response.headers, outcomeHeader, outcomeNames.name(answer.outcome));
     add(response.headers, bytesHeader, std::to_string(response.body.size()));
-    if (answer.ending == HopEnding::Refusal) {
+    if (answer.outcome == HopOutcome::Refusal) {
         add(response.headers, reasonHeader, nameOf(answer.refusal.reason));
         add(response.headers, executedHeader, nameOf(answer.refusal.executed));
         add(response.headers, retryHeader, std::to_string(answer.refusal.retryAfter.count()));
@@ -110,15 +110,15 @@
 Result<HopAnswer> readHopAnswer(HttpResponse response)
 {
     HopAnswer answer;
-    const auto ending = endingNames.value(response.header(endingHeader));
-    if (!ending)
+    const auto outcome = outcomeNames.value(response.header(outcomeHeader));
+    if (!outcome)
         return Error { ErrorCode::InvalidArgument, "not an owner's answer, status " + std::to_string(response.status) };
-    answer.ending = *ending;
+    answer.outcome = *outcome;
     BOOST_OUTCOME_TRY(owner, readInstance(response.header(ownerHeader)));
     BOOST_OUTCOME_TRY(bytes, readNumber(response.header(bytesHeader)));
     answer.owner = owner;
     answer.declaredBytes = bytes;
-    if (answer.ending == HopEnding::Refusal) {
+    if (answer.outcome == HopOutcome::Refusal) {
         BOOST_OUTCOME_TRY(reason, readReason(response.header(reasonHeader)));
         BOOST_OUTCOME_TRY(seconds, readNumber(response.header(retryHeader)));
         answer.refusal.reason = reason;
--- a/Source/Balancer/RequestHop.h
+++ b/Source/Balancer/RequestHop.h
@@ -28,7 +28,7 @@
 Result<HopRequest> readHop(const HttpRequest&);
 
 // What the owner says of a forwarded try.
-enum class HopEnding {
+enum class HopOutcome {
     Answer, // The backend server's whole answer follows.
     Refusal,
     Redirect, // It does not own the key.
@@ -36,7 +36,7 @@
 
 struct HopAnswer {
     BalancerInstance owner;
-    HopEnding ending = HopEnding::Redirect;
+    HopOutcome outcome = HopOutcome::Redirect;
     Refusal refusal;
     std::uint64_t declaredBytes = 0;
     HttpResponse response;
--- a/Source/Balancer/RequestProblem.cpp
+++ b/Source/Balancer/RequestProblem.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-    constexpr auto requestEndingNames = makeNameTable<RequestEnding>({
-        { RequestEnding::Answered, "answered" },
-        { RequestEnding::Invalid, "invalid" },
-        { RequestEnding::UnknownService, "unknown_service" },
-        { RequestEnding::NoServer, "no_server" },
-        { RequestEnding::NotExecuted, "not_executed" },
-        { RequestEnding::Unknown, "unknown" },
-        { RequestEnding::Cancelled, "cancelled" },
+    constexpr auto requestOutcomeNames = makeNameTable<RequestOutcomeKind>({
+        { RequestOutcomeKind::Answered, "answered" },
+        { RequestOutcomeKind::Invalid, "invalid" },
+        { RequestOutcomeKind::UnknownService, "unknown_service" },
+        { RequestOutcomeKind::NoServer, "no_server" },
+        { RequestOutcomeKind::NotExecuted, "not_executed" },
+        { RequestOutcomeKind::Unknown, "unknown" },
+        { RequestOutcomeKind::Cancelled, "cancelled" },
     });
-    static_assert(requestEndingNames.rows().size() == requestEndingCount);
+    static_assert(requestOutcomeNames.rows().size() == requestOutcomeKindCount);
 
 }
 
-std::string_view nameOf(RequestEnding ending) { return requestEndingNames.name(ending); }
+std::string_view nameOf(RequestOutcomeKind outcome) { return requestOutcomeNames.name(outcome); }
 
 HttpResponse RequestProblem::toResponse() const
 {
--- a/Source/Balancer/RequestProblem.h
+++ b/Source/Balancer/RequestProblem.h
@@ -11,7 +11,7 @@
 namespace wisteriadock {
 
 // How a request ended, as metrics count it.
-enum class RequestEnding {
+enum class RequestOutcomeKind {
     Answered, // The backend server's own answer was handed over.
     Invalid, // The request itself is wrong.
     UnknownService,
@@ -21,9 +21,9 @@
     Cancelled, // The caller gave up.
 };
 
-inline constexpr std::size_t requestEndingCount = 7;
+inline constexpr std::size_t requestOutcomeKindCount = 7;
 
-std::string_view nameOf(RequestEnding);
+std::string_view nameOf(RequestOutcomeKind);
 
 // What a caller is told in place of an answer.
 struct RequestProblem {
@@ -31,7 +31,7 @@
     std::string title;
     Executed executed = Executed::No;
     std::optional<std::chrono::seconds> retryAfter = std::nullopt;
-    RequestEnding ending = RequestEnding::Invalid;
+    RequestOutcomeKind outcome = RequestOutcomeKind::Invalid;
 
     // The answer with a body of type application/problem+json (RFC 9457).
     HttpResponse toResponse() const;
--- a/Source/Balancer/RequestRefusal.cpp
+++ b/Source/Balancer/RequestRefusal.cpp
@@ -28,7 +28,7 @@
         { RefusalReason::BackupUnreachable, "The ownership of the key could not be confirmed" },
     });
 
-    RequestEnding endingOf(const Refusal& refusal)
+    RequestOutcomeKind outcomeOf(const Refusal& refusal)
     {
         switch (refusal.reason) {
         case RefusalReason::MissingKey:
@@ -37,15 +37,15 @@
         case RefusalReason::OversizedHeaders:
         case RefusalReason::OversizedBody:
         case RefusalReason::KeyReused:
-            return RequestEnding::Invalid;
+            return RequestOutcomeKind::Invalid;
         default:
             break;
         }
         if (refusal.executed == Executed::Unknown)
-            return RequestEnding::Unknown;
+            return RequestOutcomeKind::Unknown;
         const bool lacksServer
             = refusal.reason == RefusalReason::NoServer || refusal.reason == RefusalReason::Overloaded;
-        return lacksServer ? RequestEnding::NoServer : RequestEnding::NotExecuted;
+        return lacksServer ? RequestOutcomeKind::NoServer : RequestOutcomeKind::NotExecuted;
     }
 
 }
@@ -58,7 +58,7 @@
     problem.executed = refusal.executed;
     if (refusal.retryAfter.count() > 0)
         problem.retryAfter = refusal.retryAfter;
-    problem.ending = endingOf(refusal);
+    problem.outcome = outcomeOf(refusal);
     return problem;
 }
 
--- a/Tests/Balancer/RequestFrontTest.cpp
+++ b/Tests/Balancer/RequestFrontTest.cpp
@@ -86,7 +86,10 @@
             return answer_->value();
         }
 
-        std::uint64_t countOf(RequestEnding ending) const { return front_->counts()[static_cast<std::size_t>(ending)]; }
+        std::uint64_t countOf(RequestOutcomeKind outcome) const
+        {
+            return front_->counts()[static_cast<std::size_t>(outcome)];
+        }
 
         RequestDecisions decisions_ { {}, 3 };
         std::vector<std::shared_ptr<Http2Exchange>> exchanges_;
@@ -118,7 +121,7 @@
             EXPECT_EQ(answer.status, 201);
             EXPECT_EQ(answer.header("location"), "/confirmations/9");
             EXPECT_EQ(answer.body, std::string(200'000, 'a'));
-            EXPECT_EQ(countOf(RequestEnding::Answered), 1U);
+            EXPECT_EQ(countOf(RequestOutcomeKind::Answered), 1U);
         }
     }
 
@@ -157,7 +160,7 @@
         runUntil([&] { return cancelled; });
 
         SCOPED_TRACE("the slot is free again");
-        runUntil([&] { return countOf(RequestEnding::Cancelled) == 1; });
+        runUntil([&] { return countOf(RequestOutcomeKind::Cancelled) == 1; });
         exchanges_.clear();
         call(confirmation());
         awaitExchange();
