--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -286,27 +286,27 @@
 
 void BalancerDaemon::updateMetrics()
 {
-    BalancerFigures figures;
-    figures.packets = packets_->totals();
-    figures.flow = engine_.counters();
-    figures.requests = requests_->counts();
+    BalancerStatistics statistics;
+    statistics.packets = packets_->totals();
+    statistics.flow = engine_.counters();
+    statistics.requests = requests_->counts();
     if (control_)
-        figures.control = control_->figures();
-    figures.openRequests = requests_->openRequests();
-    figures.controlBytes = {
+        statistics.control = control_->statistics();
+    statistics.openRequests = requests_->openRequests();
+    statistics.controlBytes = {
         .peers = peerSocket_->bytesTransferred(),
         .platform = platform_.bytesTransferred(),
         .configuration = feed_.peerBytes() + configurationBytesServed_,
-        .requests = figures.control.longMessageBytes,
+        .requests = statistics.control.longMessageBytes,
     };
-    figures.malformedPeerMessages
-        = peerSocket_->malformed() + peers_->droppedMessages() + figures.control.droppedMessages;
-    figures.httpProtocolErrors = requests_->protocolErrors();
-    figures.configurationVersion = feed_.version();
-    figures.processCpuSeconds = processCpuSeconds();
-    figures.controlThreadCpuSeconds = threadCpuSeconds();
-    figures.members = peers_->view();
-    metrics_.update(figures);
+    statistics.malformedPeerMessages
+        = peerSocket_->malformed() + peers_->droppedMessages() + statistics.control.droppedMessages;
+    statistics.httpProtocolErrors = requests_->protocolErrors();
+    statistics.configurationVersion = feed_.version();
+    statistics.processCpuSeconds = processCpuSeconds();
+    statistics.controlThreadCpuSeconds = threadCpuSeconds();
+    statistics.members = peers_->view();
+    metrics_.update(statistics);
 }
 
 }
--- a/Source/Balancer/BalancerMetrics.cpp
+++ b/Source/Balancer/BalancerMetrics.cpp
@@ -75,34 +75,34 @@
     }
 }
 
-void BalancerMetrics::update(const BalancerFigures& figures)
+void BalancerMetrics::update(const BalancerStatistics& statistics)
 {
-    updatePackets(figures.packets);
-    updateFlow(figures.flow);
-    if (figures.members)
-        updateMembers(*figures.members);
-
-    updateRequests(figures);
-
-    raiseTo(controlBytes_, static_cast<double>(figures.controlBytes.sum()));
-    raiseTo(peerBytes_, static_cast<double>(figures.controlBytes.peers));
-    raiseTo(platformBytes_, static_cast<double>(figures.controlBytes.platform));
-    raiseTo(configurationBytes_, static_cast<double>(figures.controlBytes.configuration));
-    raiseTo(requestBytes_, static_cast<double>(figures.controlBytes.requests));
-    raiseTo(malformedPeerMessages_, static_cast<double>(figures.malformedPeerMessages));
-    raiseTo(httpProtocolErrors_, static_cast<double>(figures.httpProtocolErrors));
-
-    configurationVersion_.Set(static_cast<double>(figures.configurationVersion));
-    raiseTo(processCpuSeconds_, figures.processCpuSeconds);
-    raiseTo(controlThreadCpuSeconds_, figures.controlThreadCpuSeconds);
+    updatePackets(statistics.packets);
+    updateFlow(statistics.flow);
+    if (statistics.members)
+        updateMembers(*statistics.members);
+
+    updateRequests(statistics);
+
+    raiseTo(controlBytes_, static_cast<double>(statistics.controlBytes.sum()));
+    raiseTo(peerBytes_, static_cast<double>(statistics.controlBytes.peers));
+    raiseTo(platformBytes_, static_cast<double>(statistics.controlBytes.platform));
+    raiseTo(configurationBytes_, static_cast<double>(statistics.controlBytes.configuration));
+    raiseTo(requestBytes_, static_cast<double>(statistics.controlBytes.requests));
+    raiseTo(malformedPeerMessages_, static_cast<double>(statistics.malformedPeerMessages));
+    raiseTo(httpProtocolErrors_, static_cast<double>(statistics.httpProtocolErrors));
+
+    configurationVersion_.Set(static_cast<double>(statistics.configurationVersion));
+    raiseTo(processCpuSeconds_, statistics.processCpuSeconds);
+    raiseTo(controlThreadCpuSeconds_, statistics.controlThreadCpuSeconds);
 }
 
-void BalancerMetrics::updateRequests(const BalancerFigures& figures)
+void BalancerMetrics::updateRequests(const BalancerStatistics& statistics)
 {
-    const RequestFigures& control = figures.control;
+    const RequestStatistics& control = statistics.control;
     for (std::size_t i = 0; i < requestOutcomeKindCount; ++i)
-        raiseTo(*requests_[i], static_cast<double>(figures.requests[i] + control.outcomes[i]));
-    openRequests_.Set(static_cast<double>(figures.openRequests));
+        raiseTo(*requests_[i], static_cast<double>(statistics.requests[i] + control.outcomes[i]));
+    openRequests_.Set(static_cast<double>(statistics.openRequests));
     queuedRequests_.Set(static_cast<double>(control.queued));
     claimsHeld_.Set(static_cast<double>(control.claimsHeld));
     recoveringBuckets_.Set(static_cast<double>(control.bucketsRecovering));
--- a/Source/Balancer/BalancerMetrics.h
+++ b/Source/Balancer/BalancerMetrics.h
@@ -28,11 +28,11 @@
 };
 
 // What a balancer counted up to now.
-struct BalancerFigures {
+struct BalancerStatistics {
     PacketTotals packets;
     FlowCounters flow;
     RequestCounts requests {};
-    RequestFigures control;
+    RequestStatistics control;
     std::uint64_t openRequests = 0;
     ControlBytes controlBytes;
     std::uint64_t malformedPeerMessages = 0;
@@ -43,13 +43,13 @@
     std::shared_ptr<const MembersView> members;
 };
 
-// The balancer's metrics in Prometheus' conventions. The control thread hands over its figures from time to time; the
-// metrics endpoint reads the registry on a thread of its own.
+// The balancer's metrics in Prometheus' conventions. The control thread hands over its statistics from time to time;
+// the metrics endpoint reads the registry on a thread of its own.
 class BalancerMetrics {
 public:
     BalancerMetrics();
 
-    void update(const BalancerFigures&);
+    void update(const BalancerStatistics&);
     const std::shared_ptr<prometheus::Registry>& registry() const { return registry_; }
 
 private:
@@ -60,7 +60,7 @@
     void updatePackets(const PacketTotals&);
     void updateFlow(const FlowCounters&);
     void updateMembers(const MembersView&);
-    void updateRequests(const BalancerFigures&);
+    void updateRequests(const BalancerStatistics&);
 
     std::shared_ptr<prometheus::Registry> registry_;
 
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -148,7 +148,7 @@
 void RequestControl::adopt(const ClaimTerm& term)
 {
     runner_.learnTerm(term, Clock::now());
-    if (figures().bucketsRecovering > 0)
+    if (statistics().bucketsRecovering > 0)
         ++recoveries_;
     act();
 }
@@ -379,20 +379,20 @@
     return !hasHeir || runner_.buckets().isReleased(now);
 }
 
-RequestFigures RequestControl::figures() const
+RequestStatistics RequestControl::statistics() const
 {
-    RequestFigures figures;
-    figures.outcomes = attempts_.counts();
-    figures.claimsHeld = runner_.buckets().table().size();
-    figures.bucketsLost = runner_.buckets().lostBuckets();
+    RequestStatistics statistics;
+    statistics.outcomes = attempts_.counts();
+    statistics.claimsHeld = runner_.buckets().table().size();
+    statistics.bucketsLost = runner_.buckets().lostBuckets();
     for (std::uint32_t bucket = 0; bucket < claimBucketCount; ++bucket)
-        figures.bucketsRecovering += runner_.buckets().ownership(bucket) == Ownership::Recovering ? 1 : 0;
-    figures.recoveries = recoveries_;
+        statistics.bucketsRecovering += runner_.buckets().ownership(bucket) == Ownership::Recovering ? 1 : 0;
+    statistics.recoveries = recoveries_;
     for (const Service& service : configuration_->services)
-        figures.queued += runner_.admission().queued(service.id);
-    figures.longMessageBytes = transport_.longMessageBytes();
-    figures.droppedMessages = transport_.droppedMessages();
-    return figures;
+        statistics.queued += runner_.admission().queued(service.id);
+    statistics.longMessageBytes = transport_.longMessageBytes();
+    statistics.droppedMessages = transport_.droppedMessages();
+    return statistics;
 }
 
 }
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -36,7 +36,7 @@
 };
 
 // Figures for the metrics.
-struct RequestFigures {
+struct RequestStatistics {
     RequestCounts outcomes {};
     std::size_t claimsHeld = 0;
     std::size_t bucketsRecovering = 0;
@@ -74,7 +74,7 @@
     // For a planned stop: nothing is under way, and the claims held here have gone over to others, if there are any.
     bool isIdle() const { return runner_.workUnderWay() == 0; }
     bool isReleased(TimePoint now) const;
-    RequestFigures figures() const;
+    RequestStatistics statistics() const;
 
 private:
     // The word that a forwarded try has come, to be said again: datagrams get lost.
