--- a/Source/Balancer/RequestDecisions.cpp
+++ b/Source/Balancer/BackendServerSelector.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/RequestDecisions.h"
+#include "Balancer/BackendServerSelector.h"
 
 #include "Balancer/ServiceLookup.h"
 
@@ -44,17 +44,17 @@
 
 }
 
-RequestDecisions::RequestDecisions(RequestTimes times, std::uint64_t seed)
+BackendServerSelector::BackendServerSelector(RequestTimes times, std::uint64_t seed)
     : times_(times)
     , random_(seed)
     , configuration_(std::make_shared<const Configuration>())
 {
 }
 
-void RequestDecisions::applyConfiguration(std::shared_ptr<const Configuration> configuration)
+void BackendServerSelector::applyConfiguration(std::shared_ptr<const Configuration> configuration)
 {
     configuration_ = std::move(configuration);
-    std::erase_if(use_, [&](const auto& entry) {
+    std::erase_if(serverUse_, [&](const auto& entry) {
         const auto& servers = configuration_->backendServers;
         const bool isListed
             = std::ranges::any_of(servers, [&](const auto& server) { return server.id == entry.first; });
@@ -62,12 +62,12 @@
     });
 }
 
-const Service* RequestDecisions::serviceOf(const HttpRequest& request) const
+const Service* BackendServerSelector::serviceOf(const HttpRequest& request) const
 {
     return findServiceOf(*configuration_, request);
 }
 
-RequestDecision RequestDecisions::admit(const HttpRequest& request, TimePoint now)
+RequestDecision BackendServerSelector::admit(const HttpRequest& request, TimePoint now)
 {
     const Service* service = serviceOf(request);
     if (!service) {
@@ -86,49 +86,49 @@
         time = *parsed;
     }
 
-    const BackendServer* server = choose(*service, now);
+    const BackendServer* server = selectServer(*service, now);
     if (!server) {
         return RequestProblem { .title = "No backend server of the service has a free slot",
             .retryAfter = spreadRetryAfter(),
             .outcome = RequestOutcomeKind::NoServer };
     }
-    ++use_[server->id].outstanding;
+    ++serverUse_[server->id].outstanding;
     return ForwardRequest { .server = server->id, .address = server->requestAddress, .deadline = now + time };
 }
 
-// The active server with the fewest open requests of those with a free slot; among equals a random one, so that the
+// The active server with the fewest open requests of those with a free slot; among ties a random one, so that the
 // balancers of a fleet do not all start with the same.
-const BackendServer* RequestDecisions::choose(const Service& service, TimePoint now)
+const BackendServer* BackendServerSelector::selectServer(const Service& service, TimePoint now)
 {
     const BackendServer* best = nullptr;
     std::uint32_t fewest = 0;
-    std::uint32_t equals = 0;
+    std::uint32_t ties = 0;
     for (const BackendServer& server : configuration_->backendServers) {
         if (server.service != service.id || server.state != BackendServerState::Active)
             continue;
-        const auto found = use_.find(server.id);
-        const ServerUse use = found == use_.end() ? ServerUse {} : found->second;
-        if (use.outstanding >= server.slots || now < use.restsUntil)
+        const auto found = serverUse_.find(server.id);
+        const ServerUse use = found == serverUse_.end() ? ServerUse {} : found->second;
+        if (use.outstanding >= server.slots || now < use.ejectedUntil)
             continue;
         if (!best || use.outstanding < fewest) {
             best = &server;
             fewest = use.outstanding;
-            equals = 1;
-        } else if (use.outstanding == fewest && random_() % ++equals == 0) {
+            ties = 1;
+        } else if (use.outstanding == fewest && random_() % ++ties == 0) {
             best = &server;
         }
     }
     return best;
 }
 
-void RequestDecisions::finished(BackendServerId server) { release(server); }
+void BackendServerSelector::finished(BackendServerId server) { release(server); }
 
-RequestProblem RequestDecisions::failed(BackendServerId server, const HttpFailure& failure, TimePoint now)
+RequestProblem BackendServerSelector::failed(BackendServerId server, const HttpFailure& failure, TimePoint now)
 {
     release(server);
     switch (failure.kind) {
     case HttpFailureKind::NotSent:
-        use_[server].restsUntil = now + times_.restAfterFailure;
+        serverUse_[server].ejectedUntil = now + times_.ejectionTime;
         [[fallthrough]];
     case HttpFailureKind::Refused:
         return { .title = "The backend server did not take the request",
@@ -154,15 +154,15 @@
         .outcome = RequestOutcomeKind::Unknown };
 }
 
-std::chrono::seconds RequestDecisions::spreadRetryAfter()
+std::chrono::seconds BackendServerSelector::spreadRetryAfter()
 {
     return std::chrono::seconds(1 + random_() % retrySpreadSeconds);
 }
 
-void RequestDecisions::release(BackendServerId server)
+void BackendServerSelector::release(BackendServerId server)
 {
-    const auto found = use_.find(server);
-    if (found != use_.end() && found->second.outstanding > 0)
+    const auto found = serverUse_.find(server);
+    if (found != serverUse_.end() && found->second.outstanding > 0)
         --found->second.outstanding;
 }
 
--- a/Source/Balancer/RequestDecisions.h
+++ b/Source/Balancer/BackendServerSelector.h
@@ -25,7 +25,7 @@
     std::chrono::milliseconds longestDeadline { 600'000 };
     // A server that could not be reached gets nothing new for this long. Without this, a dead server, which always has
     // the fewest open requests, would draw all of them.
-    std::chrono::milliseconds restAfterFailure { 1000 };
+    std::chrono::milliseconds ejectionTime { 1000 };
 };
 
 // Send the request to this server, once.
@@ -38,10 +38,10 @@
 using RequestDecision = std::variant<ForwardRequest, RequestProblem>;
 
 // Decides for each request which backend server runs it, or why none does, by this balancer's own view of the servers'
-// slots. It does no I/O and never sends anything twice. RequestFront calls it.
-class RequestDecisions {
+// slots. It does no I/O and never sends anything twice. RequestFrontend calls it.
+class BackendServerSelector {
 public:
-    RequestDecisions(RequestTimes, std::uint64_t seed);
+    BackendServerSelector(RequestTimes, std::uint64_t seed);
 
     void applyConfiguration(std::shared_ptr<const Configuration>);
 
@@ -58,17 +58,17 @@
 private:
     struct ServerUse {
         std::uint32_t outstanding = 0;
-        TimePoint restsUntil;
+        TimePoint ejectedUntil;
     };
 
-    const BackendServer* choose(const Service&, TimePoint now);
+    const BackendServer* selectServer(const Service&, TimePoint now);
     std::chrono::seconds spreadRetryAfter();
     void release(BackendServerId);
 
     RequestTimes times_;
     std::mt19937_64 random_;
     std::shared_ptr<const Configuration> configuration_;
-    std::unordered_map<BackendServerId, ServerUse> use_;
+    std::unordered_map<BackendServerId, ServerUse> serverUse_;
 };
 
 }
--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -19,7 +19,7 @@
 
     constexpr auto upkeepPeriod = 100ms;
     // The prefix under which the balancer's own pages also stand, apart from any path of a service.
-    constexpr std::string_view ownPrefix = "/wisteriadock";
+    constexpr std::string_view builtInPagePrefix = "/wisteriadock";
 
     // VMs keep nothing, so the wall clock at the start is the only number that rises with each start.
     std::uint64_t currentIncarnation()
@@ -77,7 +77,7 @@
     , stop_(stopTimesOf(settings_))
     , engine_(settings_.flow, self_, seed_)
     , platform_(context_, settings_.platform)
-    , requestDecisions_(requestTimesOf(settings_), seed_)
+    , serverSelector_(requestTimesOf(settings_), seed_)
     , feed_(context_, platform_, seed_)
     , vms_(platform_, settings_.seeds, seed_)
 {
@@ -99,10 +99,12 @@
     BOOST_OUTCOME_TRY(socket, PeerLink::open(context_, settings_.listen.peer, onMessage));
     peerSocket_ = std::move(socket);
 
-    const auto ownPages = [this](const std::shared_ptr<Http2Exchange>& exchange) { return serveOwnPage(exchange); };
-    BOOST_OUTCOME_TRY(requests,
-        RequestFront::listen(context_, settings_.listen.request, settings_.requestLimits, requestDecisions_, ownPages));
-    requests_ = std::move(requests);
+    const auto builtInPages
+        = [this](const std::shared_ptr<Http2Exchange>& exchange) { return serveBuiltInPage(exchange); };
+    BOOST_OUTCOME_TRY(frontend,
+        RequestFrontend::listen(
+            context_, settings_.listen.request, settings_.requestLimits, serverSelector_, builtInPages));
+    frontend_ = std::move(frontend);
 
     BOOST_OUTCOME_TRY(endpoint, MetricsEndpoint::serve(settings_.listen.metrics, metrics_.registry()));
     metricsEndpoint_ = std::move(endpoint);
@@ -114,7 +116,7 @@
 
 BalancerAddresses BalancerDaemon::addresses() const
 {
-    return { packets_->address(), peerSocket_->address(), requests_->address(), metricsEndpoint_->address() };
+    return { packets_->address(), peerSocket_->address(), frontend_->address(), metricsEndpoint_->address() };
 }
 
 Member BalancerDaemon::describeSelf() const
@@ -137,7 +139,7 @@
     if (settings_.isAtMostOnce)
         startRequestControl(incarnation_);
     else if (settings_.requestPolicy == RequestPolicy::BlindRetry)
-        requests_->retryBlindly();
+        frontend_->retryBlindly();
     const auto onRequestMessage = [this](const PeerEnvelope& envelope) {
         if (control_)
             control_->receive(envelope);
@@ -161,18 +163,18 @@
 {
     configuration_ = std::make_shared<const Configuration>(version.configuration);
     peers_->applyConfiguration(configuration_, version.head.applied.version);
-    requests_->applyConfiguration(configuration_);
+    frontend_->applyConfiguration(configuration_);
     if (control_)
         control_->applyConfiguration(configuration_);
 }
 
 void BalancerDaemon::startRequestControl(std::uint64_t incarnation)
 {
-    requests_->setControl(nullptr);
+    frontend_->setControl(nullptr);
     control_ = std::make_unique<RequestControl>(
         context_, *peerSocket_, platform_, controlSettingsOf(settings_, { self_, incarnation }, seed_));
     control_->applyConfiguration(configuration_);
-    requests_->setControl(control_.get());
+    frontend_->setControl(control_.get());
 }
 
 // Membership raises the own incarnation when the fleet knows a higher one, because the clock was set back. Claims are
@@ -188,12 +190,12 @@
     control_->applyMembers(view);
 }
 
-bool BalancerDaemon::serveOwnPage(const std::shared_ptr<Http2Exchange>& exchange)
+bool BalancerDaemon::serveBuiltInPage(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const HttpRequest& request = exchange->request();
     std::string_view path = request.path;
-    if (path.starts_with(ownPrefix))
-        path.remove_prefix(ownPrefix.size());
+    if (path.starts_with(builtInPagePrefix))
+        path.remove_prefix(builtInPagePrefix.size());
     if (request.method != "GET")
         return false;
     if (path == "/ticket" && control_) {
@@ -276,7 +278,7 @@
         peers_->leave();
         break;
     case StopStep::DrainRequests:
-        requests_->drain([this] { areRequestsDrained_ = true; });
+        frontend_->drain([this] { areRequestsDrained_ = true; });
         break;
     case StopStep::Exit:
         context_.stop();
@@ -289,10 +291,10 @@
     BalancerStatistics statistics;
     statistics.packets = packets_->totals();
     statistics.flow = engine_.counters();
-    statistics.requests = requests_->counts();
+    statistics.requests = frontend_->counts();
     if (control_)
         statistics.control = control_->statistics();
-    statistics.openRequests = requests_->openRequests();
+    statistics.openRequests = frontend_->openRequests();
     statistics.controlBytes = {
         .peers = peerSocket_->bytesTransferred(),
         .platform = platform_.bytesTransferred(),
@@ -301,7 +303,7 @@
     };
     statistics.malformedPeerMessages
         = peerSocket_->malformed() + peers_->droppedMessages() + statistics.control.droppedMessages;
-    statistics.httpProtocolErrors = requests_->protocolErrors();
+    statistics.httpProtocolErrors = frontend_->protocolErrors();
     statistics.configurationVersion = feed_.version();
     statistics.processCpuSeconds = processCpuSeconds();
     statistics.controlThreadCpuSeconds = threadCpuSeconds();
--- a/Source/Balancer/BalancerDaemon.h
+++ b/Source/Balancer/BalancerDaemon.h
@@ -1,13 +1,13 @@
 #pragma once
 
+#include "Balancer/BackendServerSelector.h"
 #include "Balancer/BalancerMetrics.h"
 #include "Balancer/BalancerSettings.h"
 #include "Balancer/ConfigurationFeed.h"
 #include "Balancer/PacketPath.h"
 #include "Balancer/PeerControl.h"
 #include "Balancer/RequestControl.h"
-#include "Balancer/RequestDecisions.h"
-#include "Balancer/RequestFront.h"
+#include "Balancer/RequestFrontend.h"
 #include "Balancer/StopSequence.h"
 #include "Balancer/VmListFeed.h"
 #include "Core/Error.h"
@@ -52,7 +52,7 @@
     void applyMembers(const std::shared_ptr<const MembersView>&);
     void startRequestControl(std::uint64_t incarnation);
     StopConditions stopConditions() const;
-    bool serveOwnPage(const std::shared_ptr<Http2Exchange>&);
+    bool serveBuiltInPage(const std::shared_ptr<Http2Exchange>&);
 
     void awaitSignal();
     void handleSignal(int signal);
@@ -77,7 +77,7 @@
     FlowEngine engine_;
     PlatformClient platform_;
     BalancerMetrics metrics_;
-    RequestDecisions requestDecisions_;
+    BackendServerSelector serverSelector_;
     std::uint64_t configurationBytesServed_ = 0;
 
     std::unique_ptr<PeerLink> peerSocket_;
@@ -86,7 +86,7 @@
     VmListFeed vms_;
     std::shared_ptr<const Configuration> configuration_ = std::make_shared<const Configuration>();
     std::unique_ptr<RequestControl> control_;
-    std::unique_ptr<RequestFront> requests_;
+    std::unique_ptr<RequestFrontend> frontend_;
     std::unique_ptr<MetricsEndpoint> metricsEndpoint_;
     std::unique_ptr<PacketPath> packets_;
 };
--- a/Source/Balancer/BalancerMetrics.h
+++ b/Source/Balancer/BalancerMetrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Balancer/PacketCounters.h"
-#include "Balancer/RequestFront.h"
+#include "Balancer/RequestFrontend.h"
 #include "Flow/FlowEngine.h"
 #include "Membership/Member.h"
 
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -48,8 +48,8 @@
 };
 
 // Answers requests at most once: takes them from callers and other balancers, gives those whose keys this balancer owns
-// to the RequestRunner and forwards the others, and carries out what the runner decides. RequestFront hands exchanges
-// over, the daemon everything else. Everything runs on the thread of the io_context.
+// to the RequestRunner and forwards the others, and carries out what the runner decides. RequestFrontend hands
+// exchanges over, the daemon everything else. Everything runs on the thread of the io_context.
 class RequestControl {
 public:
     // Link and platform outlive the control.
--- a/Source/Balancer/RequestFront.h
+++ b/Source/Balancer/RequestFrontend.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "Balancer/BackendServerSelector.h"
 #include "Balancer/RequestControl.h"
 #include "Balancer/RequestCounts.h"
-#include "Balancer/RequestDecisions.h"
 #include "Core/Endpoint.h"
 #include "Core/Error.h"
 #include "Net/Http2Client.h"
@@ -21,17 +21,17 @@
 // Takes callers' requests over HTTP/2 and hands them to the RequestControl. Without one it passes each to the backend
 // server that the decisions name and the whole answer back: a baseline that knows nothing of keys. Requests that name
 // no service are first offered to the balancer's own pages. Everything runs on the thread of the io_context.
-class RequestFront {
+class RequestFrontend {
 public:
     // Answers the exchange and returns true, or leaves it alone and returns false.
-    using OwnPages = std::function<bool(const std::shared_ptr<Http2Exchange>&)>;
+    using BuiltInPages = std::function<bool(const std::shared_ptr<Http2Exchange>&)>;
 
     // Listens at once. The decisions outlive the front. Fails with Unavailable when the address can't be bound.
-    static Result<std::unique_ptr<RequestFront>> listen(
-        boost::asio::io_context&, Endpoint, Http2Limits, RequestDecisions&, OwnPages);
-    ~RequestFront();
-    RequestFront(const RequestFront&) = delete;
-    RequestFront& operator=(const RequestFront&) = delete;
+    static Result<std::unique_ptr<RequestFrontend>> listen(
+        boost::asio::io_context&, Endpoint, Http2Limits, BackendServerSelector&, BuiltInPages);
+    ~RequestFrontend();
+    RequestFrontend(const RequestFrontend&) = delete;
+    RequestFrontend& operator=(const RequestFrontend&) = delete;
 
     // From now on requests go to this control, which outlives the front or is replaced; null leaves them to the
     // decisions.
@@ -48,7 +48,7 @@
     std::uint64_t protocolErrors() const;
 
 private:
-    RequestFront(boost::asio::io_context&, Http2Limits, RequestDecisions&, OwnPages);
+    RequestFrontend(boost::asio::io_context&, Http2Limits, BackendServerSelector&, BuiltInPages);
 
     void handle(const std::shared_ptr<Http2Exchange>&);
     void forward(const std::shared_ptr<Http2Exchange>&, const ForwardRequest&, int attempts);
@@ -60,8 +60,8 @@
 
     boost::asio::io_context& context_;
     Http2Limits limits_;
-    RequestDecisions& decisions_;
-    OwnPages ownPages_;
+    BackendServerSelector& selector_;
+    BuiltInPages builtInPages_;
     RequestControl* control_ = nullptr;
     bool retriesBlindly_ = false;
     RequestCounts counts_ {};
--- a/Tests/Balancer/RequestDecisionsTest.cpp
+++ b/Tests/Balancer/BackendServerSelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/RequestDecisions.h"
+#include "Balancer/BackendServerSelector.h"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
@@ -11,9 +11,9 @@
 
     using namespace std::chrono_literals;
 
-    class RequestDecisionsTest : public testing::Test {
+    class BackendServerSelectorTest : public testing::Test {
     protected:
-        RequestDecisionsTest()
+        BackendServerSelectorTest()
         {
             configuration_.services = { { .name = "scanintake", .id = serviceIdOf("scanintake"), .address = {} },
                 { .name = "tryon", .id = serviceIdOf("tryon"), .address = {} } };
@@ -35,9 +35,9 @@
             configuration_.backendServers.push_back(server);
         }
 
-        void apply() { decisions_.applyConfiguration(std::make_shared<const Configuration>(configuration_)); }
+        void apply() { selector_.applyConfiguration(std::make_shared<const Configuration>(configuration_)); }
 
-        RequestDecision admit(const HttpRequest& request) { return decisions_.admit(request, clock_.now()); }
+        RequestDecision admit(const HttpRequest& request) { return selector_.admit(request, clock_.now()); }
 
         static HttpRequest requestTo(std::string authority)
         {
@@ -61,20 +61,20 @@
 
         RequestProblem fail(BackendServerId server, HttpFailureKind kind)
         {
-            return decisions_.failed(server, { kind, "" }, clock_.now());
+            return selector_.failed(server, { kind, "" }, clock_.now());
         }
 
         ManualClock clock_;
         Configuration configuration_;
-        RequestDecisions decisions_ { {}, 7 };
+        BackendServerSelector selector_ { {}, 7 };
     };
 
-    TEST_F(RequestDecisionsTest, findsTheServiceByHeaderOrAuthority)
+    TEST_F(BackendServerSelectorTest, findsTheServiceByHeaderOrAuthority)
     {
         EXPECT_EQ(serverOf(admit(requestTo("scanintake"))), backendServerIdOf("scan1"));
-        decisions_.finished(backendServerIdOf("scan1"));
+        selector_.finished(backendServerIdOf("scan1"));
         EXPECT_EQ(serverOf(admit(requestTo("scanintake:8080"))), backendServerIdOf("scan1"));
-        decisions_.finished(backendServerIdOf("scan1"));
+        selector_.finished(backendServerIdOf("scan1"));
 
         SCOPED_TRACE("the header goes before the authority");
         HttpRequest request = requestTo("tryon");
@@ -87,7 +87,7 @@
         EXPECT_EQ(problemOf(admit(requestTo(""))).status, 404);
     }
 
-    TEST_F(RequestDecisionsTest, spreadsOverFreeSlotsAndThenRefuses)
+    TEST_F(BackendServerSelectorTest, spreadsOverFreeSlotsAndThenRefuses)
     {
         std::map<std::uint32_t, int> uses;
         for (int i = 0; i < 4; ++i)
@@ -102,11 +102,11 @@
         EXPECT_GE(*problem.retryAfter, 1s);
 
         SCOPED_TRACE("a slot that is free again is used");
-        decisions_.finished(backendServerIdOf("try2"));
+        selector_.finished(backendServerIdOf("try2"));
         EXPECT_EQ(serverOf(admit(requestTo("tryon"))), backendServerIdOf("try2"));
     }
 
-    TEST_F(RequestDecisionsTest, sendsNothingNewToADrainingServer)
+    TEST_F(BackendServerSelectorTest, sendsNothingNewToADrainingServer)
     {
         configuration_.backendServers[1].state = BackendServerState::Draining;
         apply();
@@ -115,7 +115,7 @@
         EXPECT_EQ(problemOf(admit(requestTo("tryon"))).status, 503);
     }
 
-    TEST_F(RequestDecisionsTest, wantsAKeyForNonIdempotentWork)
+    TEST_F(BackendServerSelectorTest, wantsAKeyForNonIdempotentWork)
     {
         for (const auto* method : { "POST", "PATCH", "post", "FROB" }) {
             SCOPED_TRACE(method);
@@ -125,11 +125,11 @@
             request.headers = { { "idempotency-key", "k1" } };
             const BackendServerId server = serverOf(admit(request));
             EXPECT_NE(server, BackendServerId {});
-            decisions_.finished(server);
+            selector_.finished(server);
         }
     }
 
-    TEST_F(RequestDecisionsTest, readsTheDeadline)
+    TEST_F(BackendServerSelectorTest, readsTheDeadline)
     {
         HttpRequest request = requestTo("tryon");
         EXPECT_EQ(std::get<ForwardRequest>(admit(request)).deadline, clock_.now() + 5s);
@@ -145,7 +145,7 @@
     // Symptom: a registration runs twice, because its caller was told that it had not run.
     // Sequence: the connection breaks after the request was sent.
     // Cause: a lost answer was reported like a request that was never sent.
-    TEST_F(RequestDecisionsTest, saysNotExecutedOnlyWhenProvable)
+    TEST_F(BackendServerSelectorTest, saysNotExecutedOnlyWhenProvable)
     {
         const auto executedAfter = [&](HttpFailureKind kind) {
             clock_.advance(10s);
@@ -162,7 +162,7 @@
     // Symptom: one dead server of fifteen turns away most requests.
     // Sequence: it refuses connections at once, so it always has the fewest open requests and gets the next one too.
     // Cause: the choice looked at open requests alone.
-    TEST_F(RequestDecisionsTest, letsAServerThatCantBeReachedRest)
+    TEST_F(BackendServerSelectorTest, letsAServerThatCantBeReachedRest)
     {
         const BackendServerId dead = serverOf(admit(requestTo("tryon")));
         EXPECT_EQ(fail(dead, HttpFailureKind::NotSent).executed, Executed::No);
@@ -175,7 +175,7 @@
         EXPECT_EQ(serverOf(admit(requestTo("tryon"))), dead);
     }
 
-    TEST_F(RequestDecisionsTest, describesAProblemForMachines)
+    TEST_F(BackendServerSelectorTest, describesAProblemForMachines)
     {
         const HttpResponse response = RequestProblem { .title = "busy", .retryAfter = 3s }.toResponse();
         EXPECT_EQ(response.status, 503);
--- a/Tests/Balancer/RequestFrontTest.cpp
+++ b/Tests/Balancer/RequestFrontendTest.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/RequestFront.h"
+#include "Balancer/RequestFrontend.h"
 
 #include "Balancer/LoopbackTest.h"
 
@@ -13,7 +13,7 @@
     using namespace std::chrono_literals;
 
     // A caller, the front and one backend server, over real connections.
-    class RequestFrontTest : public LoopbackTest {
+    class RequestFrontendTest : public LoopbackTest {
     protected:
         void SetUp() override
         {
@@ -23,17 +23,17 @@
             ASSERT_TRUE(server);
             server_ = std::move(server.value());
 
-            const auto ownPages = [](const std::shared_ptr<Http2Exchange>& exchange) {
+            const auto builtInPages = [](const std::shared_ptr<Http2Exchange>& exchange) {
                 if (exchange->request().path != "/status")
                     return false;
                 exchange->respond({ .status = 200, .headers = {}, .body = "own page" });
                 return true;
             };
-            auto front = RequestFront::listen(context_, anyLoopbackPort, {}, decisions_, ownPages);
-            ASSERT_TRUE(front);
-            front_ = std::move(front.value());
+            auto frontend = RequestFrontend::listen(context_, anyLoopbackPort, {}, selector_, builtInPages);
+            ASSERT_TRUE(frontend);
+            frontend_ = std::move(frontend.value());
             apply(server_->address());
-            caller_ = std::make_unique<Http2Client>(context_, front_->address());
+            caller_ = std::make_unique<Http2Client>(context_, frontend_->address());
         }
 
         void apply(Endpoint server)
@@ -47,7 +47,7 @@
             backendServer.requestAddress = server;
             backendServer.slots = 1;
             configuration.backendServers = { backendServer };
-            front_->applyConfiguration(std::make_shared<const Configuration>(configuration));
+            frontend_->applyConfiguration(std::make_shared<const Configuration>(configuration));
         }
 
         Http2Client::RequestId call(HttpRequest request)
@@ -88,18 +88,18 @@
 
         std::uint64_t countOf(RequestOutcomeKind outcome) const
         {
-            return front_->counts()[static_cast<std::size_t>(outcome)];
+            return frontend_->counts()[static_cast<std::size_t>(outcome)];
         }
 
-        RequestDecisions decisions_ { {}, 3 };
+        BackendServerSelector selector_ { {}, 3 };
         std::vector<std::shared_ptr<Http2Exchange>> exchanges_;
         std::unique_ptr<Http2Server> server_;
-        std::unique_ptr<RequestFront> front_;
+        std::unique_ptr<RequestFrontend> frontend_;
         std::unique_ptr<Http2Client> caller_;
         std::optional<HttpOutcome> answer_;
     };
 
-    TEST_F(RequestFrontTest, passesARequestAndItsAnswerWhole)
+    TEST_F(RequestFrontendTest, passesARequestAndItsAnswerWhole)
     {
         call(confirmation());
         awaitExchange();
@@ -125,7 +125,7 @@
         }
     }
 
-    TEST_F(RequestFrontTest, servesItsOwnPagesUnlessTheRequestNamesAService)
+    TEST_F(RequestFrontendTest, servesItsOwnPagesUnlessTheRequestNamesAService)
     {
         call(statusRequestTo("b1"));
         EXPECT_EQ(awaitAnswer().body, "own page");
@@ -136,7 +136,7 @@
         EXPECT_EQ(awaitAnswer().body, "the service's page");
     }
 
-    TEST_F(RequestFrontTest, refusesAtOnceWhenEverySlotIsTaken)
+    TEST_F(RequestFrontendTest, refusesAtOnceWhenEverySlotIsTaken)
     {
         call(confirmation());
         awaitExchange();
@@ -150,7 +150,7 @@
     // Symptom: the backend server's two slots stay busy with work that nobody waits for.
     // Sequence: a caller gives up while the server still works.
     // Cause: the cancellation ended at the balancer.
-    TEST_F(RequestFrontTest, passesACancellationOn)
+    TEST_F(RequestFrontendTest, passesACancellationOn)
     {
         const auto id = call(confirmation());
         awaitExchange();
@@ -166,7 +166,7 @@
         awaitExchange();
     }
 
-    TEST_F(RequestFrontTest, reportsAServerThatCantBeReachedAsNotExecuted)
+    TEST_F(RequestFrontendTest, reportsAServerThatCantBeReachedAsNotExecuted)
     {
         auto unused = Http2Server::listen(context_, anyLoopbackPort, [](const auto&) {});
         ASSERT_TRUE(unused);
@@ -178,7 +178,7 @@
         EXPECT_NE(answer_->value().body.find(R"("executed":"no")"), std::string::npos);
     }
 
-    TEST_F(RequestFrontTest, reportsADeadlineAfterSendingAsUnknown)
+    TEST_F(RequestFrontendTest, reportsADeadlineAfterSendingAsUnknown)
     {
         HttpRequest request = confirmation();
         request.headers.push_back({ "x-deadline-milliseconds", "300" });
@@ -188,7 +188,7 @@
         EXPECT_NE(answer_->value().body.find(R"("executed":"unknown")"), std::string::npos);
     }
 
-    TEST_F(RequestFrontTest, reportsAResetAfterSendingAsUnknown)
+    TEST_F(RequestFrontendTest, reportsAResetAfterSendingAsUnknown)
     {
         call(confirmation());
         awaitExchange();
@@ -198,9 +198,9 @@
     }
 
     // The baseline of experiments: without it they could not show that they see double runs.
-    TEST_F(RequestFrontTest, runsWorkAgainWhenToldToRetryBlindly)
+    TEST_F(RequestFrontendTest, runsWorkAgainWhenToldToRetryBlindly)
     {
-        front_->retryBlindly();
+        frontend_->retryBlindly();
         call(confirmation());
         awaitExchange();
         exchanges_.front().reset();
@@ -209,12 +209,12 @@
         EXPECT_EQ(awaitAnswer().body, "ran twice");
     }
 
-    TEST_F(RequestFrontTest, drainsOnlyAfterTheLastAnswer)
+    TEST_F(RequestFrontendTest, drainsOnlyAfterTheLastAnswer)
     {
         call(confirmation());
         awaitExchange();
         bool drained = false;
-        front_->drain([&] { drained = true; });
+        frontend_->drain([&] { drained = true; });
         context_.restart();
         context_.poll();
         EXPECT_FALSE(drained);
--- a/Tests/Balancer/RequestGroup.cpp
+++ b/Tests/Balancer/RequestGroup.cpp
@@ -46,23 +46,23 @@
             balancer.control->receive(envelope);
     };
     balancer.socket = std::move(PeerLink::open(context_, anyLoopbackPort, onMessage).value());
-    const auto ownPages = [&balancer](const std::shared_ptr<Http2Exchange>& exchange) {
+    const auto builtInPages = [&balancer](const std::shared_ptr<Http2Exchange>& exchange) {
         if (exchange->request().path != "/wisteriadock/ticket")
             return false;
         exchange->respond(balancer.control->issueTicket());
         return true;
     };
-    balancer.front
-        = std::move(RequestFront::listen(context_, anyLoopbackPort, {}, balancer.decisions, ownPages).value());
+    balancer.frontend
+        = std::move(RequestFrontend::listen(context_, anyLoopbackPort, {}, balancer.selector, builtInPages).value());
     balancer.platform = std::make_unique<PlatformClient>(context_, standIn_->address());
-    balancer.caller = std::make_unique<Http2Client>(context_, balancer.front->address());
+    balancer.caller = std::make_unique<Http2Client>(context_, balancer.frontend->address());
 
     Member& member = balancer.member;
     member.name = "b" + std::to_string(index);
     member.id = balancerIdOf(member.name);
     member.availabilityZone = zones_[index % zones_.size()];
     member.peerAddress = balancer.socket->address();
-    member.requestAddress = balancer.front->address();
+    member.requestAddress = balancer.frontend->address();
     member.incarnation = 1000 + index;
     member.state = MemberState::Serving;
 
@@ -72,13 +72,13 @@
     settings.zones = zones_;
     settings.seed = index;
     balancer.control = std::make_unique<RequestControl>(context_, *balancer.socket, *balancer.platform, settings);
-    balancer.front->setControl(balancer.control.get());
+    balancer.frontend->setControl(balancer.control.get());
 }
 
 void RequestGroup::kill(std::size_t index)
 {
     Balancer& balancer = balancers_[index];
-    balancer.front.reset();
+    balancer.frontend.reset();
     balancer.control.reset();
     balancer.socket.reset();
     balancer.member.state = MemberState::Dead;
@@ -115,7 +115,7 @@
     for (Balancer& balancer : balancers_) {
         if (!balancer.control)
             continue;
-        balancer.front->applyConfiguration(shared);
+        balancer.frontend->applyConfiguration(shared);
         balancer.control->applyConfiguration(shared);
     }
 }
--- a/Tests/Balancer/RequestGroup.h
+++ b/Tests/Balancer/RequestGroup.h
@@ -2,7 +2,7 @@
 
 #include "Balancer/PlatformTest.h"
 #include "Balancer/RequestControl.h"
-#include "Balancer/RequestFront.h"
+#include "Balancer/RequestFrontend.h"
 
 #include <deque>
 #include <memory>
@@ -20,9 +20,9 @@
         Member member;
         std::unique_ptr<PeerLink> socket;
         std::unique_ptr<PlatformClient> platform;
-        RequestDecisions decisions { {}, 1 };
+        BackendServerSelector selector { {}, 1 };
         std::unique_ptr<RequestControl> control;
-        std::unique_ptr<RequestFront> front;
+        std::unique_ptr<RequestFrontend> frontend;
         std::unique_ptr<Http2Client> caller;
     };
     // The outcome, once there is one.
