--- a/Source/Balancer/AttemptForwarder.cpp
+++ b/Source/Balancer/AttemptForwarder.cpp
@@ -13,7 +13,7 @@
     // A dead or paused owner is noticed after this time. A large body takes its time to get there.
     constexpr auto acknowledgeTimeout = 1000ms;
     // The owner's own word at the deadline is better than "unknown" and needs its way back.
-    constexpr auto answerTravelTime = 100ms;
+    constexpr auto answerLatencyAllowance = 100ms;
 
 }
 
@@ -36,13 +36,13 @@
         handlers_.onRedirect(id, owner);
         return;
     }
-    const ForwardToken token = pendingForwards_.open(id, key, owner, deadline + answerTravelTime, now);
+    const ForwardToken token = pendingForwards_.open(id, key, owner, deadline + answerLatencyAllowance, now);
     const auto timeLeft = std::chrono::duration_cast<std::chrono::microseconds>(deadline - now);
     const std::weak_ptr<int> alive = alive_;
     Hop hop { id, key, owner, member->requestAddress, 0 };
     hop.request = clients_.of(hop.address)
                       .send(writeHop({ token, owner, std::max(timeLeft, 1us), problem, request }),
-                          deadline + answerTravelTime, [this, alive, token](HttpOutcome outcome) {
+                          deadline + answerLatencyAllowance, [this, alive, token](HttpOutcome outcome) {
                               if (!alive.expired())
                                   finish(token, std::move(outcome));
                           });
--- a/Source/Balancer/BackendServerSelector.cpp
+++ b/Source/Balancer/BackendServerSelector.cpp
@@ -80,9 +80,9 @@
 
     std::chrono::milliseconds time = times_.defaultDeadline;
     if (const std::string_view text = request.header(deadlineHeader); !text.empty()) {
-        const auto parsed = parseDeadline(text, times_.longestDeadline);
+        const auto parsed = parseDeadline(text, times_.maxDeadline);
         if (!parsed)
-            return invalid(fmt::format("{} is not from 1 to {}", deadlineHeader, times_.longestDeadline.count()));
+            return invalid(fmt::format("{} is not from 1 to {}", deadlineHeader, times_.maxDeadline.count()));
         time = *parsed;
     }
 
--- a/Source/Balancer/BackendServerSelector.h
+++ b/Source/Balancer/BackendServerSelector.h
@@ -22,7 +22,7 @@
 // The times by which requests are bounded.
 struct RequestTimes {
     std::chrono::milliseconds defaultDeadline { 5000 };
-    std::chrono::milliseconds longestDeadline { 600'000 };
+    std::chrono::milliseconds maxDeadline { 600'000 };
     // A server that could not be reached gets nothing new for this long. Without this, a dead server, which always has
     // the fewest open requests, would draw all of them.
     std::chrono::milliseconds ejectionTime { 1000 };
--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -35,7 +35,7 @@
 
     RequestTimes requestTimesOf(const BalancerSettings& settings)
     {
-        return { .defaultDeadline = settings.defaultDeadline, .longestDeadline = settings.longestDeadline };
+        return { .defaultDeadline = settings.defaultDeadline, .maxDeadline = settings.maxDeadline };
     }
 
     StopTimes stopTimesOf(const BalancerSettings& settings)
@@ -55,7 +55,7 @@
         control.limits.headerBytes = settings.requestLimits.headerBytes;
         control.limits.bodyBytes = settings.requestLimits.bodyBytes;
         control.limits.defaultDeadline = settings.defaultDeadline;
-        control.limits.maxDeadline = settings.longestDeadline;
+        control.limits.maxDeadline = settings.maxDeadline;
         control.http = settings.requestLimits;
         control.retryRule = settings.requestPolicy == RequestPolicy::BlindRetry ? RetryRule::Blind : RetryRule::Safe;
         control.seed = seed;
--- a/Source/Balancer/BalancerSettings.cpp
+++ b/Source/Balancer/BalancerSettings.cpp
@@ -15,16 +15,16 @@
 
     using namespace std::chrono_literals;
 
-    constexpr unsigned mostPacketThreads = 64;
-    constexpr std::uint32_t mostShards = 4096;
-    constexpr std::size_t mostTrackedFlows = 100'000'000;
-    constexpr std::uint32_t mostTransitionBytes = 1U << 30;
-    constexpr std::int64_t largestHeader = 1 << 20;
-    constexpr std::int64_t largestBody = 1 << 30;
-    constexpr std::uint32_t mostStreams = 100'000;
-    constexpr std::size_t mostConnections = 1'000'000;
-    constexpr auto longestTime = 3'600'000ms;
-    constexpr std::int64_t longestRetentionSeconds = 604'800;
+    constexpr unsigned maxPacketThreads = 64;
+    constexpr std::uint32_t maxShards = 4096;
+    constexpr std::size_t maxTrackedFlows = 100'000'000;
+    constexpr std::uint32_t maxTransitionBytes = 1U << 30;
+    constexpr std::int64_t maxHeaderBytes = 1 << 20;
+    constexpr std::int64_t maxBodyBytes = 1 << 30;
+    constexpr std::uint32_t maxStreams = 100'000;
+    constexpr std::size_t maxConnections = 1'000'000;
+    constexpr auto maxDuration = 3'600'000ms;
+    constexpr std::int64_t maxRetentionSeconds = 604'800;
 
     void readListenAddress(SectionReader& section, std::string_view key, Endpoint& target)
     {
@@ -81,18 +81,18 @@
     {
         SectionReader& section = reader.section("flow");
         readFlowPolicy(section, flow.policy);
-        section.integer<std::uint32_t>("shards_per_service", flow.shardsPerService, 1, mostShards);
+        section.integer<std::uint32_t>("shards_per_service", flow.shardsPerService, 1, maxShards);
         std::int64_t trackedFlows = static_cast<std::int64_t>(flow.trackedFlows);
-        section.integer<std::int64_t>("tracked_flows", trackedFlows, 0, mostTrackedFlows);
+        section.integer<std::int64_t>("tracked_flows", trackedFlows, 0, maxTrackedFlows);
         flow.trackedFlows = static_cast<std::size_t>(trackedFlows);
         section.integer<std::uint32_t>(
-            "transition_bytes_per_second", flow.transitionBytesPerSecond, 1024, mostTransitionBytes);
-        section.milliseconds("bootstrap_wait_milliseconds", flow.bootstrapWait, 0ms, longestTime);
-        section.milliseconds("report_patience_milliseconds", flow.reportTimeout, 10ms, longestTime);
-        section.milliseconds("retry_interval_milliseconds", flow.retryInterval, 10ms, longestTime);
-        section.milliseconds("pause_threshold_milliseconds", flow.pauseThreshold, 100ms, longestTime);
+            "transition_bytes_per_second", flow.transitionBytesPerSecond, 1024, maxTransitionBytes);
+        section.milliseconds("bootstrap_wait_milliseconds", flow.bootstrapWait, 0ms, maxDuration);
+        section.milliseconds("report_patience_milliseconds", flow.reportTimeout, 10ms, maxDuration);
+        section.milliseconds("retry_interval_milliseconds", flow.retryInterval, 10ms, maxDuration);
+        section.milliseconds("pause_threshold_milliseconds", flow.pauseThreshold, 100ms, maxDuration);
         std::int64_t retention = flow.retiredServerRetention.count();
-        section.integer<std::int64_t>("retired_server_retention_seconds", retention, 0, longestRetentionSeconds);
+        section.integer<std::int64_t>("retired_server_retention_seconds", retention, 0, maxRetentionSeconds);
         flow.retiredServerRetention = std::chrono::seconds(retention);
     }
 
@@ -141,16 +141,16 @@
         SectionReader& section = reader.section("request");
         readAtMostOnce(section, settings);
         Http2Limits& limits = settings.requestLimits;
-        readSize(section, "header_bytes", limits.headerBytes, 1024, largestHeader);
-        readSize(section, "body_bytes", limits.bodyBytes, 0, largestBody);
-        section.integer<std::uint32_t>("concurrent_streams", limits.concurrentStreams, 1, mostStreams);
-        readSize(section, "connections", limits.connections, 1, mostConnections);
+        readSize(section, "header_bytes", limits.headerBytes, 1024, maxHeaderBytes);
+        readSize(section, "body_bytes", limits.bodyBytes, 0, maxBodyBytes);
+        section.integer<std::uint32_t>("concurrent_streams", limits.concurrentStreams, 1, maxStreams);
+        readSize(section, "connections", limits.connections, 1, maxConnections);
         section.milliseconds("connect_timeout_milliseconds", limits.connectTimeout, 10ms, 60'000ms);
-        section.milliseconds("default_deadline_milliseconds", settings.defaultDeadline, 1ms, longestTime);
-        section.milliseconds("longest_deadline_milliseconds", settings.longestDeadline, 1ms, longestTime);
-        if (settings.defaultDeadline > settings.longestDeadline) {
+        section.milliseconds("default_deadline_milliseconds", settings.defaultDeadline, 1ms, maxDuration);
+        section.milliseconds("longest_deadline_milliseconds", settings.maxDeadline, 1ms, maxDuration);
+        if (settings.defaultDeadline > settings.maxDeadline) {
             section.addProblem("default_deadline_milliseconds",
-                fmt::format("at most longest_deadline_milliseconds, {}", settings.longestDeadline.count()));
+                fmt::format("at most longest_deadline_milliseconds, {}", settings.maxDeadline.count()));
         }
     }
 
@@ -189,7 +189,7 @@
     reader.section("platform", Presence::Required).endpoint("address", settings.platform, Presence::Required);
     reader.section("peers").endpoints("seeds", settings.seeds);
     readFlowSettings(reader, settings.flow);
-    reader.section("threads").integer<unsigned>("packet", settings.packetThreads, 1, mostPacketThreads);
+    reader.section("threads").integer<unsigned>("packet", settings.packetThreads, 1, maxPacketThreads);
     readRequestSettings(reader, settings);
     readDrain(reader, settings.drain);
     readLogLevel(reader, settings.logLevel);
--- a/Source/Balancer/BalancerSettings.h
+++ b/Source/Balancer/BalancerSettings.h
@@ -52,7 +52,7 @@
     Http2Limits requestLimits;
     // The deadline of requests that name none, and the longest that a request may name.
     std::chrono::milliseconds defaultDeadline { 5000 };
-    std::chrono::milliseconds longestDeadline { 600'000 };
+    std::chrono::milliseconds maxDeadline { 600'000 };
 
     // Whether requests are claimed by their keys before they are sent. Off is a baseline for experiments.
     bool isAtMostOnce = true;
--- a/Source/Balancer/ConfigurationFeed.cpp
+++ b/Source/Balancer/ConfigurationFeed.cpp
@@ -15,7 +15,7 @@
     using namespace std::chrono_literals;
 
     constexpr auto reviewPeriod = 100ms;
-    constexpr auto partDeadline = 3000ms;
+    constexpr auto fetchTimeout = 3000ms;
     constexpr auto warningPeriod = 30s;
 
 }
@@ -73,7 +73,7 @@
             else
                 onValue(part.error());
         };
-        platform_.get(key, Clock::now() + partDeadline, onEntry);
+        platform_.get(key, Clock::now() + fetchTimeout, onEntry);
     };
     // A read from another balancer that is going on is given up for this one.
     if (read_.isReading() && readsFromPeer_)
--- a/Source/Balancer/PacketWorker.cpp
+++ b/Source/Balancer/PacketWorker.cpp
@@ -12,7 +12,7 @@
     static_assert(largestProxyHeader <= largestPacketHead);
 
     // No batch takes nearly as long, unless the process did not run meanwhile.
-    constexpr std::chrono::milliseconds longestBatch { 500 };
+    constexpr std::chrono::milliseconds maxBatchDuration { 500 };
 
 }
 
@@ -48,7 +48,7 @@
 
     // A process that is stopped between reading packets and sending them wakes with decisions that may be minutes old:
     // an address may belong to another service by now. A lost packet is sent again, a misdirected one is not undone.
-    if (Clock::now() - now > longestBatch) {
+    if (Clock::now() - now > maxBatchDuration) {
         const unsigned discarded = batch_->discard();
         for (unsigned i = 0; i < discarded; ++i)
             counters_.countDrop(DropReason::AwaitingContact);
--- a/Source/Balancer/PeerConfiguration.cpp
+++ b/Source/Balancer/PeerConfiguration.cpp
@@ -15,9 +15,9 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto shortestPause = 300ms;
-    constexpr auto longestPause = 8000ms;
-    constexpr auto fetchDeadline = 3000ms;
+    constexpr auto minPause = 300ms;
+    constexpr auto maxPause = 8000ms;
+    constexpr auto fetchTimeout = 3000ms;
 
     Error toError(const HttpFailure& failure)
     {
@@ -39,7 +39,7 @@
 PeerConfiguration::PeerConfiguration(boost::asio::io_context& context, std::uint64_t seed, Handler onHead)
     : context_(context)
     , onHead_(std::move(onHead))
-    , backoff_(shortestPause, longestPause, seed)
+    , backoff_(minPause, maxPause, seed)
     , random_(seed)
 {
 }
@@ -116,7 +116,7 @@
     HttpRequest request;
     request.path = configurationPathOf(key);
     request.authority = "balancer";
-    client_->send(std::move(request), Clock::now() + fetchDeadline,
+    client_->send(std::move(request), Clock::now() + fetchTimeout,
         [onValue = std::move(onValue)](HttpOutcome outcome) { onValue(readAnswer(std::move(outcome))); });
 }
 
--- a/Source/Balancer/PeerControl.cpp
+++ b/Source/Balancer/PeerControl.cpp
@@ -17,7 +17,7 @@
     // Membership asks for a tick every 100 ms.
     constexpr std::uint64_t ticksPerMembershipTick = 2;
     // A starting balancer that hears from nobody whom it was told of takes itself for alone after this time.
-    constexpr auto firstContactPatience = 4s;
+    constexpr auto firstContactTimeout = 4s;
 
 }
 
@@ -68,7 +68,7 @@
 // tables as settled without the exceptions that the others hold, and break their flows once it serves.
 bool PeerControl::mayTrustView(TimePoint now) const
 {
-    return knowsToBeAlone_ || membership_.hasCaughtUp() || now - startedAt_ >= firstContactPatience;
+    return knowsToBeAlone_ || membership_.hasCaughtUp() || now - startedAt_ >= firstContactTimeout;
 }
 
 // A balancer calls itself serving while its flow engine can decide alone. After a pause it cannot, and says so: if a
--- a/Source/Balancer/PlatformWatch.cpp
+++ b/Source/Balancer/PlatformWatch.cpp
@@ -11,14 +11,14 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto shortestPause = 500ms;
-    constexpr auto longestPause = 8000ms;
+    constexpr auto minPause = 500ms;
+    constexpr auto maxPause = 8000ms;
     // A watch without news ends after at most this time and the key is read outright. It bounds how long a connection
     // that died without a word, or a platform that was restored, goes unnoticed; for two calls in that time.
-    constexpr auto longestWatch = 5000ms;
-    constexpr auto readDeadline = 2000ms;
+    constexpr auto maxWatchDuration = 5000ms;
+    constexpr auto readTimeout = 2000ms;
     // Even where nothing fails, calls never follow each other faster than this.
-    constexpr auto shortestGap = 100ms;
+    constexpr auto minCallInterval = 100ms;
 
 }
 
@@ -26,9 +26,9 @@
     : platform_(platform)
     , key_(std::move(key))
     , onEntry_(std::move(onEntry))
-    , outages_(shortestPause, longestPause, seed)
-    , retries_(shortestPause, longestPause, seed)
-    , lengths_(longestWatch, longestWatch, seed)
+    , outages_(minPause, maxPause, seed)
+    , retries_(minPause, maxPause, seed)
+    , lengths_(maxWatchDuration, maxWatchDuration, seed)
 {
 }
 
@@ -37,7 +37,7 @@
     if (isWaiting_ || now < nextCall_)
         return;
     isWaiting_ = true;
-    nextCall_ = now + shortestGap;
+    nextCall_ = now + minCallInterval;
     if (readsNext_)
         read(now);
     else
@@ -65,7 +65,7 @@
 void PlatformWatch::read(TimePoint now)
 {
     const std::weak_ptr<int> alive = alive_;
-    platform_.get(key_, now + readDeadline, [this, alive](const Result<PlatformEntry>& entry) {
+    platform_.get(key_, now + readTimeout, [this, alive](const Result<PlatformEntry>& entry) {
         if (!alive.expired())
             finishRead(entry);
     });
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -18,17 +18,17 @@
 
     constexpr auto tickPeriod = 20ms;
     // The home of all keys where the settings list no availability zones.
-    constexpr std::string_view wholeFleet = "fleet";
-    constexpr int mostHops = 4;
+    constexpr std::string_view fleetZone = "fleet";
+    constexpr int maxHops = 4;
     // News of a new owner takes about this long.
-    constexpr auto rerouteAfter = 100ms;
+    constexpr auto rerouteDelay = 100ms;
     // How long a try waits for the first ownership record, at the start of a balancer.
-    constexpr auto firstRecordPatience = 2000ms;
-    constexpr auto comeBackIn = 1000ms;
+    constexpr auto firstRecordTimeout = 2000ms;
+    constexpr auto retryDelay = 1000ms;
     // Within the time after which the forwarding balancer gives the try up.
     constexpr auto acknowledgementPeriod = 200ms;
     constexpr int acknowledgementRepeats = 2;
-    constexpr auto loanSlack = 5000ms;
+    constexpr auto loanMargin = 5000ms;
 
     RunnerSettings runnerSettingsOf(const RequestControlSettings& settings)
     {
@@ -36,14 +36,14 @@
         runner.self = settings.self;
         runner.retries.rule = settings.retryRule;
         runner.maxDeadline = settings.limits.maxDeadline;
-        runner.admission.longestLoan = settings.limits.maxDeadline + loanSlack;
+        runner.admission.longestLoan = settings.limits.maxDeadline + loanMargin;
         runner.seed = settings.seed;
         return runner;
     }
 
     std::vector<std::string> zonesOf(const RequestControlSettings& settings)
     {
-        return settings.zones.empty() ? std::vector<std::string> { std::string(wholeFleet) } : settings.zones;
+        return settings.zones.empty() ? std::vector<std::string> { std::string(fleetZone) } : settings.zones;
     }
 
     std::size_t headerBytesOf(const HttpRequest& request)
@@ -67,7 +67,7 @@
 RequestControl::RequestControl(boost::asio::io_context& context, PeerLink& socket, PlatformClient& platform,
     const RequestControlSettings& settings)
     : settings_(settings)
-    , homeZone_(settings.zones.empty() ? std::string(wholeFleet) : settings.availabilityZone)
+    , homeZone_(settings.zones.empty() ? std::string(fleetZone) : settings.availabilityZone)
     , timer_(context)
     , random_(settings.seed)
     , attempts_(settings.self, [this](AttemptId id) { cancelled(id); })
@@ -200,12 +200,12 @@
         return;
     }
     const bool lacksRecord = !router_->termOf(router_->zones()[attempt.key.homeZone]);
-    if (lacksRecord && now - opened.since < firstRecordPatience) {
+    if (lacksRecord && now - opened.since < firstRecordTimeout) {
         routeLater(id, now);
         return;
     }
     const Route found = router_->route(attempt.key, *transport_.view());
-    if (found.kind == AttemptRouteKind::Unreachable || ++opened.hops > mostHops)
+    if (found.kind == AttemptRouteKind::Unreachable || ++opened.hops > maxHops)
         refuseUnknown(id, attempt.problem.value_or(RefusalReason::HomeUnreachable));
     else if (found.kind == AttemptRouteKind::Local)
         runner_.arrive(attempt, now);
@@ -216,7 +216,7 @@
 void RequestControl::routeLater(AttemptId id, TimePoint now)
 {
     if (attempts_.find(id))
-        delayedRoutes_.push_back({ id, now + rerouteAfter });
+        delayedRoutes_.push_back({ id, now + rerouteDelay });
 }
 
 void RequestControl::routeDue(TimePoint now)
@@ -351,7 +351,7 @@
 
 void RequestControl::refuseUnknown(AttemptId id, RefusalReason reason)
 {
-    attempts_.refuse(id, { reason, Executed::Unknown, drawRetryAfter(comeBackIn, random_) });
+    attempts_.refuse(id, { reason, Executed::Unknown, drawRetryAfter(retryDelay, random_) });
 }
 
 HttpResponse RequestControl::issueTicket()
@@ -361,7 +361,7 @@
     const auto word = [&] { return (std::uint64_t(source()) << 32) | source(); };
     const auto ticket = runner_.issueTicket(word(), word());
     if (!ticket) {
-        return problemOf({ RefusalReason::NotReady, Executed::No, drawRetryAfter(comeBackIn, random_) },
+        return problemOf({ RefusalReason::NotReady, Executed::No, drawRetryAfter(retryDelay, random_) },
             "This balancer knows no ownership epoch yet")
             .toResponse();
     }
--- a/Source/Balancer/RequestMessageTransport.cpp
+++ b/Source/Balancer/RequestMessageTransport.cpp
@@ -14,7 +14,7 @@
     using namespace std::chrono_literals;
 
     constexpr std::string_view senderHeader = "x-wisteriadock-sender";
-    constexpr auto sendDeadline = 3000ms;
+    constexpr auto sendTimeout = 3000ms;
 
     std::span<const std::uint8_t> bytesOf(const std::string& text)
     {
@@ -73,7 +73,7 @@
     request.headers = { { std::string(senderHeader), writeInstance(self_) } };
     request.body.assign(payload.begin(), payload.end());
     longMessageBytes_ += payload.size();
-    clients_.of(receiver.requestAddress).send(std::move(request), Clock::now() + sendDeadline, [](const HttpOutcome&) {
+    clients_.of(receiver.requestAddress).send(std::move(request), Clock::now() + sendTimeout, [](const HttpOutcome&) {
     });
 }
 
--- a/Source/Balancer/StopSequence.cpp
+++ b/Source/Balancer/StopSequence.cpp
@@ -10,7 +10,7 @@
 void StopSequence::request(TimePoint now)
 {
     if (phase_ == Phase::Running)
-        enter(Phase::AwaitingLeave, now, times_.leavePatience);
+        enter(Phase::AwaitingLeave, now, times_.leaveTimeout);
     else
         phase_ = Phase::Exiting;
 }
@@ -29,12 +29,12 @@
     case Phase::Draining:
         if (!isOver)
             return StopStep::None;
-        enter(Phase::AwaitingClaims, now, times_.claimPatience);
+        enter(Phase::AwaitingClaims, now, times_.claimTimeout);
         [[fallthrough]];
     case Phase::AwaitingClaims:
         if (!conditions.areClaimsReleased && now < limit_)
             return StopStep::None;
-        enter(Phase::AwaitingRequests, now, times_.requestPatience);
+        enter(Phase::AwaitingRequests, now, times_.requestTimeout);
         return StopStep::DrainRequests;
     case Phase::AwaitingRequests:
         if (!conditions.areRequestsDrained && !isOver)
--- a/Source/Balancer/StopSequence.h
+++ b/Source/Balancer/StopSequence.h
@@ -17,13 +17,13 @@
 // The bounds on the phases of a planned stop.
 struct StopTimes {
     // How long a change of a flow table that depends on this balancer may hold up its leaving.
-    std::chrono::milliseconds leavePatience { 5000 };
+    std::chrono::milliseconds leaveTimeout { 5000 };
     // How long it goes on serving after the others were told, so that the fabric and the callers turn away first.
     std::chrono::milliseconds drain { 10'000 };
     // How long it serves on after that until others hold its claims. While the platform is out nobody can take over.
-    std::chrono::milliseconds claimPatience { 5000 };
+    std::chrono::milliseconds claimTimeout { 5000 };
     // How long it waits after that for the answers of open requests.
-    std::chrono::milliseconds requestPatience { 30'000 };
+    std::chrono::milliseconds requestTimeout { 30'000 };
 };
 
 // What the phases of a planned stop wait for.
--- a/Source/Balancer/TermControl.cpp
+++ b/Source/Balancer/TermControl.cpp
@@ -13,7 +13,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto platformDeadline = 2000ms;
+    constexpr auto platformTimeout = 2000ms;
     // Balancers that miss the same record must not read it in one moment.
     constexpr std::int64_t readJitterMilliseconds = 200;
     constexpr auto comparisonPeriod = 500ms;
@@ -136,7 +136,7 @@
 {
     const std::weak_ptr<int> alive = alive_;
     platform_.compareAndSwap(claimTermKey(zone_), wanted.baseRevision, writeClaimTerm(wanted.term), {},
-        now + platformDeadline, [this, alive](const Result<std::uint64_t>& revision) {
+        now + platformTimeout, [this, alive](const Result<std::uint64_t>& revision) {
             if (!alive.expired())
                 finishWrite(revision);
         });
@@ -159,7 +159,7 @@
 void TermControl::read(TimePoint now)
 {
     const std::weak_ptr<int> alive = alive_;
-    platform_.get(claimTermKey(zone_), now + platformDeadline, [this, alive](const Result<PlatformEntry>& entry) {
+    platform_.get(claimTermKey(zone_), now + platformTimeout, [this, alive](const Result<PlatformEntry>& entry) {
         if (!alive.expired())
             finishRead(entry);
     });
--- a/Source/Balancer/VmListFeed.cpp
+++ b/Source/Balancer/VmListFeed.cpp
@@ -10,10 +10,10 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto callDeadline = 2000ms;
+    constexpr auto callTimeout = 2000ms;
     // Spread over half to all of these.
     constexpr auto searchingPause = 1000ms;
-    constexpr auto longestSearchingPause = 8000ms;
+    constexpr auto maxSearchingPause = 8000ms;
     constexpr auto settledPause = 120'000ms;
 
     bool hasOthers(const MembersView& view)
@@ -26,7 +26,7 @@
 
 VmListFeed::VmListFeed(PlatformClient& platform, const std::vector<Endpoint>& seeds, std::uint64_t seed)
     : platform_(platform)
-    , searching_(searchingPause, longestSearchingPause, seed)
+    , searching_(searchingPause, maxSearchingPause, seed)
     , settled_(settledPause, settledPause, seed)
 {
     for (const Endpoint address : seeds)
@@ -51,7 +51,7 @@
         return;
     isWaiting_ = true;
     const std::weak_ptr<int> alive = alive_;
-    platform_.listVms(now + callDeadline, [this, alive](const Result<std::vector<Vm>>& vms) {
+    platform_.listVms(now + callTimeout, [this, alive](const Result<std::vector<Vm>>& vms) {
         if (!alive.expired())
             finish(vms);
     });
--- a/Tests/Balancer/StopSequenceTest.cpp
+++ b/Tests/Balancer/StopSequenceTest.cpp
@@ -19,7 +19,7 @@
         }
 
         ManualClock clock_;
-        StopSequence sequence_ { { .leavePatience = 5s, .drain = 10s, .claimPatience = 5s, .requestPatience = 30s } };
+        StopSequence sequence_ { { .leaveTimeout = 5s, .drain = 10s, .claimTimeout = 5s, .requestTimeout = 30s } };
     };
 
     TEST_F(StopSequenceTest, passesThroughEachPhaseOnItsCondition)
