--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -17,7 +17,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto upkeepPeriod = 100ms;
+    constexpr auto maintenancePeriod = 100ms;
     // The prefix under which the balancer's own pages also stand, apart from any path of a service.
     constexpr std::string_view builtInPagePrefix = "/wisteriadock";
 
@@ -73,7 +73,7 @@
     , incarnation_(currentIncarnation())
     , seed_(seedOf(settings_, incarnation_))
     , signals_(context_, SIGTERM, SIGINT, SIGHUP)
-    , upkeepTimer_(context_)
+    , maintenanceTimer_(context_)
     , stop_(stopTimesOf(settings_))
     , engine_(settings_.flow, self_, seed_)
     , platform_(context_, settings_.platform)
@@ -89,7 +89,7 @@
 {
     std::unique_ptr<BalancerDaemon> daemon(new BalancerDaemon(std::move(settings), std::move(settingsPath)));
     BOOST_OUTCOME_TRY(daemon->listen());
-    daemon->connectParts();
+    daemon->connectComponents();
     return daemon;
 }
 
@@ -133,7 +133,7 @@
     return self;
 }
 
-void BalancerDaemon::connectParts()
+void BalancerDaemon::connectComponents()
 {
     peers_ = std::make_unique<PeerControl>(context_, *peerSocket_, engine_, describeSelf(), seed_);
     if (settings_.isAtMostOnce)
@@ -148,7 +148,7 @@
     vms_.start([this](const std::vector<ListedVm>& vms) { peers_->applyVms(vms); });
     feed_.start(peers_->view(), [this](const ConfigurationVersion& version) { applyConfiguration(version); });
     awaitSignal();
-    scheduleUpkeep();
+    scheduleMaintenance();
 }
 
 void BalancerDaemon::run()
@@ -247,16 +247,16 @@
     log_.info(fmt::format("log level is {}", nameOf(settings.value().logLevel)));
 }
 
-void BalancerDaemon::scheduleUpkeep()
+void BalancerDaemon::scheduleMaintenance()
 {
-    upkeepTimer_.expires_after(upkeepPeriod);
-    upkeepTimer_.async_wait([this](const boost::system::error_code& error) {
+    maintenanceTimer_.expires_after(maintenancePeriod);
+    maintenanceTimer_.async_wait([this](const boost::system::error_code& error) {
         if (error)
             return;
         vms_.poll(*peers_->view(), Clock::now());
         updateMetrics();
         advanceStop();
-        scheduleUpkeep();
+        scheduleMaintenance();
     });
 }
 
--- a/Source/Balancer/BalancerDaemon.h
+++ b/Source/Balancer/BalancerDaemon.h
@@ -47,7 +47,7 @@
 
     Result<void> listen();
     Member describeSelf() const;
-    void connectParts();
+    void connectComponents();
     void applyConfiguration(const ConfigurationVersion&);
     void applyMembers(const std::shared_ptr<const MembersView>&);
     void startRequestControl(std::uint64_t incarnation);
@@ -57,7 +57,7 @@
     void awaitSignal();
     void handleSignal(int signal);
     void reloadLogLevel();
-    void scheduleUpkeep();
+    void scheduleMaintenance();
     void advanceStop();
     void updateMetrics();
 
@@ -70,7 +70,7 @@
 
     boost::asio::io_context context_;
     boost::asio::signal_set signals_;
-    boost::asio::steady_timer upkeepTimer_;
+    boost::asio::steady_timer maintenanceTimer_;
     StopSequence stop_;
     bool areRequestsDrained_ = false;
 
--- a/Source/Balancer/ConfigurationRead.h
+++ b/Source/Balancer/ConfigurationDownload.h
@@ -17,16 +17,16 @@
     = std::function<void(const std::string& key, std::function<void(Result<std::string>)> onValue)>;
 
 // Fetches the parts of a content as a HeadReader asks for them, one read at a time. ConfigurationFeed calls it.
-class ConfigurationRead {
+class ConfigurationDownload {
 public:
     // What a read led to: PutInForce, NothingNew or HeadProblem.
     using Callback = std::function<void(HeadAction)>;
 
-    ConfigurationRead() = default;
-    ConfigurationRead(const ConfigurationRead&) = delete;
-    ConfigurationRead& operator=(const ConfigurationRead&) = delete;
+    ConfigurationDownload() = default;
+    ConfigurationDownload(const ConfigurationDownload&) = delete;
+    ConfigurationDownload& operator=(const ConfigurationDownload&) = delete;
 
-    bool isReading() const { return *reading_ != 0; }
+    bool isRunning() const { return *currentJob_ != 0; }
     // Reads the content that the head names. A read that is going on is given up, and its callback never runs.
     // The callback may run inside this call.
     void start(std::string_view head, ConfigurationFetch, Callback);
@@ -41,9 +41,9 @@
     void advance(const std::shared_ptr<Job>&, HeadAction);
 
     HeadReader reader_;
-    std::uint64_t jobs_ = 0;
+    std::uint64_t lastJob_ = 0;
     // The number of the read that is going on, or 0. Answers hold it weakly: they may come after this object is gone.
-    std::shared_ptr<std::uint64_t> reading_ = std::make_shared<std::uint64_t>(0);
+    std::shared_ptr<std::uint64_t> currentJob_ = std::make_shared<std::uint64_t>(0);
 };
 
 }
--- a/Source/Balancer/ConfigurationFeed.cpp
+++ b/Source/Balancer/ConfigurationFeed.cpp
@@ -14,7 +14,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto reviewPeriod = 100ms;
+    constexpr auto pollPeriod = 100ms;
     constexpr auto fetchTimeout = 3000ms;
     constexpr auto warningPeriod = 30s;
 
@@ -24,9 +24,9 @@
     : timer_(context)
     , platform_(platform)
     , watch_(platform, std::string(configurationHeadKey), seed,
-          [this](const PlatformEntry& entry) { readFromPlatform(entry); })
+          [this](const PlatformEntry& entry) { downloadFromPlatform(entry); })
     , peers_(context, seed,
-          [this](const std::string& head, const ConfigurationFetch& fetch) { readFromPeer(head, fetch); })
+          [this](const std::string& head, const ConfigurationFetch& fetch) { downloadFromPeer(head, fetch); })
 {
 }
 
@@ -34,37 +34,37 @@
 {
     view_ = std::move(view);
     onVersion_ = std::move(onVersion);
-    review();
-    scheduleReview();
+    poll();
+    schedulePoll();
 }
 
 void ConfigurationFeed::applyMembers(std::shared_ptr<const MembersView> view) { view_ = std::move(view); }
 
-void ConfigurationFeed::scheduleReview()
+void ConfigurationFeed::schedulePoll()
 {
-    timer_.expires_after(reviewPeriod);
+    timer_.expires_after(pollPeriod);
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (error)
             return;
-        review();
-        scheduleReview();
+        poll();
+        schedulePoll();
     });
 }
 
-void ConfigurationFeed::review()
+void ConfigurationFeed::poll()
 {
     const TimePoint now = Clock::now();
     // While a version is being read, it is open whether the watch has to hand it over again.
-    const bool readsFromPlatform = read_.isReading() && !readsFromPeer_;
-    if (!readsFromPlatform && (!inForce_ || shallWatchConfiguration(*view_)))
+    const bool downloadsFromPlatform = download_.isRunning() && !downloadsFromPeer_;
+    if (!downloadsFromPlatform && (!inForce_ || shallWatchConfiguration(*view_)))
         watch_.poll(now);
-    if (!read_.isReading())
+    if (!download_.isRunning())
         peers_.poll(*view_, version(), now);
     if (!inForce_)
-        warnOfNothing(now);
+        warnAboutMissingConfiguration(now);
 }
 
-void ConfigurationFeed::readFromPlatform(const PlatformEntry& entry)
+void ConfigurationFeed::downloadFromPlatform(const PlatformEntry& entry)
 {
     const auto fetch = [this](const std::string& key, std::function<void(Result<std::string>)> onValue) {
         const auto onEntry = [onValue = std::move(onValue)](const Result<PlatformEntry>& part) {
@@ -76,24 +76,24 @@
         platform_.get(key, Clock::now() + fetchTimeout, onEntry);
     };
     // A read from another balancer that is going on is given up for this one.
-    if (read_.isReading() && readsFromPeer_)
+    if (download_.isRunning() && downloadsFromPeer_)
         peers_.finish(false, Clock::now());
-    readsFromPeer_ = false;
-    read_.start(entry.value, fetch, [this](HeadAction action) {
+    downloadsFromPeer_ = false;
+    download_.start(entry.value, fetch, [this](HeadAction action) {
         if (!finish(std::move(action), "the platform"))
             watch_.retry(Clock::now());
     });
 }
 
-void ConfigurationFeed::readFromPeer(const std::string& head, const ConfigurationFetch& fetch)
+void ConfigurationFeed::downloadFromPeer(const std::string& head, const ConfigurationFetch& fetch)
 {
     // The platform's answer goes first; should it fail, the balancer is asked again.
-    if (read_.isReading()) {
+    if (download_.isRunning()) {
         peers_.finish(false, Clock::now());
         return;
     }
-    readsFromPeer_ = true;
-    read_.start(head, fetch, [this](HeadAction action) {
+    downloadsFromPeer_ = true;
+    download_.start(head, fetch, [this](HeadAction action) {
         const bool isSuccess = finish(std::move(action), "another balancer");
         peers_.finish(isSuccess, Clock::now());
     });
@@ -120,7 +120,7 @@
 }
 
 // Without a configuration the balancer knows no service and drops every packet, which would look like a broken fabric.
-void ConfigurationFeed::warnOfNothing(TimePoint now)
+void ConfigurationFeed::warnAboutMissingConfiguration(TimePoint now)
 {
     if (!nextWarning_) {
         nextWarning_ = now + 2s;
@@ -130,7 +130,7 @@
         return;
     nextWarning_ = now + warningPeriod;
     log_.warning(fmt::format("no configuration yet, so nothing is served: the platform {}, {} other balancers known",
-        watch_.isOut() ? "is out" : "has none", view_->members.empty() ? 0 : view_->members.size() - 1));
+        watch_.isUnreachable() ? "is out" : "has none", view_->members.empty() ? 0 : view_->members.size() - 1));
 }
 
 }
--- a/Source/Balancer/ConfigurationFeed.h
+++ b/Source/Balancer/ConfigurationFeed.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Balancer/ConfigurationRead.h"
+#include "Balancer/ConfigurationDownload.h"
 #include "Balancer/PeerConfiguration.h"
 #include "Balancer/PlatformWatch.h"
 #include "Core/Log.h"
@@ -39,20 +39,20 @@
     std::uint64_t peerBytes() const { return peers_.bytesTransferred(); }
 
 private:
-    void scheduleReview();
-    void review();
-    void readFromPlatform(const PlatformEntry&);
-    void readFromPeer(const std::string& head, const ConfigurationFetch&);
+    void schedulePoll();
+    void poll();
+    void downloadFromPlatform(const PlatformEntry&);
+    void downloadFromPeer(const std::string& head, const ConfigurationFetch&);
     // Returns whether the read brought a version, or showed that there is none to bring.
     bool finish(HeadAction, std::string_view source);
-    void warnOfNothing(TimePoint now);
+    void warnAboutMissingConfiguration(TimePoint now);
 
     Log log_ { "configuration" };
     boost::asio::steady_timer timer_;
     PlatformClient& platform_;
-    ConfigurationRead read_;
+    ConfigurationDownload download_;
     // Whether the read that is going on, if any, is from another balancer.
-    bool readsFromPeer_ = false;
+    bool downloadsFromPeer_ = false;
     Handler onVersion_;
     std::shared_ptr<const MembersView> view_;
     std::optional<ConfigurationVersion> inForce_;
--- a/Source/Balancer/Http2ClientPool.h
+++ b/Source/Balancer/Http2ClientPool.h
@@ -37,11 +37,11 @@
     }
 
     // Closes idle connections to addresses that are no longer of use.
-    template <typename Predicate> void keepOnly(Predicate isOfUse)
+    template <typename Predicate> void keepOnly(Predicate isInUse)
     {
         std::erase_if(clients_, [&](const auto& entry) {
             const bool isIdle = entry.second->openRequests() == 0;
-            if (!isIdle || isOfUse(entry.first))
+            if (!isIdle || isInUse(entry.first))
                 return false;
             closedBytes_ += entry.second->bytesTransferred();
             return true;
--- a/Source/Balancer/PeerConfiguration.cpp
+++ b/Source/Balancer/PeerConfiguration.cpp
@@ -72,21 +72,21 @@
 
 std::uint64_t PeerConfiguration::bytesTransferred() const
 {
-    return bytesOfFormerClients_ + (client_ ? client_->bytesTransferred() : 0);
+    return closedClientBytes_ + (client_ ? client_->bytesTransferred() : 0);
 }
 
 const Member* PeerConfiguration::choose(const MembersView& view, std::uint64_t version)
 {
     const Member* self = view.findSelf();
-    std::vector<const Member*> near;
-    std::vector<const Member*> far;
+    std::vector<const Member*> sameZone;
+    std::vector<const Member*> otherZones;
     for (const Member& member : view.members) {
         if (member.id == view.self || member.state == MemberState::Dead || member.configurationVersion <= version)
             continue;
-        const bool isNear = self && member.availabilityZone == self->availabilityZone;
-        (isNear ? near : far).push_back(&member);
+        const bool isSameZone = self && member.availabilityZone == self->availabilityZone;
+        (isSameZone ? sameZone : otherZones).push_back(&member);
     }
-    const auto& candidates = near.empty() ? far : near;
+    const auto& candidates = sameZone.empty() ? otherZones : sameZone;
     return candidates.empty() ? nullptr : candidates[random_() % candidates.size()];
 }
 
@@ -94,7 +94,7 @@
 {
     isAsking_ = true;
     if (client_)
-        bytesOfFormerClients_ += client_->bytesTransferred();
+        closedClientBytes_ += client_->bytesTransferred();
     client_ = std::make_unique<Http2Client>(context_, member.requestAddress);
     log_.debug(fmt::format("asking {} for version {}", member.name, member.configurationVersion));
 
--- a/Source/Balancer/PeerConfiguration.h
+++ b/Source/Balancer/PeerConfiguration.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Balancer/ConfigurationRead.h"
+#include "Balancer/ConfigurationDownload.h"
 #include "Core/Clock.h"
 #include "Core/Log.h"
 #include "Membership/Member.h"
@@ -48,7 +48,7 @@
     std::optional<TimePoint> nextAsk_;
     bool isAsking_ = false;
     std::unique_ptr<Http2Client> client_;
-    std::uint64_t bytesOfFormerClients_ = 0;
+    std::uint64_t closedClientBytes_ = 0;
 };
 
 }
--- a/Source/Balancer/PeerControl.cpp
+++ b/Source/Balancer/PeerControl.cpp
@@ -61,19 +61,19 @@
         perform(engine_.applyMembers(view_, now));
     }
     perform(engine_.tick(now));
-    reviewState(now);
+    updateState(now);
 }
 
 // Before the others have answered, the view holds this balancer alone. Were the engine to go by it, it would take the
 // tables as settled without the exceptions that the others hold, and break their flows once it serves.
 bool PeerControl::mayTrustView(TimePoint now) const
 {
-    return knowsToBeAlone_ || membership_.hasCaughtUp() || now - startedAt_ >= firstContactTimeout;
+    return isOnlyListedBalancer_ || membership_.hasCaughtUp() || now - startedAt_ >= firstContactTimeout;
 }
 
 // A balancer calls itself serving while its flow engine can decide alone. After a pause it cannot, and says so: if a
 // whole fleet were paused and all of it went on to claim that it serves, each would wait for another to know the flows.
-void PeerControl::reviewState(TimePoint now)
+void PeerControl::updateState(TimePoint now)
 {
     if (state_ == MemberState::Leaving || configurationVersion_ == 0)
         return;
@@ -117,7 +117,7 @@
     configurationVersion_ = version;
     perform(engine_.applyConfiguration(configuration, version, now));
     perform(membership_.setConfigurationVersion(version, now), now);
-    reviewState(now);
+    updateState(now);
 }
 
 void PeerControl::applyVms(const std::vector<ListedVm>& vms)
@@ -126,7 +126,7 @@
     const Endpoint self = view_->findSelf()->peerAddress;
     const bool onlySelf
         = std::all_of(vms.begin(), vms.end(), [&](const ListedVm& vm) { return vm.peerAddress == self; });
-    knowsToBeAlone_ = !vms.empty() && onlySelf;
+    isOnlyListedBalancer_ = !vms.empty() && onlySelf;
     perform(membership_.handle(VmListReceived { vms }, now), now);
 }
 
--- a/Source/Balancer/PeerControl.h
+++ b/Source/Balancer/PeerControl.h
@@ -46,7 +46,7 @@
 private:
     void scheduleTick();
     void tick();
-    void reviewState(TimePoint now);
+    void updateState(TimePoint now);
     bool mayTrustView(TimePoint now) const;
     void receiveFlowMessage(const PeerEnvelope&, TimePoint now);
     void perform(const MembershipActions&, TimePoint now);
@@ -63,7 +63,7 @@
     std::shared_ptr<const MembersView> view_;
     const TimePoint startedAt_;
     // Set once it was told of balancers, and these are all itself.
-    bool knowsToBeAlone_ = false;
+    bool isOnlyListedBalancer_ = false;
     bool trustsView_ = false;
     MemberState state_ = MemberState::Joining;
     std::uint64_t configurationVersion_ = 0;
--- a/Source/Balancer/PlatformWatch.cpp
+++ b/Source/Balancer/PlatformWatch.cpp
@@ -26,9 +26,9 @@
     : platform_(platform)
     , key_(std::move(key))
     , onEntry_(std::move(onEntry))
-    , outages_(minPause, maxPause, seed)
-    , retries_(minPause, maxPause, seed)
-    , lengths_(maxWatchDuration, maxWatchDuration, seed)
+    , outageBackoff_(minPause, maxPause, seed)
+    , retryBackoff_(minPause, maxPause, seed)
+    , watchDuration_(maxWatchDuration, maxWatchDuration, seed)
 {
 }
 
@@ -47,13 +47,13 @@
 void PlatformWatch::retry(TimePoint now)
 {
     revision_ = 0;
-    nextCall_ = now + retries_.next();
+    nextCall_ = now + retryBackoff_.next();
 }
 
 void PlatformWatch::watch(TimePoint now)
 {
     const std::weak_ptr<int> alive = alive_;
-    platform_.watch(key_, revision_, now + lengths_.next(), [this, alive](const Result<PlatformEntry>& entry) {
+    platform_.watch(key_, revision_, now + watchDuration_.next(), [this, alive](const Result<PlatformEntry>& entry) {
         if (!alive.expired())
             finishWatch(entry);
     });
@@ -76,12 +76,12 @@
     isWaiting_ = false;
     if (entry) {
         noteReachable();
-        takeEntry(entry.value());
+        handleEntry(entry.value());
     } else if (entry.error().code == ErrorCode::NotFound) {
         readsNext_ = true;
         noteReachable();
     } else {
-        noteOut(entry.error());
+        noteUnreachable(entry.error());
     }
 }
 
@@ -89,7 +89,7 @@
 {
     isWaiting_ = false;
     if (!entry && entry.error().code != ErrorCode::NotFound) {
-        noteOut(entry.error());
+        noteUnreachable(entry.error());
         return;
     }
     readsNext_ = false;
@@ -100,13 +100,13 @@
     }
     // A restored platform also gives the same revision again for another value.
     if (entry.value().revision != revision_ || entry.value().value != value_)
-        takeEntry(entry.value());
+        handleEntry(entry.value());
 }
 
-void PlatformWatch::takeEntry(const PlatformEntry& entry)
+void PlatformWatch::handleEntry(const PlatformEntry& entry)
 {
     if (entry.value != value_)
-        retries_.reset();
+        retryBackoff_.reset();
     readsNext_ = false;
     revision_ = entry.revision;
     value_ = entry.value;
@@ -115,18 +115,18 @@
 
 void PlatformWatch::noteReachable()
 {
-    if (std::exchange(isOut_, false))
+    if (std::exchange(isUnreachable_, false))
         log_.info("answers again");
-    outages_.reset();
+    outageBackoff_.reset();
 }
 
-void PlatformWatch::noteOut(const Error& error)
+void PlatformWatch::noteUnreachable(const Error& error)
 {
-    if (!std::exchange(isOut_, true))
+    if (!std::exchange(isUnreachable_, true))
         log_.warning(fmt::format("is out: {}", error.toString()));
     // It may come back as an older copy of itself.
     readsNext_ = true;
-    nextCall_ = Clock::now() + outages_.next();
+    nextCall_ = Clock::now() + outageBackoff_.next();
 }
 
 }
--- a/Source/Balancer/PlatformWatch.h
+++ b/Source/Balancer/PlatformWatch.h
@@ -26,31 +26,31 @@
     // The value could not be used: hands it over again, after a pause.
     void retry(TimePoint now);
     // Whether the last call went unanswered.
-    bool isOut() const { return isOut_; }
+    bool isUnreachable() const { return isUnreachable_; }
 
 private:
     void watch(TimePoint now);
     void read(TimePoint now);
     void finishWatch(const Result<PlatformEntry>&);
     void finishRead(const Result<PlatformEntry>&);
-    void takeEntry(const PlatformEntry&);
+    void handleEntry(const PlatformEntry&);
     void noteReachable();
-    void noteOut(const Error&);
+    void noteUnreachable(const Error&);
 
     Log log_ { "platform" };
     PlatformClient& platform_;
     std::string key_;
     Handler onEntry_;
-    Backoff outages_;
-    Backoff retries_;
-    Backoff lengths_;
+    Backoff outageBackoff_;
+    Backoff retryBackoff_;
+    Backoff watchDuration_;
     // What was handed over last.
     std::uint64_t revision_ = 0;
     std::string value_;
     // Whether the next call reads the key outright.
     bool readsNext_ = false;
     bool isWaiting_ = false;
-    bool isOut_ = false;
+    bool isUnreachable_ = false;
     TimePoint nextCall_;
     // Answers hold it weakly: the platform may answer after this object is gone.
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/Source/Balancer/VmListFeed.cpp
+++ b/Source/Balancer/VmListFeed.cpp
@@ -26,8 +26,8 @@
 
 VmListFeed::VmListFeed(PlatformClient& platform, const std::vector<Endpoint>& seeds, std::uint64_t seed)
     : platform_(platform)
-    , searching_(searchingPause, maxSearchingPause, seed)
-    , settled_(settledPause, settledPause, seed)
+    , searchingBackoff_(searchingPause, maxSearchingPause, seed)
+    , settledBackoff_(settledPause, settledPause, seed)
 {
     for (const Endpoint address : seeds)
         seeds_.push_back({ .peerAddress = address });
@@ -44,7 +44,7 @@
     const bool knowsOthers = hasOthers(view) && !view.isolated;
     // Whoever has just lost everybody looks for them at once.
     if (std::exchange(knowsOthers_, knowsOthers) && !knowsOthers) {
-        searching_.reset();
+        searchingBackoff_.reset();
         nextCall_ = now;
     }
     if (isWaiting_ || now < nextCall_)
@@ -60,16 +60,16 @@
 void VmListFeed::finish(const Result<std::vector<Vm>>& vms)
 {
     isWaiting_ = false;
-    nextCall_ = Clock::now() + (knowsOthers_ ? settled_ : searching_).next();
-    std::vector<ListedVm> advice = seeds_;
+    nextCall_ = Clock::now() + (knowsOthers_ ? settledBackoff_ : searchingBackoff_).next();
+    std::vector<ListedVm> listed = seeds_;
     if (vms) {
         for (const Vm& vm : vms.value()) {
-            // A line that can't be read is left out; the list is advice anyway.
+            // A line that can't be read is left out; the list is listed anyway.
             if (const auto address = Endpoint::parse(vm.peerAddress))
-                advice.push_back({ .peerAddress = address.value(), .isLeaving = vm.state == VmState::Leaving });
+                listed.push_back({ .peerAddress = address.value(), .isLeaving = vm.state == VmState::Leaving });
         }
     }
-    onList_(advice);
+    onList_(listed);
 }
 
 }
--- a/Source/Balancer/VmListFeed.h
+++ b/Source/Balancer/VmListFeed.h
@@ -35,8 +35,8 @@
     PlatformClient& platform_;
     std::vector<ListedVm> seeds_;
     Handler onList_;
-    Backoff searching_;
-    Backoff settled_;
+    Backoff searchingBackoff_;
+    Backoff settledBackoff_;
     TimePoint nextCall_;
     bool isWaiting_ = false;
     bool knowsOthers_ = false;
