--- a/Source/Balancer/ConfigurationPages.cpp
+++ b/Source/Balancer/ConfigurationPages.cpp
@@ -24,7 +24,7 @@
         return { .status = 404, .headers = { { "content-type", std::string(textType) } }, .body = std::move(body) };
     }
 
-    HttpResponse renderWhole(const ConfigurationVersion& version)
+    HttpResponse renderFull(const ConfigurationVersion& version)
     {
         const nlohmann::json page {
             { "version", version.head.applied.version },
@@ -59,7 +59,7 @@
         return notFound("no configuration is in force\n");
     if (isHead)
         return answer(jsonType, inForce->head.toJson());
-    return isPart ? renderPart(path.substr(1), *inForce) : renderWhole(*inForce);
+    return isPart ? renderPart(path.substr(1), *inForce) : renderFull(*inForce);
 }
 
 }
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -54,7 +54,7 @@
         return bytes;
     }
 
-    bool saysNotRun(const HttpResponse& response) { return response.header("x-executed") == "no"; }
+    bool reportsNotExecuted(const HttpResponse& response) { return response.header("x-executed") == "no"; }
 
     std::chrono::milliseconds retryAfterOf(const HttpResponse& response)
     {
@@ -70,20 +70,20 @@
     , homeZone_(settings.zones.empty() ? std::string(fleetZone) : settings.availabilityZone)
     , timer_(context)
     , random_(settings.seed)
-    , attempts_(settings.self, [this](AttemptId id) { cancelled(id); })
+    , attempts_(settings.self, [this](AttemptId id) { handleCancellation(id); })
     , runner_(runnerSettingsOf(settings))
     , router_(std::make_unique<RequestRouter>(settings.self, zonesOf(settings)))
     , transport_(context, socket, settings.self, settings.http,
-          [this](const BalancerInstance& from, const BalancerMessage& message) { handle(from, message); })
+          [this](const BalancerInstance& from, const BalancerMessage& message) { handleMessage(from, message); })
     , terms_(platform, *router_, transport_, homeZone_, settings.self, settings.seed,
           [this](const ClaimTerm& term) { adopt(term); })
     , forwarder_(context, transport_, settings.self, settings.http,
           { .onAnswer = [this](AttemptId id, HttpResponse response) { attempts_.answer(id, std::move(response)); },
               .onRefusal = [this](AttemptId id, const Refusal& refusal) { attempts_.refuse(id, refusal); },
-              .onLost = [this](AttemptId id, RefusalReason reason) { refuseUnknown(id, reason); },
+              .onLost = [this](AttemptId id, RefusalReason reason) { refuseAsUnknown(id, reason); },
               .onRedirect =
                   [this](AttemptId id, const BalancerInstance& owner) {
-                      terms_.ask(owner);
+                      terms_.sendDigest(owner);
                       routeLater(id, Clock::now());
                   } })
     , sender_(context, settings.http, [this](WorkId work, BackendServerId server, HttpOutcome outcome) {
@@ -100,7 +100,7 @@
     configuration_ = std::move(configuration);
     sender_.applyConfiguration(*configuration_);
     runner_.configure(*configuration_, *transport_.view(), Clock::now());
-    act();
+    performActions();
 }
 
 void RequestControl::applyMembers(const std::shared_ptr<const MembersView>& view)
@@ -109,12 +109,12 @@
     transport_.applyMembers(view);
     runner_.configure(*configuration_, *view, now);
     forwarder_.applyMembers();
-    terms_.applyMembers(homeView(), now);
-    act();
+    terms_.applyMembers(homeZoneView(), now);
+    performActions();
 }
 
 // Without a list of zones the ownership record names all balancers, wherever they stand.
-MembersView RequestControl::homeView() const
+MembersView RequestControl::homeZoneView() const
 {
     MembersView view = *transport_.view();
     if (settings_.zones.empty()) {
@@ -140,9 +140,9 @@
     terms_.tick(now);
     runner_.tick(now);
     forwarder_.tick(now);
-    routeDue(now);
+    performDelayedRoutes(now);
     repeatAcknowledgements(now);
-    act();
+    performActions();
 }
 
 void RequestControl::adopt(const ClaimTerm& term)
@@ -150,27 +150,27 @@
     runner_.learnTerm(term, Clock::now());
     if (statistics().bucketsRecovering > 0)
         ++recoveries_;
-    act();
+    performActions();
 }
 
-void RequestControl::handle(const BalancerInstance& from, const BalancerMessage& message)
+void RequestControl::handleMessage(const BalancerInstance& from, const BalancerMessage& message)
 {
     const TimePoint now = Clock::now();
     if (const auto* received = std::get_if<AttemptReceived>(&message)) {
         forwarder_.acknowledge(from, received->token);
     } else if (const auto* digest = std::get_if<TermDigest>(&message)) {
-        terms_.compare(from, *digest);
+        terms_.compareDigest(from, *digest);
     } else {
         const auto& request = std::get<RequestMessage>(message);
-        if (const auto* news = std::get_if<TermUpdate>(&request))
-            terms_.learn(news->term, now);
+        if (const auto* update = std::get_if<TermUpdate>(&request))
+            terms_.learnTerm(update->term, now);
         else
             runner_.receive(from, request, now);
     }
-    act();
+    performActions();
 }
 
-void RequestControl::take(const std::shared_ptr<Http2Exchange>& exchange)
+void RequestControl::handleCallerRequest(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const TimePoint now = Clock::now();
     const HttpRequest& request = exchange->request();
@@ -188,7 +188,7 @@
         attempts_.refuse(id, { *opened.attempt.problem, Executed::No, {} });
     else
         runner_.arrive(UnkeyedAttempt { id, opened.attempt.service, opened.attempt.deadline }, now);
-    act();
+    performActions();
 }
 
 void RequestControl::route(AttemptId id, TimePoint now)
@@ -196,7 +196,7 @@
     ActiveAttempt& opened = *attempts_.find(id);
     const KeyedAttempt& attempt = opened.attempt;
     if (now >= attempt.deadline) {
-        refuseUnknown(id, RefusalReason::DeadlinePassed);
+        refuseAsUnknown(id, RefusalReason::DeadlinePassed);
         return;
     }
     const bool lacksRecord = !router_->termOf(router_->zones()[attempt.key.homeZone]);
@@ -206,7 +206,7 @@
     }
     const Route found = router_->route(attempt.key, *transport_.view());
     if (found.kind == AttemptRouteKind::Unreachable || ++opened.hops > maxHops)
-        refuseUnknown(id, attempt.problem.value_or(RefusalReason::HomeUnreachable));
+        refuseAsUnknown(id, attempt.problem.value_or(RefusalReason::HomeUnreachable));
     else if (found.kind == AttemptRouteKind::Local)
         runner_.arrive(attempt, now);
     else
@@ -219,7 +219,7 @@
         delayedRoutes_.push_back({ id, now + rerouteDelay });
 }
 
-void RequestControl::routeDue(TimePoint now)
+void RequestControl::performDelayedRoutes(TimePoint now)
 {
     std::vector<AttemptId> due;
     std::erase_if(delayedRoutes_, [&](const DelayedRoute& later) {
@@ -249,19 +249,19 @@
         acknowledgements_, [](const PendingAcknowledgement& acknowledgement) { return acknowledgement.left <= 0; });
 }
 
-bool RequestControl::takeFromBalancer(const std::shared_ptr<Http2Exchange>& exchange)
+bool RequestControl::handlePeerRequest(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const std::string& path = exchange->request().path;
     if (path == longMessagePath)
         transport_.receive(*exchange);
     else if (path == workPath)
-        takeHop(exchange);
+        handleHop(exchange);
     else
         return false;
     return true;
 }
 
-void RequestControl::takeHop(const std::shared_ptr<Http2Exchange>& exchange)
+void RequestControl::handleHop(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const TimePoint now = Clock::now();
     auto hop = readHop(exchange->request());
@@ -288,17 +288,17 @@
     acknowledgements_.push_back(
         { opened.attempt.id, hop.value().token, now + acknowledgementPeriod, acknowledgementRepeats });
     runner_.arrive(opened.attempt, now);
-    act();
+    performActions();
 }
 
-void RequestControl::cancelled(AttemptId id)
+void RequestControl::handleCancellation(AttemptId id)
 {
     forwarder_.cancel(id);
     runner_.cancel(id, Clock::now());
-    act();
+    performActions();
 }
 
-void RequestControl::act()
+void RequestControl::performActions()
 {
     for (auto actions = runner_.takeActions(); !actions.empty(); actions = runner_.takeActions()) {
         for (const RequestAction& action : actions)
@@ -323,7 +323,7 @@
         if (outcome.error().kind == HttpFailureKind::Refused)
             runner_.serverShed(server, 0ms, now);
         runner_.workFailed(work, outcome.error().kind, now);
-        act();
+        performActions();
         return;
     }
     const HttpResponse& response = outcome.value();
@@ -331,11 +331,11 @@
     if (isShed)
         runner_.serverShed(server, retryAfterOf(response), now);
     // A server without room that does not say "not run" may have run it: its answer is then the caller's to judge.
-    if (isShed && saysNotRun(response))
+    if (isShed && reportsNotExecuted(response))
         runner_.workFailed(work, HttpFailureKind::Refused, now);
     else
         runner_.workAnswered(work, std::make_shared<const HttpResponse>(std::move(outcome.value())), now);
-    act();
+    performActions();
 }
 
 void RequestControl::perform(const RedirectAttempt& redirect)
@@ -345,11 +345,11 @@
         attempts_.redirect(redirect.id);
         return;
     }
-    terms_.want(Clock::now());
+    terms_.fetchNewer(Clock::now());
     routeLater(redirect.id, Clock::now());
 }
 
-void RequestControl::refuseUnknown(AttemptId id, RefusalReason reason)
+void RequestControl::refuseAsUnknown(AttemptId id, RefusalReason reason)
 {
     attempts_.refuse(id, { reason, Executed::Unknown, drawRetryAfter(retryDelay, random_) });
 }
@@ -372,11 +372,11 @@
 // The last balancer of a zone has nobody to whom its claims could go.
 bool RequestControl::isReleased(TimePoint now) const
 {
-    const MembersView view = homeView();
-    const bool hasHeir = std::ranges::any_of(view.members, [&](const Member& member) {
+    const MembersView view = homeZoneView();
+    const bool hasSuccessor = std::ranges::any_of(view.members, [&](const Member& member) {
         return member.id != view.self && member.state == MemberState::Serving && member.availabilityZone == homeZone_;
     });
-    return !hasHeir || runner_.buckets().isReleased(now);
+    return !hasSuccessor || runner_.buckets().isReleased(now);
 }
 
 RequestStatistics RequestControl::statistics() const
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -65,8 +65,8 @@
     void receive(const PeerEnvelope& envelope) { transport_.receive(envelope); }
 
     // Takes what only balancers send; false for anything else.
-    bool takeFromBalancer(const std::shared_ptr<Http2Exchange>&);
-    void take(const std::shared_ptr<Http2Exchange>&);
+    bool handlePeerRequest(const std::shared_ptr<Http2Exchange>&);
+    void handleCallerRequest(const std::shared_ptr<Http2Exchange>&);
     // The answer to a request for a ticket.
     HttpResponse issueTicket();
 
@@ -92,28 +92,28 @@
     void adopt(const ClaimTerm&);
     void scheduleTick();
     void tick(TimePoint now);
-    void routeDue(TimePoint now);
+    void performDelayedRoutes(TimePoint now);
     void repeatAcknowledgements(TimePoint now);
-    void handle(const BalancerInstance& from, const BalancerMessage&);
-    void takeHop(const std::shared_ptr<Http2Exchange>&);
+    void handleMessage(const BalancerInstance& from, const BalancerMessage&);
+    void handleHop(const std::shared_ptr<Http2Exchange>&);
 
     void route(AttemptId, TimePoint now);
     void routeLater(AttemptId, TimePoint now);
-    void cancelled(AttemptId);
+    void handleCancellation(AttemptId);
 
     // Carries out what the runner decided.
-    void act();
+    void performActions();
     void perform(const StartWork&);
     void perform(const CancelWork& cancel) { sender_.cancel(cancel.work); }
     void perform(const AnswerAttempt& answer) { attempts_.answer(answer.id, *answer.answer); }
     void perform(const RefuseAttempt& refusal) { attempts_.refuse(refusal.id, refusal.refusal); }
     void perform(const RedirectAttempt&);
     void perform(const OutgoingMessage& message) { transport_.send(message.to, message.message); }
-    void perform(const FetchTerm&) { terms_.want(Clock::now()); }
+    void perform(const FetchTerm&) { terms_.fetchNewer(Clock::now()); }
     void finishWork(WorkId, BackendServerId, HttpOutcome);
 
-    void refuseUnknown(AttemptId, RefusalReason);
-    MembersView homeView() const;
+    void refuseAsUnknown(AttemptId, RefusalReason);
+    MembersView homeZoneView() const;
 
     RequestControlSettings settings_;
     std::string homeZone_;
--- a/Source/Balancer/RequestFrontend.cpp
+++ b/Source/Balancer/RequestFrontend.cpp
@@ -54,12 +54,12 @@
 
 void RequestFrontend::handle(const std::shared_ptr<Http2Exchange>& exchange)
 {
-    if (control_ && control_->takeFromBalancer(exchange))
+    if (control_ && control_->handlePeerRequest(exchange))
         return;
     if (!selector_.serviceOf(exchange->request()) && builtInPages_(exchange))
         return;
     if (control_) {
-        control_->take(exchange);
+        control_->handleCallerRequest(exchange);
         return;
     }
     const RequestDecision decision = selector_.admit(exchange->request(), Clock::now());
--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -121,7 +121,7 @@
             reader.fail();
     }
 
-    template <typename Archive> void wholeAnswer(Archive& archive, SharedResponse& value)
+    template <typename Archive> void sharedResponse(Archive& archive, SharedResponse& value)
     {
         bool isPresent = value != nullptr;
         flag(archive, isPresent);
@@ -148,7 +148,7 @@
         }
     }
 
-    template <typename Archive, typename Value> void maybe(Archive& archive, std::optional<Value>& value)
+    template <typename Archive, typename Value> void optionalValue(Archive& archive, std::optional<Value>& value)
     {
         bool isPresent = value.has_value();
         flag(archive, isPresent);
@@ -170,7 +170,7 @@
         else if constexpr (std::same_as<Field, ClaimState>)
             claimState(archive, value);
         else if constexpr (std::same_as<Field, SharedResponse>)
-            wholeAnswer(archive, value);
+            sharedResponse(archive, value);
         else if constexpr (std::same_as<Field, Duration>) {
             std::int64_t count = value.count();
             integer(archive, count);
@@ -178,7 +178,7 @@
         } else if constexpr (IsVector<Field>::value)
             list(archive, value);
         else if constexpr (IsOptional<Field>::value)
-            maybe(archive, value);
+            optionalValue(archive, value);
         else
             describe(archive, value);
     }
--- a/Source/Balancer/RequestMessageTransport.cpp
+++ b/Source/Balancer/RequestMessageTransport.cpp
@@ -79,7 +79,7 @@
 
 void RequestMessageTransport::receive(const PeerEnvelope& envelope)
 {
-    take({ envelope.sender, envelope.senderIncarnation }, envelope.payload);
+    handlePayload({ envelope.sender, envelope.senderIncarnation }, envelope.payload);
 }
 
 void RequestMessageTransport::receive(Http2Exchange& exchange)
@@ -87,7 +87,7 @@
     const auto sender = readInstance(exchange.request().header(senderHeader));
     longMessageBytes_ += exchange.request().body.size();
     if (sender)
-        take(sender.value(), bytesOf(exchange.request().body));
+        handlePayload(sender.value(), bytesOf(exchange.request().body));
     else
         ++droppedMessages_;
     exchange.respond({ .status = sender ? 204 : 400, .headers = {}, .body = {} });
@@ -95,7 +95,7 @@
 
 // What an earlier start of the sender said is over, and what was meant for an earlier start of this balancer builds on
 // claims that it has lost: acting on either would vouch for copies that are gone.
-void RequestMessageTransport::take(const BalancerInstance& from, std::span<const std::uint8_t> payload)
+void RequestMessageTransport::handlePayload(const BalancerInstance& from, std::span<const std::uint8_t> payload)
 {
     const Member* sender = view_->find(from.id);
     const bool isCurrent = sender && from.id != self_.id && from.incarnation >= sender->incarnation;
--- a/Source/Balancer/RequestMessageTransport.h
+++ b/Source/Balancer/RequestMessageTransport.h
@@ -48,7 +48,7 @@
 
 private:
     void sendLong(const Member& receiver, const std::vector<std::uint8_t>&);
-    void take(const BalancerInstance& from, std::span<const std::uint8_t>);
+    void handlePayload(const BalancerInstance& from, std::span<const std::uint8_t>);
 
     PeerLink& socket_;
     BalancerInstance self_;
--- a/Source/Balancer/TermControl.cpp
+++ b/Source/Balancer/TermControl.cpp
@@ -16,9 +16,9 @@
     constexpr auto platformTimeout = 2000ms;
     // Balancers that miss the same record must not read it in one moment.
     constexpr std::int64_t readJitterMilliseconds = 200;
-    constexpr auto comparisonPeriod = 500ms;
+    constexpr auto digestPeriod = 500ms;
     // To how many random balancers news goes on; with 4, all but a few in a hundred hear of it before the comparisons.
-    constexpr int newsReceivers = 4;
+    constexpr int gossipFanout = 4;
 
 }
 
@@ -31,63 +31,63 @@
     , self_(self)
     , random_(seed)
     , onAdopted_(std::move(onAdopted))
-    , keeper_(zone_, self.id, {})
+    , reconciler_(zone_, self.id, {})
 {
 }
 
 void TermControl::applyMembers(const MembersView& view, TimePoint now)
 {
-    keeper_.learnMembers(view, now);
+    reconciler_.learnMembers(view, now);
     perform(now);
 }
 
 void TermControl::tick(TimePoint now)
 {
-    keeper_.tick(now);
+    reconciler_.tick(now);
     perform(now);
-    if (lookAt_ && now >= *lookAt_) {
-        lookAt_.reset();
-        if (ownEpoch() == missedEpoch_ && !readAt_)
+    if (fallbackReadAt_ && now >= *fallbackReadAt_) {
+        fallbackReadAt_.reset();
+        if (ownEpoch() == epochAtFetch_ && !readAt_)
             readAt_ = now;
     }
     if (readAt_ && now >= *readAt_) {
         readAt_.reset();
         read(now);
     }
-    if (now < nextComparison_)
+    if (now < nextDigest_)
         return;
-    nextComparison_ = now + comparisonPeriod;
-    if (const auto other = randomOther())
-        ask(*other);
+    nextDigest_ = now + digestPeriod;
+    if (const auto peer = randomPeer())
+        sendDigest(*peer);
 }
 
 // Peers first: they have the record, and the platform counts every call.
-void TermControl::want(TimePoint now)
+void TermControl::fetchNewer(TimePoint now)
 {
     for (int i = 0; i < 2; ++i) {
-        if (const auto other = randomOther())
-            ask(*other);
+        if (const auto peer = randomPeer())
+            sendDigest(*peer);
     }
-    if (lookAt_)
+    if (fallbackReadAt_)
         return;
-    missedEpoch_ = ownEpoch();
-    lookAt_ = now + comparisonPeriod + std::chrono::milliseconds(random_() % readJitterMilliseconds);
+    epochAtFetch_ = ownEpoch();
+    fallbackReadAt_ = now + digestPeriod + std::chrono::milliseconds(random_() % readJitterMilliseconds);
 }
 
-void TermControl::ask(const BalancerInstance& to) { transport_.send(to, digest()); }
+void TermControl::sendDigest(const BalancerInstance& to) { transport_.send(to, digest()); }
 
-void TermControl::learn(const ClaimTerm& term, TimePoint now)
+void TermControl::learnTerm(const ClaimTerm& term, TimePoint now)
 {
     if (term.zone == zone_) {
-        keeper_.learnFromPeer(term, now);
+        reconciler_.learnFromPeer(term, now);
         perform(now);
         return;
     }
     if (router_.learnTerm(term))
-        spread(term);
+        gossip(term);
 }
 
-void TermControl::compare(const BalancerInstance& from, const TermDigest& theirs)
+void TermControl::compareDigest(const BalancerInstance& from, const TermDigest& theirs)
 {
     bool isBehind = false;
     for (const std::string& zone : router_.zones()) {
@@ -101,12 +101,12 @@
         isBehind = isBehind || epoch > ownEpoch;
     }
     if (isBehind)
-        ask(from);
+        sendDigest(from);
 }
 
 void TermControl::perform(TimePoint now)
 {
-    for (const TermAction& action : keeper_.takeActions()) {
+    for (const TermAction& action : reconciler_.takeActions()) {
         if (const auto* wanted = std::get_if<WriteTerm>(&action))
             write(*wanted, now);
         else if (const auto* adopted = std::get_if<AdoptTerm>(&action))
@@ -120,15 +120,15 @@
 {
     log_.info(fmt::format("epoch {} of {} has {} holders", term.epoch, term.zone, term.holders.size()));
     router_.learnTerm(term);
-    spread(term);
+    gossip(term);
     onAdopted_(term);
 }
 
-void TermControl::spread(const ClaimTerm& term)
+void TermControl::gossip(const ClaimTerm& term)
 {
-    for (int i = 0; i < newsReceivers; ++i) {
-        if (const auto other = randomOther())
-            transport_.send(*other, RequestMessage(TermUpdate { term }));
+    for (int i = 0; i < gossipFanout; ++i) {
+        if (const auto peer = randomPeer())
+            transport_.send(*peer, RequestMessage(TermUpdate { term }));
     }
 }
 
@@ -146,13 +146,13 @@
 {
     const TimePoint now = Clock::now();
     if (revision)
-        keeper_.writeEnded(TermWrite::Written, revision.value(), now);
+        reconciler_.writeEnded(TermWrite::Written, revision.value(), now);
     else if (revision.error().code == ErrorCode::Conflict)
-        keeper_.writeEnded(TermWrite::Conflict, 0, now);
+        reconciler_.writeEnded(TermWrite::Conflict, 0, now);
     else if (revision.error().code == ErrorCode::Unknown || revision.error().code == ErrorCode::DeadlineExceeded)
-        keeper_.writeEnded(TermWrite::Unknown, 0, now);
+        reconciler_.writeEnded(TermWrite::Unknown, 0, now);
     else
-        keeper_.writeEnded(TermWrite::Unreached, 0, now);
+        reconciler_.writeEnded(TermWrite::Unreached, 0, now);
     perform(now);
 }
 
@@ -169,19 +169,19 @@
 {
     const TimePoint now = Clock::now();
     if (!entry && entry.error().code == ErrorCode::NotFound) {
-        keeper_.learnAbsent(now);
+        reconciler_.learnAbsent(now);
     } else if (!entry) {
-        keeper_.readFailed(now);
+        reconciler_.readFailed(now);
     } else if (const auto term = readClaimTerm(entry.value().value); term && term.value().zone == zone_) {
-        keeper_.learnRecord(term.value(), entry.value().revision, now);
+        reconciler_.learnRecord(term.value(), entry.value().revision, now);
     } else {
         log_.error(fmt::format("{} holds no ownership record of {}", entry.value().key, zone_));
-        keeper_.readFailed(now);
+        reconciler_.readFailed(now);
     }
     perform(now);
 }
 
-std::optional<BalancerInstance> TermControl::randomOther()
+std::optional<BalancerInstance> TermControl::randomPeer()
 {
     std::optional<BalancerInstance> chosen;
     std::uint64_t seen = 0;
--- a/Source/Balancer/TermControl.h
+++ b/Source/Balancer/TermControl.h
@@ -35,12 +35,12 @@
     void applyMembers(const MembersView&, TimePoint now);
     void tick(TimePoint now);
     // A newer record than the known one exists.
-    void want(TimePoint now);
+    void fetchNewer(TimePoint now);
     // Asks a balancer for what it knows better.
-    void ask(const BalancerInstance&);
+    void sendDigest(const BalancerInstance&);
 
-    void learn(const ClaimTerm&, TimePoint now);
-    void compare(const BalancerInstance& from, const TermDigest&);
+    void learnTerm(const ClaimTerm&, TimePoint now);
+    void compareDigest(const BalancerInstance& from, const TermDigest&);
 
 private:
     void perform(TimePoint now);
@@ -49,8 +49,8 @@
     void finishRead(const Result<PlatformEntry>&);
     void finishWrite(const Result<std::uint64_t>&);
     void adopt(const ClaimTerm&);
-    void spread(const ClaimTerm&);
-    std::optional<BalancerInstance> randomOther();
+    void gossip(const ClaimTerm&);
+    std::optional<BalancerInstance> randomPeer();
     TermDigest digest() const;
     std::uint64_t ownEpoch() const;
 
@@ -62,13 +62,13 @@
     BalancerInstance self_;
     std::mt19937_64 random_;
     AdoptHandler onAdopted_;
-    TermReconciler keeper_;
+    TermReconciler reconciler_;
     // Set while a read waits for its jitter.
     std::optional<TimePoint> readAt_;
     // When the platform is read if no balancer has told a record newer than this epoch by then.
-    std::optional<TimePoint> lookAt_;
-    std::uint64_t missedEpoch_ = 0;
-    TimePoint nextComparison_;
+    std::optional<TimePoint> fallbackReadAt_;
+    std::uint64_t epochAtFetch_ = 0;
+    TimePoint nextDigest_;
     // Answers hold it weakly: the platform may answer after this object is gone.
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
