--- a/Tests/Balancer/BalancerDaemonTest.cpp
+++ b/Tests/Balancer/BalancerDaemonTest.cpp
@@ -30,9 +30,9 @@
                 if (const auto packet = decodeProxiedPacket(bytes))
                     packets_.push_back(packet.value().header);
             };
-            flowDoor_ = std::move(UdpSocket::bind(context_, anyLoopbackPort, takePacket).value());
+            flowServer_ = std::move(UdpSocket::bind(context_, anyLoopbackPort, takePacket).value());
             const auto takeRequest = [this](const std::shared_ptr<Http2Exchange>& exchange) { exchange_ = exchange; };
-            requestDoor_ = std::move(Http2Server::listen(context_, anyLoopbackPort, takeRequest).value());
+            requestServer_ = std::move(Http2Server::listen(context_, anyLoopbackPort, takeRequest).value());
             apply(versionOf(1, configuration()));
 
             auto daemon = BalancerDaemon::start(settings(), "");
@@ -67,8 +67,8 @@
             server.id = backendServerIdOf("try1");
             server.service = service.id;
             server.availabilityZone = "walu";
-            server.flowAddress = flowDoor_->address();
-            server.requestAddress = requestDoor_->address();
+            server.flowAddress = flowServer_->address();
+            server.requestAddress = requestServer_->address();
             return { { service }, { server } };
         }
 
@@ -107,8 +107,8 @@
 
         std::vector<ProxyHeader> packets_;
         std::shared_ptr<Http2Exchange> exchange_;
-        std::unique_ptr<UdpSocket> flowDoor_;
-        std::unique_ptr<Http2Server> requestDoor_;
+        std::unique_ptr<UdpSocket> flowServer_;
+        std::unique_ptr<Http2Server> requestServer_;
         std::unique_ptr<BalancerDaemon> daemon_;
         BalancerAddresses addresses_;
         std::unique_ptr<Http2Client> client_;
@@ -126,7 +126,7 @@
             const ProxyHeader header { { 0xcb007101, 50000 }, tryonAddress, {} };
             std::vector<std::uint8_t> datagram(largestProxyHeader);
             datagram.resize(encodeProxyHeader(header, datagram));
-            flowDoor_->send(addresses_.flow, datagram);
+            flowServer_->send(addresses_.flow, datagram);
             runUntil([this] { return !packets_.empty(); });
             EXPECT_EQ(packets_.front(), header);
         }
--- a/Tests/Balancer/RequestGroup.cpp
+++ b/Tests/Balancer/BalancerGroupTest.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/RequestGroup.h"
+#include "Balancer/BalancerGroupTest.h"
 
 #include "Balancer/ClaimTermText.h"
 
@@ -14,20 +14,20 @@
 
 }
 
-void RequestGroup::SetUp()
+void BalancerGroupTest::SetUp()
 {
     PlatformTest::SetUp();
     const auto run = [this](const std::shared_ptr<Http2Exchange>& exchange) { runs_.push_back(exchange); };
     server_ = std::move(Http2Server::listen(context_, anyLoopbackPort, run).value());
 }
 
-void RequestGroup::TearDown()
+void BalancerGroupTest::TearDown()
 {
     for (std::size_t i = 0; i < balancers_.size(); ++i)
-        kill(i);
+        stopAbruptly(i);
 }
 
-void RequestGroup::start(std::size_t count, std::vector<std::string> zones)
+void BalancerGroupTest::start(std::size_t count, std::vector<std::string> zones)
 {
     zones_ = std::move(zones);
     for (std::size_t i = 0; i < count; ++i) {
@@ -38,7 +38,7 @@
     configure(BackendServerState::Active);
 }
 
-void RequestGroup::startOne(std::size_t index)
+void BalancerGroupTest::startOne(std::size_t index)
 {
     Balancer& balancer = balancers_[index];
     const auto onMessage = [&balancer](const PeerEnvelope& envelope, Endpoint) {
@@ -75,7 +75,7 @@
     balancer.frontend->setControl(balancer.control.get());
 }
 
-void RequestGroup::kill(std::size_t index)
+void BalancerGroupTest::stopAbruptly(std::size_t index)
 {
     Balancer& balancer = balancers_[index];
     balancer.frontend.reset();
@@ -84,7 +84,7 @@
     balancer.member.state = MemberState::Dead;
 }
 
-void RequestGroup::publishMembers()
+void BalancerGroupTest::publishMembers()
 {
     MembersView view;
     view.revision = ++revision_;
@@ -98,7 +98,7 @@
     }
 }
 
-void RequestGroup::configure(BackendServerState state)
+void BalancerGroupTest::configure(BackendServerState state)
 {
     Configuration configuration;
     configuration.services = { { .name = "tryon", .id = serviceIdOf("tryon"), .address = {} } };
@@ -120,7 +120,7 @@
     }
 }
 
-RequestGroup::Call RequestGroup::call(std::size_t balancer, const HttpRequest& request)
+BalancerGroupTest::Call BalancerGroupTest::call(std::size_t balancer, const HttpRequest& request)
 {
     auto outcome = std::make_shared<std::optional<HttpOutcome>>();
     balancers_[balancer].caller->send(
@@ -128,7 +128,7 @@
     return outcome;
 }
 
-HttpRequest RequestGroup::confirmation(const std::string& key)
+HttpRequest BalancerGroupTest::confirmation(const std::string& key)
 {
     HttpRequest request;
     request.method = "POST";
@@ -140,12 +140,12 @@
     return request;
 }
 
-void RequestGroup::awaitRuns(std::size_t count)
+void BalancerGroupTest::awaitRuns(std::size_t count)
 {
     runUntil([&] { return runs_.size() >= count; });
 }
 
-HttpResponse RequestGroup::await(const Call& call)
+HttpResponse BalancerGroupTest::await(const Call& call)
 {
     runUntil([&] { return call->has_value(); });
     if (!call->has_value() || !(*call)->has_value()) {
@@ -155,13 +155,13 @@
     return (*call)->value();
 }
 
-std::string RequestGroup::executedOf(const HttpResponse& response)
+std::string BalancerGroupTest::executedOf(const HttpResponse& response)
 {
     const auto body = nlohmann::json::parse(response.body, nullptr, false);
     return body.is_object() ? body.value("executed", "") : "";
 }
 
-std::size_t RequestGroup::ownerOf(const std::string& key)
+std::size_t BalancerGroupTest::ownerOf(const std::string& key)
 {
     std::optional<BalancerInstance> owner;
     const KeyDigest digest = RequestKey::parse(key, zones_).value().digest;
--- a/Tests/Balancer/RequestGroup.h
+++ b/Tests/Balancer/BalancerGroupTest.h
@@ -14,7 +14,7 @@
 
 // Some balancers without their packet paths, over real connections, between a platform and one backend server. The test
 // says who is a member.
-class RequestGroup : public PlatformTest {
+class BalancerGroupTest : public PlatformTest {
 protected:
     struct Balancer {
         Member member;
@@ -34,7 +34,7 @@
     // They stand in the zones in turn.
     void start(std::size_t count, std::vector<std::string> zones = { "walu" });
     // The balancer ends without a word.
-    void kill(std::size_t index);
+    void stopAbruptly(std::size_t index);
     // Tells all who is in which state now.
     void publishMembers();
     void configure(BackendServerState);
--- a/Tests/Balancer/BalancerSettingsTest.cpp
+++ b/Tests/Balancer/BalancerSettingsTest.cpp
@@ -10,7 +10,7 @@
     using testing::AllOf;
     using testing::HasSubstr;
 
-    constexpr std::string_view smallest = R"(
+    constexpr std::string_view minimalSettings = R"(
 [balancer]
 name = b1
 availability_zone = walu
@@ -33,7 +33,7 @@
     TEST(BalancerSettingsTest, readsTheSmallestFileWithDefaults)
     {
         SettingsProblems problems;
-        const auto settings = BalancerSettings::parse("b1.ini", smallest, problems);
+        const auto settings = BalancerSettings::parse("b1.ini", minimalSettings, problems);
 
         ASSERT_EQ(problems.toString(), "");
         EXPECT_EQ(settings.name, "b1");
@@ -49,7 +49,7 @@
 
     TEST(BalancerSettingsTest, readsEverySection)
     {
-        const std::string text = std::string(smallest) + R"(
+        const std::string text = std::string(minimalSettings) + R"(
 [advertise]
 flow = 192.0.2.1:5000
 [peers]
@@ -123,7 +123,7 @@
     // Cause: the address to listen on is no address to send to.
     TEST(BalancerSettingsTest, wantsAnAdvertisedAddressWhenListeningOnAll)
     {
-        std::string text(smallest);
+        std::string text(minimalSettings);
         text.replace(text.find("127.0.0.1:7001"), 14, "0.0.0.0:7001");
         EXPECT_THAT(problemsOf(text), HasSubstr("[advertise] peer"));
         EXPECT_EQ(problemsOf(text + "[advertise]\npeer = 192.0.2.1:7001\n"), "");
@@ -131,7 +131,7 @@
 
     TEST(BalancerSettingsTest, refusesADefaultDeadlineAboveTheLongest)
     {
-        const std::string text = std::string(smallest)
+        const std::string text = std::string(minimalSettings)
             + "[request]\ndefault_deadline_milliseconds = 20\nlongest_deadline_milliseconds = 10\n";
         EXPECT_THAT(problemsOf(text), HasSubstr("default_deadline_milliseconds = 20"));
     }
@@ -142,7 +142,7 @@
     TEST(BalancerSettingsTest, refusesAListOfZonesThatCantBeRight)
     {
         const auto problemsWith = [](const std::string& zones) {
-            return problemsOf(std::string(smallest) + "[request]\navailability_zones = " + zones + "\n");
+            return problemsOf(std::string(minimalSettings) + "[request]\navailability_zones = " + zones + "\n");
         };
         EXPECT_EQ(problemsWith("walu"), "");
         EXPECT_THAT(problemsWith("nabua, laucala"), HasSubstr("a list with the own one, walu"));
--- a/Tests/Balancer/RequestControlTest.cpp
+++ b/Tests/Balancer/RequestControlTest.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/RequestGroup.h"
+#include "Balancer/BalancerGroupTest.h"
 
 #include <nlohmann/json.hpp>
 
@@ -14,7 +14,7 @@
         };
     }
 
-    class RequestControlTest : public RequestGroup { };
+    class RequestControlTest : public BalancerGroupTest { };
 
     // Symptom: a fit confirmation is billed twice.
     // Sequence: the caller hears nothing for a while and sends the same key to another balancer.
@@ -59,7 +59,7 @@
         const std::size_t owner = ownerOf("order-17");
         const std::size_t next = (owner + 1) % 3;
         const Call joined = call(next, confirmation("order-17"));
-        kill(owner);
+        stopAbruptly(owner);
         publishMembers();
         {
             SCOPED_TRACE("who waits for the owner hears at once that it is not known");
@@ -130,7 +130,7 @@
         runUntil([&] { return leaver.isIdle(); });
         {
             SCOPED_TRACE("the heir knows that the key ran");
-            kill(owner);
+            stopAbruptly(owner);
             publishMembers();
             EXPECT_EQ(executedOf(await(call(1 - owner, confirmation("order-17")))), "unknown");
             EXPECT_EQ(runs_.size(), 2U);
@@ -168,8 +168,8 @@
         EXPECT_EQ(await(near).body, "walu.order-17");
         EXPECT_EQ(await(far).body, "nabua.order-17");
 
-        kill(1);
-        kill(3);
+        stopAbruptly(1);
+        stopAbruptly(3);
         publishMembers();
         const HttpResponse refused = await(call(0, confirmation("nabua.order-18")));
         EXPECT_EQ(refused.status, 503);
