--- a/Source/Balancer/ActiveAttempts.h
+++ b/Source/Balancer/ActiveAttempts.h
@@ -15,29 +15,30 @@
 
 namespace wisteriadock {
 
-// A request that is being answered here: one of a caller, or one that another balancer forwarded.
+// A request that this balancer is answering: a caller's own, or one that another balancer forwarded.
 struct ActiveAttempt {
     std::shared_ptr<Http2Exchange> exchange;
-    // Set for a forwarded try: the request as its caller sent it.
+    // Set for a forwarded request: the request as its caller sent it.
     std::shared_ptr<const HttpRequest> forwarded;
     KeyedAttempt attempt;
     bool isKeyed = false;
     bool namesNoService = false;
-    // What is wrong with the request, for its caller.
+    // Tells the caller why the request is invalid; may be empty.
     std::string detail;
+    // How often the request was routed.
     int hops = 0;
     TimePoint since;
 
     const HttpRequest& request() const { return forwarded ? *forwarded : exchange->request(); }
 };
 
-// The requests that are being answered, by try, and their final answers: each gets one, on its own stream.
+// The requests that are being answered, by attempt id. Each gets exactly one final response, on its own stream.
 // RequestControl calls it.
 class ActiveAttempts {
 public:
     using CancelHandler = std::function<void(AttemptId)>;
 
-    // The handler runs when a caller or the forwarding balancer gives a try up, which is closed by then.
+    // The handler runs when the caller or the forwarding balancer has cancelled an attempt, which is closed by then.
     ActiveAttempts(const BalancerInstance& self, CancelHandler);
     ~ActiveAttempts() { alive_.reset(); }
     ActiveAttempts(const ActiveAttempts&) = delete;
@@ -47,13 +48,13 @@
         std::shared_ptr<const HttpRequest> forwarded = nullptr);
     ActiveAttempt* find(AttemptId);
 
-    // These end a try; one that has ended already is ignored.
+    // These end an attempt; an attempt that has already ended is ignored.
     void answer(AttemptId, HttpResponse);
     void refuse(AttemptId, const Refusal&);
-    // Only for a forwarded try: sends it back to be routed again.
+    // Only for a forwarded attempt: returns it to the forwarding balancer, which routes it again.
     void redirect(AttemptId);
 
-    // How callers' requests ended. Forwarded ones are counted by the balancer that took them in.
+    // How callers' requests ended. A forwarded request is counted by the balancer that received it from the caller.
     const RequestCounts& counts() const { return counts_; }
 
 private:
--- a/Source/Balancer/AttemptForwarder.h
+++ b/Source/Balancer/AttemptForwarder.h
@@ -16,29 +16,29 @@
 
 namespace wisteriadock {
 
-// How a forwarded try ended.
+// Handlers for the outcomes of a forwarded attempt.
 struct ForwardHandlers {
     std::function<void(AttemptId, HttpResponse)> onAnswer;
-    // The owner's own word.
+    // The owner refused the attempt.
     std::function<void(AttemptId, const Refusal&)> onRefusal;
-    // Without the owner's word: the work may have run.
+    // The outcome is unknown: the work may have run.
     std::function<void(AttemptId, RefusalReason)> onLost;
-    // The owner does not own the key any more, or never got the try: route it again.
+    // The receiver no longer owns the key or never got the attempt, which must be routed again.
     std::function<void(AttemptId, const BalancerInstance& owner)> onRedirect;
 };
 
-// Sends tries over HTTP/2 to the balancers that own their keys and takes the answers. RequestControl calls it.
+// Forwards attempts over HTTP/2 to the balancers that own their keys and reports the outcomes. RequestControl calls it.
 class AttemptForwarder {
 public:
-    // The link outlives the forwarder.
+    // The transport must outlive the forwarder.
     AttemptForwarder(boost::asio::io_context&, RequestMessageTransport&, const BalancerInstance& self,
         const Http2Limits&, ForwardHandlers);
-    // What still ends afterwards is told to nobody.
+    // Callbacks that are still pending have no effect.
     ~AttemptForwarder() { alive_.reset(); }
     AttemptForwarder(const AttemptForwarder&) = delete;
     AttemptForwarder& operator=(const AttemptForwarder&) = delete;
 
-    // Exactly one of the ends follows, unless the try is cancelled.
+    // Exactly one of the handlers runs, unless the attempt is cancelled.
     void forward(AttemptId, const HttpRequest&, const KeyDigest&, std::optional<RefusalReason> problem,
         const BalancerInstance& owner, TimePoint deadline);
     void cancel(AttemptId);
@@ -46,7 +46,7 @@
     {
         pendingForwards_.acknowledge(from, token);
     }
-    // Gives up what went to owners that are dead or have started again.
+    // Gives up the attempts whose owner is dead or has restarted.
     void applyMembers();
     void tick(TimePoint now);
 
@@ -69,7 +69,7 @@
     BalancerInstance self_;
     ForwardHandlers handlers_;
     PendingForwardTable pendingForwards_;
-    // By token number. A hop that is not here any more is nobody's.
+    // By token number. The outcome of a hop that is no longer here is ignored.
     std::map<std::uint64_t, Hop> hops_;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
     Http2ClientPool clients_;
--- a/Source/Balancer/BackendServerSelector.h
+++ b/Source/Balancer/BackendServerSelector.h
@@ -19,16 +19,16 @@
 
 namespace wisteriadock {
 
-// The times by which requests are bounded.
+// Deadlines of requests and the ejection time of servers.
 struct RequestTimes {
     std::chrono::milliseconds defaultDeadline { 5000 };
     std::chrono::milliseconds maxDeadline { 600'000 };
-    // A server that could not be reached gets nothing new for this long. Without this, a dead server, which always has
-    // the fewest open requests, would draw all of them.
+    // How long a server that could not be reached gets no new requests. Otherwise a dead server, which always has the
+    // fewest open requests, would attract all of them.
     std::chrono::milliseconds ejectionTime { 1000 };
 };
 
-// Send the request to this server, once.
+// The request is to be sent to this server, once.
 struct ForwardRequest {
     BackendServerId server;
     Endpoint address;
@@ -37,22 +37,23 @@
 
 using RequestDecision = std::variant<ForwardRequest, RequestProblem>;
 
-// Decides for each request which backend server runs it, or why none does, by this balancer's own view of the servers'
-// slots. It does no I/O and never sends anything twice. RequestFrontend calls it.
+// Selects the backend server for each request, or the problem to report, by this balancer's own count of open requests
+// per server. It does no I/O and never retries. RequestFrontend calls it; admit() only for requests that no
+// RequestControl handles.
 class BackendServerSelector {
 public:
     BackendServerSelector(RequestTimes, std::uint64_t seed);
 
     void applyConfiguration(std::shared_ptr<const Configuration>);
 
-    // The service that the request names by x-service or its authority; null when it names none.
+    // The service named by the x-service header or else the authority; null when there is no such service.
     const Service* serviceOf(const HttpRequest&) const;
 
-    // Decides about a new request. After ForwardRequest exactly one call of finished() or failed() follows.
+    // Decides about a new request. After a ForwardRequest the caller must call finished() or failed() exactly once.
     RequestDecision admit(const HttpRequest&, TimePoint now);
     // The server answered the request.
     void finished(BackendServerId);
-    // The request ended without an answer; returns what the caller is told.
+    // The request ended without an answer; returns the problem to report to the caller.
     RequestProblem failed(BackendServerId, const HttpFailure&, TimePoint now);
 
 private:
--- a/Source/Balancer/BalancerDaemon.h
+++ b/Source/Balancer/BalancerDaemon.h
@@ -26,18 +26,20 @@
 
 namespace wisteriadock {
 
-// One balancer: puts the parts together and lets them know of each other. The packet path has threads of its own;
-// everything else runs on the thread that calls run().
+// One balancer process: owns the packet path, membership, request handling and the configuration feed, and passes
+// changes between them. runBalancer() creates it. The packet path has its own threads; everything else runs on the
+// thread that calls run().
 class BalancerDaemon {
 public:
-    // Binds all addresses. Fails with Unavailable when one can't be bound. The path of the settings file is read again
-    // for the log level on SIGHUP.
+    // Binds all listening addresses. Fails with Unavailable when one of them can't be bound. On SIGHUP the settings
+    // file at this path is read again for its log level.
     static Result<std::unique_ptr<BalancerDaemon>> start(BalancerSettings, std::string settingsPath);
     ~BalancerDaemon();
     BalancerDaemon(const BalancerDaemon&) = delete;
     BalancerDaemon& operator=(const BalancerDaemon&) = delete;
 
-    // Serves until a planned stop is done. SIGTERM and SIGINT ask for one, and for an end at once when repeated.
+    // Serves until a planned stop has completed. SIGTERM or SIGINT starts a planned stop; a second one stops the
+    // process immediately.
     void run();
     // The bound addresses.
     BalancerAddresses addresses() const;
--- a/Source/Balancer/BalancerMetrics.h
+++ b/Source/Balancer/BalancerMetrics.h
@@ -15,19 +15,20 @@
 
 namespace wisteriadock {
 
-// Bytes of control traffic since the start, sent and received: what balancers say to each other and to the platform.
-// Packets of flows and requests of callers are not part of it.
+// Bytes of control traffic sent and received since the start, between balancers and with the platform. Excludes packets
+// of flows and callers' requests.
 struct ControlBytes {
     std::uint64_t peers = 0;
     std::uint64_t platform = 0;
     std::uint64_t configuration = 0;
-    // Messages about requests that were too long for a datagram.
+    // Messages about requests that went by HTTP/2 because they exceed a datagram.
     std::uint64_t requests = 0;
 
     std::uint64_t sum() const { return peers + platform + configuration + requests; }
 };
 
-// What a balancer counted up to now.
+// A snapshot of a balancer's counters and gauges, which BalancerDaemon fills in periodically. Counters run from the
+// start of the process.
 struct BalancerStatistics {
     PacketTotals packets;
     FlowCounters flow;
@@ -43,8 +44,8 @@
     std::shared_ptr<const MembersView> members;
 };
 
-// The balancer's metrics in Prometheus' conventions. The control thread hands over its statistics from time to time;
-// the metrics endpoint reads the registry on a thread of its own.
+// Publishes the balancer's metrics in a Prometheus registry. BalancerDaemon calls update() on the control thread; the
+// metrics endpoint reads the registry on its own thread.
 class BalancerMetrics {
 public:
     BalancerMetrics();
--- a/Source/Balancer/BalancerSettings.h
+++ b/Source/Balancer/BalancerSettings.h
@@ -15,7 +15,7 @@
 
 namespace wisteriadock {
 
-// The four addresses of one balancer.
+// The addresses of one balancer, one for each kind of traffic.
 struct BalancerAddresses {
     Endpoint flow;
     Endpoint peer;
@@ -23,51 +23,51 @@
     Endpoint metrics;
 };
 
-// Which failures of requests are followed by another attempt.
+// Which failed requests are sent again.
 enum class RequestPolicy {
-    Default, // None that could run work twice.
-    BlindRetry, // Any. Runs work twice; a baseline for experiments.
+    Default, // Only those whose work has provably not run.
+    BlindRetry, // All, which may run work twice. A baseline for experiments.
 };
 
-// The settings of one balancer process, read whole at its start (docs/operators/balancer.md).
+// The settings of one balancer process, read at its start (docs/operators/balancer.md).
 struct BalancerSettings {
     std::string name;
     std::string availabilityZone;
-    // Feeds jitter and ties; 0 derives it from the name and the time of the start.
+    // Seed of the random numbers for jitter and tie-breaking; 0 derives it from the name and the start time.
     std::uint32_t seed = 0;
 
-    // Where it listens. A port of 0 takes an ephemeral one.
+    // The addresses to listen on. Port 0 selects an ephemeral port.
     BalancerAddresses listen;
-    // Where others reach it, if that is not where it listens; unset ones are the bound ones.
+    // The addresses at which other processes reach the balancer. An unset one defaults to the bound address.
     BalancerAddresses advertise;
 
     Endpoint platform;
-    // Peer addresses of balancers to ask first who else there is.
+    // Peer addresses of the balancers that are contacted first to discover the fleet.
     std::vector<Endpoint> seeds;
 
     FlowSettings flow;
     unsigned packetThreads = 2;
 
-    // Bounds on what callers can make the process hold.
+    // Limits on the memory that callers can make the process use.
     Http2Limits requestLimits;
-    // The deadline of requests that name none, and the longest that a request may name.
+    // The deadline of requests without one, and the longest that a request may specify.
     std::chrono::milliseconds defaultDeadline { 5000 };
     std::chrono::milliseconds maxDeadline { 600'000 };
 
-    // Whether requests are claimed by their keys before they are sent. Off is a baseline for experiments.
+    // Whether a request's idempotency key is claimed before its work is sent. Off is a baseline for experiments.
     bool isAtMostOnce = true;
     RequestPolicy requestPolicy = RequestPolicy::Default;
-    // The fixed list of the fleet's availability zones, equal on all balancers.
+    // The fleet's availability zones; must be equal on all balancers.
     std::vector<std::string> availabilityZones;
 
-    // How long a planned stop goes on serving after the other balancers were told.
+    // How long the balancer continues to serve after it has announced a planned stop.
     std::chrono::seconds drain { 10 };
     LogLevel logLevel = LogLevel::Info;
 
-    // Reads the text of a settings file. All problems are found in one go; the settings are only usable without any.
+    // Parses the text of a settings file and reports all problems at once. The result is usable only if there are none.
     static BalancerSettings parse(std::string file, std::string_view text, SettingsProblems&);
-    // Reads a settings file. Fails with NotFound when it can't be read and with InvalidArgument, the detail holding all
-    // problems one a line, when it is wrong.
+    // Reads a settings file. Fails with NotFound when it can't be read, and with InvalidArgument when it is invalid;
+    // the detail then lists all problems, one per line.
     static Result<BalancerSettings> load(const std::string& path);
 };
 
--- a/Source/Balancer/ByteArchive.h
+++ b/Source/Balancer/ByteArchive.h
@@ -8,7 +8,8 @@
 
 namespace wisteriadock {
 
-// Writes numbers in little-endian order. RequestMessageCodec describes each message once, for writing and reading.
+// Appends little-endian numbers and raw bytes; all sizes are in bytes. RequestMessageCodec uses one description of each
+// message for ByteWriter and ByteReader.
 class ByteWriter {
 public:
     static constexpr bool isReader = false;
@@ -26,7 +27,8 @@
     std::vector<std::uint8_t> bytes_;
 };
 
-// Reads what a ByteWriter wrote. After the first byte that is missing or wrong, everything reads as zero.
+// Reads what a ByteWriter wrote. After the first missing or invalid byte, numbers read as zero and raw bytes as empty;
+// hasFailed() reports it.
 class ByteReader {
 public:
     static constexpr bool isReader = true;
@@ -56,7 +58,8 @@
         return taken;
     }
 
-    // Every element takes a byte at least, so a count above the rest is a lie that must reserve no memory.
+    // Fails unless this many bytes remain. Also checks the element count of a list before memory is reserved for it,
+    // since every element takes at least one byte.
     bool require(std::size_t size)
     {
         if (size > rest_.size())
--- a/Source/Balancer/ClaimTermText.h
+++ b/Source/Balancer/ClaimTermText.h
@@ -8,11 +8,12 @@
 
 namespace wisteriadock {
 
-// The platform's key for the ownership record of one availability zone, and the record as the JSON that stands there.
+// The platform key that holds the ownership record of an availability zone. TermControl reads and writes the record
+// there as JSON.
 std::string claimTermKey(std::string_view zone);
 
 std::string writeClaimTerm(const ClaimTerm&);
-// Fails with InvalidArgument when the text is no record.
+// Fails with InvalidArgument when the text is not an ownership record.
 Result<ClaimTerm> readClaimTerm(std::string_view text);
 
 }
--- a/Source/Balancer/ConfigurationDownload.h
+++ b/Source/Balancer/ConfigurationDownload.h
@@ -11,15 +11,16 @@
 
 namespace wisteriadock {
 
-// Reads the value of one key of the configuration, from the platform or from another balancer. The callback runs once,
-// never inside the call.
+// Fetches the value of one configuration key from the platform or from another balancer. The callback runs once, after
+// the call has returned.
 using ConfigurationFetch
     = std::function<void(const std::string& key, std::function<void(Result<std::string>)> onValue)>;
 
-// Fetches the parts of a content as a HeadReader asks for them, one read at a time. ConfigurationFeed calls it.
+// Downloads the parts of a configuration version that a HeadReader requests, one version at a time. ConfigurationFeed
+// calls it.
 class ConfigurationDownload {
 public:
-    // What a read led to: PutInForce, NothingNew or HeadProblem.
+    // Receives the result of a download: PutInForce, NothingNew or HeadProblem.
     using Callback = std::function<void(HeadAction)>;
 
     ConfigurationDownload() = default;
@@ -27,8 +28,8 @@
     ConfigurationDownload& operator=(const ConfigurationDownload&) = delete;
 
     bool isRunning() const { return *currentJob_ != 0; }
-    // Reads the content that the head names. A read that is going on is given up, and its callback never runs.
-    // The callback may run inside this call.
+    // Downloads the content that the head names. A download that is still running is abandoned and its callback never
+    // runs. The new callback may run inside this call.
     void start(std::string_view head, ConfigurationFetch, Callback);
 
 private:
@@ -42,7 +43,7 @@
 
     HeadReader reader_;
     std::uint64_t lastJob_ = 0;
-    // The number of the read that is going on, or 0. Answers hold it weakly: they may come after this object is gone.
+    // The number of the running job, or 0. Fetch callbacks hold it weakly: they may run after this object is destroyed.
     std::shared_ptr<std::uint64_t> currentJob_ = std::make_shared<std::uint64_t>(0);
 };
 
--- a/Source/Balancer/ConfigurationFeed.h
+++ b/Source/Balancer/ConfigurationFeed.h
@@ -17,14 +17,14 @@
 
 namespace wisteriadock {
 
-// Learns the operators' configuration and hands each newer version on, never an older one. A few balancers of each
-// availability zone watch the platform; the others learn from them, and all do so while the platform is out.
-// Everything runs on the thread of the io_context.
+// Obtains the operators' configuration and passes each newer version to the handler, never an older one. A few
+// balancers of each availability zone watch the platform; the others fetch from them, and all balancers fetch from each
+// other while the platform is unreachable. BalancerDaemon owns it. Everything runs on the thread of the io_context.
 class ConfigurationFeed {
 public:
     using Handler = std::function<void(const ConfigurationVersion&)>;
 
-    // The platform outlives the feed.
+    // The platform client must outlive the feed.
     ConfigurationFeed(boost::asio::io_context&, PlatformClient&, std::uint64_t seed);
     ConfigurationFeed(const ConfigurationFeed&) = delete;
     ConfigurationFeed& operator=(const ConfigurationFeed&) = delete;
@@ -35,7 +35,7 @@
 
     const std::optional<ConfigurationVersion>& inForce() const { return inForce_; }
     std::uint64_t version() const { return inForce_ ? inForce_->head.applied.version : 0; }
-    // Bytes exchanged with other balancers.
+    // Bytes sent to and received from other balancers.
     std::uint64_t peerBytes() const { return peers_.bytesTransferred(); }
 
 private:
@@ -43,7 +43,7 @@
     void poll();
     void downloadFromPlatform(const PlatformEntry&);
     void downloadFromPeer(const std::string& head, const ConfigurationFetch&);
-    // Returns whether the read brought a version, or showed that there is none to bring.
+    // Returns whether the download yielded a version, or showed that there is no newer one.
     bool finish(HeadAction, std::string_view source);
     void warnAboutMissingConfiguration(TimePoint now);
 
@@ -51,14 +51,14 @@
     boost::asio::steady_timer timer_;
     PlatformClient& platform_;
     ConfigurationDownload download_;
-    // Whether the read that is going on, if any, is from another balancer.
+    // Whether the current download, if any, is from another balancer.
     bool downloadsFromPeer_ = false;
     Handler onVersion_;
     std::shared_ptr<const MembersView> view_;
     std::optional<ConfigurationVersion> inForce_;
     std::optional<TimePoint> nextWarning_;
     std::string lastProblem_;
-    // Destroyed first: open requests of theirs end inside their destructors, and are reported to the members above.
+    // Destroyed first: their destructors end open requests, whose callbacks use the members above.
     PlatformWatch watch_;
     PeerConfiguration peers_;
 };
--- a/Source/Balancer/ConfigurationPages.h
+++ b/Source/Balancer/ConfigurationPages.h
@@ -9,12 +9,13 @@
 
 namespace wisteriadock {
 
-// The path at which balancers serve the value of a configuration key to each other. The authority names no service.
+// The HTTP path at which a balancer serves the value of a configuration key to others. The authority of such a request
+// must not name a service.
 std::string configurationPathOf(std::string_view key);
 
-// Answers GET for the configuration in force: "/configuration" gives its version, hash and text as JSON to people;
-// "/configuration/head" and "/configuration/content/…" give other balancers what the platform would. Nothing for other
-// paths.
+// Answers a GET for the configuration in force. "/configuration" shows operators its version, hash and text as JSON;
+// "/configuration/head" and "/configuration/content/…" return to other balancers what the platform stores. Returns
+// nothing for other paths.
 std::optional<HttpResponse> renderConfiguration(
     std::string_view path, const std::optional<ConfigurationVersion>& inForce);
 
--- a/Source/Balancer/Http2ClientPool.h
+++ b/Source/Balancer/Http2ClientPool.h
@@ -11,7 +11,8 @@
 
 namespace wisteriadock {
 
-// One HTTP/2 connection for each address that was asked for. Used for the backend servers and for other balancers.
+// Keeps one HTTP/2 connection per address. AttemptForwarder, RequestMessageTransport and WorkSender use it for other
+// balancers and backend servers.
 class Http2ClientPool {
 public:
     Http2ClientPool(boost::asio::io_context& context, const Http2Limits& limits)
@@ -28,7 +29,7 @@
         return *client;
     }
 
-    // The client may be gone already: it is dropped after its last request.
+    // Does nothing if keepOnly() has already removed the client.
     void cancel(Endpoint address, Http2Client::RequestId id)
     {
         const auto found = clients_.find(address);
@@ -36,7 +37,7 @@
             found->second->cancel(id);
     }
 
-    // Closes idle connections to addresses that are no longer of use.
+    // Closes idle connections to addresses that are no longer in use.
     template <typename Predicate> void keepOnly(Predicate isInUse)
     {
         std::erase_if(clients_, [&](const auto& entry) {
--- a/Source/Balancer/PacketCounters.h
+++ b/Source/Balancer/PacketCounters.h
@@ -10,23 +10,23 @@
 
 namespace wisteriadock {
 
-// Why the packet path dropped a packet: the flow engine's reasons, and its own.
+// Why the packet path dropped a packet: the reasons of the flow engine and its own.
 enum class PacketDrop : std::uint8_t {
-    Malformed, // No whole PROXY v2 header, or longer than largestPacket.
+    Malformed, // No complete PROXY v2 header, or longer than a packet may be.
     UnknownAddress,
     NoBackendServer,
     NoArbiter,
     TooManyHops,
     AwaitingContact,
-    SendFailed, // The kernel refused to send it.
+    SendFailed, // The kernel did not send it.
 };
 
 inline constexpr std::size_t packetDropCount = 7;
 
-// The name of the reason as metrics show it ("unknown_address").
+// The label of the reason in metrics, such as "unknown_address".
 std::string_view nameOf(PacketDrop);
 
-// What one or more packet threads counted since the start.
+// Packets that one or more packet threads counted since the start.
 struct PacketTotals {
     std::uint64_t received = 0;
     std::uint64_t toBackendServer = 0;
@@ -36,8 +36,8 @@
     std::uint64_t droppedFor(PacketDrop drop) const { return dropped[static_cast<std::size_t>(drop)]; }
 };
 
-// The counters of one packet thread. Only that thread writes them; any thread may read them. They have a cache line of
-// their own, so that threads do not slow each other down.
+// The packet counters of one packet thread. Only that thread writes them; any thread may read them. Aligned to a cache
+// line to avoid false sharing.
 class alignas(64) PacketCounters {
 public:
     void countReceived(std::uint64_t packets) { add(received_, packets); }
@@ -51,7 +51,7 @@
 private:
     using Counter = std::atomic<std::uint64_t>;
 
-    // There is one writer, so a load and a store do without a locked instruction.
+    // With a single writer, a load and a store avoid an atomic read-modify-write.
     static void add(Counter& counter, std::uint64_t amount)
     {
         counter.store(counter.load(std::memory_order_relaxed) + amount, std::memory_order_relaxed);
--- a/Source/Balancer/PacketPath.h
+++ b/Source/Balancer/PacketPath.h
@@ -12,14 +12,14 @@
 
 namespace wisteriadock {
 
-// Takes the packets of flows on one UDP address with several threads and sends them to the backend server or balancer
-// that the flow engine names. Runs from start() until it is destroyed.
+// Receives the packets of flows on one UDP address with several threads and forwards each to the backend server or
+// balancer that the flow engine selects. Runs from start() until it is destroyed. BalancerDaemon owns it.
 class PacketPath {
 public:
-    // The engine outlives the path. Fails with Unavailable when the address can't be bound.
+    // The engine must outlive the path. Fails with Unavailable when the address can't be bound.
     static Result<std::unique_ptr<PacketPath>> start(Endpoint, unsigned threads, FlowEngine&, BalancerId self);
 
-    // The bound address; its port was chosen by the kernel if the wanted one was 0.
+    // The bound address. The kernel has chosen its port if port 0 was requested.
     Endpoint address() const { return address_; }
     PacketTotals totals() const;
 
--- a/Source/Balancer/PacketWorker.h
+++ b/Source/Balancer/PacketWorker.h
@@ -13,11 +13,11 @@
 
 class PacketBatch;
 
-// One packet thread: takes datagrams from its socket in batches, asks the flow engine about each and sends them on.
-// It allocates its buffers once, at the start, and nothing per packet.
+// One packet thread: receives datagrams from its socket in batches, routes each by the flow engine and sends it on. It
+// allocates its buffers at the start and nothing per packet. PacketPath owns it.
 class PacketWorker {
 public:
-    // Starts the thread. The engine outlives the worker.
+    // Starts the thread. The engine must outlive the worker.
     PacketWorker(PacketSocket, FlowEngine&, BalancerId self);
     // Stops the thread and waits for it.
     ~PacketWorker();
--- a/Source/Balancer/PeerConfiguration.h
+++ b/Source/Balancer/PeerConfiguration.h
@@ -15,11 +15,11 @@
 
 namespace wisteriadock {
 
-// Reads the configuration from other balancers that say they have a newer one: one of them at a time, chosen at random
-// with those of the own availability zone first. ConfigurationFeed calls poll() often.
+// Fetches the configuration from a balancer that advertises a newer version: from one at a time, chosen at random,
+// those of the own availability zone first. ConfigurationFeed calls poll() periodically.
 class PeerConfiguration {
 public:
-    // Gets the head that a balancer serves, and where to fetch its parts.
+    // Receives the head that a balancer serves and the function that fetches its parts.
     using Handler = std::function<void(const std::string& head, const ConfigurationFetch&)>;
 
     PeerConfiguration(boost::asio::io_context&, std::uint64_t seed, Handler);
@@ -27,9 +27,10 @@
     PeerConfiguration(const PeerConfiguration&) = delete;
     PeerConfiguration& operator=(const PeerConfiguration&) = delete;
 
-    // Asks a balancer when one has a version above the present one, and it is time.
+    // Sends a request if a member has a version above the given one and the next request is due.
     void poll(const MembersView&, std::uint64_t version, TimePoint now);
-    // The read that followed the handler's call ended; without success the next one waits longer.
+    // Must be called when the download that the handler started has ended. After a failure the next request waits
+    // longer.
     void finish(bool isSuccess, TimePoint now);
 
     std::uint64_t bytesTransferred() const;
@@ -44,7 +45,7 @@
     Handler onHead_;
     Backoff backoff_;
     std::mt19937_64 random_;
-    // When a newer version was first seen, spread by chance, so that a fleet does not ask the first holder all at once.
+    // Set while a newer version is known. Jittered, so that a fleet does not ask its first holder all at once.
     std::optional<TimePoint> nextAsk_;
     bool isAsking_ = false;
     std::unique_ptr<Http2Client> client_;
--- a/Source/Balancer/PeerControl.h
+++ b/Source/Balancer/PeerControl.h
@@ -18,14 +18,15 @@
 
 namespace wisteriadock {
 
-// Runs membership and the control side of the flow engine: gives them datagrams and ticks, and does what they ask for.
-// It also says of this balancer how far it is in its life. Everything runs on the thread of the io_context.
+// Drives membership and the control side of the flow engine: passes them datagrams and ticks, and carries out the
+// actions that they return. It also sets this balancer's own member state. BalancerDaemon owns it. Everything runs on
+// the thread of the io_context.
 class PeerControl {
 public:
     using ViewHandler = std::function<void(const std::shared_ptr<const MembersView>&)>;
     using RequestHandler = std::function<void(const PeerEnvelope&)>;
 
-    // The engine and the link outlive the control. The link's datagrams have to be given to receive().
+    // The engine and the socket must outlive this object. The caller passes the socket's datagrams to receive().
     PeerControl(boost::asio::io_context&, PeerLink&, FlowEngine&, const Member& self, std::uint64_t seed);
     PeerControl(const PeerControl&) = delete;
     PeerControl& operator=(const PeerControl&) = delete;
@@ -34,13 +35,13 @@
     void start(ViewHandler, RequestHandler);
     void receive(const PeerEnvelope&, Endpoint sender);
     void applyConfiguration(const std::shared_ptr<const Configuration>&, std::uint64_t version);
-    // Balancers that there may be: the seeds of the settings and the platform's list.
+    // Balancers that may exist: the seeds of the settings and the platform's VM list.
     void applyVms(const std::vector<ListedVm>&);
-    // Tells the others of the planned stop.
+    // Announces the planned stop to the other balancers.
     void leave();
 
     const std::shared_ptr<const MembersView>& view() const { return view_; }
-    // Datagrams that were no message, or of nobody that is known.
+    // Flow messages that could not be decoded or whose sender is no current member.
     std::uint64_t droppedMessages() const { return droppedMessages_; }
 
 private:
@@ -62,7 +63,7 @@
     RequestHandler onRequest_;
     std::shared_ptr<const MembersView> view_;
     const TimePoint startedAt_;
-    // Set once it was told of balancers, and these are all itself.
+    // Whether the last VM list was not empty and named no balancer but this one.
     bool isOnlyListedBalancer_ = false;
     bool trustsView_ = false;
     MemberState state_ = MemberState::Joining;
--- a/Source/Balancer/PlatformWatch.h
+++ b/Source/Balancer/PlatformWatch.h
@@ -12,20 +12,20 @@
 
 namespace wisteriadock {
 
-// Follows one key of the platform: a watch at a time, with growing pauses while the platform is out. ConfigurationFeed
-// calls poll() often; whether and when a call goes out is decided here.
+// Follows the value of one platform key with one call at a time, and backs off while the platform is unreachable.
+// ConfigurationFeed calls poll() periodically.
 class PlatformWatch {
 public:
     using Handler = std::function<void(const PlatformEntry&)>;
 
-    // The platform outlives the watch. The handler gets the key's value once at first and then after each change.
+    // The platform client must outlive the watch. The handler receives the key's current value and then each change.
     PlatformWatch(PlatformClient&, std::string key, std::uint64_t seed, Handler);
 
-    // Sends the next call when it is due and none is waiting.
+    // Sends the next call when it is due and none is pending.
     void poll(TimePoint now);
-    // The value could not be used: hands it over again, after a pause.
+    // Must be called when the value could not be used: the handler receives it again after a backoff.
     void retry(TimePoint now);
-    // Whether the last call went unanswered.
+    // Whether the last call failed to reach the platform.
     bool isUnreachable() const { return isUnreachable_; }
 
 private:
@@ -44,15 +44,15 @@
     Backoff outageBackoff_;
     Backoff retryBackoff_;
     Backoff watchDuration_;
-    // What was handed over last.
+    // The entry that the handler received last.
     std::uint64_t revision_ = 0;
     std::string value_;
-    // Whether the next call reads the key outright.
+    // Whether the next call reads the key instead of watching it.
     bool readsNext_ = false;
     bool isWaiting_ = false;
     bool isUnreachable_ = false;
     TimePoint nextCall_;
-    // Answers hold it weakly: the platform may answer after this object is gone.
+    // Callbacks hold it weakly: the platform may answer after this object is destroyed.
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -241,12 +241,12 @@
         if (now < acknowledgement.at)
             continue;
         acknowledgement.at = now + acknowledgementPeriod;
-        acknowledgement.left = attempts_.find(acknowledgement.id) ? acknowledgement.left - 1 : -1;
-        if (acknowledgement.left >= 0)
+        acknowledgement.repeatsLeft = attempts_.find(acknowledgement.id) ? acknowledgement.repeatsLeft - 1 : -1;
+        if (acknowledgement.repeatsLeft >= 0)
             transport_.send(acknowledgement.token.entry, AttemptReceived { acknowledgement.token });
     }
     std::erase_if(
-        acknowledgements_, [](const PendingAcknowledgement& acknowledgement) { return acknowledgement.left <= 0; });
+        acknowledgements_, [](const PendingAcknowledgement& acknowledgement) { return acknowledgement.repeatsLeft <= 0; });
 }
 
 bool RequestControl::handlePeerRequest(const std::shared_ptr<Http2Exchange>& exchange)
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -23,11 +23,11 @@
 
 class RequestRouter;
 
-// What a RequestControl is set up with.
+// The parameters of a RequestControl.
 struct RequestControlSettings {
     BalancerInstance self;
     std::string availabilityZone;
-    // The fixed list of availability zones, equal on all balancers. Empty makes the fleet one home for all keys.
+    // All availability zones; must be equal on all balancers. If empty, the whole fleet is the home zone of all keys.
     std::vector<std::string> zones;
     RequestLimits limits;
     Http2Limits http;
@@ -35,7 +35,7 @@
     std::uint64_t seed = 0;
 };
 
-// Figures for the metrics.
+// Counters and gauges of request handling, for the metrics. Counters run from the start of the RequestControl.
 struct RequestStatistics {
     RequestCounts outcomes {};
     std::size_t claimsHeld = 0;
@@ -47,42 +47,44 @@
     std::uint64_t droppedMessages = 0;
 };
 
-// Answers requests at most once: takes them from callers and other balancers, gives those whose keys this balancer owns
-// to the RequestRunner and forwards the others, and carries out what the runner decides. RequestFrontend hands
-// exchanges over, the daemon everything else. Everything runs on the thread of the io_context.
+// Runs each request at most once: receives requests from callers and other balancers, passes those whose keys this
+// balancer owns to the RequestRunner, forwards the others to the owners, and carries out the runner's actions.
+// RequestFrontend passes it exchanges; BalancerDaemon passes it everything else. Everything runs on the thread of the
+// io_context.
 class RequestControl {
 public:
-    // Link and platform outlive the control.
+    // Socket and platform client must outlive this object.
     RequestControl(boost::asio::io_context&, PeerLink&, PlatformClient&, const RequestControlSettings&);
-    // What still ends afterwards is told to nobody.
+    // Callbacks that are still pending have no effect.
     ~RequestControl();
     RequestControl(const RequestControl&) = delete;
     RequestControl& operator=(const RequestControl&) = delete;
 
     void applyConfiguration(std::shared_ptr<const Configuration>);
     void applyMembers(const std::shared_ptr<const MembersView>&);
-    // A datagram of the kind Request.
+    // Handles a datagram of kind Request.
     void receive(const PeerEnvelope& envelope) { transport_.receive(envelope); }
 
-    // Takes what only balancers send; false for anything else.
+    // Handles a request that only balancers send. Returns false, without answering, for any other.
     bool handlePeerRequest(const std::shared_ptr<Http2Exchange>&);
     void handleCallerRequest(const std::shared_ptr<Http2Exchange>&);
-    // The answer to a request for a ticket.
+    // The response to a caller that requests a ticket, an idempotency key made by the balancer.
     HttpResponse issueTicket();
 
     const BalancerInstance& self() const { return settings_.self; }
-    // For a planned stop: nothing is under way, and the claims held here have gone over to others, if there are any.
+    // Conditions of a planned stop: no work is running, and other balancers, if any, hold the claims that this one
+    // held.
     bool isIdle() const { return runner_.workUnderWay() == 0; }
     bool isReleased(TimePoint now) const;
     RequestStatistics statistics() const;
 
 private:
-    // The word that a forwarded try has come, to be said again: datagrams get lost.
+    // The acknowledgement of a forwarded attempt, repeated because datagrams get lost.
     struct PendingAcknowledgement {
         AttemptId id = 0;
         ForwardToken token;
         TimePoint at;
-        int left = 0;
+        int repeatsLeft = 0;
     };
     struct DelayedRoute {
         AttemptId id = 0;
@@ -101,7 +103,7 @@
     void routeLater(AttemptId, TimePoint now);
     void handleCancellation(AttemptId);
 
-    // Carries out what the runner decided.
+    // Carries out the runner's pending actions.
     void performActions();
     void perform(const StartWork&);
     void perform(const CancelWork& cancel) { sender_.cancel(cancel.work); }
@@ -128,7 +130,7 @@
 
     RequestRunner runner_;
     std::unique_ptr<RequestRouter> router_;
-    // Destroyed first: their open requests end inside their destructors.
+    // Destroyed first: their destructors end open requests, whose callbacks use the members above.
     RequestMessageTransport transport_;
     TermControl terms_;
     AttemptForwarder forwarder_;
--- a/Source/Balancer/RequestCounts.h
+++ b/Source/Balancer/RequestCounts.h
@@ -7,7 +7,7 @@
 
 namespace wisteriadock {
 
-// How many requests ended in which way, by RequestOutcomeKind.
+// The number of requests that ended with each RequestOutcomeKind, indexed by it.
 using RequestCounts = std::array<std::uint64_t, requestOutcomeKindCount>;
 
 }
--- a/Source/Balancer/RequestFrontend.h
+++ b/Source/Balancer/RequestFrontend.h
@@ -18,28 +18,29 @@
 
 namespace wisteriadock {
 
-// Takes callers' requests over HTTP/2 and hands them to the RequestControl. Without one it passes each to the backend
-// server that the decisions name and the whole answer back: a baseline that knows nothing of keys. Requests that name
-// no service are first offered to the balancer's own pages. Everything runs on the thread of the io_context.
+// Accepts callers' requests over HTTP/2 and passes them to RequestControl. Without a RequestControl, a baseline that
+// ignores keys, it forwards each to the backend server that the selector chooses and returns the complete response.
+// Requests that name no service are offered to the built-in pages first. BalancerDaemon owns it. Everything runs on the
+// thread of the io_context.
 class RequestFrontend {
 public:
     // Answers the exchange and returns true, or leaves it alone and returns false.
     using BuiltInPages = std::function<bool(const std::shared_ptr<Http2Exchange>&)>;
 
-    // Listens at once. The decisions outlive the front. Fails with Unavailable when the address can't be bound.
+    // Starts listening. The selector must outlive this object. Fails with Unavailable when the address can't be bound.
     static Result<std::unique_ptr<RequestFrontend>> listen(
         boost::asio::io_context&, Endpoint, Http2Limits, BackendServerSelector&, BuiltInPages);
     ~RequestFrontend();
     RequestFrontend(const RequestFrontend&) = delete;
     RequestFrontend& operator=(const RequestFrontend&) = delete;
 
-    // From now on requests go to this control, which outlives the front or is replaced; null leaves them to the
-    // decisions.
+    // Sets the RequestControl that handles all further requests; it must outlive this object or be replaced. Null
+    // selects the baseline.
     void setControl(RequestControl* control) { control_ = control; }
-    // A baseline for experiments: sends work again on any failure, also work that may have run.
+    // A baseline for experiments: sends a request again after any failure, even if its work may have run.
     void retryBlindly() { retriesBlindly_ = true; }
     void applyConfiguration(std::shared_ptr<const Configuration>);
-    // Takes no new connection and runs the callback once every open request has been answered.
+    // Accepts no new connections and runs the callback once every open request has been answered.
     void drain(std::function<void()> onDrained);
 
     Endpoint address() const;
--- a/Source/Balancer/RequestHop.h
+++ b/Source/Balancer/RequestHop.h
@@ -10,15 +10,15 @@
 
 namespace wisteriadock {
 
-// The path under which a balancer takes requests that others forward to the owner of their key.
+// The HTTP path at which a balancer accepts requests that others forward to the owner of their key.
 inline constexpr std::string_view workPath = "/wisteriadock/work";
 
-// A caller's request on its way from the balancer that took it in to the owner of its key.
+// A caller's request as the balancer that received it forwards it to the owner of its key.
 struct HopRequest {
     ForwardToken token;
     BalancerInstance owner;
     std::chrono::microseconds timeLeft {};
-    // Set when the request must not run.
+    // Set when the request must not run: the reason.
     std::optional<RefusalReason> problem;
     HttpRequest request;
 };
@@ -27,11 +27,11 @@
 // Fails with InvalidArgument.
 Result<HopRequest> readHop(const HttpRequest&);
 
-// What the owner says of a forwarded try.
+// How the owner of a key answers a forwarded attempt.
 enum class HopOutcome {
-    Answer, // The backend server's whole answer follows.
+    Answer, // Carries the backend server's complete response.
     Refusal,
-    Redirect, // It does not own the key.
+    Redirect, // The receiver does not own the key.
 };
 
 struct HopAnswer {
@@ -43,10 +43,10 @@
 };
 
 HttpResponse writeHopAnswer(HopAnswer);
-// Fails with InvalidArgument for an answer that no owner wrote.
+// Fails with InvalidArgument unless an owner wrote the response.
 Result<HopAnswer> readHopAnswer(HttpResponse);
 
-// Takes out the headers that only balancers write, so that a caller can't send them.
+// Removes the headers that only balancers may send.
 void removeHopHeaders(std::vector<HttpHeader>&);
 
 }
--- a/Source/Balancer/RequestMessageCodec.h
+++ b/Source/Balancer/RequestMessageCodec.h
@@ -12,14 +12,14 @@
 
 namespace wisteriadock {
 
-// The owner's word that a forwarded try has reached it (PendingForwardTable.h).
+// Acknowledges that a forwarded attempt has reached the owner (PendingForwardTable.h).
 struct AttemptReceived {
     ForwardToken token;
 
     bool operator==(const AttemptReceived&) const = default;
 };
 
-// The newest ownership epochs that the sender knows. The receiver sends the records that are newer.
+// The newest ownership epoch of each zone that the sender knows. The receiver replies with its newer records.
 struct TermDigest {
     struct Row {
         std::string zone;
@@ -32,11 +32,11 @@
     bool operator==(const TermDigest&) const = default;
 };
 
-// Everything that balancers say to each other about requests, but for the requests themselves.
+// All messages between balancers about requests. The requests themselves are forwarded as in RequestHop.h.
 using BalancerMessage = std::variant<RequestMessage, AttemptReceived, TermDigest>;
 
-// A message and the start of the receiver that it is meant for. A balancer that has started again since has lost what
-// the message builds on, and drops it.
+// A message and the incarnation of the receiver that it is meant for. A restarted balancer has lost the state that the
+// message refers to and drops it.
 struct AddressedMessage {
     std::uint64_t receiverIncarnation = 0;
     BalancerMessage message;
@@ -44,7 +44,7 @@
 
 std::vector<std::uint8_t> encodeRequestMessage(AddressedMessage);
 
-// Fails with InvalidArgument for anything but one whole message of the known version.
+// Fails with InvalidArgument unless the bytes are one complete message of the supported version.
 Result<AddressedMessage> decodeRequestMessage(std::span<const std::uint8_t>);
 
 }
--- a/Source/Balancer/RequestMessageTransport.h
+++ b/Source/Balancer/RequestMessageTransport.h
@@ -16,33 +16,34 @@
 
 namespace wisteriadock {
 
-// The path under which a balancer takes messages about requests that are too long for a datagram.
+// The HTTP path at which a balancer accepts messages about requests that are too long for a datagram.
 inline constexpr std::string_view longMessagePath = "/wisteriadock/request_message";
 
-// Carries messages about requests between balancers: by datagram, or by HTTP/2 when they don't fit one. Either may lose
-// them; the Request library sends again what matters. Everything runs on the thread of the io_context.
+// Carries messages about requests between balancers: in a datagram, or by HTTP/2 when they don't fit one. Messages may
+// get lost; the Request library repeats those that matter. RequestControl owns it. Everything runs on the thread of the
+// io_context.
 class RequestMessageTransport {
 public:
     using Handler = std::function<void(const BalancerInstance& from, const BalancerMessage&)>;
 
-    // The link outlives this object.
+    // The socket must outlive this object.
     RequestMessageTransport(
         boost::asio::io_context&, PeerLink&, const BalancerInstance& self, const Http2Limits&, Handler);
     RequestMessageTransport(const RequestMessageTransport&) = delete;
     RequestMessageTransport& operator=(const RequestMessageTransport&) = delete;
 
     void applyMembers(std::shared_ptr<const MembersView>);
-    // To nobody when that start of the balancer is over, or not known yet.
+    // Sends nothing unless the receiver is a known member with this incarnation.
     void send(const BalancerInstance& to, const BalancerMessage&);
 
     void receive(const PeerEnvelope&);
-    // Takes a message that came by HTTP/2.
+    // Handles a message that arrived by HTTP/2 and answers the exchange.
     void receive(Http2Exchange&);
 
-    // The member that is this holder now; null when there is none.
+    // The member with this id and incarnation; null when there is none.
     const Member* find(const BalancerInstance&) const;
     const std::shared_ptr<const MembersView>& view() const { return view_; }
-    // By HTTP/2, bodies of both directions; datagrams are counted by the PeerLink.
+    // Bytes of message bodies sent and received by HTTP/2. The peer socket counts datagrams.
     std::uint64_t longMessageBytes() const { return longMessageBytes_; }
     std::uint64_t droppedMessages() const { return droppedMessages_; }
 
--- a/Source/Balancer/RequestProblem.h
+++ b/Source/Balancer/RequestProblem.h
@@ -10,22 +10,22 @@
 
 namespace wisteriadock {
 
-// How a request ended, as metrics count it.
+// How a request ended, as counted in the metrics.
 enum class RequestOutcomeKind {
-    Answered, // The backend server's own answer was handed over.
-    Invalid, // The request itself is wrong.
+    Answered, // The backend server's response was returned.
+    Invalid, // The request is invalid.
     UnknownService,
     NoServer, // No backend server had a free slot.
     NotExecuted, // The backend server was not reached, or refused.
     Unknown, // Sent, but not answered.
-    Cancelled, // The caller gave up.
+    Cancelled, // The caller cancelled it.
 };
 
 inline constexpr std::size_t requestOutcomeKindCount = 7;
 
 std::string_view nameOf(RequestOutcomeKind);
 
-// What a caller is told in place of an answer.
+// The error that a caller gets instead of a backend server's response.
 struct RequestProblem {
     int status = 503;
     std::string title;
@@ -33,7 +33,7 @@
     std::optional<std::chrono::seconds> retryAfter = std::nullopt;
     RequestOutcomeKind outcome = RequestOutcomeKind::Invalid;
 
-    // The answer with a body of type application/problem+json (RFC 9457).
+    // The response, with a body of type application/problem+json (RFC 9457).
     HttpResponse toResponse() const;
 };
 
--- a/Source/Balancer/RequestRefusal.h
+++ b/Source/Balancer/RequestRefusal.h
@@ -7,7 +7,7 @@
 
 namespace wisteriadock {
 
-// What a caller is told of a refusal. The detail, if there is any, takes the place of the usual sentence.
+// The problem to report to a caller for a refusal. A detail that is not empty replaces the default title.
 RequestProblem problemOf(const Refusal&, const std::string& detail = {});
 
 }
--- a/Source/Balancer/ServiceLookup.h
+++ b/Source/Balancer/ServiceLookup.h
@@ -5,7 +5,7 @@
 
 namespace wisteriadock {
 
-// The service that the request names by x-service or its authority; null when it names none.
+// The service named by the x-service header or else the authority; null when there is no such service.
 const Service* findServiceOf(const Configuration&, const HttpRequest&);
 
 }
--- a/Source/Balancer/StatusPage.h
+++ b/Source/Balancer/StatusPage.h
@@ -7,7 +7,7 @@
 
 namespace wisteriadock {
 
-// The answer to GET /status: this balancer as it sees itself and the members that it knows, as JSON.
+// The response to GET /status: this balancer's own state and the members that it knows, as JSON.
 HttpResponse renderStatus(const MembersView&, std::uint64_t configurationVersion);
 
 }
--- a/Source/Balancer/StopSequence.h
+++ b/Source/Balancer/StopSequence.h
@@ -6,47 +6,47 @@
 
 namespace wisteriadock {
 
-// What the process has to do next on its way to a planned stop.
+// The next step of a planned stop.
 enum class StopStep {
     None,
-    Leave, // Tell the other balancers, and go on serving.
-    DrainRequests, // Take no new connections.
+    Leave, // Announce the stop to the other balancers and continue serving.
+    DrainRequests, // Accept no new connections.
     Exit,
 };
 
-// The bounds on the phases of a planned stop.
+// Time limits of the phases of a planned stop.
 struct StopTimes {
-    // How long a change of a flow table that depends on this balancer may hold up its leaving.
+    // How long the balancer waits for flow table changes that depend on it before it announces the stop.
     std::chrono::milliseconds leaveTimeout { 5000 };
-    // How long it goes on serving after the others were told, so that the fabric and the callers turn away first.
+    // How long it then continues to serve, so that the fabric and the callers switch to other balancers first.
     std::chrono::milliseconds drain { 10'000 };
-    // How long it serves on after that until others hold its claims. While the platform is out nobody can take over.
+    // How long it then waits until others hold its claims. Nobody can take them over while the platform is unreachable.
     std::chrono::milliseconds claimTimeout { 5000 };
-    // How long it waits after that for the answers of open requests.
+    // How long it then waits for the responses to open requests.
     std::chrono::milliseconds requestTimeout { 30'000 };
 };
 
-// What the phases of a planned stop wait for.
+// The conditions that the phases of a planned stop wait for.
 struct StopConditions {
-    // No change of a flow table depends on this balancer.
+    // No flow table change depends on this balancer.
     bool mayLeave = false;
-    // Others hold what it knew of requests' keys.
+    // Other balancers hold the claims that this one held.
     bool areClaimsReleased = false;
-    // Every open request has been answered, and nothing is under way.
+    // Every request has been answered and no work is running.
     bool areRequestsDrained = false;
 };
 
-// The order of a planned stop. Each phase ends by its condition or by its time limit, whichever is first, so that no
-// peer, server or caller can keep the process from stopping.
+// The order of steps in a planned stop. Each phase ends when its condition holds or its time limit expires, so that no
+// peer, server or caller can keep the process from stopping. BalancerDaemon calls it.
 class StopSequence {
 public:
     explicit StopSequence(StopTimes);
 
-    // An operator asked for the stop. Asked for a second time, it happens at once.
+    // Starts the stop. A second call skips all phases that remain.
     void request(TimePoint now);
     bool isRequested() const { return phase_ != Phase::Running; }
 
-    // Call it every 50 to 100 ms. Each step is returned once.
+    // Must be called every 50 to 100 ms. Returns each step once, but Exit every time.
     StopStep tick(const StopConditions&, TimePoint now);
 
 private:
--- a/Source/Balancer/TermControl.h
+++ b/Source/Balancer/TermControl.h
@@ -17,28 +17,31 @@
 
 class RequestRouter;
 
-// Keeps the ownership records of all availability zones: writes the own zone's to the platform when the TermReconciler
-// says so, and learns the others' from other balancers. News goes to a few random balancers from each that learns it,
-// and each compares epochs with a random one now and then, so the cost per balancer does not grow with the fleet. The
-// platform is read only by those that miss something.
+// Maintains the ownership records of all availability zones: writes the own zone's record to the platform when the
+// TermReconciler requests it, and learns the others from other balancers. A balancer that learns a new record sends it
+// to a few random others, and each periodically compares epochs with a random one, so the cost per balancer does not
+// grow with the fleet. Only balancers that miss a record read the platform. RequestControl owns it.
 class TermControl {
 public:
     using AdoptHandler = std::function<void(const ClaimTerm&)>;
 
-    // Platform, router and link outlive the control. The handler gets each newer record of the own zone.
+    // Platform client, router and transport must outlive this object. The handler receives each newer record of the own
+    // zone.
     TermControl(PlatformClient&, RequestRouter&, RequestMessageTransport&, std::string zone,
         const BalancerInstance& self, std::uint64_t seed, AdoptHandler);
     TermControl(const TermControl&) = delete;
     TermControl& operator=(const TermControl&) = delete;
 
-    // The view by which the own zone's holders are chosen.
+    // Sets the view from which the holders of the own zone's claims are chosen.
     void applyMembers(const MembersView&, TimePoint now);
     void tick(TimePoint now);
-    // A newer record than the known one exists.
+    // Must be called when a newer record than the known one exists: asks other balancers, and the platform if none has
+    // it.
     void fetchNewer(TimePoint now);
-    // Asks a balancer for what it knows better.
+    // Asks a balancer for its newer records.
     void sendDigest(const BalancerInstance&);
 
+    // Handle a record or a digest that another balancer sent.
     void learnTerm(const ClaimTerm&, TimePoint now);
     void compareDigest(const BalancerInstance& from, const TermDigest&);
 
@@ -63,13 +66,13 @@
     std::mt19937_64 random_;
     AdoptHandler onAdopted_;
     TermReconciler reconciler_;
-    // Set while a read waits for its jitter.
+    // Set while a platform read is delayed by jitter.
     std::optional<TimePoint> readAt_;
-    // When the platform is read if no balancer has told a record newer than this epoch by then.
+    // When the platform is read unless a record newer than epochAtFetch_ has arrived by then.
     std::optional<TimePoint> fallbackReadAt_;
     std::uint64_t epochAtFetch_ = 0;
     TimePoint nextDigest_;
-    // Answers hold it weakly: the platform may answer after this object is gone.
+    // Callbacks hold it weakly: the platform may answer after this object is destroyed.
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/Source/Balancer/VmListFeed.h
+++ b/Source/Balancer/VmListFeed.h
@@ -13,20 +13,20 @@
 
 namespace wisteriadock {
 
-// Reads the platform's list of VMs from time to time: often while this balancer knows nobody, seldom otherwise, since
-// the platform counts every call. The seeds of the settings go along with every list, and go alone while the platform
-// is out.
+// Reads the platform's VM list periodically: often while this balancer knows no other, rarely otherwise to save calls
+// to the platform. The seeds of the settings are added to every list, and reported alone while the platform is
+// unreachable. BalancerDaemon calls it.
 class VmListFeed {
 public:
     using Handler = std::function<void(const std::vector<ListedVm>&)>;
 
-    // The platform outlives the feed.
+    // The platform client must outlive the feed.
     VmListFeed(PlatformClient&, const std::vector<Endpoint>& seeds, std::uint64_t seed);
     VmListFeed(const VmListFeed&) = delete;
     VmListFeed& operator=(const VmListFeed&) = delete;
 
     void start(Handler);
-    // Call it often; reads the list when it is due.
+    // Must be called periodically; reads the list when it is due.
     void poll(const MembersView&, TimePoint now);
 
 private:
@@ -40,7 +40,7 @@
     TimePoint nextCall_;
     bool isWaiting_ = false;
     bool knowsOthers_ = false;
-    // Answers hold it weakly: the platform may answer after this object is gone.
+    // Callbacks hold it weakly: the platform may answer after this object is destroyed.
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/Source/Balancer/WorkSender.h
+++ b/Source/Balancer/WorkSender.h
@@ -12,21 +12,22 @@
 
 namespace wisteriadock {
 
-// Sends work to backend servers over HTTP/2, each once, and tells how it ended. RequestControl calls it.
+// Sends work to backend servers over HTTP/2, each item once, and reports the outcome. RequestControl calls it.
 class WorkSender {
 public:
     using Handler = std::function<void(WorkId, BackendServerId, HttpOutcome)>;
 
     WorkSender(boost::asio::io_context&, const Http2Limits&, Handler);
-    // What still ends afterwards is told to nobody.
+    // Callbacks that are still pending have no effect.
     ~WorkSender() { alive_.reset(); }
     WorkSender(const WorkSender&) = delete;
     WorkSender& operator=(const WorkSender&) = delete;
 
     void applyConfiguration(const Configuration&);
-    // The handler runs once later. The server is told how long there is until the deadline.
+    // The handler runs once, after the call has returned. A header tells the server how many milliseconds are left
+    // until the deadline.
     void send(const StartWork&, const BackendServer&, HttpRequest);
-    // Resets the stream; the failure follows.
+    // Resets the stream; the handler then reports the failure.
     void cancel(WorkId);
 
 private:
