--- a/Source/Balancer/ActiveAttempts.cpp
+++ b/Source/Balancer/ActiveAttempts.cpp
@@ -10,7 +10,7 @@
 
     constexpr int notFound = 404;
 
-    // A key belongs to one content.
+    // Identifies the content of a request, to detect a key that is reused for other content.
     std::uint64_t fingerprintOf(const HttpRequest& request, ServiceId service)
     {
         std::uint64_t hash = hashString(request.method, service.value);
@@ -46,7 +46,7 @@
     attempt.fingerprint = fingerprintOf(opened->request(), attempt.service);
     attempt.deadline = opened->since + checked.timeLeft;
     attempt.problem = checked.problem;
-    // Another balancer may know the service already and have run the key: only the owner can say "not run".
+    // Another balancer may already know the service and have run the key, so only the owner may answer "not run".
     if (!service && !attempt.problem)
         attempt.problem = RefusalReason::NoServer;
 
--- a/Source/Balancer/AttemptForwarder.cpp
+++ b/Source/Balancer/AttemptForwarder.cpp
@@ -10,9 +10,10 @@
 
     using namespace std::chrono_literals;
 
-    // A dead or paused owner is noticed after this time. A large body takes its time to get there.
-    constexpr auto acknowledgeTimeout = 1000ms;
-    // The owner's own word at the deadline is better than "unknown" and needs its way back.
+    // The time after which an owner that sends no acknowledgement counts as dead or paused. Long enough to send a large
+    // body.
+    constexpr auto acknowledgementTimeout = 1000ms;
+    // Leaves time for the owner's response at the deadline, which tells more than "unknown", to arrive.
     constexpr auto answerLatencyAllowance = 100ms;
 
 }
@@ -22,7 +23,7 @@
     : transport_(transport)
     , self_(self)
     , handlers_(std::move(handlers))
-    , pendingForwards_(self, acknowledgeTimeout)
+    , pendingForwards_(self, acknowledgementTimeout)
     , clients_(context, limits)
 {
 }
@@ -115,7 +116,7 @@
     finishAnswered(token, hop, std::move(answer.value()));
 }
 
-// A try that provably never got to the owner may go again: the owner runs a key once however often it comes.
+// An attempt that provably never reached the owner may be sent again: the owner runs each key once.
 void AttemptForwarder::finishFailed(const ForwardToken& token, const Hop& hop, HttpFailureKind kind)
 {
     const bool neverArrived = kind == HttpFailureKind::NotSent || kind == HttpFailureKind::Refused;
@@ -135,9 +136,9 @@
         return;
     }
     const std::uint64_t received = answer.response.body.size();
-    const PendingForwardTable::Resolved settled
+    const PendingForwardTable::Resolved resolved
         = pendingForwards_.resolve(answer.owner, { token, hop.key, answer.declaredBytes, received });
-    if (settled.delivery != Delivery::Deliver || answer.outcome == HopOutcome::Redirect) {
+    if (resolved.delivery != Delivery::Deliver || answer.outcome == HopOutcome::Redirect) {
         pendingForwards_.cancel(hop.id);
         handlers_.onLost(hop.id, RefusalReason::OutcomeUnknown);
     } else if (answer.outcome == HopOutcome::Refusal) {
--- a/Source/Balancer/BackendServerSelector.cpp
+++ b/Source/Balancer/BackendServerSelector.cpp
@@ -16,10 +16,10 @@
     constexpr std::string_view deadlineHeader = "x-deadline-milliseconds";
     constexpr std::string_view idempotencyKeyHeader = "idempotency-key";
 
-    // The methods that RFC 9110 calls idempotent; work of any other needs a key that names it.
+    // The idempotent methods of RFC 9110. Requests with any other method need an idempotency key.
     constexpr std::array<std::string_view, 6> idempotentMethods { "GET", "HEAD", "PUT", "DELETE", "OPTIONS", "TRACE" };
 
-    // Retries of callers that were refused together come back spread over this many seconds.
+    // Spreads the retries of callers that were refused at the same time over this many seconds.
     constexpr int retrySpreadSeconds = 4;
 
     bool isIdempotent(std::string_view method)
@@ -96,8 +96,8 @@
     return ForwardRequest { .server = server->id, .address = server->requestAddress, .deadline = now + time };
 }
 
-// The active server with the fewest open requests of those with a free slot; among ties a random one, so that the
-// balancers of a fleet do not all start with the same.
+// Returns the active server with a free slot that has the fewest open requests; null when there is none. Ties are
+// broken at random so that the balancers of a fleet do not all prefer the same server.
 const BackendServer* BackendServerSelector::selectServer(const Service& service, TimePoint now)
 {
     const BackendServer* best = nullptr;
--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -18,10 +18,10 @@
     using namespace std::chrono_literals;
 
     constexpr auto maintenancePeriod = 100ms;
-    // The prefix under which the balancer's own pages also stand, apart from any path of a service.
+    // A prefix under which the built-in pages are served as well, to keep them apart from the paths of services.
     constexpr std::string_view builtInPagePrefix = "/wisteriadock";
 
-    // VMs keep nothing, so the wall clock at the start is the only number that rises with each start.
+    // VMs keep no state, so the wall clock in milliseconds is the only number that grows with each start.
     std::uint64_t currentIncarnation()
     {
         const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -154,7 +154,7 @@
 void BalancerDaemon::run()
 {
     log_.info(
-        fmt::format("{} of {} starts as incarnation {}", settings_.name, settings_.availabilityZone, incarnation_));
+        fmt::format("starting {} in {} as incarnation {}", settings_.name, settings_.availabilityZone, incarnation_));
     context_.run();
     log_.info("stopped");
 }
@@ -177,8 +177,8 @@
     frontend_->setControl(control_.get());
 }
 
-// Membership raises the own incarnation when the fleet knows a higher one, because the clock was set back. Claims are
-// then held in the name of another start of this balancer, so all that was known goes.
+// Membership raises the own incarnation when the fleet knows a higher one because the clock was set back. The claims
+// held so far belong to the old incarnation, so request handling starts again without them.
 void BalancerDaemon::applyMembers(const std::shared_ptr<const MembersView>& view)
 {
     feed_.applyMembers(view);
@@ -230,7 +230,7 @@
         reloadLogLevel();
         return;
     }
-    log_.info(stop_.isRequested() ? "stopping at once" : "planned stop begins");
+    log_.info(stop_.isRequested() ? "stopping immediately" : "starting a planned stop");
     engine_.beginLeave();
     stop_.request(Clock::now());
     advanceStop();
@@ -240,7 +240,7 @@
 {
     const auto settings = BalancerSettings::load(settingsPath_);
     if (!settings) {
-        log_.warning(fmt::format("keeping the log level: {}", settings.error().detail));
+        log_.warning(fmt::format("log level not changed: {}", settings.error().detail));
         return;
     }
     configureLog(settings.value().logLevel);
--- a/Source/Balancer/BalancerMetrics.cpp
+++ b/Source/Balancer/BalancerMetrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Our totals only rise, like the counters that show them.
+    // Sets a counter to a total that never decreases.
     void raiseTo(prometheus::Counter& counter, double total)
     {
         const double step = total - counter.Value();
--- a/Source/Balancer/BalancerProgram.cpp
+++ b/Source/Balancer/BalancerProgram.cpp
@@ -25,7 +25,7 @@
         return BalancerSettings::load(path);
     }
 
-    // Whoever started the process waits for these lines; the ports may be ephemeral.
+    // The parent process waits for these lines to learn ephemeral ports.
     void printAddresses(const BalancerAddresses& addresses)
     {
         fmt::print("listening flow {}\n", addresses.flow.toString());
@@ -47,7 +47,7 @@
 
 int runBalancer(const std::string& path)
 {
-    // A peer that closes a connection must not end the process; the write fails instead.
+    // Ignored so that writing to a closed connection fails instead of ending the process.
     std::signal(SIGPIPE, SIG_IGN);
     const auto settings = load(path);
     if (!settings)
--- a/Source/Balancer/BalancerSettings.cpp
+++ b/Source/Balancer/BalancerSettings.cpp
@@ -47,7 +47,7 @@
         readListenAddress(section, "metrics", listen.metrics);
     }
 
-    // Others can't send anything to 0.0.0.0, so a balancer that listens on all addresses has to say which to use.
+    // A balancer that listens on 0.0.0.0 must advertise an address that others can send to.
     void requireUsable(SectionReader& section, std::string_view key, Endpoint listen, Endpoint advertised)
     {
         const bool listensOnAll = listen.address == 0 && listen != Endpoint {};
@@ -121,7 +121,7 @@
             zones.push_back(zone);
         }
         if (!zones.empty() && std::ranges::find(zones, own) == zones.end())
-            section.addProblem("availability_zones", fmt::format("a list with the own one, {}", own));
+            section.addProblem("availability_zones", fmt::format("a list that contains the own zone, {}", own));
     }
 
     void readAtMostOnce(SectionReader& section, BalancerSettings& settings)
--- a/Source/Balancer/ClaimTermText.cpp
+++ b/Source/Balancer/ClaimTermText.cpp
@@ -45,7 +45,7 @@
 
 Result<ClaimTerm> readClaimTerm(std::string_view text)
 {
-    // The library reports by exceptions, which end here.
+    // The JSON library reports errors by exceptions.
     try {
         const Json json = Json::parse(text);
         ClaimTerm term;
@@ -57,7 +57,7 @@
         term.isHistoryComplete = json.at("history_whole").get<bool>();
         return term;
     } catch (const Json::exception& failure) {
-        return Error { ErrorCode::InvalidArgument, std::string("ownership record: ") + failure.what() };
+        return Error { ErrorCode::InvalidArgument, std::string("invalid ownership record: ") + failure.what() };
     }
 }
 
--- a/Source/Balancer/ConfigurationDownload.cpp
+++ b/Source/Balancer/ConfigurationDownload.cpp
@@ -21,7 +21,7 @@
     }
     const std::weak_ptr<std::uint64_t> currentJob = currentJob_;
     job->fetch(part->key, [this, job, currentJob](const Result<std::string>& value) {
-        // A newer head came meanwhile, or this object is gone.
+        // Ignored if a newer download has started or this object is destroyed.
         const auto current = currentJob.lock();
         if (current && *current == job->number)
             advance(job, reader_.handlePart(value));
--- a/Source/Balancer/ConfigurationFeed.cpp
+++ b/Source/Balancer/ConfigurationFeed.cpp
@@ -54,7 +54,7 @@
 void ConfigurationFeed::poll()
 {
     const TimePoint now = Clock::now();
-    // While a version is being read, it is open whether the watch has to hand it over again.
+    // The watch waits for a download from the platform, which decides whether the value has to be retried.
     const bool downloadsFromPlatform = download_.isRunning() && !downloadsFromPeer_;
     if (!downloadsFromPlatform && (!inForce_ || shallWatchConfiguration(*view_)))
         watch_.poll(now);
@@ -75,7 +75,7 @@
         };
         platform_.get(key, Clock::now() + fetchTimeout, onEntry);
     };
-    // A read from another balancer that is going on is given up for this one.
+    // Abandons a download from another balancer: the platform has precedence.
     if (download_.isRunning() && downloadsFromPeer_)
         peers_.finish(false, Clock::now());
     downloadsFromPeer_ = false;
@@ -87,7 +87,7 @@
 
 void ConfigurationFeed::downloadFromPeer(const std::string& head, const ConfigurationFetch& fetch)
 {
-    // The platform's answer goes first; should it fail, the balancer is asked again.
+    // A download from the platform has precedence; the balancer is asked again should it fail.
     if (download_.isRunning()) {
         peers_.finish(false, Clock::now());
         return;
@@ -111,15 +111,17 @@
     const auto* problem = std::get_if<HeadProblem>(&action);
     if (!problem)
         return true;
-    std::string text = fmt::format("{} offers none to use: {}: {}", source, nameOf(problem->kind), problem->detail);
+    std::string text
+        = fmt::format("no usable configuration from {}: {}: {}", source, nameOf(problem->kind), problem->detail);
     if (text != lastProblem_)
         log_.warning(text);
     lastProblem_ = std::move(text);
-    // An older copy stays one until the platform has a newer head, which the watch will tell.
+    // Retrying does not help with an older copy: the watch reports when the platform has a newer head.
     return problem->kind == HeadProblemKind::OlderCopy;
 }
 
-// Without a configuration the balancer knows no service and drops every packet, which would look like a broken fabric.
+// Without a configuration the balancer knows no service and drops every packet, which could be mistaken for a broken
+// fabric.
 void ConfigurationFeed::warnAboutMissingConfiguration(TimePoint now)
 {
     if (!nextWarning_) {
@@ -129,8 +131,9 @@
     if (now < *nextWarning_)
         return;
     nextWarning_ = now + warningPeriod;
-    log_.warning(fmt::format("no configuration yet, so nothing is served: the platform {}, {} other balancers known",
-        watch_.isUnreachable() ? "is out" : "has none", view_->members.empty() ? 0 : view_->members.size() - 1));
+    log_.warning(fmt::format("no configuration yet, so no service is served: the platform {}, {} other balancers known",
+        watch_.isUnreachable() ? "is unreachable" : "has none",
+        view_->members.empty() ? 0 : view_->members.size() - 1));
 }
 
 }
--- a/Source/Balancer/PacketPath.cpp
+++ b/Source/Balancer/PacketPath.cpp
@@ -8,7 +8,7 @@
 
     using namespace std::chrono_literals;
 
-    // How soon an idle packet thread sees that it shall stop.
+    // How often an idle packet thread checks whether it should stop.
     constexpr auto stopLatency = 100ms;
 
     Result<std::vector<PacketSocket>> openSockets(Endpoint endpoint, unsigned count)
--- a/Source/Balancer/PacketWorker.cpp
+++ b/Source/Balancer/PacketWorker.cpp
@@ -11,7 +11,7 @@
 
     static_assert(largestProxyHeader <= largestPacketHead);
 
-    // No batch takes nearly as long, unless the process did not run meanwhile.
+    // Only a pause of the process makes a batch take longer than this.
     constexpr std::chrono::milliseconds maxBatchDuration { 500 };
 
 }
@@ -46,8 +46,8 @@
     for (unsigned i = 0; i < batch_->size(); ++i)
         routePacket(i, now);
 
-    // A process that is stopped between reading packets and sending them wakes with decisions that may be minutes old:
-    // an address may belong to another service by now. A lost packet is sent again, a misdirected one is not undone.
+    // After a pause between receiving and sending, the decisions are outdated: an address may belong to another service
+    // by now. Dropped packets are sent again by their senders; misdirected ones can't be taken back.
     if (Clock::now() - now > maxBatchDuration) {
         const unsigned discarded = batch_->discard();
         for (unsigned i = 0; i < discarded; ++i)
@@ -83,7 +83,8 @@
         return;
     case RouteKind::ToBackendServer:
         counters_.countToBackendServer();
-        // Without a mark the datagram goes on as it came, with whatever else the fabric put into its header.
+        // Without a mark the datagram is passed on unchanged, including any other fields that the fabric put into its
+        // header.
         if (!mark) {
             batch_->queue(datagram, decision.destination);
             return;
@@ -98,9 +99,9 @@
         };
         break;
     }
-    std::array<std::uint8_t, largestProxyHeader> head {};
-    const std::size_t headBytes = encodeProxyHeader(header, head);
-    batch_->queue(std::span(head.data(), headBytes), packet.value().payload, decision.destination);
+    std::array<std::uint8_t, largestProxyHeader> headerBytes {};
+    const std::size_t headerSize = encodeProxyHeader(header, headerBytes);
+    batch_->queue(std::span(headerBytes.data(), headerSize), packet.value().payload, decision.destination);
 }
 
 }
--- a/Source/Balancer/PeerConfiguration.cpp
+++ b/Source/Balancer/PeerConfiguration.cpp
@@ -106,7 +106,7 @@
             onHead_(head.value(), fetchPart);
             return;
         }
-        log_.warning(fmt::format("{} did not give its configuration: {}", name, head.error().toString()));
+        log_.warning(fmt::format("{} did not return its configuration: {}", name, head.error().toString()));
         finish(false, Clock::now());
     });
 }
--- a/Source/Balancer/PeerControl.cpp
+++ b/Source/Balancer/PeerControl.cpp
@@ -14,9 +14,9 @@
     using namespace std::chrono_literals;
 
     constexpr auto tickPeriod = 50ms;
-    // Membership asks for a tick every 100 ms.
+    // Membership expects a tick every 100 ms.
     constexpr std::uint64_t ticksPerMembershipTick = 2;
-    // A starting balancer that hears from nobody whom it was told of takes itself for alone after this time.
+    // A starting balancer that gets no answer from the balancers it was told of proceeds alone after this time.
     constexpr auto firstContactTimeout = 4s;
 
 }
@@ -64,15 +64,15 @@
     updateState(now);
 }
 
-// Before the others have answered, the view holds this balancer alone. Were the engine to go by it, it would take the
-// tables as settled without the exceptions that the others hold, and break their flows once it serves.
+// Before the others have answered, the view holds this balancer only. The engine would consider the tables settled
+// without the exceptions that the others hold, and break their flows once it serves.
 bool PeerControl::mayTrustView(TimePoint now) const
 {
     return isOnlyListedBalancer_ || membership_.hasCaughtUp() || now - startedAt_ >= firstContactTimeout;
 }
 
-// A balancer calls itself serving while its flow engine can decide alone. After a pause it cannot, and says so: if a
-// whole fleet were paused and all of it went on to claim that it serves, each would wait for another to know the flows.
+// The state is Serving only while the flow engine can decide alone, which it can't after a pause. If a fleet that was
+// paused as a whole kept claiming to serve, each balancer would wait for another one to know the flows.
 void PeerControl::updateState(TimePoint now)
 {
     if (state_ == MemberState::Leaving || configurationVersion_ == 0)
@@ -96,8 +96,8 @@
         perform(membership_.handle(PeerMessageReceived { sender, envelope }, now), now);
 }
 
-// Messages of an earlier incarnation tell of flows that the sender has forgotten since, and answers can only go to
-// members whose address is known.
+// Messages of an earlier incarnation refer to flows that the sender no longer knows, and replies need the address of a
+// known member.
 void PeerControl::receiveFlowMessage(const PeerEnvelope& envelope, TimePoint now)
 {
     const Member* member = view_->find(envelope.sender);
@@ -151,7 +151,7 @@
 void PeerControl::perform(const FlowActions& actions)
 {
     for (const SendFlowMessage& action : actions) {
-        // The engine sends again what matters, so a message to a member that has just gone is simply dropped.
+        // The engine repeats the messages that matter, so those to a member that has just left are dropped.
         const Member* receiver = view_->find(action.to);
         if (!receiver)
             continue;
@@ -168,7 +168,7 @@
 void PeerControl::publish(std::shared_ptr<const MembersView> view, TimePoint now)
 {
     if (view_->isolated != view->isolated)
-        log_.info(view->isolated ? "no other balancer answers" : "in contact");
+        log_.info(view->isolated ? "no other balancer responds" : "other balancers respond");
     view_ = std::move(view);
     if (trustsView_)
         perform(engine_.applyMembers(view_, now));
--- a/Source/Balancer/PlatformWatch.cpp
+++ b/Source/Balancer/PlatformWatch.cpp
@@ -13,11 +13,11 @@
 
     constexpr auto minPause = 500ms;
     constexpr auto maxPause = 8000ms;
-    // A watch without news ends after at most this time and the key is read outright. It bounds how long a connection
-    // that died without a word, or a platform that was restored, goes unnoticed; for two calls in that time.
+    // A watch without a change ends after at most this time, and the key is read. This limits how long a dead
+    // connection or a restored platform goes unnoticed.
     constexpr auto maxWatchDuration = 5000ms;
     constexpr auto readTimeout = 2000ms;
-    // Even where nothing fails, calls never follow each other faster than this.
+    // The minimum time between calls, even without failures.
     constexpr auto minCallInterval = 100ms;
 
 }
@@ -59,9 +59,8 @@
     });
 }
 
-// A platform that was restored from an older copy counts its revisions from a lower one. A watch for what comes after
-// the revision that was seen before would then stay silent for a long time, whatever is written; one would notice it as
-// a configuration that is accepted but never in force. Reading the key outright shows what it holds now.
+// A platform that was restored from an older copy continues from a lower revision, so a watch for revisions above the
+// last known one may not return although the key changes. Reading the key detects this.
 void PlatformWatch::read(TimePoint now)
 {
     const std::weak_ptr<int> alive = alive_;
@@ -98,7 +97,7 @@
         revision_ = 0;
         return;
     }
-    // A restored platform also gives the same revision again for another value.
+    // A restored platform may reuse a revision for another value.
     if (entry.value().revision != revision_ || entry.value().value != value_)
         handleEntry(entry.value());
 }
@@ -116,15 +115,15 @@
 void PlatformWatch::noteReachable()
 {
     if (std::exchange(isUnreachable_, false))
-        log_.info("answers again");
+        log_.info("reachable again");
     outageBackoff_.reset();
 }
 
 void PlatformWatch::noteUnreachable(const Error& error)
 {
     if (!std::exchange(isUnreachable_, true))
-        log_.warning(fmt::format("is out: {}", error.toString()));
-    // It may come back as an older copy of itself.
+        log_.warning(fmt::format("unreachable: {}", error.toString()));
+    // The platform may come back as an older copy.
     readsNext_ = true;
     nextCall_ = Clock::now() + outageBackoff_.next();
 }
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -17,15 +17,15 @@
     using namespace std::chrono_literals;
 
     constexpr auto tickPeriod = 20ms;
-    // The home of all keys where the settings list no availability zones.
+    // The home zone of all keys when the settings list no availability zones.
     constexpr std::string_view fleetZone = "fleet";
     constexpr int maxHops = 4;
-    // News of a new owner takes about this long.
+    // About the time that a new ownership record takes to spread.
     constexpr auto rerouteDelay = 100ms;
-    // How long a try waits for the first ownership record, at the start of a balancer.
+    // How long an attempt waits for the first ownership record after the start of the balancer.
     constexpr auto firstRecordTimeout = 2000ms;
     constexpr auto retryDelay = 1000ms;
-    // Within the time after which the forwarding balancer gives the try up.
+    // All repeats fit within the time after which the forwarding balancer gives up the attempt.
     constexpr auto acknowledgementPeriod = 200ms;
     constexpr int acknowledgementRepeats = 2;
     constexpr auto loanMargin = 5000ms;
@@ -113,7 +113,7 @@
     performActions();
 }
 
-// Without a list of zones the ownership record names all balancers, wherever they stand.
+// Without a list of zones, the ownership record covers all balancers regardless of their zone.
 MembersView RequestControl::homeZoneView() const
 {
     MembersView view = *transport_.view();
@@ -234,7 +234,7 @@
     }
 }
 
-// What goes wrong without it: one lost datagram, and a try whose work is under way is answered "unknown".
+// Without repeats, one lost datagram would answer an attempt with "unknown" while its work is running.
 void RequestControl::repeatAcknowledgements(TimePoint now)
 {
     for (PendingAcknowledgement& acknowledgement : acknowledgements_) {
@@ -245,8 +245,8 @@
         if (acknowledgement.repeatsLeft >= 0)
             transport_.send(acknowledgement.token.entry, AttemptReceived { acknowledgement.token });
     }
-    std::erase_if(
-        acknowledgements_, [](const PendingAcknowledgement& acknowledgement) { return acknowledgement.repeatsLeft <= 0; });
+    std::erase_if(acknowledgements_,
+        [](const PendingAcknowledgement& acknowledgement) { return acknowledgement.repeatsLeft <= 0; });
 }
 
 bool RequestControl::handlePeerRequest(const std::shared_ptr<Http2Exchange>& exchange)
@@ -272,7 +272,7 @@
         exchange->respond({ .status = 400, .headers = {}, .body = {} });
         return;
     }
-    // Meant for an earlier start of this balancer, which knew what this one has lost.
+    // Meant for an earlier incarnation, whose claims this one does not have.
     if (hop.value().owner != settings_.self) {
         exchange->respond(writeHopAnswer(
             { .owner = hop.value().owner, .outcome = HopOutcome::Redirect, .refusal = {}, .response = {} }));
@@ -330,7 +330,7 @@
     const bool isShed = response.status == 503 || response.status == 429;
     if (isShed)
         runner_.serverShed(server, retryAfterOf(response), now);
-    // A server without room that does not say "not run" may have run it: its answer is then the caller's to judge.
+    // An overloaded server that does not say "not run" may have run the work, so its response goes to the caller.
     if (isShed && reportsNotExecuted(response))
         runner_.workFailed(work, HttpFailureKind::Refused, now);
     else
@@ -356,7 +356,7 @@
 
 HttpResponse RequestControl::issueTicket()
 {
-    // Callers must not be able to guess each other's tickets.
+    // Tickets must not be predictable for other callers.
     std::random_device source;
     const auto word = [&] { return (std::uint64_t(source()) << 32) | source(); };
     const auto ticket = runner_.issueTicket(word(), word());
@@ -369,7 +369,7 @@
     return { .status = 200, .headers = { { "content-type", "application/json" } }, .body = body.dump() };
 }
 
-// The last balancer of a zone has nobody to whom its claims could go.
+// The last serving balancer of a zone has no successor for its claims.
 bool RequestControl::isReleased(TimePoint now) const
 {
     const MembersView view = homeZoneView();
--- a/Source/Balancer/RequestFrontend.cpp
+++ b/Source/Balancer/RequestFrontend.cpp
@@ -38,7 +38,7 @@
         return std::ranges::any_of(configuration->backendServers,
             [&](const BackendServer& server) { return server.requestAddress == address; });
     };
-    // Connections to servers that left are closed once their last request is answered.
+    // Closes idle connections to servers that are no longer configured.
     std::erase_if(
         clients_, [&](const auto& entry) { return !isListed(entry.first) && entry.second->openRequests() == 0; });
     selector_.applyConfiguration(std::move(configuration));
@@ -106,7 +106,7 @@
     exchange.respond(problem.toResponse());
 }
 
-// The client may be gone already: it is dropped together with its last request.
+// Does nothing if applyConfiguration() has already removed the client.
 void RequestFrontend::cancel(Endpoint server, Http2Client::RequestId id)
 {
     const auto found = clients_.find(server);
--- a/Source/Balancer/RequestHop.cpp
+++ b/Source/Balancer/RequestHop.cpp
@@ -38,7 +38,8 @@
             if (nameOf(static_cast<RefusalReason>(i)) == text)
                 return static_cast<RefusalReason>(i);
         }
-        return Error { ErrorCode::InvalidArgument, "\"" + std::string(text.substr(0, 32)) + "\" is no reason" };
+        return Error { ErrorCode::InvalidArgument,
+            "\"" + std::string(text.substr(0, 32)) + "\" is not a refusal reason" };
     }
 
     void add(std::vector<HttpHeader>& headers, std::string_view name, std::string_view value)
@@ -112,7 +113,8 @@
     HopAnswer answer;
     const auto outcome = outcomeNames.value(response.header(outcomeHeader));
     if (!outcome)
-        return Error { ErrorCode::InvalidArgument, "not an owner's answer, status " + std::to_string(response.status) };
+        return Error { ErrorCode::InvalidArgument,
+            "response is not from an owner of keys, status " + std::to_string(response.status) };
     answer.outcome = *outcome;
     BOOST_OUTCOME_TRY(owner, readInstance(response.header(ownerHeader)));
     BOOST_OUTCOME_TRY(bytes, readNumber(response.header(bytesHeader)));
--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -25,7 +25,7 @@
 
     template <typename Archive, typename... Fields> void fields(Archive&, Fields&...);
 
-    // The members of each type in their order on the wire.
+    // The members of each type, in their order on the wire.
     void describe(auto& archive, BalancerInstance& value) { fields(archive, value.id.value, value.incarnation); }
     void describe(auto& archive, ServiceId& value) { fields(archive, value.value); }
     void describe(auto& archive, BackendServerId& value) { fields(archive, value.value); }
@@ -39,7 +39,7 @@
     }
     void describe(auto& archive, HttpHeader& value) { fields(archive, value.name, value.value); }
     void describe(auto& archive, HttpResponse& value) { fields(archive, value.status, value.headers, value.body); }
-    // Without the time, which is another clock's: the copy carries the age.
+    // The time is left out because the clocks differ; ClaimCopy carries the age instead.
     void describe(auto& archive, ClaimRecord& value)
     {
         fields(archive, value.fingerprint, value.issuedEpoch, value.sequence, value.runner, value.state, value.answer);
@@ -188,7 +188,7 @@
         (field(archive, values), ...);
     }
 
-    // The kinds are numbered by their place in RequestMessage; the shell's own follow.
+    // Numbers the kinds by their index in RequestMessage, followed by AttemptReceived and TermDigest.
     std::uint64_t kindOf(const BalancerMessage& message)
     {
         if (const auto* request = std::get_if<RequestMessage>(&message))
@@ -242,14 +242,14 @@
     const std::uint64_t kind = reader.number(1);
     if (version != codecVersion || kind > messageKinds + 1) {
         return Error { ErrorCode::InvalidArgument,
-            "request message of version " + std::to_string(version) + " and kind " + std::to_string(kind) };
+            "unsupported request message of version " + std::to_string(version) + " and kind " + std::to_string(kind) };
     }
     AddressedMessage addressed;
     addressed.receiverIncarnation = reader.number(8);
     addressed.message = emptyOf(kind);
     contents(reader, addressed.message);
     if (reader.hasFailed() || !reader.isAtEnd())
-        return Error { ErrorCode::InvalidArgument, "request message is cut or followed by other bytes" };
+        return Error { ErrorCode::InvalidArgument, "request message is truncated or has trailing bytes" };
     return addressed;
 }
 
--- a/Source/Balancer/RequestMessageTransport.cpp
+++ b/Source/Balancer/RequestMessageTransport.cpp
@@ -93,8 +93,8 @@
     exchange.respond({ .status = sender ? 204 : 400, .headers = {}, .body = {} });
 }
 
-// What an earlier start of the sender said is over, and what was meant for an earlier start of this balancer builds on
-// claims that it has lost: acting on either would vouch for copies that are gone.
+// Drops messages from an earlier incarnation of the sender or to an earlier incarnation of this balancer. They refer to
+// claims that are lost, and handling them could confirm copies that no longer exist.
 void RequestMessageTransport::handlePayload(const BalancerInstance& from, std::span<const std::uint8_t> payload)
 {
     const Member* sender = view_->find(from.id);
--- a/Source/Balancer/RequestRefusal.cpp
+++ b/Source/Balancer/RequestRefusal.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    constexpr auto sentences = makeNameTable<RefusalReason>({
+    constexpr auto titles = makeNameTable<RefusalReason>({
         { RefusalReason::MissingKey, "The method needs an Idempotency-Key" },
         { RefusalReason::MalformedKey, "The Idempotency-Key can't be read" },
         { RefusalReason::AbsurdDeadline, "The deadline is out of range" },
@@ -54,7 +54,7 @@
 {
     RequestProblem problem;
     problem.status = statusOf(refusal.reason);
-    problem.title = detail.empty() ? std::string(sentences.name(refusal.reason)) : detail;
+    problem.title = detail.empty() ? std::string(titles.name(refusal.reason)) : detail;
     problem.executed = refusal.executed;
     if (refusal.retryAfter.count() > 0)
         problem.retryAfter = refusal.retryAfter;
--- a/Source/Balancer/ServiceLookup.cpp
+++ b/Source/Balancer/ServiceLookup.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // "tryon:8080" and "tryon" name the same host.
+    // Removes the port: "tryon:8080" and "tryon" name the same service.
     std::string_view hostOf(std::string_view authority) { return authority.substr(0, authority.rfind(':')); }
 
 }
--- a/Source/Balancer/TermControl.cpp
+++ b/Source/Balancer/TermControl.cpp
@@ -14,10 +14,10 @@
     using namespace std::chrono_literals;
 
     constexpr auto platformTimeout = 2000ms;
-    // Balancers that miss the same record must not read it in one moment.
+    // Spreads the platform reads of balancers that miss the same record.
     constexpr std::int64_t readJitterMilliseconds = 200;
     constexpr auto digestPeriod = 500ms;
-    // To how many random balancers news goes on; with 4, all but a few in a hundred hear of it before the comparisons.
+    // The number of random balancers to which a new record is sent.
     constexpr int gossipFanout = 4;
 
 }
@@ -61,7 +61,7 @@
         sendDigest(*peer);
 }
 
-// Peers first: they have the record, and the platform counts every call.
+// Asks other balancers first to save calls to the platform.
 void TermControl::fetchNewer(TimePoint now)
 {
     for (int i = 0; i < 2; ++i) {
@@ -175,7 +175,7 @@
     } else if (const auto term = readClaimTerm(entry.value().value); term && term.value().zone == zone_) {
         reconciler_.learnRecord(term.value(), entry.value().revision, now);
     } else {
-        log_.error(fmt::format("{} holds no ownership record of {}", entry.value().key, zone_));
+        log_.error(fmt::format("{} does not hold an ownership record of {}", entry.value().key, zone_));
         reconciler_.readFailed(now);
     }
     perform(now);
--- a/Source/Balancer/VmListFeed.cpp
+++ b/Source/Balancer/VmListFeed.cpp
@@ -11,7 +11,7 @@
     using namespace std::chrono_literals;
 
     constexpr auto callTimeout = 2000ms;
-    // Spread over half to all of these.
+    // Backoff spreads each pause over half to all of its length.
     constexpr auto searchingPause = 1000ms;
     constexpr auto maxSearchingPause = 8000ms;
     constexpr auto settledPause = 120'000ms;
@@ -42,7 +42,7 @@
 void VmListFeed::poll(const MembersView& view, TimePoint now)
 {
     const bool knowsOthers = hasOthers(view) && !view.isolated;
-    // Whoever has just lost everybody looks for them at once.
+    // A balancer that has just lost contact with all others reads the list immediately.
     if (std::exchange(knowsOthers_, knowsOthers) && !knowsOthers) {
         searchingBackoff_.reset();
         nextCall_ = now;
@@ -64,7 +64,7 @@
     std::vector<ListedVm> listed = seeds_;
     if (vms) {
         for (const Vm& vm : vms.value()) {
-            // A line that can't be read is left out; the list is listed anyway.
+            // Entries that can't be parsed are skipped.
             if (const auto address = Endpoint::parse(vm.peerAddress))
                 listed.push_back({ .peerAddress = address.value(), .isLeaving = vm.state == VmState::Leaving });
         }
--- a/Source/Balancer/WorkSender.cpp
+++ b/Source/Balancer/WorkSender.cpp
@@ -12,7 +12,7 @@
 
     constexpr std::string_view deadlineHeader = "x-deadline-milliseconds";
 
-    // What the caller asked for, less the time that has passed since.
+    // Replaces the caller's deadline by the time that is left, in milliseconds.
     void writeDeadline(HttpRequest& request, TimePoint deadline)
     {
         const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(deadline - Clock::now()).count();
--- a/Tests/Balancer/BalancerSettingsTest.cpp
+++ b/Tests/Balancer/BalancerSettingsTest.cpp
@@ -145,7 +145,7 @@
             return problemsOf(std::string(minimalSettings) + "[request]\navailability_zones = " + zones + "\n");
         };
         EXPECT_EQ(problemsWith("walu"), "");
-        EXPECT_THAT(problemsWith("nabua, laucala"), HasSubstr("a list with the own one, walu"));
+        EXPECT_THAT(problemsWith("nabua, laucala"), HasSubstr("a list that contains the own zone, walu"));
         EXPECT_THAT(problemsWith("walu, walu"), HasSubstr("each once"));
         EXPECT_THAT(problemsWith("walu,,nabua"), HasSubstr("names without dots"));
         EXPECT_THAT(problemsWith("walu, na.bua"), HasSubstr("names without dots"));
