--- a/Tests/Balancer/BalancerDaemonTest.cpp
+++ b/Tests/Balancer/BalancerDaemonTest.cpp
@@ -164,16 +164,16 @@
 
     TEST_F(BalancerDaemonTest, doesNotStartOnAnAddressInUse)
     {
-        const auto refusalOf = [this](Endpoint BalancerAddresses::*member) {
+        const auto startErrorOf = [this](Endpoint BalancerAddresses::*member) {
             BalancerSettings second = settings();
             second.listen.*member = addresses_.*member;
             const auto daemon = BalancerDaemon::start(second, "");
             return daemon ? std::string("started") : std::string(nameOf(daemon.error().code));
         };
-        EXPECT_EQ(refusalOf(&BalancerAddresses::flow), "unavailable");
-        EXPECT_EQ(refusalOf(&BalancerAddresses::peer), "unavailable");
-        EXPECT_EQ(refusalOf(&BalancerAddresses::request), "unavailable");
-        EXPECT_EQ(refusalOf(&BalancerAddresses::metrics), "unavailable");
+        EXPECT_EQ(startErrorOf(&BalancerAddresses::flow), "unavailable");
+        EXPECT_EQ(startErrorOf(&BalancerAddresses::peer), "unavailable");
+        EXPECT_EQ(startErrorOf(&BalancerAddresses::request), "unavailable");
+        EXPECT_EQ(startErrorOf(&BalancerAddresses::metrics), "unavailable");
     }
 
 }
--- a/Tests/Balancer/ConfigurationFeedTest.cpp
+++ b/Tests/Balancer/ConfigurationFeedTest.cpp
@@ -47,7 +47,7 @@
         }
 
         // Another balancer that has a version in force.
-        void openPeer(std::optional<ConfigurationVersion> version)
+        void startPeer(std::optional<ConfigurationVersion> version)
         {
             const auto serve = [this, version = std::move(version)](const std::shared_ptr<Http2Exchange>& exchange) {
                 ++peerRequests_;
@@ -59,7 +59,7 @@
         }
 
         // A large fleet in which this balancer watches nothing itself, and one other says that it has the version.
-        void showPeer(std::uint64_t version)
+        void publishPeerVersion(std::uint64_t version)
         {
             MembersView view;
             view.self = balancerIdOf("b1");
@@ -116,9 +116,9 @@
     TEST_F(ConfigurationFeedTest, learnsFromAnotherBalancerWhileThePlatformIsOut)
     {
         administer("/admin/faults", R"({"down":"unavailable"})");
-        openPeer(makeVersion(4));
+        startPeer(makeVersion(4));
         startFeed();
-        showPeer(4);
+        publishPeerVersion(4);
         awaitVersion(4);
         EXPECT_EQ(feed_->inForce()->text, makeVersion(4).text);
         EXPECT_GT(feed_->peerBytes(), makeVersion(4).text.size());
@@ -127,13 +127,13 @@
     TEST_F(ConfigurationFeedTest, asksAgainWhenABalancerHasNothingAfterAll)
     {
         administer("/admin/faults", R"({"down":"unavailable"})");
-        openPeer(std::nullopt);
+        startPeer(std::nullopt);
         startFeed();
-        showPeer(4);
+        publishPeerVersion(4);
         runUntil([&] { return peerRequests_ >= 2; });
         EXPECT_EQ(feed_->version(), 0U);
-        openPeer(makeVersion(4));
-        showPeer(4);
+        startPeer(makeVersion(4));
+        publishPeerVersion(4);
         awaitVersion(4);
     }
 
@@ -145,18 +145,18 @@
         ConfigurationVersion torn = makeVersion(4);
         torn.text.resize(torn.text.size() / 2);
         administer("/admin/faults", R"({"down":"unavailable"})");
-        openPeer(torn);
+        startPeer(torn);
         startFeed();
-        showPeer(4);
+        publishPeerVersion(4);
         runUntil([&] { return peerRequests_ >= 4; });
         EXPECT_TRUE(versions_.empty());
     }
 
     TEST_F(ConfigurationFeedTest, endsInTheMiddleOfARead)
     {
-        openPeer(makeVersion(4));
+        startPeer(makeVersion(4));
         startFeed();
-        showPeer(4);
+        publishPeerVersion(4);
         runUntil([&] { return peerRequests_ >= 1; });
         feed_.reset();
         context_.restart();
--- a/Tests/Balancer/PacketPathTest.cpp
+++ b/Tests/Balancer/PacketPathTest.cpp
@@ -30,7 +30,7 @@
     // The packet path with a flow engine that has settled its tables, two backend servers and a fabric.
     class PacketPathTest : public LoopbackTest {
     protected:
-        struct Receipt {
+        struct ReceivedPacket {
             std::string server;
             ProxyHeader header;
             std::string payload;
@@ -53,8 +53,7 @@
                 const auto packet = decodeProxiedPacket(bytes);
                 ASSERT_TRUE(packet);
                 const auto payload = packet.value().payload;
-                acknowledgements_.push_back(
-                    { name, packet.value().header, std::string(payload.begin(), payload.end()) });
+                received_.push_back({ name, packet.value().header, std::string(payload.begin(), payload.end()) });
             };
             return std::move(UdpSocket::bind(context_, anyLoopbackPort, take).value());
         }
@@ -105,14 +104,14 @@
             fabric_->send(path_->address(), makeDatagram(header, payload));
         }
 
-        void awaitReceipts(std::size_t count)
+        void awaitPackets(std::size_t count)
         {
-            runUntil([&] { return acknowledgements_.size() >= count; });
-            ASSERT_EQ(acknowledgements_.size(), count);
+            runUntil([&] { return received_.size() >= count; });
+            ASSERT_EQ(received_.size(), count);
         }
 
         FlowEngine engine_ { settings(), self, 11 };
-        std::vector<Receipt> acknowledgements_;
+        std::vector<ReceivedPacket> received_;
         std::unique_ptr<UdpSocket> tryon_;
         std::unique_ptr<UdpSocket> scanintake_;
         std::unique_ptr<UdpSocket> fabric_;
@@ -123,24 +122,24 @@
     {
         constexpr Endpoint client { 0xcb007101, 50000 };
         send({ client, tryonAddress, {} }, "frame");
-        awaitReceipts(1);
+        awaitPackets(1);
         send({ client, scanintakeAddress, {} }, "scan");
-        awaitReceipts(2);
+        awaitPackets(2);
 
-        EXPECT_EQ(acknowledgements_[0].server, "try1");
-        EXPECT_EQ(acknowledgements_[0].header, (ProxyHeader { client, tryonAddress, {} }));
-        EXPECT_EQ(acknowledgements_[0].payload, "frame");
-        EXPECT_EQ(acknowledgements_[1].server, "scan1");
-        EXPECT_EQ(acknowledgements_[1].payload, "scan");
+        EXPECT_EQ(received_[0].server, "try1");
+        EXPECT_EQ(received_[0].header, (ProxyHeader { client, tryonAddress, {} }));
+        EXPECT_EQ(received_[0].payload, "frame");
+        EXPECT_EQ(received_[1].server, "scan1");
+        EXPECT_EQ(received_[1].payload, "scan");
     }
 
     TEST_F(PacketPathTest, takesTheForwardMarkOffForTheBackendServer)
     {
         const ForwardMark mark { balancerIdOf("b2"), 1 };
         send({ { 0xcb007101, 50000 }, tryonAddress, mark }, "frame");
-        awaitReceipts(1);
-        EXPECT_EQ(acknowledgements_[0].header.forwardMark, std::nullopt);
-        EXPECT_EQ(acknowledgements_[0].payload, "frame");
+        awaitPackets(1);
+        EXPECT_EQ(received_[0].header.forwardMark, std::nullopt);
+        EXPECT_EQ(received_[0].payload, "frame");
     }
 
     TEST_F(PacketPathTest, countsAndDropsWhatItCantPlace)
@@ -150,7 +149,7 @@
         send({ { 0xcb007101, 50000 }, { 0xc0000209, 443 }, {} }, "lost");
         runUntil([&] { return path_->totals().received == 3; });
         send({ { 0xcb007101, 50000 }, tryonAddress, {} }, "frame");
-        awaitReceipts(1);
+        awaitPackets(1);
 
         const PacketTotals totals = path_->totals();
         EXPECT_EQ(totals.droppedFor(PacketDrop::Malformed), 2U);
@@ -166,7 +165,7 @@
         for (std::uint32_t i = 0; i < clients; ++i) {
             send({ { 0xcb007100 + i, static_cast<std::uint16_t>(40000 + i) }, tryonAddress, {} }, "frame");
             if ((i + 1) % clientsAtOnce == 0)
-                awaitReceipts(i + 1);
+                awaitPackets(i + 1);
         }
         EXPECT_EQ(path_->totals().toBackendServer, clients);
     }
--- a/Tests/Balancer/RequestControlTest.cpp
+++ b/Tests/Balancer/RequestControlTest.cpp
@@ -115,19 +115,19 @@
         runs_[0]->respond(answerOf("16"));
         await(warmUp);
         const std::size_t owner = ownerOf("order-17");
-        RequestControl& leaver = *balancers_[owner].control;
+        RequestControl& leaving = *balancers_[owner].control;
         const Call waiting = call(1 - owner, confirmation("order-17"));
         awaitRuns(2);
 
-        EXPECT_FALSE(leaver.isReleased(Clock::now()));
+        EXPECT_FALSE(leaving.isReleased(Clock::now()));
         balancers_[owner].member.state = MemberState::Leaving;
         publishMembers();
-        runUntil([&] { return leaver.isReleased(Clock::now()); });
-        EXPECT_FALSE(leaver.isIdle());
+        runUntil([&] { return leaving.isReleased(Clock::now()); });
+        EXPECT_FALSE(leaving.isIdle());
 
         runs_[1]->respond(answerOf("17"));
         EXPECT_EQ(await(waiting).body, answerOf("17").body);
-        runUntil([&] { return leaver.isIdle(); });
+        runUntil([&] { return leaving.isIdle(); });
         {
             SCOPED_TRACE("the heir knows that the key ran");
             stopAbruptly(owner);
