--- a/Tests/Balancer/BackendServerSelectorTest.cpp
+++ b/Tests/Balancer/BackendServerSelectorTest.cpp
@@ -69,25 +69,25 @@
         BackendServerSelector selector_ { {}, 7 };
     };
 
-    TEST_F(BackendServerSelectorTest, findsTheServiceByHeaderOrAuthority)
+    TEST_F(BackendServerSelectorTest, FindsServiceByHeaderOrAuthority)
     {
         EXPECT_EQ(serverOf(admit(requestTo("scanintake"))), backendServerIdOf("scan1"));
         selector_.finished(backendServerIdOf("scan1"));
         EXPECT_EQ(serverOf(admit(requestTo("scanintake:8080"))), backendServerIdOf("scan1"));
         selector_.finished(backendServerIdOf("scan1"));
 
-        SCOPED_TRACE("the header goes before the authority");
+        SCOPED_TRACE("the header has precedence over the authority");
         HttpRequest request = requestTo("tryon");
         request.headers = { { "x-service", "scanintake" } };
         EXPECT_EQ(serverOf(admit(request)), backendServerIdOf("scan1"));
 
-        SCOPED_TRACE("an unknown service is said to be unknown, never guessed");
+        SCOPED_TRACE("an unknown service is not found");
         request.headers = { { "x-service", "scan" } };
         EXPECT_EQ(problemOf(admit(request)).status, 404);
         EXPECT_EQ(problemOf(admit(requestTo(""))).status, 404);
     }
 
-    TEST_F(BackendServerSelectorTest, spreadsOverFreeSlotsAndThenRefuses)
+    TEST_F(BackendServerSelectorTest, UsesFreeSlotsEvenlyAndThenRefuses)
     {
         std::map<std::uint32_t, int> uses;
         for (int i = 0; i < 4; ++i)
@@ -106,7 +106,7 @@
         EXPECT_EQ(serverOf(admit(requestTo("tryon"))), backendServerIdOf("try2"));
     }
 
-    TEST_F(BackendServerSelectorTest, sendsNothingNewToADrainingServer)
+    TEST_F(BackendServerSelectorTest, DrainingServerGetsNoNewRequests)
     {
         configuration_.backendServers[1].state = BackendServerState::Draining;
         apply();
@@ -115,7 +115,7 @@
         EXPECT_EQ(problemOf(admit(requestTo("tryon"))).status, 503);
     }
 
-    TEST_F(BackendServerSelectorTest, wantsAKeyForNonIdempotentWork)
+    TEST_F(BackendServerSelectorTest, NonIdempotentMethodsRequireKey)
     {
         for (const auto* method : { "POST", "PATCH", "post", "FROB" }) {
             SCOPED_TRACE(method);
@@ -129,7 +129,7 @@
         }
     }
 
-    TEST_F(BackendServerSelectorTest, readsTheDeadline)
+    TEST_F(BackendServerSelectorTest, ReadsDeadlineHeader)
     {
         HttpRequest request = requestTo("tryon");
         EXPECT_EQ(std::get<ForwardRequest>(admit(request)).deadline, clock_.now() + 5s);
@@ -142,10 +142,8 @@
         }
     }
 
-    // Symptom: a registration runs twice, because its caller was told that it had not run.
-    // Sequence: the connection breaks after the request was sent.
-    // Cause: a lost answer was reported like a request that was never sent.
-    TEST_F(BackendServerSelectorTest, saysNotExecutedOnlyWhenProvable)
+    // Guards against reporting a request as not executed when its connection broke after it was sent.
+    TEST_F(BackendServerSelectorTest, ReportsNotExecutedOnlyWhenProvable)
     {
         const auto executedAfter = [&](HttpFailureKind kind) {
             clock_.advance(10s);
@@ -159,10 +157,8 @@
         EXPECT_EQ(executedAfter(HttpFailureKind::Incomplete), Executed::Unknown);
     }
 
-    // Symptom: one dead server of fifteen turns away most requests.
-    // Sequence: it refuses connections at once, so it always has the fewest open requests and gets the next one too.
-    // Cause: the choice looked at open requests alone.
-    TEST_F(BackendServerSelectorTest, letsAServerThatCantBeReachedRest)
+    // Guards against a dead server that attracts all requests because it always has the fewest open ones.
+    TEST_F(BackendServerSelectorTest, UnreachableServerIsEjectedForSomeTime)
     {
         const BackendServerId dead = serverOf(admit(requestTo("tryon")));
         EXPECT_EQ(fail(dead, HttpFailureKind::NotSent).executed, Executed::No);
@@ -170,12 +166,12 @@
             EXPECT_NE(serverOf(admit(requestTo("tryon"))), dead);
         EXPECT_EQ(problemOf(admit(requestTo("tryon"))).status, 503);
 
-        SCOPED_TRACE("later it is tried again");
+        SCOPED_TRACE("it is used again after the ejection time");
         clock_.advance(1s);
         EXPECT_EQ(serverOf(admit(requestTo("tryon"))), dead);
     }
 
-    TEST_F(BackendServerSelectorTest, describesAProblemForMachines)
+    TEST_F(BackendServerSelectorTest, ProblemIsReturnedAsProblemJson)
     {
         const HttpResponse response = RequestProblem { .title = "busy", .retryAfter = 3s }.toResponse();
         EXPECT_EQ(response.status, 503);
--- a/Tests/Balancer/BalancerDaemonTest.cpp
+++ b/Tests/Balancer/BalancerDaemonTest.cpp
@@ -20,7 +20,7 @@
 
     constexpr Endpoint tryonAddress { 0xc0000201, 443 };
 
-    // A whole balancer on a thread of its own, between a platform and one backend server.
+    // Runs a complete balancer on its own thread, with a platform and one backend server.
     class BalancerDaemonTest : public PlatformTest {
     protected:
         void SetUp() override
@@ -117,12 +117,12 @@
         std::thread thread_;
     };
 
-    TEST_F(BalancerDaemonTest, servesFromEndToEndUntilToldToStop)
+    TEST_F(BalancerDaemonTest, ServesPacketsAndRequestsUntilStopped)
     {
         awaitServing();
         EXPECT_EQ(readStatus().at("configuration_version"), 1);
         {
-            SCOPED_TRACE("a packet of a flow");
+            SCOPED_TRACE("forward a packet of a flow");
             const ProxyHeader header { { 0xcb007101, 50000 }, tryonAddress, {} };
             std::vector<std::uint8_t> datagram(largestProxyHeader);
             datagram.resize(encodeProxyHeader(header, datagram));
@@ -131,7 +131,7 @@
             EXPECT_EQ(packets_.front(), header);
         }
         {
-            SCOPED_TRACE("a key of the balancer's own making, and work under it");
+            SCOPED_TRACE("request a ticket and use it as the key of a request");
             do {
                 call("/wisteriadock/ticket", "b1");
                 runUntil([this] { return answer_.has_value(); });
@@ -149,7 +149,7 @@
             EXPECT_EQ(answer_->value().body, "confirmed");
         }
         {
-            SCOPED_TRACE("a request, answered although the stop began meanwhile");
+            SCOPED_TRACE("a request that is open when the stop begins is still answered");
             call("/overlay", "tryon");
             runUntil([this] { return exchange_ != nullptr; });
             std::raise(SIGTERM);
@@ -162,7 +162,7 @@
         runUntil([this] { return isStopped_.load(); });
     }
 
-    TEST_F(BalancerDaemonTest, doesNotStartOnAnAddressInUse)
+    TEST_F(BalancerDaemonTest, StartFailsOnAddressInUse)
     {
         const auto startErrorOf = [this](Endpoint BalancerAddresses::*member) {
             BalancerSettings second = settings();
--- a/Tests/Balancer/BalancerGroupTest.h
+++ b/Tests/Balancer/BalancerGroupTest.h
@@ -12,8 +12,8 @@
 
 namespace wisteriadock {
 
-// Some balancers without their packet paths, over real connections, between a platform and one backend server. The test
-// says who is a member.
+// Base of tests with several balancers without packet paths, over real connections, with a platform and one backend
+// server. The test sets the states of the members.
 class BalancerGroupTest : public PlatformTest {
 protected:
     struct Balancer {
@@ -25,17 +25,17 @@
         std::unique_ptr<RequestFrontend> frontend;
         std::unique_ptr<Http2Client> caller;
     };
-    // The outcome, once there is one.
+    // Holds the outcome once the call has ended.
     using Call = std::shared_ptr<std::optional<HttpOutcome>>;
 
     void SetUp() override;
     void TearDown() override;
 
-    // They stand in the zones in turn.
+    // Starts balancers and assigns them to the zones in turn.
     void start(std::size_t count, std::vector<std::string> zones = { "walu" });
-    // The balancer ends without a word.
+    // Ends a balancer without a planned stop.
     void stopAbruptly(std::size_t index);
-    // Tells all who is in which state now.
+    // Gives each balancer a view of the members and their current states.
     void publishMembers();
     void configure(BackendServerState);
 
@@ -44,13 +44,13 @@
     void awaitRuns(std::size_t count);
     HttpResponse await(const Call&);
     static std::string executedOf(const HttpResponse&);
-    // The balancer that owns the key of the first zone by the platform's record.
+    // The index of the balancer that owns the key by the first zone's ownership record on the platform.
     std::size_t ownerOf(const std::string& key);
 
     std::vector<std::string> zones_;
     std::deque<Balancer> balancers_;
     std::unique_ptr<Http2Server> server_;
-    // What the backend server got to run, ever.
+    // All requests that the backend server has received.
     std::vector<std::shared_ptr<Http2Exchange>> runs_;
 
 private:
--- a/Tests/Balancer/BalancerSettingsTest.cpp
+++ b/Tests/Balancer/BalancerSettingsTest.cpp
@@ -30,7 +30,7 @@
         return problems.toString();
     }
 
-    TEST(BalancerSettingsTest, readsTheSmallestFileWithDefaults)
+    TEST(BalancerSettingsTest, MinimalFileUsesDefaults)
     {
         SettingsProblems problems;
         const auto settings = BalancerSettings::parse("b1.ini", minimalSettings, problems);
@@ -47,7 +47,7 @@
         EXPECT_EQ(settings.requestPolicy, RequestPolicy::Default);
     }
 
-    TEST(BalancerSettingsTest, readsEverySection)
+    TEST(BalancerSettingsTest, EverySectionIsRead)
     {
         const std::string text = std::string(minimalSettings) + R"(
 [advertise]
@@ -90,7 +90,7 @@
         EXPECT_EQ(settings.logLevel, LogLevel::Warning);
     }
 
-    TEST(BalancerSettingsTest, reportsAllProblemsInOneGo)
+    TEST(BalancerSettingsTest, AllProblemsAreReportedAtOnce)
     {
         const std::string problems = problemsOf(R"([balancer]
 name = b 1
@@ -118,10 +118,8 @@
         EXPECT_THAT(problems, HasSubstr("drain"));
     }
 
-    // Symptom: a balancer runs, but no other balancer ever sends it anything.
-    // Sequence: it listens on 0.0.0.0, and tells the others that this is its address.
-    // Cause: the address to listen on is no address to send to.
-    TEST(BalancerSettingsTest, wantsAnAdvertisedAddressWhenListeningOnAll)
+    // Guards against a balancer that advertises 0.0.0.0, to which no other balancer can send.
+    TEST(BalancerSettingsTest, ListeningOnAllAddressesRequiresAdvertisedAddress)
     {
         std::string text(minimalSettings);
         text.replace(text.find("127.0.0.1:7001"), 14, "0.0.0.0:7001");
@@ -129,17 +127,15 @@
         EXPECT_EQ(problemsOf(text + "[advertise]\npeer = 192.0.2.1:7001\n"), "");
     }
 
-    TEST(BalancerSettingsTest, refusesADefaultDeadlineAboveTheLongest)
+    TEST(BalancerSettingsTest, DefaultDeadlineAboveMaximumIsRejected)
     {
         const std::string text = std::string(minimalSettings)
             + "[request]\ndefault_deadline_milliseconds = 20\nlongest_deadline_milliseconds = 10\n";
         EXPECT_THAT(problemsOf(text), HasSubstr("default_deadline_milliseconds = 20"));
     }
 
-    // Symptom: two balancers each run the same key.
-    // Sequence: one list of zones is written with a slip of the pen.
-    // Cause: the home of a key is chosen from the list, and the slip went through as a zone of its own.
-    TEST(BalancerSettingsTest, refusesAListOfZonesThatCantBeRight)
+    // Guards against a misspelt zone that becomes a home zone of its own, so that two balancers run the same key.
+    TEST(BalancerSettingsTest, InvalidZoneListIsRejected)
     {
         const auto problemsWith = [](const std::string& zones) {
             return problemsOf(std::string(minimalSettings) + "[request]\navailability_zones = " + zones + "\n");
@@ -151,7 +147,7 @@
         EXPECT_THAT(problemsWith("walu, na.bua"), HasSubstr("names without dots"));
     }
 
-    TEST(BalancerSettingsTest, namesAFileThatCantBeRead)
+    TEST(BalancerSettingsTest, UnreadableFileIsNamedInError)
     {
         const auto settings = BalancerSettings::load("/nonexistent/b1.ini");
         ASSERT_FALSE(settings);
--- a/Tests/Balancer/ConfigurationFeedTest.cpp
+++ b/Tests/Balancer/ConfigurationFeedTest.cpp
@@ -14,7 +14,7 @@
 
     class ConfigurationFeedTest : public PlatformTest {
     protected:
-        // A version with one service, whose address tells versions apart.
+        // Makes a version with one service whose address depends on the number.
         static ConfigurationVersion makeVersion(std::uint64_t number)
         {
             Configuration configuration;
@@ -46,7 +46,7 @@
             runUntil([&] { return feed_->version() == version; });
         }
 
-        // Another balancer that has a version in force.
+        // Starts another balancer that has this version in force.
         void startPeer(std::optional<ConfigurationVersion> version)
         {
             const auto serve = [this, version = std::move(version)](const std::shared_ptr<Http2Exchange>& exchange) {
@@ -58,7 +58,7 @@
             peer_ = std::move(server.value());
         }
 
-        // A large fleet in which this balancer watches nothing itself, and one other says that it has the version.
+        // Publishes a fleet in which this balancer does not watch the platform and the others advertise the version.
         void publishPeerVersion(std::uint64_t version)
         {
             MembersView view;
@@ -83,7 +83,7 @@
         int peerRequests_ = 0;
     };
 
-    TEST_F(ConfigurationFeedTest, followsThePlatform)
+    TEST_F(ConfigurationFeedTest, FollowsThePlatform)
     {
         startFeed();
         apply(makeVersion(1));
@@ -94,10 +94,8 @@
         EXPECT_EQ(feed_->inForce()->configuration, makeVersion(2).configuration);
     }
 
-    // Symptom: a change that was accepted stops being in force, and later changes never come into force.
-    // Sequence: the platform is restored from a copy that is older than the last change, and gives revisions again.
-    // Cause: the older head was taken for news, or the watch waited for a revision above one that no longer counts.
-    TEST_F(ConfigurationFeedTest, survivesARestoredPlatform)
+    // Guards against versions that never come into force after the platform was restored from an older copy.
+    TEST_F(ConfigurationFeedTest, AppliesNewVersionsAfterPlatformRestore)
     {
         startFeed();
         apply(makeVersion(1));
@@ -112,8 +110,8 @@
         EXPECT_EQ(versions_, (std::vector<std::uint64_t> { 1, 2, 3 }));
     }
 
-    // Symptom: a balancer that starts during an outage of the platform serves nothing until the platform is back.
-    TEST_F(ConfigurationFeedTest, learnsFromAnotherBalancerWhileThePlatformIsOut)
+    // Guards against a balancer that starts while the platform is unreachable and serves nothing until it is back.
+    TEST_F(ConfigurationFeedTest, FetchesFromPeerWhilePlatformIsUnreachable)
     {
         administer("/admin/faults", R"({"down":"unavailable"})");
         startPeer(makeVersion(4));
@@ -124,7 +122,7 @@
         EXPECT_GT(feed_->peerBytes(), makeVersion(4).text.size());
     }
 
-    TEST_F(ConfigurationFeedTest, asksAgainWhenABalancerHasNothingAfterAll)
+    TEST_F(ConfigurationFeedTest, RetriesWhenPeerHasNoConfiguration)
     {
         administer("/admin/faults", R"({"down":"unavailable"})");
         startPeer(std::nullopt);
@@ -137,10 +135,8 @@
         awaitVersion(4);
     }
 
-    // Symptom: half a file is in force.
-    // Sequence: the content that a balancer or the platform gives is not the one that the head names.
-    // Cause: content was trusted by its key.
-    TEST_F(ConfigurationFeedTest, refusesContentThatTheHeadDoesNotName)
+    // Guards against applying content that does not match its head, such as half a file.
+    TEST_F(ConfigurationFeedTest, ContentThatDoesNotMatchHeadIsRejected)
     {
         ConfigurationVersion torn = makeVersion(4);
         torn.text.resize(torn.text.size() / 2);
@@ -152,7 +148,8 @@
         EXPECT_TRUE(versions_.empty());
     }
 
-    TEST_F(ConfigurationFeedTest, endsInTheMiddleOfARead)
+    // Guards against callbacks into a destroyed feed.
+    TEST_F(ConfigurationFeedTest, FeedIsDestroyedDuringDownload)
     {
         startPeer(makeVersion(4));
         startFeed();
@@ -163,7 +160,7 @@
         context_.poll();
     }
 
-    TEST_F(ConfigurationFeedTest, servesTheVersionInForceToOthers)
+    TEST_F(ConfigurationFeedTest, ServesVersionInForceToPeers)
     {
         const std::optional<ConfigurationVersion> version = makeVersion(7);
         EXPECT_EQ(renderConfiguration("/configuration", std::nullopt)->status, 404);
--- a/Tests/Balancer/LoopbackTest.h
+++ b/Tests/Balancer/LoopbackTest.h
@@ -11,15 +11,15 @@
 
 namespace wisteriadock {
 
-// A test whose sockets run on loopback, all on the thread of the test.
+// Base of tests whose sockets use loopback addresses and run on the thread of the test.
 class LoopbackTest : public testing::Test {
 protected:
-    // Runs the io_context until the condition holds. The limit only ends a test that would hang.
+    // Runs the io_context until the condition holds. The limit only ends tests that would hang.
     void runUntil(const std::function<bool()>& condition)
     {
         const TimePoint limit = Clock::now() + std::chrono::seconds(30);
         while (!condition()) {
-            ASSERT_LT(Clock::now(), limit) << "the condition never came true";
+            ASSERT_LT(Clock::now(), limit) << "the condition did not hold in time";
             context_.restart();
             context_.run_one_for(std::chrono::milliseconds(10));
         }
--- a/Tests/Balancer/PacketPathTest.cpp
+++ b/Tests/Balancer/PacketPathTest.cpp
@@ -27,7 +27,7 @@
         return datagram;
     }
 
-    // The packet path with a flow engine that has settled its tables, two backend servers and a fabric.
+    // A packet path whose flow engine has settled its tables, with two backend servers and a fabric.
     class PacketPathTest : public LoopbackTest {
     protected:
         struct ReceivedPacket {
@@ -91,7 +91,7 @@
             configuration.backendServers.push_back(server);
         }
 
-        // The test does not tick the engine, which must not look like a pause of the process.
+        // The engine gets no ticks during a test, which must not count as a pause of the process.
         static FlowSettings settings()
         {
             FlowSettings settings;
@@ -118,7 +118,7 @@
         std::unique_ptr<PacketPath> path_;
     };
 
-    TEST_F(PacketPathTest, sendsEachPacketToItsOwnService)
+    TEST_F(PacketPathTest, PacketsAreSentToTheirService)
     {
         constexpr Endpoint client { 0xcb007101, 50000 };
         send({ client, tryonAddress, {} }, "frame");
@@ -133,7 +133,7 @@
         EXPECT_EQ(received_[1].payload, "scan");
     }
 
-    TEST_F(PacketPathTest, takesTheForwardMarkOffForTheBackendServer)
+    TEST_F(PacketPathTest, ForwardMarkIsRemovedForBackendServer)
     {
         const ForwardMark mark { balancerIdOf("b2"), 1 };
         send({ { 0xcb007101, 50000 }, tryonAddress, mark }, "frame");
@@ -142,7 +142,7 @@
         EXPECT_EQ(received_[0].payload, "frame");
     }
 
-    TEST_F(PacketPathTest, countsAndDropsWhatItCantPlace)
+    TEST_F(PacketPathTest, UnroutablePacketsAreCountedAndDropped)
     {
         fabric_->send(path_->address(), std::vector<std::uint8_t> { 1, 2, 3 });
         fabric_->send(path_->address(), std::vector<std::uint8_t>(1400, 0xff));
@@ -157,10 +157,10 @@
         EXPECT_EQ(totals.toBackendServer, 1U);
     }
 
-    TEST_F(PacketPathTest, servesManyClientsThroughOneFabricAddress)
+    TEST_F(PacketPathTest, ManyClientsThroughOneFabricAddress)
     {
         constexpr std::uint32_t clients = 500;
-        // Few enough at once for the receive buffer of the server.
+        // Limited by the receive buffer of the server.
         constexpr std::uint32_t clientsAtOnce = 50;
         for (std::uint32_t i = 0; i < clients; ++i) {
             send({ { 0xcb007100 + i, static_cast<std::uint16_t>(40000 + i) }, tryonAddress, {} }, "frame");
@@ -170,10 +170,8 @@
         EXPECT_EQ(path_->totals().toBackendServer, clients);
     }
 
-    // Symptom: about half of the packets of a balancer vanish.
-    // Sequence: a second balancer is started by mistake with the same flow address, and the kernel shares the port.
-    // Cause: the threads of one process share the address by an option that any process of the same user may set.
-    TEST_F(PacketPathTest, refusesAnAddressThatAnotherBalancerHas)
+    // Guards against two balancers that share one flow address, so that each receives only part of the packets.
+    TEST_F(PacketPathTest, AddressOfAnotherBalancerIsRejected)
     {
         const auto second = PacketPath::start(path_->address(), 2, engine_, self);
         ASSERT_FALSE(second);
--- a/Tests/Balancer/PlatformTest.h
+++ b/Tests/Balancer/PlatformTest.h
@@ -16,7 +16,7 @@
 
 namespace wisteriadock {
 
-// A test with a platform to which it applies versions as an operator would.
+// Base of tests with a platform stand-in, to which they apply configuration versions as an operator does.
 class PlatformTest : public LoopbackTest {
 protected:
     void SetUp() override
@@ -49,7 +49,7 @@
         write(std::string(configurationHeadKey), version.head.toJson());
     }
 
-    // Steers the stand-in (docs/design/platform.md).
+    // Sends a command to the admin interface of the stand-in (docs/design/platform.md).
     void administer(const std::string& path, const std::string& body)
     {
         bool isDone = false;
--- a/Tests/Balancer/RequestControlTest.cpp
+++ b/Tests/Balancer/RequestControlTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // The server's answer is long, so that one that is cut or mixed would show.
+    // A long response, so that truncated or mixed responses are detected.
     HttpResponse answerOf(const std::string& mark)
     {
         return {
@@ -16,17 +16,15 @@
 
     class RequestControlTest : public BalancerGroupTest { };
 
-    // Symptom: a fit confirmation is billed twice.
-    // Sequence: the caller hears nothing for a while and sends the same key to another balancer.
-    // Cause: each balancer knew only what it had sent itself.
-    TEST_F(RequestControlTest, runsTheSameKeyAtTwoBalancersOnce)
+    // Guards against running a key again when its caller retries at another balancer.
+    TEST_F(RequestControlTest, SameKeyAtSeveralBalancersRunsOnce)
     {
         start(3);
         const Call first = call(0, confirmation("order-17"));
         awaitRuns(1);
         const Call second = call(1, confirmation("order-17"));
         const Call third = call(2, confirmation("order-17"));
-        // A later key that comes through the same balancers shows that the tries above have been dealt with.
+        // A later key through the same balancers shows that the attempts above have been handled.
         const Call other = call(1, confirmation("order-18"));
         const Call another = call(2, confirmation("order-19"));
         awaitRuns(3);
@@ -40,7 +38,7 @@
             EXPECT_EQ(answer.header("x-wisteriadock-ending"), "");
         }
         {
-            SCOPED_TRACE("a retry after the end; the answer was too long to be kept");
+            SCOPED_TRACE("a retry after the response, which was too long to be stored");
             const HttpResponse retried = await(call(1, confirmation("order-17")));
             EXPECT_EQ(retried.status, 409);
             EXPECT_EQ(executedOf(retried), "unknown");
@@ -48,10 +46,8 @@
         EXPECT_EQ(runs_.size(), 3U);
     }
 
-    // Symptom: work runs twice after a VM is lost.
-    // Sequence: a key's owner dies after sending the work; the caller sends the key to another balancer.
-    // Cause: the claim died with its only holder.
-    TEST_F(RequestControlTest, runsNothingAgainWhenTheOwnerIsLostInMidWork)
+    // Guards against losing the claim of a key together with its owner, so that a retry runs the work again.
+    TEST_F(RequestControlTest, KeyDoesNotRunAgainAfterItsOwnerDies)
     {
         start(3);
         const Call first = call(0, confirmation("order-17"));
@@ -62,12 +58,12 @@
         stopAbruptly(owner);
         publishMembers();
         {
-            SCOPED_TRACE("who waits for the owner hears at once that it is not known");
+            SCOPED_TRACE("a caller that waits for the owner immediately gets unknown");
             const HttpResponse answer = await(joined);
             EXPECT_EQ(executedOf(answer), "unknown");
         }
         {
-            SCOPED_TRACE("a retry under the next owner");
+            SCOPED_TRACE("a retry with the next owner");
             const HttpResponse answer = await(call((owner + 2) % 3, confirmation("order-17")));
             EXPECT_EQ(executedOf(answer), "unknown");
         }
@@ -77,10 +73,8 @@
         EXPECT_EQ(runsOfKey, 1U);
     }
 
-    // Symptom: a caller is told "not run" and sends the work as new, but it had run.
-    // Sequence: no server takes work; the key's owner is another balancer than the one asked.
-    // Cause: the refusal spoke for the try and not for the key.
-    TEST_F(RequestControlTest, refusesAsNotRunOnlyWhatDidNotRun)
+    // Guards against reporting a key as not run that has run through another balancer.
+    TEST_F(RequestControlTest, OnlyKeysThatDidNotRunAreReportedAsNotRun)
     {
         start(2);
         const Call ran = call(0, confirmation("order-17"));
@@ -104,10 +98,8 @@
         EXPECT_EQ(runs_.size(), 1U);
     }
 
-    // Symptom: a planned stop cuts off a request that a backend server is working on.
-    // Sequence: the owner of a key leaves while the work is under way and its caller waits at another balancer.
-    // Cause: the stop waited for the streams of its own callers alone.
-    TEST_F(RequestControlTest, finishesWhatIsInFlightBeforeAPlannedStop)
+    // Guards against a planned stop that cuts off work whose caller waits at another balancer.
+    TEST_F(RequestControlTest, PlannedStopWaitsForRunningWork)
     {
         start(2);
         const Call warmUp = call(0, confirmation("order-16"));
@@ -129,7 +121,7 @@
         EXPECT_EQ(await(waiting).body, answerOf("17").body);
         runUntil([&] { return leaving.isIdle(); });
         {
-            SCOPED_TRACE("the heir knows that the key ran");
+            SCOPED_TRACE("the successor knows that the key ran");
             stopAbruptly(owner);
             publishMembers();
             EXPECT_EQ(executedOf(await(call(1 - owner, confirmation("order-17")))), "unknown");
@@ -137,7 +129,7 @@
         }
     }
 
-    TEST_F(RequestControlTest, refusesWrongRequestsWithoutRunningThem)
+    TEST_F(RequestControlTest, InvalidRequestsAreRejectedWithoutRunning)
     {
         start(1);
         const HttpResponse noKey = await(call(0, confirmation("")));
@@ -153,10 +145,8 @@
         EXPECT_EQ(runs_.size(), 0U);
     }
 
-    // Symptom: a zone that is cut off runs keys that the other side runs as well, or no key at all.
-    // Sequence: a caller sends keys of both zones to one balancer; then the other zone can't be reached.
-    // Cause: the owner was looked for among the balancers that happen to be alive.
-    TEST_F(RequestControlTest, keepsEachKeyInItsHomeZone)
+    // Guards against running a key outside its home zone when that zone is unreachable.
+    TEST_F(RequestControlTest, KeysStayInTheirHomeZone)
     {
         start(4, { "walu", "nabua" });
         const Call near = call(0, confirmation("walu.order-17"));
@@ -181,7 +171,7 @@
         EXPECT_EQ(await(stillNear).body, "done");
     }
 
-    TEST_F(RequestControlTest, issuesTicketsThatServeAsKeys)
+    TEST_F(RequestControlTest, TicketsServeAsKeys)
     {
         start(2);
         HttpRequest request;
@@ -201,10 +191,9 @@
         EXPECT_EQ(runs_.size(), 1U);
     }
 
-    // Symptom: a server without room makes a caller wait for nothing, or a request runs twice.
-    // Sequence: the server sheds with 503; the balancer takes that for the answer, or sends again what ran.
-    // Cause: an answer's status alone does not say whether the work ran.
-    TEST_F(RequestControlTest, sendsAgainOnlyWhatAServerSaysNotToHaveRun)
+    // Guards against returning a 503 although the work could be sent again, and against resending work that may have
+    // run.
+    TEST_F(RequestControlTest, ResendsOnlyWorkThatServerReportsAsNotRun)
     {
         start(1);
         const Call shed = call(0, confirmation("order-17"));
--- a/Tests/Balancer/RequestFrontendTest.cpp
+++ b/Tests/Balancer/RequestFrontendTest.cpp
@@ -12,7 +12,7 @@
 
     using namespace std::chrono_literals;
 
-    // A caller, the front and one backend server, over real connections.
+    // A frontend with a caller and one backend server, over real connections.
     class RequestFrontendTest : public LoopbackTest {
     protected:
         void SetUp() override
@@ -99,7 +99,7 @@
         std::optional<HttpOutcome> answer_;
     };
 
-    TEST_F(RequestFrontendTest, passesARequestAndItsAnswerWhole)
+    TEST_F(RequestFrontendTest, PassesRequestAndResponseUnchanged)
     {
         call(confirmation());
         awaitExchange();
@@ -125,7 +125,7 @@
         }
     }
 
-    TEST_F(RequestFrontendTest, servesItsOwnPagesUnlessTheRequestNamesAService)
+    TEST_F(RequestFrontendTest, ServesBuiltInPagesUnlessRequestNamesService)
     {
         call(statusRequestTo("b1"));
         EXPECT_EQ(awaitAnswer().body, "own page");
@@ -136,7 +136,7 @@
         EXPECT_EQ(awaitAnswer().body, "the service's page");
     }
 
-    TEST_F(RequestFrontendTest, refusesAtOnceWhenEverySlotIsTaken)
+    TEST_F(RequestFrontendTest, RefusesImmediatelyWithoutFreeSlot)
     {
         call(confirmation());
         awaitExchange();
@@ -147,10 +147,8 @@
         EXPECT_EQ(exchanges_.size(), 1U);
     }
 
-    // Symptom: the backend server's two slots stay busy with work that nobody waits for.
-    // Sequence: a caller gives up while the server still works.
-    // Cause: the cancellation ended at the balancer.
-    TEST_F(RequestFrontendTest, passesACancellationOn)
+    // Guards against server slots that stay busy with work whose caller has cancelled it.
+    TEST_F(RequestFrontendTest, PassesCancellationToServer)
     {
         const auto id = call(confirmation());
         awaitExchange();
@@ -166,7 +164,7 @@
         awaitExchange();
     }
 
-    TEST_F(RequestFrontendTest, reportsAServerThatCantBeReachedAsNotExecuted)
+    TEST_F(RequestFrontendTest, UnreachableServerIsReportedAsNotExecuted)
     {
         auto unused = Http2Server::listen(context_, anyLoopbackPort, [](const auto&) {});
         ASSERT_TRUE(unused);
@@ -178,7 +176,7 @@
         EXPECT_NE(answer_->value().body.find(R"("executed":"no")"), std::string::npos);
     }
 
-    TEST_F(RequestFrontendTest, reportsADeadlineAfterSendingAsUnknown)
+    TEST_F(RequestFrontendTest, DeadlineAfterSendingIsReportedAsUnknown)
     {
         HttpRequest request = confirmation();
         request.headers.push_back({ "x-deadline-milliseconds", "300" });
@@ -188,7 +186,7 @@
         EXPECT_NE(answer_->value().body.find(R"("executed":"unknown")"), std::string::npos);
     }
 
-    TEST_F(RequestFrontendTest, reportsAResetAfterSendingAsUnknown)
+    TEST_F(RequestFrontendTest, ResetAfterSendingIsReportedAsUnknown)
     {
         call(confirmation());
         awaitExchange();
@@ -197,8 +195,8 @@
         EXPECT_NE(answer_->value().body.find(R"("executed":"unknown")"), std::string::npos);
     }
 
-    // The baseline of experiments: without it they could not show that they see double runs.
-    TEST_F(RequestFrontendTest, runsWorkAgainWhenToldToRetryBlindly)
+    // Guards against a baseline that hides double runs from experiments.
+    TEST_F(RequestFrontendTest, BlindRetrySendsWorkAgain)
     {
         frontend_->retryBlindly();
         call(confirmation());
@@ -209,7 +207,7 @@
         EXPECT_EQ(awaitAnswer().body, "ran twice");
     }
 
-    TEST_F(RequestFrontendTest, drainsOnlyAfterTheLastAnswer)
+    TEST_F(RequestFrontendTest, DrainEndsAfterLastResponse)
     {
         call(confirmation());
         awaitExchange();
--- a/Tests/Balancer/RequestMessageCodecTest.cpp
+++ b/Tests/Balancer/RequestMessageCodecTest.cpp
@@ -30,7 +30,7 @@
         return snapshot;
     }
 
-    TEST(RequestMessageCodecTest, readsWhatItWrote)
+    TEST(RequestMessageCodecTest, DecodesWhatItEncoded)
     {
         {
             SCOPED_TRACE("a snapshot with all its parts");
@@ -48,7 +48,7 @@
             EXPECT_EQ(copy.record.answer->body, std::string("\0b", 2));
         }
         {
-            SCOPED_TRACE("a record, also as the platform holds it");
+            SCOPED_TRACE("an ownership record, also in the platform's JSON format");
             const auto read
                 = decodeRequestMessage(encodeRequestMessage({ 5, RequestMessage(TermUpdate { exampleTerm() }) }));
             EXPECT_EQ(std::get<TermUpdate>(std::get<RequestMessage>(read.value().message)).term, exampleTerm());
@@ -56,7 +56,7 @@
             EXPECT_FALSE(readClaimTerm(R"({"epoch":1})"));
         }
         {
-            SCOPED_TRACE("the shell's own");
+            SCOPED_TRACE("an acknowledgement and a digest");
             const AttemptReceived received { { first, 3 } };
             EXPECT_EQ(
                 std::get<AttemptReceived>(decodeRequestMessage(encodeRequestMessage({ 5, received })).value().message),
@@ -67,10 +67,8 @@
         }
     }
 
-    // Symptom: a balancer runs out of memory or takes claims for held that are not.
-    // Sequence: a message arrives cut, lengthened or with a count of four billion.
-    // Cause: the reader believed what the bytes say of themselves.
-    TEST(RequestMessageCodecTest, refusesEverythingThatIsNotOneWholeMessage)
+    // Guards against truncated or extended messages, and against counts that exhaust memory.
+    TEST(RequestMessageCodecTest, RejectsAnythingButOneCompleteMessage)
     {
         std::vector<std::uint8_t> bytes = encodeRequestMessage({ 5, RequestMessage(exampleSnapshot()) });
         for (std::size_t size = 0; size < bytes.size(); ++size)
@@ -78,7 +76,7 @@
         for (std::size_t i = 0; i < bytes.size(); ++i) {
             std::vector<std::uint8_t> spoiled = bytes;
             spoiled[i] = 0xff;
-            // It may still be a message, but reading it must end.
+            // The bytes may still be a message, but decoding them must end.
             (void)decodeRequestMessage(spoiled);
         }
         bytes.push_back(0);
--- a/Tests/Balancer/StopSequenceTest.cpp
+++ b/Tests/Balancer/StopSequenceTest.cpp
@@ -22,42 +22,40 @@
         StopSequence sequence_ { { .leaveTimeout = 5s, .drain = 10s, .claimTimeout = 5s, .requestTimeout = 30s } };
     };
 
-    TEST_F(StopSequenceTest, passesThroughEachPhaseOnItsCondition)
+    TEST_F(StopSequenceTest, EachPhaseEndsByItsCondition)
     {
         {
-            SCOPED_TRACE("nothing happens before anybody asks");
+            SCOPED_TRACE("no step before the stop is requested");
             EXPECT_FALSE(sequence_.isRequested());
             EXPECT_EQ(tick(true, true), StopStep::None);
         }
         sequence_.request(clock_.now());
         {
-            SCOPED_TRACE("it stays while a change of a flow table depends on this balancer");
+            SCOPED_TRACE("it does not leave while a flow table change depends on it");
             EXPECT_TRUE(sequence_.isRequested());
             EXPECT_EQ(tick(false, true), StopStep::None);
             EXPECT_EQ(tick(true, true), StopStep::Leave);
         }
         {
-            SCOPED_TRACE("it goes on serving for the drain time, however idle it is");
+            SCOPED_TRACE("it serves for the drain time even if it is idle");
             clock_.advance(9s);
             EXPECT_EQ(tick(true, true), StopStep::None);
             clock_.advance(1s);
         }
         {
-            SCOPED_TRACE("others still reach it while it holds the claims");
+            SCOPED_TRACE("it accepts connections while it holds claims");
             EXPECT_EQ(tick(true, true, false), StopStep::None);
             EXPECT_EQ(tick(true, true), StopStep::DrainRequests);
         }
         {
-            SCOPED_TRACE("it waits for the last answer");
+            SCOPED_TRACE("it waits for the last response");
             EXPECT_EQ(tick(true, false), StopStep::None);
             EXPECT_EQ(tick(true, true), StopStep::Exit);
         }
     }
 
-    // Symptom: a planned stop hangs until the VM is killed, and its flows break.
-    // Sequence: SIGTERM arrives while an arbiter that died owes this balancer a message; a caller holds a stream open.
-    // Cause: each phase waited for its condition alone.
-    TEST_F(StopSequenceTest, endsEachPhaseByItsLimit)
+    // Guards against a planned stop that waits forever for a peer or a caller.
+    TEST_F(StopSequenceTest, EachPhaseEndsByItsLimit)
     {
         sequence_.request(clock_.now());
         clock_.advance(5s);
@@ -72,7 +70,7 @@
         EXPECT_EQ(tick(false, false), StopStep::Exit);
     }
 
-    TEST_F(StopSequenceTest, stopsAtOnceWhenAskedTwice)
+    TEST_F(StopSequenceTest, SecondRequestStopsImmediately)
     {
         sequence_.request(clock_.now());
         EXPECT_EQ(tick(true, false), StopStep::Leave);
