--- a/Source/Balancer/AttemptForwarder.cpp
+++ b/Source/Balancer/AttemptForwarder.cpp
@@ -41,7 +41,7 @@
     const auto timeLeft = std::chrono::duration_cast<std::chrono::microseconds>(deadline - now);
     const std::weak_ptr<int> alive = alive_;
     Hop hop { id, key, owner, member->requestAddress, 0 };
-    hop.request = clients_.of(hop.address)
+    hop.request = clients_.clientOf(hop.address)
                       .send(writeHop({ token, owner, std::max(timeLeft, 1us), problem, request }),
                           deadline + answerLatencyAllowance, [this, alive, token](HttpOutcome outcome) {
                               if (!alive.expired())
--- a/Source/Balancer/BalancerSettings.cpp
+++ b/Source/Balancer/BalancerSettings.cpp
@@ -48,7 +48,7 @@
     }
 
     // A balancer that listens on 0.0.0.0 must advertise an address that others can send to.
-    void requireUsable(SectionReader& section, std::string_view key, Endpoint listen, Endpoint advertised)
+    void requireAdvertisedAddress(SectionReader& section, std::string_view key, Endpoint listen, Endpoint advertised)
     {
         const bool listensOnAll = listen.address == 0 && listen != Endpoint {};
         if (listensOnAll && !advertised.isSet())
@@ -62,9 +62,9 @@
         section.endpoint("flow", advertise.flow);
         section.endpoint("peer", advertise.peer);
         section.endpoint("request", advertise.request);
-        requireUsable(section, "flow", settings.listen.flow, advertise.flow);
-        requireUsable(section, "peer", settings.listen.peer, advertise.peer);
-        requireUsable(section, "request", settings.listen.request, advertise.request);
+        requireAdvertisedAddress(section, "flow", settings.listen.flow, advertise.flow);
+        requireAdvertisedAddress(section, "peer", settings.listen.peer, advertise.peer);
+        requireAdvertisedAddress(section, "request", settings.listen.request, advertise.request);
     }
 
     void readFlowPolicy(SectionReader& section, FlowPolicy& policy)
@@ -103,7 +103,7 @@
         target = static_cast<std::size_t>(value);
     }
 
-    void readZones(SectionReader& section, const std::string& own, std::vector<std::string>& zones)
+    void readZones(SectionReader& section, const std::string& ownZone, std::vector<std::string>& zones)
     {
         std::string text;
         section.text("availability_zones", text);
@@ -120,8 +120,8 @@
             }
             zones.push_back(zone);
         }
-        if (!zones.empty() && std::ranges::find(zones, own) == zones.end())
-            section.addProblem("availability_zones", fmt::format("a list that contains the own zone, {}", own));
+        if (!zones.empty() && std::ranges::find(zones, ownZone) == zones.end())
+            section.addProblem("availability_zones", fmt::format("a list that contains the own zone, {}", ownZone));
     }
 
     void readAtMostOnce(SectionReader& section, BalancerSettings& settings)
--- a/Source/Balancer/Http2ClientPool.h
+++ b/Source/Balancer/Http2ClientPool.h
@@ -21,7 +21,7 @@
     {
     }
 
-    Http2Client& of(Endpoint address)
+    Http2Client& clientOf(Endpoint address)
     {
         auto& client = clients_[address];
         if (!client)
--- a/Source/Balancer/RequestMessageTransport.cpp
+++ b/Source/Balancer/RequestMessageTransport.cpp
@@ -73,8 +73,8 @@
     request.headers = { { std::string(senderHeader), writeInstance(self_) } };
     request.body.assign(payload.begin(), payload.end());
     longMessageBytes_ += payload.size();
-    clients_.of(receiver.requestAddress).send(std::move(request), Clock::now() + sendTimeout, [](const HttpOutcome&) {
-    });
+    clients_.clientOf(receiver.requestAddress)
+        .send(std::move(request), Clock::now() + sendTimeout, [](const HttpOutcome&) {});
 }
 
 void RequestMessageTransport::receive(const PeerEnvelope& envelope)
--- a/Source/Balancer/StopSequence.cpp
+++ b/Source/Balancer/StopSequence.cpp
@@ -17,17 +17,17 @@
 
 StopStep StopSequence::tick(const StopConditions& conditions, TimePoint now)
 {
-    const bool isOver = now >= limit_;
+    const bool hasTimedOut = now >= limit_;
     switch (phase_) {
     case Phase::Running:
         return StopStep::None;
     case Phase::AwaitingLeave:
-        if (!conditions.mayLeave && !isOver)
+        if (!conditions.mayLeave && !hasTimedOut)
             return StopStep::None;
         enter(Phase::Draining, now, times_.drain);
         return StopStep::Leave;
     case Phase::Draining:
-        if (!isOver)
+        if (!hasTimedOut)
             return StopStep::None;
         enter(Phase::AwaitingClaims, now, times_.claimTimeout);
         [[fallthrough]];
@@ -37,7 +37,7 @@
         enter(Phase::AwaitingRequests, now, times_.requestTimeout);
         return StopStep::DrainRequests;
     case Phase::AwaitingRequests:
-        if (!conditions.areRequestsDrained && !isOver)
+        if (!conditions.areRequestsDrained && !hasTimedOut)
             return StopStep::None;
         phase_ = Phase::Exiting;
         return StopStep::Exit;
--- a/Source/Balancer/TermControl.cpp
+++ b/Source/Balancer/TermControl.cpp
@@ -87,14 +87,14 @@
         gossip(term);
 }
 
-void TermControl::compareDigest(const BalancerInstance& from, const TermDigest& theirs)
+void TermControl::compareDigest(const BalancerInstance& from, const TermDigest& peerDigest)
 {
     bool isBehind = false;
     for (const std::string& zone : router_.zones()) {
         const ClaimTerm* own = router_.termOf(zone);
         const std::uint64_t ownEpoch = own ? own->epoch : 0;
         std::uint64_t epoch = 0;
-        for (const TermDigest::Row& row : theirs.rows)
+        for (const TermDigest::Row& row : peerDigest.rows)
             epoch = row.zone == zone ? row.epoch : epoch;
         if (ownEpoch > epoch)
             transport_.send(from, RequestMessage(TermUpdate { *own }));
--- a/Source/Balancer/WorkSender.cpp
+++ b/Source/Balancer/WorkSender.cpp
@@ -44,17 +44,17 @@
     const auto onOutcome = [this, alive, work = start.work, serverId = server.id](HttpOutcome outcome) {
         if (alive.expired())
             return;
-        sent_.erase(work);
+        sentRequests_.erase(work);
         onEnded_(work, serverId, std::move(outcome));
     };
-    const auto id = clients_.of(server.requestAddress).send(std::move(request), start.deadline, onOutcome);
-    sent_[start.work] = { server.requestAddress, id };
+    const auto id = clients_.clientOf(server.requestAddress).send(std::move(request), start.deadline, onOutcome);
+    sentRequests_[start.work] = { server.requestAddress, id };
 }
 
 void WorkSender::cancel(WorkId work)
 {
-    const auto found = sent_.find(work);
-    if (found != sent_.end())
+    const auto found = sentRequests_.find(work);
+    if (found != sentRequests_.end())
         clients_.cancel(found->second.address, found->second.request);
 }
 
--- a/Source/Balancer/WorkSender.h
+++ b/Source/Balancer/WorkSender.h
@@ -31,13 +31,13 @@
     void cancel(WorkId);
 
 private:
-    struct Sent {
+    struct SentRequest {
         Endpoint address;
         Http2Client::RequestId request = 0;
     };
 
     Handler onEnded_;
-    std::map<WorkId, Sent> sent_;
+    std::map<WorkId, SentRequest> sentRequests_;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
     Http2ClientPool clients_;
 };
