--- a/Source/Balancer/PeerConfiguration.h
+++ b/Source/Balancer/PeerConfiguration.h
@@ -45,7 +45,8 @@
     Handler onHead_;
     Backoff backoff_;
     std::mt19937_64 random_;
-    // Set while a newer version is known. Jittered, so that a fleet does not ask its first holder all at once.
+    // Set while a newer version is known. Jittered, so that a fleet does not ask the first balancer that has it all at
+    // once.
     std::optional<TimePoint> nextAsk_;
     bool isAsking_ = false;
     std::unique_ptr<Http2Client> client_;
--- a/Source/Balancer/StopSequence.h
+++ b/Source/Balancer/StopSequence.h
@@ -46,7 +46,7 @@
     void request(TimePoint now);
     bool isRequested() const { return phase_ != Phase::Running; }
 
-    // Must be called every 50 to 100 ms. Returns each step once, but Exit every time.
+    // Must be called every 50 to 100 ms. Returns each step once, except Exit, which it repeats.
     StopStep tick(const StopConditions&, TimePoint now);
 
 private:
