--- a/Source/Balancer/BalancerDaemon.h
+++ b/Source/Balancer/BalancerDaemon.h
@@ -1,13 +1,13 @@
 #pragma once
 
+#include "Balancer/BackendServerSelector.h"
 #include "Balancer/BalancerMetrics.h"
 #include "Balancer/BalancerSettings.h"
 #include "Balancer/ConfigurationFeed.h"
 #include "Balancer/PacketPath.h"
 #include "Balancer/PeerControl.h"
 #include "Balancer/RequestControl.h"
-#include "Balancer/RequestDecisions.h"
-#include "Balancer/RequestFront.h"
+#include "Balancer/RequestFrontend.h"
 #include "Balancer/StopSequence.h"
 #include "Balancer/VmListFeed.h"
 #include "Core/Error.h"
@@ -26,18 +26,20 @@
 
 namespace wisteriadock {
 
-// One balancer: puts the parts together and lets them know of each other. The packet path has threads of its own;
-// everything else runs on the thread that calls run().
+// One balancer process: owns the packet path, membership, request handling and the configuration feed, and passes
+// changes between them. runBalancer() creates it. The packet path has its own threads; everything else runs on the
+// thread that calls run().
 class BalancerDaemon {
 public:
-    // Binds all addresses. Fails with Unavailable when one can't be bound. The path of the settings file is read again
-    // for the log level on SIGHUP.
+    // Binds all listening addresses. Fails with Unavailable when one of them can't be bound. On SIGHUP the settings
+    // file at this path is read again for its log level.
     static Result<std::unique_ptr<BalancerDaemon>> start(BalancerSettings, std::string settingsPath);
     ~BalancerDaemon();
     BalancerDaemon(const BalancerDaemon&) = delete;
     BalancerDaemon& operator=(const BalancerDaemon&) = delete;
 
-    // Serves until a planned stop is done. SIGTERM and SIGINT ask for one, and for an end at once when repeated.
+    // Serves until a planned stop has completed. SIGTERM or SIGINT starts a planned stop; a second one stops the
+    // process immediately.
     void run();
     // The bound addresses.
     BalancerAddresses addresses() const;
@@ -47,17 +49,17 @@
 
     Result<void> listen();
     Member describeSelf() const;
-    void connectParts();
+    void connectComponents();
     void applyConfiguration(const ConfigurationVersion&);
     void applyMembers(const std::shared_ptr<const MembersView>&);
     void startRequestControl(std::uint64_t incarnation);
     StopConditions stopConditions() const;
-    bool serveOwnPage(const std::shared_ptr<Http2Exchange>&);
+    bool serveBuiltInPage(const std::shared_ptr<Http2Exchange>&);
 
     void awaitSignal();
     void handleSignal(int signal);
     void reloadLogLevel();
-    void scheduleUpkeep();
+    void scheduleMaintenance();
     void advanceStop();
     void updateMetrics();
 
@@ -70,23 +72,23 @@
 
     boost::asio::io_context context_;
     boost::asio::signal_set signals_;
-    boost::asio::steady_timer upkeepTimer_;
+    boost::asio::steady_timer maintenanceTimer_;
     StopSequence stop_;
     bool areRequestsDrained_ = false;
 
     FlowEngine engine_;
     PlatformClient platform_;
     BalancerMetrics metrics_;
-    RequestDecisions requestDecisions_;
+    BackendServerSelector serverSelector_;
     std::uint64_t configurationBytesServed_ = 0;
 
-    std::unique_ptr<PeerSocket> link_;
+    std::unique_ptr<PeerSocket> peerSocket_;
     std::unique_ptr<PeerControl> peers_;
     ConfigurationFeed feed_;
     VmListFeed vms_;
     std::shared_ptr<const Configuration> configuration_ = std::make_shared<const Configuration>();
     std::unique_ptr<RequestControl> control_;
-    std::unique_ptr<RequestFront> requests_;
+    std::unique_ptr<RequestFrontend> frontend_;
     std::unique_ptr<MetricsEndpoint> metricsEndpoint_;
     std::unique_ptr<PacketPath> packets_;
 };
--- a/Source/Balancer/BalancerMetrics.h
+++ b/Source/Balancer/BalancerMetrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Balancer/PacketCounters.h"
-#include "Balancer/RequestFront.h"
+#include "Balancer/RequestFrontend.h"
 #include "Flow/FlowEngine.h"
 #include "Membership/Member.h"
 
@@ -15,24 +15,25 @@
 
 namespace wisteriadock {
 
-// Bytes of control traffic since the start, sent and received: what balancers say to each other and to the platform.
-// Packets of flows and requests of callers are not part of it.
+// Bytes of control traffic sent and received since the start, between balancers and with the platform. Excludes packets
+// of flows and callers' requests.
 struct ControlBytes {
     std::uint64_t peers = 0;
     std::uint64_t platform = 0;
     std::uint64_t configuration = 0;
-    // Messages about requests that were too long for a datagram.
+    // Messages about requests that went by HTTP/2 because they exceed a datagram.
     std::uint64_t requests = 0;
 
     std::uint64_t sum() const { return peers + platform + configuration + requests; }
 };
 
-// What a balancer counted up to now.
-struct BalancerFigures {
+// A snapshot of a balancer's counters and gauges, which BalancerDaemon fills in periodically. Counters run from the
+// start of the process.
+struct BalancerStatistics {
     PacketTotals packets;
     FlowCounters flow;
     RequestCounts requests {};
-    RequestFigures control;
+    RequestStatistics control;
     std::uint64_t openRequests = 0;
     ControlBytes controlBytes;
     std::uint64_t malformedPeerMessages = 0;
@@ -43,13 +44,13 @@
     std::shared_ptr<const MembersView> members;
 };
 
-// The balancer's metrics in Prometheus' conventions. The control thread hands over its figures from time to time; the
-// metrics endpoint reads the registry on a thread of its own.
+// Publishes the balancer's metrics in a Prometheus registry. BalancerDaemon calls update() on the control thread; the
+// metrics endpoint reads the registry on its own thread.
 class BalancerMetrics {
 public:
     BalancerMetrics();
 
-    void update(const BalancerFigures&);
+    void update(const BalancerStatistics&);
     const std::shared_ptr<prometheus::Registry>& registry() const { return registry_; }
 
 private:
@@ -60,7 +61,7 @@
     void updatePackets(const PacketTotals&);
     void updateFlow(const FlowCounters&);
     void updateMembers(const MembersView&);
-    void updateRequests(const BalancerFigures&);
+    void updateRequests(const BalancerStatistics&);
 
     std::shared_ptr<prometheus::Registry> registry_;
 
@@ -78,7 +79,7 @@
     prometheus::Gauge& exceptions_;
     prometheus::Gauge& unsettledServices_;
 
-    std::array<prometheus::Counter*, requestEndingCount> requests_ {};
+    std::array<prometheus::Counter*, requestOutcomeKindCount> requests_ {};
     prometheus::Gauge& openRequests_;
     prometheus::Gauge& queuedRequests_;
     prometheus::Gauge& claimsHeld_;
--- a/Source/Balancer/ConfigurationFeed.h
+++ b/Source/Balancer/ConfigurationFeed.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Balancer/ConfigurationRead.h"
+#include "Balancer/ConfigurationDownload.h"
 #include "Balancer/PeerConfiguration.h"
 #include "Balancer/PlatformWatch.h"
 #include "Core/Log.h"
@@ -17,14 +17,14 @@
 
 namespace wisteriadock {
 
-// Learns the operators' configuration and hands each newer version on, never an older one. A few balancers of each
-// availability zone watch the platform; the others learn from them, and all do so while the platform is out.
-// Everything runs on the thread of the io_context.
+// Obtains the operators' configuration and passes each newer version to the handler, never an older one. A few
+// balancers of each availability zone watch the platform; the others fetch from them, and all balancers fetch from each
+// other while the platform is unreachable. BalancerDaemon owns it. Everything runs on the thread of the io_context.
 class ConfigurationFeed {
 public:
     using Handler = std::function<void(const ConfigurationVersion&)>;
 
-    // The platform outlives the feed.
+    // The platform client must outlive the feed.
     ConfigurationFeed(boost::asio::io_context&, PlatformClient&, std::uint64_t seed);
     ConfigurationFeed(const ConfigurationFeed&) = delete;
     ConfigurationFeed& operator=(const ConfigurationFeed&) = delete;
@@ -35,30 +35,30 @@
 
     const std::optional<ConfigurationVersion>& inForce() const { return inForce_; }
     std::uint64_t version() const { return inForce_ ? inForce_->head.applied.version : 0; }
-    // Bytes exchanged with other balancers.
+    // Bytes sent to and received from other balancers.
     std::uint64_t peerBytes() const { return peers_.bytesTransferred(); }
 
 private:
-    void scheduleReview();
-    void review();
-    void readFromPlatform(const PlatformEntry&);
-    void readFromPeer(const std::string& head, const ConfigurationFetch&);
-    // Returns whether the read brought a version, or showed that there is none to bring.
+    void schedulePoll();
+    void poll();
+    void downloadFromPlatform(const PlatformEntry&);
+    void downloadFromPeer(const std::string& head, const ConfigurationFetch&);
+    // Returns whether the download yielded a version, or showed that there is no newer one.
     bool finish(HeadAction, std::string_view source);
-    void warnOfNothing(TimePoint now);
+    void warnAboutMissingConfiguration(TimePoint now);
 
     Log log_ { "configuration" };
     boost::asio::steady_timer timer_;
     PlatformClient& platform_;
-    ConfigurationRead read_;
-    // Whether the read that is going on, if any, is from another balancer.
-    bool readsFromPeer_ = false;
+    ConfigurationDownload download_;
+    // Whether the current download, if any, is from another balancer.
+    bool downloadsFromPeer_ = false;
     Handler onVersion_;
     std::shared_ptr<const MembersView> view_;
     std::optional<ConfigurationVersion> inForce_;
     std::optional<TimePoint> nextWarning_;
     std::string lastProblem_;
-    // Destroyed first: open requests of theirs end inside their destructors, and are reported to the members above.
+    // Destroyed first: their destructors end open requests, whose callbacks use the members above.
     PlatformWatch watch_;
     PeerConfiguration peers_;
 };
--- a/Source/Balancer/RequestMessageCodec.cpp
+++ b/Source/Balancer/RequestMessageCodec.cpp
@@ -25,7 +25,7 @@
 
     template <typename Archive, typename... Fields> void fields(Archive&, Fields&...);
 
-    // The members of each type in their order on the wire.
+    // The members of each type, in their order on the wire.
     void describe(auto& archive, BalancerInstance& value) { fields(archive, value.id.value, value.incarnation); }
     void describe(auto& archive, ServiceId& value) { fields(archive, value.value); }
     void describe(auto& archive, BackendServerId& value) { fields(archive, value.value); }
@@ -39,7 +39,7 @@
     }
     void describe(auto& archive, HttpHeader& value) { fields(archive, value.name, value.value); }
     void describe(auto& archive, HttpResponse& value) { fields(archive, value.status, value.headers, value.body); }
-    // Without the time, which is another clock's: the copy carries the age.
+    // The time is left out because the clocks differ; ClaimCopy carries the age instead.
     void describe(auto& archive, ClaimRecord& value)
     {
         fields(archive, value.fingerprint, value.issuedEpoch, value.sequence, value.runner, value.state, value.answer);
@@ -80,7 +80,7 @@
     void describe(auto& archive, BorrowSlot& value) { fields(archive, value.service, value.nonce); }
     void describe(auto& archive, SlotReply& value) { fields(archive, value.nonce, value.isLent, value.server); }
     void describe(auto& archive, ReturnSlot& value) { fields(archive, value.nonce, value.server); }
-    void describe(auto& archive, TryReceived& value) { fields(archive, value.token); }
+    void describe(auto& archive, AttemptReceived& value) { fields(archive, value.token); }
     void describe(auto& archive, TermDigest::Row& value) { fields(archive, value.zone, value.epoch); }
     void describe(auto& archive, TermDigest& value) { fields(archive, value.rows); }
 
@@ -121,7 +121,7 @@
             reader.fail();
     }
 
-    template <typename Archive> void wholeAnswer(Archive& archive, SharedResponse& value)
+    template <typename Archive> void sharedResponse(Archive& archive, SharedResponse& value)
     {
         bool isPresent = value != nullptr;
         flag(archive, isPresent);
@@ -148,7 +148,7 @@
         }
     }
 
-    template <typename Archive, typename Value> void maybe(Archive& archive, std::optional<Value>& value)
+    template <typename Archive, typename Value> void optionalValue(Archive& archive, std::optional<Value>& value)
     {
         bool isPresent = value.has_value();
         flag(archive, isPresent);
@@ -170,7 +170,7 @@
         else if constexpr (std::same_as<Field, ClaimState>)
             claimState(archive, value);
         else if constexpr (std::same_as<Field, SharedResponse>)
-            wholeAnswer(archive, value);
+            sharedResponse(archive, value);
         else if constexpr (std::same_as<Field, Duration>) {
             std::int64_t count = value.count();
             integer(archive, count);
@@ -178,7 +178,7 @@
         } else if constexpr (IsVector<Field>::value)
             list(archive, value);
         else if constexpr (IsOptional<Field>::value)
-            maybe(archive, value);
+            optionalValue(archive, value);
         else
             describe(archive, value);
     }
@@ -188,7 +188,7 @@
         (field(archive, values), ...);
     }
 
-    // The kinds are numbered by their place in RequestMessage; the shell's own follow.
+    // Numbers the kinds by their index in RequestMessage, followed by AttemptReceived and TermDigest.
     std::uint64_t kindOf(const BalancerMessage& message)
     {
         if (const auto* request = std::get_if<RequestMessage>(&message))
@@ -209,7 +209,7 @@
     {
         if (kind < messageKinds)
             return emptyMessage(kind);
-        return kind == messageKinds ? BalancerMessage(TryReceived {}) : BalancerMessage(TermDigest {});
+        return kind == messageKinds ? BalancerMessage(AttemptReceived {}) : BalancerMessage(TermDigest {});
     }
 
     template <typename Archive> void contents(Archive& archive, BalancerMessage& message)
@@ -217,7 +217,7 @@
         const auto describeOne = [&](auto& content) { describe(archive, content); };
         if (auto* request = std::get_if<RequestMessage>(&message))
             std::visit(describeOne, *request);
-        else if (auto* received = std::get_if<TryReceived>(&message))
+        else if (auto* received = std::get_if<AttemptReceived>(&message))
             describeOne(*received);
         else
             describeOne(std::get<TermDigest>(message));
@@ -242,14 +242,14 @@
     const std::uint64_t kind = reader.number(1);
     if (version != codecVersion || kind > messageKinds + 1) {
         return Error { ErrorCode::InvalidArgument,
-            "request message of version " + std::to_string(version) + " and kind " + std::to_string(kind) };
+            "unsupported request message of version " + std::to_string(version) + " and kind " + std::to_string(kind) };
     }
     AddressedMessage addressed;
     addressed.receiverIncarnation = reader.number(8);
     addressed.message = emptyOf(kind);
     contents(reader, addressed.message);
     if (reader.hasFailed() || !reader.isAtEnd())
-        return Error { ErrorCode::InvalidArgument, "request message is cut or followed by other bytes" };
+        return Error { ErrorCode::InvalidArgument, "request message is truncated or has trailing bytes" };
     return addressed;
 }
 
--- a/Source/Balancer/RequestRefusal.cpp
+++ b/Source/Balancer/RequestRefusal.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    constexpr auto sentences = makeNameTable<RefusalReason>({
+    constexpr auto titles = makeNameTable<RefusalReason>({
         { RefusalReason::MissingKey, "The method needs an Idempotency-Key" },
         { RefusalReason::MalformedKey, "The Idempotency-Key can't be read" },
         { RefusalReason::AbsurdDeadline, "The deadline is out of range" },
@@ -28,7 +28,7 @@
         { RefusalReason::BackupUnreachable, "The ownership of the key could not be confirmed" },
     });
 
-    RequestEnding endingOf(const Refusal& refusal)
+    RequestOutcomeKind outcomeOf(const Refusal& refusal)
     {
         switch (refusal.reason) {
         case RefusalReason::MissingKey:
@@ -37,15 +37,15 @@
         case RefusalReason::OversizedHeaders:
         case RefusalReason::OversizedBody:
         case RefusalReason::KeyReused:
-            return RequestEnding::Invalid;
+            return RequestOutcomeKind::Invalid;
         default:
             break;
         }
         if (refusal.executed == Executed::Unknown)
-            return RequestEnding::Unknown;
+            return RequestOutcomeKind::Unknown;
         const bool lacksServer
             = refusal.reason == RefusalReason::NoServer || refusal.reason == RefusalReason::Overloaded;
-        return lacksServer ? RequestEnding::NoServer : RequestEnding::NotExecuted;
+        return lacksServer ? RequestOutcomeKind::NoServer : RequestOutcomeKind::NotExecuted;
     }
 
 }
@@ -54,11 +54,11 @@
 {
     RequestProblem problem;
     problem.status = statusOf(refusal.reason);
-    problem.title = detail.empty() ? std::string(sentences.name(refusal.reason)) : detail;
+    problem.title = detail.empty() ? std::string(titles.name(refusal.reason)) : detail;
     problem.executed = refusal.executed;
     if (refusal.retryAfter.count() > 0)
         problem.retryAfter = refusal.retryAfter;
-    problem.ending = endingOf(refusal);
+    problem.outcome = outcomeOf(refusal);
     return problem;
 }
 
--- a/Source/Balancer/TermControl.cpp
+++ b/Source/Balancer/TermControl.cpp
@@ -13,100 +13,100 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto platformDeadline = 2000ms;
-    // Balancers that miss the same record must not read it in one moment.
+    constexpr auto platformTimeout = 2000ms;
+    // Spreads the platform reads of balancers that miss the same record.
     constexpr std::int64_t readJitterMilliseconds = 200;
-    constexpr auto comparisonPeriod = 500ms;
-    // To how many random balancers news goes on; with 4, all but a few in a hundred hear of it before the comparisons.
-    constexpr int newsReceivers = 4;
+    constexpr auto digestPeriod = 500ms;
+    // The number of random balancers to which a new record is sent.
+    constexpr int gossipFanout = 4;
 
 }
 
-TermControl::TermControl(PlatformClient& platform, RequestRouter& router, HolderLink& link, std::string zone,
-    const BalancerInstance& self, std::uint64_t seed, AdoptHandler onAdopted)
+TermControl::TermControl(PlatformClient& platform, RequestRouter& router, RequestMessageTransport& transport,
+    std::string zone, const BalancerInstance& self, std::uint64_t seed, AdoptHandler onAdopted)
     : platform_(platform)
     , router_(router)
-    , link_(link)
+    , transport_(transport)
     , zone_(std::move(zone))
     , self_(self)
     , random_(seed)
     , onAdopted_(std::move(onAdopted))
-    , keeper_(zone_, self.id, {})
+    , reconciler_(zone_, self.id, {})
 {
 }
 
 void TermControl::applyMembers(const MembersView& view, TimePoint now)
 {
-    keeper_.learnMembers(view, now);
+    reconciler_.learnMembers(view, now);
     perform(now);
 }
 
 void TermControl::tick(TimePoint now)
 {
-    keeper_.tick(now);
+    reconciler_.tick(now);
     perform(now);
-    if (lookAt_ && now >= *lookAt_) {
-        lookAt_.reset();
-        if (ownEpoch() == missedEpoch_ && !readAt_)
+    if (fallbackReadAt_ && now >= *fallbackReadAt_) {
+        fallbackReadAt_.reset();
+        if (ownEpoch() == epochAtFetch_ && !readAt_)
             readAt_ = now;
     }
     if (readAt_ && now >= *readAt_) {
         readAt_.reset();
         read(now);
     }
-    if (now < nextComparison_)
+    if (now < nextDigest_)
         return;
-    nextComparison_ = now + comparisonPeriod;
-    if (const auto other = randomOther())
-        ask(*other);
+    nextDigest_ = now + digestPeriod;
+    if (const auto peer = randomPeer())
+        sendDigest(*peer);
 }
 
-// Peers first: they have the record, and the platform counts every call.
-void TermControl::want(TimePoint now)
+// Asks other balancers first to save calls to the platform.
+void TermControl::fetchNewer(TimePoint now)
 {
     for (int i = 0; i < 2; ++i) {
-        if (const auto other = randomOther())
-            ask(*other);
+        if (const auto peer = randomPeer())
+            sendDigest(*peer);
     }
-    if (lookAt_)
+    if (fallbackReadAt_)
         return;
-    missedEpoch_ = ownEpoch();
-    lookAt_ = now + comparisonPeriod + std::chrono::milliseconds(random_() % readJitterMilliseconds);
+    epochAtFetch_ = ownEpoch();
+    fallbackReadAt_ = now + digestPeriod + std::chrono::milliseconds(random_() % readJitterMilliseconds);
 }
 
-void TermControl::ask(const BalancerInstance& holder) { link_.send(holder, digest()); }
+void TermControl::sendDigest(const BalancerInstance& to) { transport_.send(to, digest()); }
 
-void TermControl::learn(const ClaimTerm& term, TimePoint now)
+void TermControl::learnTerm(const ClaimTerm& term, TimePoint now)
 {
     if (term.zone == zone_) {
-        keeper_.learnFromPeer(term, now);
+        reconciler_.learnFromPeer(term, now);
         perform(now);
         return;
     }
     if (router_.learnTerm(term))
-        spread(term);
+        gossip(term);
 }
 
-void TermControl::compare(const BalancerInstance& from, const TermDigest& theirs)
+void TermControl::compareDigest(const BalancerInstance& from, const TermDigest& peerDigest)
 {
     bool isBehind = false;
     for (const std::string& zone : router_.zones()) {
         const ClaimTerm* own = router_.termOf(zone);
         const std::uint64_t ownEpoch = own ? own->epoch : 0;
         std::uint64_t epoch = 0;
-        for (const TermDigest::Row& row : theirs.rows)
+        for (const TermDigest::Row& row : peerDigest.rows)
             epoch = row.zone == zone ? row.epoch : epoch;
         if (ownEpoch > epoch)
-            link_.send(from, RequestMessage(TermUpdate { *own }));
+            transport_.send(from, RequestMessage(TermUpdate { *own }));
         isBehind = isBehind || epoch > ownEpoch;
     }
     if (isBehind)
-        ask(from);
+        sendDigest(from);
 }
 
 void TermControl::perform(TimePoint now)
 {
-    for (const TermAction& action : keeper_.takeActions()) {
+    for (const TermAction& action : reconciler_.takeActions()) {
         if (const auto* wanted = std::get_if<WriteTerm>(&action))
             write(*wanted, now);
         else if (const auto* adopted = std::get_if<AdoptTerm>(&action))
@@ -120,15 +120,15 @@
 {
     log_.info(fmt::format("epoch {} of {} has {} holders", term.epoch, term.zone, term.holders.size()));
     router_.learnTerm(term);
-    spread(term);
+    gossip(term);
     onAdopted_(term);
 }
 
-void TermControl::spread(const ClaimTerm& term)
+void TermControl::gossip(const ClaimTerm& term)
 {
-    for (int i = 0; i < newsReceivers; ++i) {
-        if (const auto other = randomOther())
-            link_.send(*other, RequestMessage(TermUpdate { term }));
+    for (int i = 0; i < gossipFanout; ++i) {
+        if (const auto peer = randomPeer())
+            transport_.send(*peer, RequestMessage(TermUpdate { term }));
     }
 }
 
@@ -136,7 +136,7 @@
 {
     const std::weak_ptr<int> alive = alive_;
     platform_.compareAndSwap(claimTermKey(zone_), wanted.baseRevision, writeClaimTerm(wanted.term), {},
-        now + platformDeadline, [this, alive](const Result<std::uint64_t>& revision) {
+        now + platformTimeout, [this, alive](const Result<std::uint64_t>& revision) {
             if (!alive.expired())
                 finishWrite(revision);
         });
@@ -146,20 +146,20 @@
 {
     const TimePoint now = Clock::now();
     if (revision)
-        keeper_.writeEnded(TermWrite::Written, revision.value(), now);
+        reconciler_.writeEnded(TermWrite::Written, revision.value(), now);
     else if (revision.error().code == ErrorCode::Conflict)
-        keeper_.writeEnded(TermWrite::Conflict, 0, now);
+        reconciler_.writeEnded(TermWrite::Conflict, 0, now);
     else if (revision.error().code == ErrorCode::Unknown || revision.error().code == ErrorCode::DeadlineExceeded)
-        keeper_.writeEnded(TermWrite::Unknown, 0, now);
+        reconciler_.writeEnded(TermWrite::Unknown, 0, now);
     else
-        keeper_.writeEnded(TermWrite::Unreached, 0, now);
+        reconciler_.writeEnded(TermWrite::Unreached, 0, now);
     perform(now);
 }
 
 void TermControl::read(TimePoint now)
 {
     const std::weak_ptr<int> alive = alive_;
-    platform_.get(claimTermKey(zone_), now + platformDeadline, [this, alive](const Result<PlatformEntry>& entry) {
+    platform_.get(claimTermKey(zone_), now + platformTimeout, [this, alive](const Result<PlatformEntry>& entry) {
         if (!alive.expired())
             finishRead(entry);
     });
@@ -169,23 +169,23 @@
 {
     const TimePoint now = Clock::now();
     if (!entry && entry.error().code == ErrorCode::NotFound) {
-        keeper_.learnAbsent(now);
+        reconciler_.learnAbsent(now);
     } else if (!entry) {
-        keeper_.readFailed(now);
+        reconciler_.readFailed(now);
     } else if (const auto term = readClaimTerm(entry.value().value); term && term.value().zone == zone_) {
-        keeper_.learnRecord(term.value(), entry.value().revision, now);
+        reconciler_.learnRecord(term.value(), entry.value().revision, now);
     } else {
-        log_.error(fmt::format("{} holds no ownership record of {}", entry.value().key, zone_));
-        keeper_.readFailed(now);
+        log_.error(fmt::format("{} does not hold an ownership record of {}", entry.value().key, zone_));
+        reconciler_.readFailed(now);
     }
     perform(now);
 }
 
-std::optional<BalancerInstance> TermControl::randomOther()
+std::optional<BalancerInstance> TermControl::randomPeer()
 {
     std::optional<BalancerInstance> chosen;
     std::uint64_t seen = 0;
-    for (const Member& member : link_.view()->members) {
+    for (const Member& member : transport_.view()->members) {
         if (member.id != self_.id && member.state != MemberState::Dead && random_() % ++seen == 0)
             chosen = BalancerInstance { member.id, member.incarnation };
     }
--- a/Source/Balancer/VmListFeed.cpp
+++ b/Source/Balancer/VmListFeed.cpp
@@ -10,10 +10,10 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto callDeadline = 2000ms;
-    // Spread over half to all of these.
+    constexpr auto callTimeout = 2000ms;
+    // Backoff spreads each pause over half to all of its length.
     constexpr auto searchingPause = 1000ms;
-    constexpr auto longestSearchingPause = 8000ms;
+    constexpr auto maxSearchingPause = 8000ms;
     constexpr auto settledPause = 120'000ms;
 
     bool hasOthers(const MembersView& view)
@@ -26,8 +26,8 @@
 
 VmListFeed::VmListFeed(PlatformClient& platform, const std::vector<Endpoint>& seeds, std::uint64_t seed)
     : platform_(platform)
-    , searching_(searchingPause, longestSearchingPause, seed)
-    , settled_(settledPause, settledPause, seed)
+    , searchingBackoff_(searchingPause, maxSearchingPause, seed)
+    , settledBackoff_(settledPause, settledPause, seed)
 {
     for (const Endpoint address : seeds)
         seeds_.push_back({ .peerAddress = address });
@@ -42,16 +42,16 @@
 void VmListFeed::poll(const MembersView& view, TimePoint now)
 {
     const bool knowsOthers = hasOthers(view) && !view.isolated;
-    // Whoever has just lost everybody looks for them at once.
+    // A balancer that has just lost contact with all others reads the list immediately.
     if (std::exchange(knowsOthers_, knowsOthers) && !knowsOthers) {
-        searching_.reset();
+        searchingBackoff_.reset();
         nextCall_ = now;
     }
     if (isWaiting_ || now < nextCall_)
         return;
     isWaiting_ = true;
     const std::weak_ptr<int> alive = alive_;
-    platform_.listVms(now + callDeadline, [this, alive](const Result<std::vector<Vm>>& vms) {
+    platform_.listVms(now + callTimeout, [this, alive](const Result<std::vector<Vm>>& vms) {
         if (!alive.expired())
             finish(vms);
     });
@@ -60,16 +60,16 @@
 void VmListFeed::finish(const Result<std::vector<Vm>>& vms)
 {
     isWaiting_ = false;
-    nextCall_ = Clock::now() + (knowsOthers_ ? settled_ : searching_).next();
-    std::vector<ListedVm> advice = seeds_;
+    nextCall_ = Clock::now() + (knowsOthers_ ? settledBackoff_ : searchingBackoff_).next();
+    std::vector<ListedVm> listed = seeds_;
     if (vms) {
         for (const Vm& vm : vms.value()) {
-            // A line that can't be read is left out; the list is advice anyway.
+            // Entries that can't be parsed are skipped.
             if (const auto address = Endpoint::parse(vm.peerAddress))
-                advice.push_back({ .peerAddress = address.value(), .isLeaving = vm.state == VmState::Leaving });
+                listed.push_back({ .peerAddress = address.value(), .isLeaving = vm.state == VmState::Leaving });
         }
     }
-    onList_(advice);
+    onList_(listed);
 }
 
 }
