--- a/Source/Net/Http1Client.cpp
+++ b/Source/Net/Http1Client.cpp
@@ -145,9 +145,9 @@
     // anew.
     void readOn()
     {
-        const TimePoint pieceDue = Clock::now() + shared_->limits.nextPieceWithin;
-        if (pieceDue > timer_.expiry())
-            awaitDeadline(pieceDue);
+        const TimePoint readDeadline = Clock::now() + shared_->limits.readTimeout;
+        if (readDeadline > timer_.expiry())
+            awaitDeadline(readDeadline);
         read();
     }
 
--- a/Source/Net/Http1Client.h
+++ b/Source/Net/Http1Client.h
@@ -22,7 +22,7 @@
     // Connections that wait for their next request; further ones are closed after their answer.
     std::size_t idleConnections = 2;
     // An answer that has begun may come after the deadline if each piece of it comes so soon after the one before.
-    std::chrono::milliseconds nextPieceWithin { 700 };
+    std::chrono::milliseconds readTimeout { 700 };
 };
 
 // Requests to one HTTP/1.1 server, each on a connection of its own that is kept for the next one. It has the interface
@@ -39,7 +39,7 @@
     Http1Client& operator=(const Http1Client&) = delete;
 
     // Sends a request. The callback runs exactly once, never inside this call. The answer must begin by the deadline
-    // and then keep coming (Http1Limits::nextPieceWithin). A connection whose answer is late is closed, because it may
+    // and then keep coming (Http1Limits::readTimeout). A connection whose answer is late is closed, because it may
     // have gone silent for good.
     void send(HttpRequest, TimePoint deadline, Callback);
 
--- a/Source/Net/Http1Server.cpp
+++ b/Source/Net/Http1Server.cpp
@@ -21,13 +21,13 @@
 namespace {
 
     // Checks come every half second; a connection without a request for this long belongs to nobody any more.
-    constexpr auto idleLimit = std::chrono::seconds(15);
+    constexpr auto idleTimeout = std::chrono::seconds(15);
     // Nothing that this server answers takes a body.
-    constexpr std::uint64_t bodyLimit = 4096;
-    constexpr std::uint32_t headerLimit = 8192;
+    constexpr std::uint64_t maxBodyBytes = 4096;
+    constexpr std::uint32_t maxHeaderBytes = 8192;
     // More connections than monitors and routers need; it bounds descriptors and memory.
-    constexpr std::size_t connectionLimit = 64;
-    constexpr auto acceptPause = std::chrono::milliseconds(100);
+    constexpr std::size_t maxConnections = 64;
+    constexpr auto acceptRetryDelay = std::chrono::milliseconds(100);
 
 }
 
@@ -50,9 +50,9 @@
     void read()
     {
         parser_.emplace();
-        parser_->header_limit(headerLimit);
-        parser_->body_limit(bodyLimit);
-        timer_.expires_after(idleLimit);
+        parser_->header_limit(maxHeaderBytes);
+        parser_->body_limit(maxBodyBytes);
+        timer_.expires_after(idleTimeout);
         timer_.async_wait([self = shared_from_this()](const ErrorValue& error) {
             if (!error)
                 self->close();
@@ -187,7 +187,7 @@
             return;
         if (error)
             return acceptLater(owner);
-        if (owner->connections.size() < connectionLimit) {
+        if (owner->connections.size() < maxConnections) {
             auto connection = std::make_shared<Connection>(owner, std::move(socket));
             owner->connections.insert(connection);
             connection->read();
@@ -200,7 +200,7 @@
 // processor.
 void Http1Server::acceptLater(const std::shared_ptr<Shared>& shared)
 {
-    shared->pause.expires_after(acceptPause);
+    shared->pause.expires_after(acceptRetryDelay);
     shared->pause.async_wait([weak = std::weak_ptr(shared)](const boost::system::error_code& error) {
         if (const auto owner = weak.lock(); owner && !error)
             accept(owner);
--- a/Source/Net/Http2Engine.cpp
+++ b/Source/Net/Http2Engine.cpp
@@ -10,8 +10,8 @@
 namespace {
 
     // One stream's window and the whole connection's: large enough that a body of 16 MB needs no waiting on a LAN.
-    constexpr std::uint32_t streamWindow = 1024 * 1024;
-    constexpr std::int32_t connectionWindow = 4 * 1024 * 1024;
+    constexpr std::uint32_t streamWindowBytes = 1024 * 1024;
+    constexpr std::int32_t connectionWindowBytes = 4 * 1024 * 1024;
 
     // nghttp2 ends a connection whose client resets more than 33 streams a second, as an answer to rapid-reset floods.
     // A balancer resets a stream for every caller that gives up and every hedged request that lost, so that bound would
@@ -21,7 +21,7 @@
 
     // Frames that may wait for a client to read. A client that reads nothing and sends only malformed requests would
     // otherwise pile up the resets that answer them.
-    constexpr std::size_t waitingFrames = 10'000;
+    constexpr std::size_t maxQueuedFrames = 10'000;
 
     std::string_view toView(const std::uint8_t* bytes, std::size_t size)
     {
@@ -239,14 +239,14 @@
     nghttp2_option_del(option);
 
     std::vector<nghttp2_settings_entry> settings {
-        { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindow },
+        { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindowBytes },
         { NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(limits.headerBytes) },
         { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, limits.concurrentStreams },
     };
     if (role == Role::Client)
         settings.push_back({ NGHTTP2_SETTINGS_ENABLE_PUSH, 0 });
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
-    nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, connectionWindow);
+    nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, connectionWindowBytes);
 }
 
 Http2Engine::~Http2Engine() { nghttp2_session_del(session_); }
@@ -255,7 +255,7 @@
 {
     const ssize_t taken = nghttp2_session_mem_recv(session_, bytes.data(), bytes.size());
     // A client's own queue holds the requests that wait their turn, so its length says nothing of the server.
-    const bool isFlooded = role_ == Role::Server && nghttp2_session_get_outbound_queue_size(session_) > waitingFrames;
+    const bool isFlooded = role_ == Role::Server && nghttp2_session_get_outbound_queue_size(session_) > maxQueuedFrames;
     if (taken >= 0 && !isFlooded)
         return boost::outcome_v2::success();
     events_.onProtocolError();
@@ -263,9 +263,9 @@
         isFlooded ? "the client does not read its answers" : nghttp2_strerror(static_cast<int>(taken)) };
 }
 
-Result<void> Http2Engine::collect(std::vector<std::uint8_t>& output, std::size_t atMost)
+Result<void> Http2Engine::collect(std::vector<std::uint8_t>& output, std::size_t maxBytes)
 {
-    while (output.size() < atMost) {
+    while (output.size() < maxBytes) {
         const std::uint8_t* bytes = nullptr;
         const ssize_t size = nghttp2_session_mem_send(session_, &bytes);
         if (size < 0)
--- a/Source/Net/Http2Engine.h
+++ b/Source/Net/Http2Engine.h
@@ -45,9 +45,9 @@
     // Reads bytes of the other side. Fails with InvalidArgument when the connection can't go on.
     Result<void> receive(std::span<const std::uint8_t> bytes);
 
-    // Appends output until there is none left or `output` has grown to `atMost` bytes or just over.
+    // Appends output until there is none left or `output` has grown to `maxBytes` bytes or just over.
     // Fails with ResourceExhausted when the connection can't go on.
-    Result<void> collect(std::vector<std::uint8_t>& output, std::size_t atMost);
+    Result<void> collect(std::vector<std::uint8_t>& output, std::size_t maxBytes);
 
     // False when nothing more is to be read and written: the connection is to be closed.
     bool wantsConnection() const;
--- a/Source/Net/Http2Listener.cpp
+++ b/Source/Net/Http2Listener.cpp
@@ -13,7 +13,7 @@
 
     // How long accepting rests after it failed, mostly for want of file descriptors. Trying again at once would take
     // the whole thread while the connections that could give descriptors back wait for it.
-    constexpr std::chrono::milliseconds acceptRest { 100 };
+    constexpr std::chrono::milliseconds acceptRetryDelay { 100 };
 
 }
 
@@ -77,7 +77,7 @@
 
 void Http2Listener::acceptLater()
 {
-    acceptTimer_.expires_after(acceptRest);
+    acceptTimer_.expires_after(acceptRetryDelay);
     acceptTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
         if (!error && self->acceptor_.is_open())
             self->accept();
--- a/Source/Net/Http2ServerSession.cpp
+++ b/Source/Net/Http2ServerSession.cpp
@@ -11,7 +11,7 @@
     constexpr std::size_t fieldOverhead = 32;
 
     // How long a client may leave the shutdown notice unanswered before it gets the final GOAWAY.
-    constexpr std::chrono::seconds noticeTime { 1 };
+    constexpr std::chrono::seconds shutdownNoticeTimeout { 1 };
 
     constexpr int contentTooLarge = 413;
     constexpr int headerFieldsTooLarge = 431;
@@ -54,7 +54,7 @@
         return;
     engine().submitShutdownNotice();
     schedulePump();
-    drainTimer_.expires_after(noticeTime);
+    drainTimer_.expires_after(shutdownNoticeTimeout);
     drainTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code& error) {
         const auto self = std::static_pointer_cast<Http2ServerSession>(weak.lock());
         if (!error && self)
--- a/Source/Net/Http2Session.cpp
+++ b/Source/Net/Http2Session.cpp
@@ -10,22 +10,22 @@
 
 namespace {
 
-    constexpr std::size_t readBytes = std::size_t(32) * 1024;
-    constexpr std::size_t writeBytes = std::size_t(64) * 1024;
+    constexpr std::size_t readBufferBytes = std::size_t(32) * 1024;
+    constexpr std::size_t maxWriteBytes = std::size_t(64) * 1024;
 
     // How long a connection that is done waits for the other side to close it.
-    constexpr std::chrono::seconds lingerTime { 1 };
+    constexpr std::chrono::seconds lingerTimeout { 1 };
 
     // How long sent bytes may stay unacknowledged, or unread by a process whose window is full. Without it a connection
     // to a dead VM would take every new request for a quarter of an hour, and each would only end at its deadline.
-    constexpr unsigned unacknowledgedMilliseconds = 5000;
+    constexpr unsigned userTimeoutMilliseconds = 5000;
 
     void prepare(boost::asio::ip::tcp::socket& socket)
     {
         boost::system::error_code ignored;
         socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-        ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledgedMilliseconds,
-            sizeof unacknowledgedMilliseconds);
+        ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &userTimeoutMilliseconds,
+            sizeof userTimeoutMilliseconds);
     }
 
 }
@@ -44,7 +44,7 @@
 {
     begun_ = true;
     prepare(socket_);
-    input_.resize(readBytes);
+    input_.resize(readBufferBytes);
     read();
     schedulePump();
 }
@@ -108,7 +108,7 @@
     if (writing_ || ended_ || lingering_)
         return;
     output_.clear();
-    const auto collected = engine_.collect(output_, writeBytes);
+    const auto collected = engine_.collect(output_, maxWriteBytes);
     // The write begins before anybody hears of it: whoever is told that a request left may rely on it.
     if (!output_.empty())
         write();
@@ -150,7 +150,7 @@
 {
     if (!lingering_) {
         lingerReason_ = reason;
-        lingerTimer_.expires_after(lingerTime);
+        lingerTimer_.expires_after(lingerTimeout);
         lingerTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
             if (!error)
                 self->abort(self->lingerReason_);
--- a/Source/Net/UdpSocket.cpp
+++ b/Source/Net/UdpSocket.cpp
@@ -12,12 +12,12 @@
 
 class UdpSocket::Implementation : public std::enable_shared_from_this<Implementation> {
 public:
-    Implementation(boost::asio::io_context& context, Handler handler, std::size_t datagramBytes)
+    Implementation(boost::asio::io_context& context, Handler handler, std::size_t maxDatagramBytes)
         : socket_(context)
         , handler_(std::move(handler))
-        , datagramBytes_(datagramBytes)
+        , maxDatagramBytes_(maxDatagramBytes)
         // One byte more than may come, so that a datagram that is too long shows as such rather than cut.
-        , buffer_(datagramBytes + 1)
+        , buffer_(maxDatagramBytes + 1)
     {
     }
 
@@ -36,7 +36,7 @@
 
     boost::asio::ip::udp::socket socket_;
     Handler handler_;
-    std::size_t datagramBytes_;
+    std::size_t maxDatagramBytes_;
     std::vector<std::uint8_t> buffer_;
     boost::asio::ip::udp::endpoint sender_;
 };
@@ -71,7 +71,7 @@
         return;
     if (!error)
         bytesReceived += size;
-    if (size > datagramBytes_)
+    if (size > maxDatagramBytes_)
         ++datagramsDropped;
     else if (!error)
         handler_(fromAsio(sender_), { buffer_.data(), size });
@@ -82,9 +82,9 @@
 void UdpSocket::Implementation::send(const Endpoint& receiver, std::span<const std::uint8_t> bytes)
 {
     boost::system::error_code error;
-    if (bytes.size() <= datagramBytes_)
+    if (bytes.size() <= maxDatagramBytes_)
         socket_.send_to(boost::asio::buffer(bytes.data(), bytes.size()), toUdp(receiver), 0, error);
-    if (bytes.size() > datagramBytes_ || error)
+    if (bytes.size() > maxDatagramBytes_ || error)
         ++datagramsDropped;
     else
         bytesSent += bytes.size();
@@ -97,9 +97,9 @@
 }
 
 Result<std::unique_ptr<UdpSocket>> UdpSocket::bind(
-    boost::asio::io_context& context, Endpoint endpoint, Handler handler, std::size_t datagramBytes)
+    boost::asio::io_context& context, Endpoint endpoint, Handler handler, std::size_t maxDatagramBytes)
 {
-    auto implementation = std::make_shared<Implementation>(context, std::move(handler), datagramBytes);
+    auto implementation = std::make_shared<Implementation>(context, std::move(handler), maxDatagramBytes);
     if (auto opened = implementation->open(endpoint); !opened)
         return opened.error();
     implementation->receive();
--- a/Source/Net/UdpSocket.h
+++ b/Source/Net/UdpSocket.h
@@ -21,12 +21,12 @@
     using Handler = std::function<void(const Endpoint& sender, std::span<const std::uint8_t> bytes)>;
 
     // The largest payload that fits an Ethernet frame whole.
-    static constexpr std::size_t defaultDatagramBytes = 1472;
+    static constexpr std::size_t defaultMaxDatagramBytes = 1472;
 
-    // Receives at once; a port of 0 takes an ephemeral one. Datagrams longer than `datagramBytes` are dropped and
+    // Receives at once; a port of 0 takes an ephemeral one. Datagrams longer than `maxDatagramBytes` are dropped and
     // counted in both directions. Fails with Unavailable when the address can't be bound.
     static Result<std::unique_ptr<UdpSocket>> bind(
-        boost::asio::io_context&, Endpoint, Handler, std::size_t datagramBytes = defaultDatagramBytes);
+        boost::asio::io_context&, Endpoint, Handler, std::size_t maxDatagramBytes = defaultMaxDatagramBytes);
     ~UdpSocket();
     UdpSocket(const UdpSocket&) = delete;
     UdpSocket& operator=(const UdpSocket&) = delete;
--- a/Tests/Net/Http1Test.cpp
+++ b/Tests/Net/Http1Test.cpp
@@ -106,9 +106,9 @@
         std::string received(4096, ' ');
         const std::string begin = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nbeg";
         const std::string end = "end";
-        const auto answer = [&](std::chrono::milliseconds nextPieceWithin) {
+        const auto answer = [&](std::chrono::milliseconds readTimeout) {
             Http1Limits limits;
-            limits.nextPieceWithin = nextPieceWithin;
+            limits.readTimeout = readTimeout;
             Http1Client client(context, { 0x7F000001, acceptor.local_endpoint().port() }, limits);
             const TimePoint deadline = Clock::now() + 2s;
             acceptor.async_accept(peer, [&](const boost::system::error_code&) {
