--- a/Source/Net/Http1Client.cpp
+++ b/Source/Net/Http1Client.cpp
@@ -55,7 +55,7 @@
     void start(TimePoint deadline)
     {
         shared_->open.insert(this);
-        awaitDeadline(deadline);
+        startDeadlineTimer(deadline);
         if (!shared_->idle.empty()) {
             socket_ = std::move(shared_->idle.back());
             shared_->idle.pop_back();
@@ -66,14 +66,14 @@
             if (error)
                 self->fail(HttpFailureKind::NotSent, "connect: " + error.message());
             else
-                self->afterConnect();
+                self->onConnected();
         });
     }
 
     void fail(HttpFailureKind kind, std::string detail)
     {
         // Nothing was sent while the connection was still being opened.
-        if (kind == HttpFailureKind::DeadlineExceeded && !hasBegunToSend_)
+        if (kind == HttpFailureKind::DeadlineExceeded && !hasStartedSending_)
             kind = HttpFailureKind::NotSent;
         ErrorValue ignored;
         socket_.close(ignored);
@@ -89,7 +89,7 @@
     }
 
 private:
-    void awaitDeadline(TimePoint deadline)
+    void startDeadlineTimer(TimePoint deadline)
     {
         timer_.expires_at(deadline);
         timer_.async_wait([self = shared_from_this()](const ErrorValue& error) {
@@ -98,7 +98,7 @@
         });
     }
 
-    void afterConnect()
+    void onConnected()
     {
         if (!callback_)
             return;
@@ -109,7 +109,7 @@
 
     void write()
     {
-        hasBegunToSend_ = true;
+        hasStartedSending_ = true;
         http::async_write(socket_, request_, [self = shared_from_this()](const ErrorValue& error, std::size_t bytes) {
             self->shared_->bytes += bytes;
             if (error)
@@ -124,11 +124,11 @@
         http::async_read_some(
             socket_, buffer_, parser_, [self = shared_from_this()](const ErrorValue& error, std::size_t bytes) {
                 self->shared_->bytes += bytes;
-                self->afterRead(error);
+                self->onRead(error);
             });
     }
 
-    void afterRead(const ErrorValue& error)
+    void onRead(const ErrorValue& error)
     {
         if (!callback_)
             return;
@@ -138,16 +138,16 @@
         else if (parser_.is_done())
             succeed();
         else
-            readOn();
+            continueReading();
     }
 
     // A large answer may take longer than the deadline on a thin link; to give it up while it comes would only send it
     // anew.
-    void readOn()
+    void continueReading()
     {
         const TimePoint readDeadline = Clock::now() + shared_->limits.readTimeout;
         if (readDeadline > timer_.expiry())
-            awaitDeadline(readDeadline);
+            startDeadlineTimer(readDeadline);
         read();
     }
 
@@ -183,7 +183,7 @@
     http::response_parser<http::string_body> parser_;
     boost::beast::flat_buffer buffer_;
     Callback callback_;
-    bool hasBegunToSend_ = false;
+    bool hasStartedSending_ = false;
 };
 
 Http1Client::Http1Client(boost::asio::io_context& context, Endpoint server, Http1Limits limits)
@@ -200,15 +200,16 @@
 
 std::optional<Http1Client::Progress> Http1Client::progress() const
 {
-    std::optional<Progress> longest;
+    std::optional<Progress> mostRemaining;
     for (const Exchange* exchange : shared_->open) {
         const auto progress = exchange->progress();
-        const bool isLonger
-            = progress && (!longest || progress->total - progress->received > longest->total - longest->received);
-        if (isLonger)
-            longest = progress;
+        const bool hasMoreRemaining = progress
+            && (!mostRemaining
+                || progress->total - progress->received > mostRemaining->total - mostRemaining->received);
+        if (hasMoreRemaining)
+            mostRemaining = progress;
     }
-    return longest;
+    return mostRemaining;
 }
 
 void Http1Client::cancelAll()
--- a/Source/Net/Http1Server.cpp
+++ b/Source/Net/Http1Server.cpp
@@ -34,7 +34,7 @@
 struct Http1Server::Shared {
     tcp::acceptor acceptor;
     Handler handler;
-    boost::asio::steady_timer pause;
+    boost::asio::steady_timer acceptTimer;
     std::set<std::shared_ptr<Connection>> connections {};
 };
 
@@ -58,7 +58,7 @@
                 self->close();
         });
         http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](const ErrorValue& error, std::size_t) {
-            error ? self->close() : self->answer();
+            error ? self->close() : self->handleRequest();
         });
     }
 
@@ -100,7 +100,7 @@
         HttpRequest request_;
     };
 
-    void answer()
+    void handleRequest()
     {
         timer_.cancel();
         const auto owner = owner_.lock();
@@ -200,8 +200,8 @@
 // processor.
 void Http1Server::acceptLater(const std::shared_ptr<Shared>& shared)
 {
-    shared->pause.expires_after(acceptRetryDelay);
-    shared->pause.async_wait([weak = std::weak_ptr(shared)](const boost::system::error_code& error) {
+    shared->acceptTimer.expires_after(acceptRetryDelay);
+    shared->acceptTimer.async_wait([weak = std::weak_ptr(shared)](const boost::system::error_code& error) {
         if (const auto owner = weak.lock(); owner && !error)
             accept(owner);
     });
--- a/Source/Net/Http2Client.cpp
+++ b/Source/Net/Http2Client.cpp
@@ -50,7 +50,7 @@
     std::uint64_t bytesTransferred() const { return *bytes_; }
 
 private:
-    struct Ended {
+    struct CompletedRequest {
         Callback callback;
         HttpOutcome outcome;
     };
@@ -59,9 +59,9 @@
     void onSessionEnded(const Http2ClientSession&) override;
     void submit(const RequestPointer&, HttpRequest);
     void openSession();
-    void giveUp(const RequestPointer&, HttpFailureKind, const std::string& detail);
-    void scheduleDelivery();
-    void deliver();
+    void abortRequest(const RequestPointer&, HttpFailureKind, const std::string& detail);
+    void scheduleCallbacks();
+    void runCallbacks();
 
     boost::asio::io_context& context_;
     Endpoint server_;
@@ -69,10 +69,10 @@
     RequestId lastId_ = 0;
     std::shared_ptr<std::uint64_t> bytes_ = std::make_shared<std::uint64_t>(0);
     std::unordered_map<RequestId, RequestPointer> open_;
-    std::deque<Ended> ended_;
+    std::deque<CompletedRequest> completed_;
     // The last one takes new requests; those before it only finish what they carry.
     std::vector<std::shared_ptr<Http2ClientSession>> sessions_;
-    bool deliveryScheduled_ = false;
+    bool callbacksScheduled_ = false;
     bool stopped_ = false;
 };
 
@@ -88,7 +88,7 @@
             const auto client = self.lock();
             const auto expired = weak.lock();
             if (!error && client && expired)
-                client->giveUp(expired, HttpFailureKind::DeadlineExceeded, "the deadline passed");
+                client->abortRequest(expired, HttpFailureKind::DeadlineExceeded, "the deadline passed");
         });
     submit(request, std::move(message));
     return request->id;
@@ -104,7 +104,7 @@
     // HTTP/2 servers reject a request that names no host (RFC 9113, 8.3.1).
     if (message.authority.empty() && message.header("host").empty())
         message.authority = server_.toString();
-    if (sessions_.empty() || !sessions_.back()->canTakeRequest())
+    if (sessions_.empty() || !sessions_.back()->canSubmit())
         openSession();
     if (!sessions_.back()->submit(request, std::move(message)))
         onRequestEnded(request, HttpFailure { HttpFailureKind::NotSent, "the connection takes no new stream" });
@@ -120,16 +120,17 @@
 {
     const auto found = open_.find(id);
     if (found != open_.end())
-        giveUp(RequestPointer(found->second), HttpFailureKind::Cancelled, "the request was cancelled");
+        abortRequest(RequestPointer(found->second), HttpFailureKind::Cancelled, "the request was cancelled");
 }
 
-void Http2Client::Implementation::giveUp(const RequestPointer& request, HttpFailureKind kind, const std::string& detail)
+void Http2Client::Implementation::abortRequest(
+    const RequestPointer& request, HttpFailureKind kind, const std::string& detail)
 {
     // A timer that ran out while the answer arrived finds the request ended.
     if (!open_.contains(request->id))
         return;
     if (const auto session = request->session.lock())
-        session->giveUp(request, kind, detail);
+        session->abortRequest(request, kind, detail);
 }
 
 void Http2Client::Implementation::stop()
@@ -137,10 +138,10 @@
     stopped_ = true;
     const auto requests = open_;
     for (const auto& [id, request] : requests)
-        giveUp(request, HttpFailureKind::Cancelled, "the client was destroyed");
+        abortRequest(request, HttpFailureKind::Cancelled, "the client was destroyed");
     for (const auto& session : std::vector(sessions_))
         session->abort("the client was destroyed");
-    deliver();
+    runCallbacks();
 }
 
 void Http2Client::Implementation::onRequestEnded(const RequestPointer& request, HttpOutcome outcome)
@@ -148,8 +149,8 @@
     if (open_.erase(request->id) == 0)
         return;
     request->deadline.cancel();
-    ended_.push_back({ std::move(request->callback), std::move(outcome) });
-    scheduleDelivery();
+    completed_.push_back({ std::move(request->callback), std::move(outcome) });
+    scheduleCallbacks();
 }
 
 void Http2Client::Implementation::onSessionEnded(const Http2ClientSession& session)
@@ -157,26 +158,26 @@
     std::erase_if(sessions_, [&](const auto& candidate) { return candidate.get() == &session; });
 }
 
-void Http2Client::Implementation::scheduleDelivery()
+void Http2Client::Implementation::scheduleCallbacks()
 {
-    if (std::exchange(deliveryScheduled_, true))
+    if (std::exchange(callbacksScheduled_, true))
         return;
-    boost::asio::post(context_, [self = shared_from_this()] { self->deliver(); });
+    boost::asio::post(context_, [self = shared_from_this()] { self->runCallbacks(); });
 }
 
 // Takes one at a time: when a callback destroys the client, the destructor runs those that are left.
-void Http2Client::Implementation::deliver()
+void Http2Client::Implementation::runCallbacks()
 {
-    deliveryScheduled_ = false;
+    callbacksScheduled_ = false;
     // What the callbacks themselves bring to an end waits for the next round, so that a caller who retries at once
     // can't hold the thread.
-    for (std::size_t left = ended_.size(); left > 0 && !ended_.empty(); --left) {
-        Ended ended = std::move(ended_.front());
-        ended_.pop_front();
-        ended.callback(std::move(ended.outcome));
+    for (std::size_t left = completed_.size(); left > 0 && !completed_.empty(); --left) {
+        CompletedRequest completed = std::move(completed_.front());
+        completed_.pop_front();
+        completed.callback(std::move(completed.outcome));
     }
-    if (!ended_.empty())
-        scheduleDelivery();
+    if (!completed_.empty())
+        scheduleCallbacks();
 }
 
 Http2Client::Http2Client(boost::asio::io_context& context, Endpoint server, Http2Limits limits)
--- a/Source/Net/Http2ClientRequest.h
+++ b/Source/Net/Http2ClientRequest.h
@@ -24,8 +24,8 @@
 
     std::weak_ptr<Http2ClientSession> session;
     Http2Events::StreamId stream = 0;
-    bool hasLeft = false; // The first byte of its HEADERS frame may have been handed to the socket.
-    bool answerBegan = false;
+    bool hasStartedSending = false; // The first byte of its HEADERS frame may have been handed to the socket.
+    bool responseStarted = false;
     bool hasFinalStatus = false; // Informational answers (1xx) precede the final one.
     std::size_t headerBytes = 0;
     HttpResponse response;
--- a/Source/Net/Http2ClientSession.cpp
+++ b/Source/Net/Http2ClientSession.cpp
@@ -22,11 +22,11 @@
     }
 
     // How a stream ended that broke before its answer was whole.
-    HttpFailureKind kindOfBreak(const Http2ClientRequest& request)
+    HttpFailureKind failureKindOf(const Http2ClientRequest& request)
     {
-        if (!request.hasLeft)
+        if (!request.hasStartedSending)
             return HttpFailureKind::NotSent;
-        return request.answerBegan ? HttpFailureKind::Incomplete : HttpFailureKind::Lost;
+        return request.responseStarted ? HttpFailureKind::Incomplete : HttpFailureKind::Lost;
     }
 
 }
@@ -62,7 +62,7 @@
         begin();
 }
 
-bool Http2ClientSession::canTakeRequest() const { return canWrite() && !goingAway_ && engine().mayOpenStream(); }
+bool Http2ClientSession::canSubmit() const { return canWrite() && !goingAway_ && engine().canOpenStream(); }
 
 bool Http2ClientSession::submit(const RequestPointer& request, HttpRequest message)
 {
@@ -72,22 +72,22 @@
     }
     request->session = std::static_pointer_cast<Http2ClientSession>(shared_from_this());
     streams_.emplace(request->stream, request);
-    schedulePump();
+    scheduleFlush();
     return true;
 }
 
-void Http2ClientSession::giveUp(const RequestPointer& request, HttpFailureKind kind, const std::string& detail)
+void Http2ClientSession::abortRequest(const RequestPointer& request, HttpFailureKind kind, const std::string& detail)
 {
     const StreamId stream = request->stream;
-    fail(stream, request->hasLeft ? kind : HttpFailureKind::NotSent, detail);
+    fail(stream, request->hasStartedSending ? kind : HttpFailureKind::NotSent, detail);
     engine().reset(stream, Http2Engine::ResetReason::Cancelled);
-    schedulePump();
+    scheduleFlush();
 }
 
 void Http2ClientSession::onHeadersBegun(StreamId stream)
 {
     if (Http2ClientRequest* request = find(stream))
-        request->answerBegan = true;
+        request->responseStarted = true;
 }
 
 void Http2ClientSession::onHeader(StreamId stream, std::string_view name, std::string_view value)
@@ -131,16 +131,16 @@
     const RequestPointer request = take(stream);
     if (!request)
         return;
-    if (engine().isSendingOpen(stream))
+    if (engine().isLocalSideOpen(stream))
         engine().reset(stream, Http2Engine::ResetReason::Cancelled);
     if (const auto owner = owner_.lock())
         owner->onRequestEnded(request, std::move(request->response));
 }
 
-void Http2ClientSession::onHeadersLeaving(StreamId stream)
+void Http2ClientSession::onHeadersSending(StreamId stream)
 {
     if (Http2ClientRequest* request = find(stream))
-        request->hasLeft = true;
+        request->hasStartedSending = true;
 }
 
 void Http2ClientSession::onHeadersNotSent(StreamId stream, std::string_view reason)
@@ -155,8 +155,8 @@
         return;
     // nghttp2 closes a stream with REFUSED_STREAM when the server reset it so, and when the server's GOAWAY names a
     // lower stream as its last.
-    const bool isRefused = Http2Engine::isRefusal(errorCode) && request->hasLeft && !request->answerBegan;
-    fail(stream, isRefused ? HttpFailureKind::Refused : kindOfBreak(*request),
+    const bool isRefused = Http2Engine::isRefusal(errorCode) && request->hasStartedSending && !request->responseStarted;
+    fail(stream, isRefused ? HttpFailureKind::Refused : failureKindOf(*request),
         fmt::format("the stream was closed with {}", Http2Engine::describe(errorCode)));
 }
 
@@ -168,7 +168,7 @@
     const auto owner = owner_.lock();
     for (const auto& [stream, request] : std::exchange(streams_, {})) {
         if (owner)
-            owner->onRequestEnded(request, HttpFailure { kindOfBreak(*request), reason });
+            owner->onRequestEnded(request, HttpFailure { failureKindOf(*request), reason });
     }
     if (owner)
         owner->onSessionEnded(*this);
--- a/Source/Net/Http2ClientSession.h
+++ b/Source/Net/Http2ClientSession.h
@@ -29,12 +29,12 @@
     void connect(const Endpoint& server);
 
     // Whether a new request may go this way; if not, the client opens another connection.
-    bool canTakeRequest() const;
+    bool canSubmit() const;
     // Queues the request; false when it has to go another way.
     bool submit(const RequestPointer&, HttpRequest);
 
     // Ends a request as told, or with NotSent when nothing of it has left, and resets its stream.
-    void giveUp(const RequestPointer&, HttpFailureKind, const std::string& detail);
+    void abortRequest(const RequestPointer&, HttpFailureKind, const std::string& detail);
 
 private:
     void onHeadersBegun(StreamId) override;
@@ -42,11 +42,11 @@
     void onHeadersEnded(StreamId) override;
     void onBody(StreamId, std::string_view bytes) override;
     void onMessageEnded(StreamId) override;
-    void onHeadersLeaving(StreamId) override;
+    void onHeadersSending(StreamId) override;
     void onHeadersNotSent(StreamId, std::string_view reason) override;
     void onStreamClosed(StreamId, std::uint32_t errorCode) override;
     void onGoAwayReceived() override;
-    void onPingAnswered() override { }
+    void onPingAcknowledged() override { }
     void onProtocolError() override { }
     void onEnded(const std::string& reason) override;
 
--- a/Source/Net/Http2Engine.cpp
+++ b/Source/Net/Http2Engine.cpp
@@ -71,7 +71,7 @@
     }
 
     // The codes that nghttp2 answers malformed input with; the others are ours.
-    bool blamesOtherSide(std::uint32_t errorCode)
+    bool isPeerError(std::uint32_t errorCode)
     {
         switch (errorCode) {
         case NGHTTP2_PROTOCOL_ERROR:
@@ -142,22 +142,22 @@
         if (frame->hd.type == NGHTTP2_GOAWAY)
             events(engine).onGoAwayReceived();
         if (frame->hd.type == NGHTTP2_PING && (frame->hd.flags & NGHTTP2_FLAG_ACK) != 0)
-            events(engine).onPingAnswered();
+            events(engine).onPingAcknowledged();
         return 0;
     }
 
     static int beforeFrameSend(Session*, const nghttp2_frame* frame, void* engine)
     {
         if (frame->hd.type == NGHTTP2_HEADERS)
-            events(engine).onHeadersLeaving(frame->hd.stream_id);
+            events(engine).onHeadersSending(frame->hd.stream_id);
         return 0;
     }
 
     static int onFrameSent(Session* session, const nghttp2_frame* frame, void* engine)
     {
-        const bool blames = (frame->hd.type == NGHTTP2_GOAWAY && blamesOtherSide(frame->goaway.error_code))
-            || (frame->hd.type == NGHTTP2_RST_STREAM && blamesOtherSide(frame->rst_stream.error_code));
-        if (blames)
+        const bool reportsPeerError = (frame->hd.type == NGHTTP2_GOAWAY && isPeerError(frame->goaway.error_code))
+            || (frame->hd.type == NGHTTP2_RST_STREAM && isPeerError(frame->rst_stream.error_code));
+        if (reportsPeerError)
             events(engine).onProtocolError();
         // An answer that is whole before its request is: the rest of the request has no reader (RFC 9113, 8.1).
         const std::int32_t stream = frame->hd.stream_id;
@@ -199,7 +199,7 @@
         return static_cast<ssize_t>(taken);
     }
 
-    static nghttp2_session_callbacks* table()
+    static nghttp2_session_callbacks* createTable()
     {
         nghttp2_session_callbacks* callbacks = nullptr;
         nghttp2_session_callbacks_new(&callbacks);
@@ -215,7 +215,7 @@
         return callbacks;
     }
 
-    static nghttp2_data_provider bodyOf(Http2Engine& engine)
+    static nghttp2_data_provider bodyProvider(Http2Engine& engine)
     {
         nghttp2_data_provider provider {};
         provider.source.ptr = &engine;
@@ -232,7 +232,7 @@
     nghttp2_option_new(&option);
     nghttp2_option_set_no_closed_streams(option, 1);
     nghttp2_option_set_stream_reset_rate_limit(option, resetBurst, resetsPerSecond);
-    nghttp2_session_callbacks* callbacks = Http2EngineCallbacks::table();
+    nghttp2_session_callbacks* callbacks = Http2EngineCallbacks::createTable();
     const auto create = role == Role::Client ? nghttp2_session_client_new2 : nghttp2_session_server_new2;
     create(&session_, callbacks, this, option);
     nghttp2_session_callbacks_del(callbacks);
@@ -255,15 +255,16 @@
 {
     const ssize_t taken = nghttp2_session_mem_recv(session_, bytes.data(), bytes.size());
     // A client's own queue holds the requests that wait their turn, so its length says nothing of the server.
-    const bool isFlooded = role_ == Role::Server && nghttp2_session_get_outbound_queue_size(session_) > maxQueuedFrames;
-    if (taken >= 0 && !isFlooded)
+    const bool isQueueFull
+        = role_ == Role::Server && nghttp2_session_get_outbound_queue_size(session_) > maxQueuedFrames;
+    if (taken >= 0 && !isQueueFull)
         return boost::outcome_v2::success();
     events_.onProtocolError();
     return Error { ErrorCode::InvalidArgument,
-        isFlooded ? "the client does not read its answers" : nghttp2_strerror(static_cast<int>(taken)) };
+        isQueueFull ? "the client does not read its answers" : nghttp2_strerror(static_cast<int>(taken)) };
 }
 
-Result<void> Http2Engine::collect(std::vector<std::uint8_t>& output, std::size_t maxBytes)
+Result<void> Http2Engine::produceOutput(std::vector<std::uint8_t>& output, std::size_t maxBytes)
 {
     while (output.size() < maxBytes) {
         const std::uint8_t* bytes = nullptr;
@@ -285,7 +286,7 @@
 bool Http2Engine::submitRequest(HttpRequest request, StreamId& stream)
 {
     const std::vector<nghttp2_nv> fields = fieldsOf(request);
-    const nghttp2_data_provider provider = Http2EngineCallbacks::bodyOf(*this);
+    const nghttp2_data_provider provider = Http2EngineCallbacks::bodyProvider(*this);
     const bool hasBody = !request.body.empty();
     stream = nghttp2_submit_request(
         session_, nullptr, fields.data(), fields.size(), hasBody ? &provider : nullptr, nullptr);
@@ -301,7 +302,7 @@
     const std::string status = fmt::format("{}", response.status);
     std::vector<nghttp2_nv> fields { field(":status", status) };
     appendHeaders(fields, response.headers);
-    const nghttp2_data_provider provider = Http2EngineCallbacks::bodyOf(*this);
+    const nghttp2_data_provider provider = Http2EngineCallbacks::bodyProvider(*this);
     const bool hasBody = !response.body.empty();
     if (nghttp2_submit_response(session_, stream, fields.data(), fields.size(), hasBody ? &provider : nullptr) != 0)
         return;
@@ -326,9 +327,9 @@
     nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE, last, NGHTTP2_NO_ERROR, nullptr, 0);
 }
 
-bool Http2Engine::mayOpenStream() const { return nghttp2_session_check_request_allowed(session_) != 0; }
+bool Http2Engine::canOpenStream() const { return nghttp2_session_check_request_allowed(session_) != 0; }
 
-bool Http2Engine::isSendingOpen(StreamId stream) const
+bool Http2Engine::isLocalSideOpen(StreamId stream) const
 {
     return nghttp2_session_get_stream_local_close(session_, stream) == 0;
 }
--- a/Source/Net/Http2Engine.h
+++ b/Source/Net/Http2Engine.h
@@ -47,7 +47,7 @@
 
     // Appends output until there is none left or `output` has grown to `maxBytes` bytes or just over.
     // Fails with ResourceExhausted when the connection can't go on.
-    Result<void> collect(std::vector<std::uint8_t>& output, std::size_t maxBytes);
+    Result<void> produceOutput(std::vector<std::uint8_t>& output, std::size_t maxBytes);
 
     // False when nothing more is to be read and written: the connection is to be closed.
     bool wantsConnection() const;
@@ -61,8 +61,8 @@
     // Names the last stream that is served; later ones are refused provably.
     void submitGoAway();
 
-    bool mayOpenStream() const;
-    bool isSendingOpen(StreamId) const;
+    bool canOpenStream() const;
+    bool isLocalSideOpen(StreamId) const;
 
     static bool isRefusal(std::uint32_t errorCode);
     static std::string describe(std::uint32_t errorCode);
--- a/Source/Net/Http2Events.h
+++ b/Source/Net/Http2Events.h
@@ -22,12 +22,12 @@
     virtual void onMessageEnded(StreamId) = 0;
 
     // The first byte of the stream's HEADERS frame is about to be handed to the socket.
-    virtual void onHeadersLeaving(StreamId) = 0;
+    virtual void onHeadersSending(StreamId) = 0;
     // The stream's HEADERS frame will never leave this process.
     virtual void onHeadersNotSent(StreamId, std::string_view reason) = 0;
     virtual void onStreamClosed(StreamId, std::uint32_t errorCode) = 0;
     virtual void onGoAwayReceived() = 0;
-    virtual void onPingAnswered() = 0;
+    virtual void onPingAcknowledged() = 0;
 
     // The other side broke the protocol: a frame, header or message was malformed.
     virtual void onProtocolError() = 0;
--- a/Source/Net/Http2Listener.cpp
+++ b/Source/Net/Http2Listener.cpp
@@ -60,11 +60,11 @@
         acceptLater();
         return;
     }
-    open(std::move(socket));
+    startSession(std::move(socket));
     accept();
 }
 
-void Http2Listener::open(boost::asio::ip::tcp::socket socket)
+void Http2Listener::startSession(boost::asio::ip::tcp::socket socket)
 {
     if (sessions_.size() >= limits_.connections) {
         ++protocolErrors_;
@@ -87,18 +87,18 @@
 void Http2Listener::drain(std::function<void()> onDrained)
 {
     onDrained_ = std::move(onDrained);
-    openQueued();
+    acceptPending();
     boost::system::error_code ignored;
     acceptor_.close(ignored);
     acceptTimer_.cancel();
     for (const auto& [key, session] : sessions_)
         session->drain();
-    tellIfDrained();
+    notifyIfDrained();
 }
 
 // Closing the acceptor resets the connections that the kernel has already set up for it. Their clients may have sent
 // requests, which would be lost without proof that nobody acted on them.
-void Http2Listener::openQueued()
+void Http2Listener::acceptPending()
 {
     boost::system::error_code error;
     acceptor_.non_blocking(true, error);
@@ -106,7 +106,7 @@
         boost::asio::ip::tcp::socket socket(context_);
         acceptor_.accept(socket, error);
         if (!error)
-            open(std::move(socket));
+            startSession(std::move(socket));
     }
 }
 
@@ -138,10 +138,10 @@
 void Http2Listener::onSessionEnded(const Http2ServerSession& session)
 {
     sessions_.erase(&session);
-    tellIfDrained();
+    notifyIfDrained();
 }
 
-void Http2Listener::tellIfDrained()
+void Http2Listener::notifyIfDrained()
 {
     if (!onDrained_ || !sessions_.empty())
         return;
--- a/Source/Net/Http2Listener.h
+++ b/Source/Net/Http2Listener.h
@@ -36,9 +36,9 @@
     void accept();
     void onAccepted(const boost::system::error_code&, boost::asio::ip::tcp::socket);
     void acceptLater();
-    void open(boost::asio::ip::tcp::socket);
-    void openQueued();
-    void tellIfDrained();
+    void startSession(boost::asio::ip::tcp::socket);
+    void acceptPending();
+    void notifyIfDrained();
 
     boost::asio::io_context& context_;
     Http2Server::Handler handler_;
--- a/Source/Net/Http2ServerExchange.cpp
+++ b/Source/Net/Http2ServerExchange.cpp
@@ -9,7 +9,7 @@
 namespace {
 
     // Whether HTTP has no body in such an answer, whatever the handler put there.
-    bool isBodiless(const HttpRequest& request, const HttpResponse& response)
+    bool mustOmitBody(const HttpRequest& request, const HttpResponse& response)
     {
         return request.method == "HEAD" || response.status == 204 || response.status == 304;
     }
@@ -26,23 +26,23 @@
 
 Http2ServerExchange::~Http2ServerExchange()
 {
-    if (const auto session = end())
+    if (const auto session = finish())
         session->reset(stream_, Http2Engine::ResetReason::InternalError);
 }
 
 void Http2ServerExchange::respond(HttpResponse response)
 {
-    const auto session = end();
+    const auto session = finish();
     if (!session)
         return;
-    if (isBodiless(request_, response))
+    if (mustOmitBody(request_, response))
         response.body.clear();
     session->respond(stream_, std::move(response));
 }
 
 void Http2ServerExchange::refuse()
 {
-    if (const auto session = end())
+    if (const auto session = finish())
         session->reset(stream_, Http2Engine::ResetReason::Refused);
 }
 
@@ -60,7 +60,7 @@
         callback();
 }
 
-std::shared_ptr<Http2ServerSession> Http2ServerExchange::end()
+std::shared_ptr<Http2ServerSession> Http2ServerExchange::finish()
 {
     if (std::exchange(ended_, true))
         return nullptr;
--- a/Source/Net/Http2ServerExchange.h
+++ b/Source/Net/Http2ServerExchange.h
@@ -29,7 +29,7 @@
 
 private:
     // The session, the first time that this exchange ends; null afterwards.
-    std::shared_ptr<Http2ServerSession> end();
+    std::shared_ptr<Http2ServerSession> finish();
 
     std::weak_ptr<Http2ServerSession> session_;
     Http2Events::StreamId stream_;
--- a/Source/Net/Http2ServerSession.cpp
+++ b/Source/Net/Http2ServerSession.cpp
@@ -16,7 +16,7 @@
     constexpr int contentTooLarge = 413;
     constexpr int headerFieldsTooLarge = 431;
 
-    void store(HttpRequest& request, std::string_view name, std::string_view value)
+    void setField(HttpRequest& request, std::string_view name, std::string_view value)
     {
         if (name == ":method")
             request.method = value;
@@ -28,7 +28,7 @@
             request.headers.push_back({ std::string(name), std::string(value) });
     }
 
-    std::uint64_t announcedLength(const HttpRequest& request)
+    std::uint64_t contentLength(const HttpRequest& request)
     {
         const std::string_view text = request.header("content-length");
         std::uint64_t length = 0;
@@ -53,7 +53,7 @@
     if (std::exchange(draining_, true))
         return;
     engine().submitShutdownNotice();
-    schedulePump();
+    scheduleFlush();
     drainTimer_.expires_after(shutdownNoticeTimeout);
     drainTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code& error) {
         const auto self = std::static_pointer_cast<Http2ServerSession>(weak.lock());
@@ -68,10 +68,10 @@
         return;
     drainTimer_.cancel();
     engine().submitGoAway();
-    schedulePump();
+    scheduleFlush();
 }
 
-void Http2ServerSession::onPingAnswered()
+void Http2ServerSession::onPingAcknowledged()
 {
     if (draining_)
         sendFinalGoAway();
@@ -91,9 +91,9 @@
     Stream* open = findOpen(stream);
     if (!open)
         return;
-    leaveHandler(*open);
+    markCompleted(*open);
     engine().submitResponse(stream, std::move(response));
-    schedulePump();
+    scheduleFlush();
 }
 
 void Http2ServerSession::reset(StreamId stream, Http2Engine::ResetReason reason)
@@ -101,9 +101,9 @@
     Stream* open = findOpen(stream);
     if (!open)
         return;
-    leaveHandler(*open);
+    markCompleted(*open);
     engine().reset(stream, reason);
-    schedulePump();
+    scheduleFlush();
 }
 
 void Http2ServerSession::onHeadersBegun(StreamId stream)
@@ -124,7 +124,7 @@
     if (open->headerBytes > limits().headerBytes)
         reject(stream, *open, headerFieldsTooLarge);
     else if (!open->headersEnded)
-        store(open->request, name, value);
+        setField(open->request, name, value);
 }
 
 void Http2ServerSession::onHeadersEnded(StreamId stream)
@@ -132,7 +132,7 @@
     Stream* open = findOpen(stream);
     if (!open || std::exchange(open->headersEnded, true))
         return;
-    if (announcedLength(open->request) > limits().bodyBytes)
+    if (contentLength(open->request) > limits().bodyBytes)
         reject(stream, *open, contentTooLarge);
 }
 
@@ -150,7 +150,7 @@
 void Http2ServerSession::onMessageEnded(StreamId stream)
 {
     if (findOpen(stream))
-        whole_.push_back(stream);
+        completeRequests_.push_back(stream);
 }
 
 void Http2ServerSession::onStreamClosed(StreamId stream, std::uint32_t)
@@ -158,8 +158,8 @@
     const auto found = streams_.find(stream);
     if (found == streams_.end())
         return;
-    if (found->second.isHanded) {
-        leaveHandler(found->second);
+    if (found->second.isDispatched) {
+        markCompleted(found->second);
         if (auto exchange = found->second.exchange.lock())
             cancelled_.push_back(std::move(exchange));
     }
@@ -174,8 +174,8 @@
 
 void Http2ServerSession::onEngineIdle()
 {
-    for (const StreamId stream : std::exchange(whole_, {}))
-        handOver(stream);
+    for (const StreamId stream : std::exchange(completeRequests_, {}))
+        dispatch(stream);
     for (const auto& exchange : std::exchange(cancelled_, {}))
         exchange->cancel();
 }
@@ -209,7 +209,7 @@
     engine().submitResponse(stream, std::move(response));
 }
 
-void Http2ServerSession::handOver(StreamId stream)
+void Http2ServerSession::dispatch(StreamId stream)
 {
     Stream* open = findOpen(stream);
     const auto owner = owner_.lock();
@@ -218,14 +218,14 @@
     const auto self = std::static_pointer_cast<Http2ServerSession>(shared_from_this());
     const auto exchange = std::make_shared<Http2ServerExchange>(self, stream, std::move(open->request));
     open->exchange = exchange;
-    open->isHanded = true;
+    open->isDispatched = true;
     ++openExchanges_;
     owner->onExchange(exchange);
 }
 
-void Http2ServerSession::leaveHandler(Stream& stream)
+void Http2ServerSession::markCompleted(Stream& stream)
 {
-    if (std::exchange(stream.isHanded, false))
+    if (std::exchange(stream.isDispatched, false))
         --openExchanges_;
 }
 
--- a/Source/Net/Http2ServerSession.h
+++ b/Source/Net/Http2ServerSession.h
@@ -44,7 +44,7 @@
         std::size_t headerBytes = 0;
         bool headersEnded = false;
         bool isRejected = false; // Answered by the session itself; what still arrives is dropped.
-        bool isHanded = false; // The handler has its exchange and has not answered yet.
+        bool isDispatched = false; // The handler has its exchange and has not answered yet.
         std::weak_ptr<Http2ServerExchange> exchange;
     };
 
@@ -53,26 +53,26 @@
     void onHeadersEnded(StreamId) override;
     void onBody(StreamId, std::string_view bytes) override;
     void onMessageEnded(StreamId) override;
-    void onHeadersLeaving(StreamId) override { }
+    void onHeadersSending(StreamId) override { }
     void onHeadersNotSent(StreamId, std::string_view) override { }
     void onStreamClosed(StreamId, std::uint32_t errorCode) override;
     void onGoAwayReceived() override { }
-    void onPingAnswered() override;
+    void onPingAcknowledged() override;
     void onProtocolError() override;
     void onEngineIdle() override;
     void onEnded(const std::string& reason) override;
 
     Stream* findOpen(StreamId);
     void reject(StreamId, Stream&, int status);
-    void handOver(StreamId);
-    void leaveHandler(Stream&);
+    void dispatch(StreamId);
+    void markCompleted(Stream&);
     void sendFinalGoAway();
 
     std::weak_ptr<Owner> owner_;
     boost::asio::steady_timer drainTimer_;
     std::unordered_map<StreamId, Stream> streams_;
     // What the engine told, to be acted on once it is idle.
-    std::vector<StreamId> whole_;
+    std::vector<StreamId> completeRequests_;
     std::vector<std::shared_ptr<Http2ServerExchange>> cancelled_;
     std::size_t openExchanges_ = 0;
     bool draining_ = false;
--- a/Source/Net/Http2Session.cpp
+++ b/Source/Net/Http2Session.cpp
@@ -20,7 +20,7 @@
     // to a dead VM would take every new request for a quarter of an hour, and each would only end at its deadline.
     constexpr unsigned userTimeoutMilliseconds = 5000;
 
-    void prepare(boost::asio::ip::tcp::socket& socket)
+    void configureSocket(boost::asio::ip::tcp::socket& socket)
     {
         boost::system::error_code ignored;
         socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
@@ -43,10 +43,10 @@
 void Http2Session::begin()
 {
     begun_ = true;
-    prepare(socket_);
+    configureSocket(socket_);
     input_.resize(readBufferBytes);
     read();
-    schedulePump();
+    scheduleFlush();
 }
 
 void Http2Session::abort(const std::string& reason)
@@ -76,12 +76,12 @@
         return;
     }
     *bytes_ += size;
-    feed({ input_.data(), size });
+    processInput({ input_.data(), size });
     if (!ended_)
         read();
 }
 
-void Http2Session::feed(std::span<const std::uint8_t> bytes)
+void Http2Session::processInput(std::span<const std::uint8_t> bytes)
 {
     const auto received = engine_.receive(bytes);
     onEngineIdle();
@@ -89,34 +89,34 @@
     if (!received)
         abort(received.error().detail);
     else
-        schedulePump();
+        scheduleFlush();
 }
 
-void Http2Session::schedulePump()
+void Http2Session::scheduleFlush()
 {
-    if (!begun_ || pumpScheduled_ || writing_ || ended_ || lingering_)
+    if (!begun_ || flushScheduled_ || writing_ || ended_ || lingering_)
         return;
-    pumpScheduled_ = true;
+    flushScheduled_ = true;
     boost::asio::post(socket_.get_executor(), [self = shared_from_this()] {
-        self->pumpScheduled_ = false;
-        self->pump();
+        self->flushScheduled_ = false;
+        self->flush();
     });
 }
 
-void Http2Session::pump()
+void Http2Session::flush()
 {
     if (writing_ || ended_ || lingering_)
         return;
     output_.clear();
-    const auto collected = engine_.collect(output_, maxWriteBytes);
+    const auto produced = engine_.produceOutput(output_, maxWriteBytes);
     // The write begins before anybody hears of it: whoever is told that a request left may rely on it.
     if (!output_.empty())
         write();
     onEngineIdle();
     if (ended_)
         return;
-    if (!collected)
-        linger(collected.error().detail);
+    if (!produced)
+        linger(produced.error().detail);
     else if (!writing_ && !engine_.wantsConnection())
         linger("the connection was shut down");
 }
@@ -141,7 +141,7 @@
     else if (lingering_)
         linger(lingerReason_);
     else
-        pump();
+        flush();
 }
 
 // Closing a socket that has unread input makes the kernel throw away output that the other side has not got yet, such
--- a/Source/Net/Http2Session.h
+++ b/Source/Net/Http2Session.h
@@ -32,7 +32,7 @@
     // Begins to read and write; call it once, when the socket is connected.
     void begin();
     // Writes what the engine holds, soon: what is queued until then leaves in one write.
-    void schedulePump();
+    void scheduleFlush();
 
     Http2Engine& engine() { return engine_; }
     const Http2Engine& engine() const { return engine_; }
@@ -49,8 +49,8 @@
 private:
     void read();
     void onRead(const boost::system::error_code&, std::size_t size);
-    void feed(std::span<const std::uint8_t> bytes);
-    void pump();
+    void processInput(std::span<const std::uint8_t> bytes);
+    void flush();
     void write();
     void onWritten(const boost::system::error_code&, std::size_t size);
     void linger(const std::string& reason);
@@ -64,7 +64,7 @@
     std::vector<std::uint8_t> output_;
     std::string lingerReason_;
     bool begun_ = false;
-    bool pumpScheduled_ = false;
+    bool flushScheduled_ = false;
     bool writing_ = false;
     bool lingering_ = false;
     bool ended_ = false;
--- a/Source/Net/MetricsEndpoint.cpp
+++ b/Source/Net/MetricsEndpoint.cpp
@@ -17,9 +17,9 @@
         exposer->RegisterCollectable(registry);
         endpoint.port = static_cast<std::uint16_t>(exposer->GetListeningPorts().at(0));
         return std::unique_ptr<MetricsEndpoint>(new MetricsEndpoint(endpoint, std::move(registry), std::move(exposer)));
-    } catch (const std::exception& problem) {
+    } catch (const std::exception& exception) {
         return Error { ErrorCode::Unavailable,
-            fmt::format("can't serve metrics on {}: {}", endpoint.toString(), problem.what()) };
+            fmt::format("can't serve metrics on {}: {}", endpoint.toString(), exception.what()) };
     }
 }
 
--- a/Source/Net/UdpSocket.cpp
+++ b/Source/Net/UdpSocket.cpp
@@ -43,11 +43,11 @@
 
 Result<void> UdpSocket::Implementation::open(const Endpoint& endpoint)
 {
-    const auto wanted = toUdp(endpoint);
+    const auto localAddress = toUdp(endpoint);
     boost::system::error_code error;
-    socket_.open(wanted.protocol(), error);
+    socket_.open(localAddress.protocol(), error);
     if (!error)
-        socket_.bind(wanted, error);
+        socket_.bind(localAddress, error);
     if (!error)
         socket_.non_blocking(true, error);
     if (!error)
