--- a/Tests/Net/Http1Test.cpp
+++ b/Tests/Net/Http1Test.cpp
@@ -19,7 +19,7 @@
 
     struct Http1Test : testing::Test {
         boost::asio::io_context context;
-        std::vector<std::shared_ptr<Http1Exchange>> held;
+        std::vector<std::shared_ptr<Http1Exchange>> pendingExchanges;
         std::unique_ptr<Http1Server> server = listen();
 
         std::unique_ptr<Http1Server> listen()
@@ -27,7 +27,7 @@
             auto result = Http1Server::listen(
                 context, { 0x7F000001, 0 }, [this](const std::shared_ptr<Http1Exchange>& exchange) {
                     if (exchange->request().path == "/held") {
-                        held.push_back(exchange);
+                        pendingExchanges.push_back(exchange);
                         return;
                     }
                     HttpResponse response;
@@ -39,14 +39,14 @@
         }
 
         // Runs until the callback has come.
-        HttpOutcome call(Http1Client& client, const std::string& path, Duration within = 10s)
+        HttpOutcome call(Http1Client& client, const std::string& path, Duration timeout = 10s)
         {
             std::optional<HttpOutcome> outcome;
             HttpRequest request;
             request.path = path;
             request.authority = "test";
             client.send(
-                std::move(request), Clock::now() + within, [&](const HttpOutcome& result) { outcome = result; });
+                std::move(request), Clock::now() + timeout, [&](const HttpOutcome& result) { outcome = result; });
             EXPECT_FALSE(outcome.has_value()) << "the callback ran inside the call";
             while (!outcome)
                 context.run_one();
@@ -73,10 +73,10 @@
         HttpRequest request;
         request.path = "/held";
         client.send(std::move(request), Clock::now() + 10s, [&](const HttpOutcome& result) { outcome = result; });
-        while (held.empty())
+        while (pendingExchanges.empty())
             context.run_one();
         EXPECT_TRUE(call(client, "/ready"));
-        held.front()->respond({ .status = 200, .headers = {}, .body = "late" });
+        pendingExchanges.front()->respond({ .status = 200, .headers = {}, .body = "late" });
         while (!outcome)
             context.run_one();
         EXPECT_EQ(outcome->value().body, "late");
@@ -102,32 +102,32 @@
         using boost::asio::ip::tcp;
         tcp::acceptor acceptor(context, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
         tcp::socket peer(context);
-        boost::asio::steady_timer rest(context);
+        boost::asio::steady_timer delayTimer(context);
         std::string received(4096, ' ');
-        const std::string begin = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nbeg";
-        const std::string end = "end";
-        const auto answer = [&](std::chrono::milliseconds readTimeout) {
+        const std::string firstPart = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nbeg";
+        const std::string lastPart = "end";
+        const auto callWithReadTimeout = [&](std::chrono::milliseconds readTimeout) {
             Http1Limits limits;
             limits.readTimeout = readTimeout;
             Http1Client client(context, { 0x7F000001, acceptor.local_endpoint().port() }, limits);
             const TimePoint deadline = Clock::now() + 2s;
             acceptor.async_accept(peer, [&](const boost::system::error_code&) {
                 peer.async_read_some(boost::asio::buffer(received), [&](const boost::system::error_code&, std::size_t) {
-                    boost::asio::write(peer, boost::asio::buffer(begin));
-                    rest.expires_at(deadline + 50ms);
-                    rest.async_wait([&](const boost::system::error_code&) {
+                    boost::asio::write(peer, boost::asio::buffer(firstPart));
+                    delayTimer.expires_at(deadline + 50ms);
+                    delayTimer.async_wait([&](const boost::system::error_code&) {
                         boost::system::error_code ignored;
-                        boost::asio::write(peer, boost::asio::buffer(end), ignored);
+                        boost::asio::write(peer, boost::asio::buffer(lastPart), ignored);
                     });
                 });
             });
             return call(client, "/", deadline - Clock::now());
         };
-        EXPECT_EQ(answer(30s).value().body, "begend");
+        EXPECT_EQ(callWithReadTimeout(30s).value().body, "begend");
         {
             SCOPED_TRACE("unless it stops coming");
             peer.close();
-            const HttpOutcome stalled = answer(1ms);
+            const HttpOutcome stalled = callWithReadTimeout(1ms);
             ASSERT_FALSE(stalled);
             EXPECT_EQ(stalled.error().kind, HttpFailureKind::DeadlineExceeded);
         }
@@ -135,8 +135,8 @@
 
     TEST_F(Http1Test, aServerThatIsNotThereMeansNothingWasSent)
     {
-        const Endpoint nobody = listen()->address();
-        Http1Client client(context, nobody);
+        const Endpoint closedAddress = listen()->address();
+        Http1Client client(context, closedAddress);
         const HttpOutcome outcome = call(client, "/ready");
         ASSERT_FALSE(outcome);
         EXPECT_EQ(outcome.error().kind, HttpFailureKind::NotSent);
@@ -150,12 +150,12 @@
             HttpRequest request;
             request.path = "/held";
             client.send(std::move(request), Clock::now() + 10s, [&](const HttpOutcome& result) { outcome = result; });
-            while (held.empty())
+            while (pendingExchanges.empty())
                 context.run_one();
         }
         ASSERT_TRUE(outcome.has_value());
         EXPECT_EQ(outcome->error().kind, HttpFailureKind::Cancelled);
-        held.clear();
+        pendingExchanges.clear();
         context.poll();
     }
 
--- a/Tests/Net/Http2ClientFailureTest.cpp
+++ b/Tests/Net/Http2ClientFailureTest.cpp
@@ -12,15 +12,15 @@
     class Http2ClientFailureTest : public Http2Fixture {
     protected:
         // Makes the client speak to a peer that the test leads by hand.
-        void speakToPeer(Http2Limits limits = {})
+        void connectToPeer(Http2Limits limits = {})
         {
-            client_ = std::make_unique<Http2Client>(context_, peer_.acceptOne(), limits);
+            client_ = std::make_unique<Http2Client>(context_, peer_.listen(), limits);
         }
 
         // Sends a request and lets the peer read it whole.
         std::shared_ptr<Call> sendToPeer()
         {
-            auto call = send(post("/", "work"));
+            auto call = send(makePost("/", "work"));
             runUntil([&] { return peer_.hasFrame(raw::Data); });
             peer_.write(raw::frame(raw::Settings, 0, 0, ""));
             return call;
@@ -29,7 +29,7 @@
         HttpFailureKind failureOf(const std::shared_ptr<Call>& call)
         {
             runUntilEnded({ call });
-            EXPECT_FALSE(call->hasAnswer());
+            EXPECT_FALSE(call->hasResponse());
             return call->failure();
         }
 
@@ -39,27 +39,27 @@
     // Symptom: the backend server's process is gone. Sequence: connect is refused. Cause: nobody listens on the port.
     TEST_F(Http2ClientFailureTest, nothingIsSentWhenNobodyListens)
     {
-        boost::asio::ip::tcp::acceptor deaf(context_);
-        deaf.open(boost::asio::ip::tcp::v4());
-        deaf.bind(toTcp(loopback));
-        client_ = std::make_unique<Http2Client>(context_, fromAsio(deaf.local_endpoint()));
-        EXPECT_EQ(failureOf(send(post("/", "work"))), HttpFailureKind::NotSent);
+        boost::asio::ip::tcp::acceptor closedPort(context_);
+        closedPort.open(boost::asio::ip::tcp::v4());
+        closedPort.bind(toTcp(loopback));
+        client_ = std::make_unique<Http2Client>(context_, fromAsio(closedPort.local_endpoint()));
+        EXPECT_EQ(failureOf(send(makePost("/", "work"))), HttpFailureKind::NotSent);
     }
 
     // Symptom: a VM takes no connections. Sequence: the kernel drops SYNs; connectTimeout passes.
     // Cause: the listener's queue is full, as on a process that hangs.
     TEST_F(Http2ClientFailureTest, nothingIsSentWhenConnectingTakesTooLong)
     {
-        boost::asio::ip::tcp::acceptor hanging(context_);
-        hanging.open(boost::asio::ip::tcp::v4());
-        hanging.bind(toTcp(loopback));
-        hanging.listen(0);
+        boost::asio::ip::tcp::acceptor fullListener(context_);
+        fullListener.open(boost::asio::ip::tcp::v4());
+        fullListener.bind(toTcp(loopback));
+        fullListener.listen(0);
         boost::asio::ip::tcp::socket filler(context_);
-        filler.connect(hanging.local_endpoint());
+        filler.connect(fullListener.local_endpoint());
         Http2Limits limits;
         limits.connectTimeout = std::chrono::milliseconds(50);
-        client_ = std::make_unique<Http2Client>(context_, fromAsio(hanging.local_endpoint()), limits);
-        EXPECT_EQ(failureOf(send(post("/", "work"))), HttpFailureKind::NotSent);
+        client_ = std::make_unique<Http2Client>(context_, fromAsio(fullListener.local_endpoint()), limits);
+        EXPECT_EQ(failureOf(send(makePost("/", "work"))), HttpFailureKind::NotSent);
     }
 
     // Symptom: a caller gives up early. Sequence: send, then cancel or deadline, before the loop turns.
@@ -67,12 +67,12 @@
     TEST_F(Http2ClientFailureTest, nothingIsSentWhenGivenUpBeforeTheConnectionStands)
     {
         listen();
-        const auto cancelled = send(post("/cancelled", "work"));
+        const auto cancelled = send(makePost("/cancelled", "work"));
         client_->cancel(cancelled->id);
         EXPECT_FALSE(cancelled->hasEnded()) << "no callback runs inside a call";
         EXPECT_EQ(failureOf(cancelled), HttpFailureKind::NotSent);
-        EXPECT_EQ(failureOf(send(post("/expired", "work"), Duration::zero())), HttpFailureKind::NotSent);
-        expectService();
+        EXPECT_EQ(failureOf(send(makePost("/expired", "work"), Duration::zero())), HttpFailureKind::NotSent);
+        expectServerResponds();
         EXPECT_EQ(exchanges_.size(), 1U) << "the server has seen neither request";
     }
 
@@ -83,25 +83,25 @@
         Http2Limits limits;
         limits.concurrentStreams = 1;
         listen(limits);
-        const auto first = send(post("/first", "work"));
+        const auto first = send(makePost("/first", "work"));
         runUntilExchanges(1);
-        const auto second = send(post("/second", "work"));
-        const auto third = send(post("/third", "work"));
+        const auto second = send(makePost("/second", "work"));
+        const auto third = send(makePost("/third", "work"));
         client_->cancel(second->id);
         EXPECT_EQ(failureOf(second), HttpFailureKind::NotSent);
-        exchanges_[0]->respond(answer("x"));
+        exchanges_[0]->respond(makeResponse("x"));
         runUntilExchanges(2);
         EXPECT_EQ(exchanges_[1]->request().path, "/third");
-        exchanges_[1]->respond(answer("x"));
+        exchanges_[1]->respond(makeResponse("x"));
         runUntilEnded({ first, third });
-        EXPECT_TRUE(first->hasAnswer() && third->hasAnswer());
+        EXPECT_TRUE(first->hasResponse() && third->hasResponse());
     }
 
     // Symptom: a slow backend server. Sequence: the deadline passes after sending. Cause: no answer in time.
     TEST_F(Http2ClientFailureTest, tellsTheServerWhenTheDeadlinePasses)
     {
         listen();
-        const auto call = send(post("/", "work"), std::chrono::milliseconds(200));
+        const auto call = send(makePost("/", "work"), std::chrono::milliseconds(200));
         runUntilExchanges(1);
         bool isCancelled = false;
         exchanges_[0]->onCancelled([&] { isCancelled = true; });
@@ -114,7 +114,7 @@
     TEST_F(Http2ClientFailureTest, tellsTheServerOfACancel)
     {
         listen();
-        const auto call = send(post("/", "work"));
+        const auto call = send(makePost("/", "work"));
         runUntilExchanges(1);
         int cancels = 0;
         exchanges_[0]->onCancelled([&] { ++cancels; });
@@ -123,7 +123,7 @@
         EXPECT_EQ(failureOf(call), HttpFailureKind::Cancelled);
         runUntil([&] { return cancels > 0; });
         client_.reset();
-        expectService();
+        expectServerResponds();
         EXPECT_EQ(cancels, 1) << "the connection's end is no second cancel";
     }
 
@@ -131,11 +131,11 @@
     TEST_F(Http2ClientFailureTest, tellsARefusalFromAHandlerThatGaveNoAnswer)
     {
         listen();
-        const auto refused = send(post("/", "work"));
+        const auto refused = send(makePost("/", "work"));
         runUntilExchanges(1);
         exchanges_[0]->refuse();
         EXPECT_EQ(failureOf(refused), HttpFailureKind::Refused);
-        const auto dropped = send(post("/", "work"));
+        const auto dropped = send(makePost("/", "work"));
         runUntilExchanges(2);
         exchanges_.clear();
         EXPECT_EQ(failureOf(dropped), HttpFailureKind::Lost);
@@ -145,11 +145,11 @@
     // closes. Cause: the server never looked at the second one, but may have acted on the first.
     TEST_F(Http2ClientFailureTest, aGoAwayRefusesOnlyLaterStreams)
     {
-        speakToPeer();
+        connectToPeer();
         const auto first = sendToPeer();
-        const auto second = send(post("/", "more work"));
-        runUntil([&] { return peer_.frames(raw::Data) == 2; });
-        peer_.write(raw::frame(raw::GoAway, 0, 0, raw::number(1) + raw::number(0)));
+        const auto second = send(makePost("/", "more work"));
+        runUntil([&] { return peer_.countFrames(raw::Data) == 2; });
+        peer_.write(raw::frame(raw::GoAway, 0, 0, raw::encodeUint32(1) + raw::encodeUint32(0)));
         EXPECT_EQ(failureOf(second), HttpFailureKind::Refused);
         EXPECT_FALSE(first->hasEnded());
         peer_.close();
@@ -161,7 +161,7 @@
     TEST_F(Http2ClientFailureTest, aConnectionLostAfterSendingIsLostAndTheNextRequestOpensANewOne)
     {
         listen();
-        const auto lost = send(post("/", "work"));
+        const auto lost = send(makePost("/", "work"));
         runUntilExchanges(1);
         bool isCancelled = false;
         exchanges_[0]->onCancelled([&] { isCancelled = true; });
@@ -170,13 +170,13 @@
         EXPECT_EQ(failureOf(lost), HttpFailureKind::Lost);
         EXPECT_FALSE(isCancelled) << "a destroyed server runs no callback";
 
-        const auto keep = [this](Exchange exchange) { exchanges_.push_back(std::move(exchange)); };
-        server_ = Http2Server::listen(context_, address, keep).value();
-        const auto next = send(post("/", "work"));
+        const auto keepExchange = [this](Exchange exchange) { exchanges_.push_back(std::move(exchange)); };
+        server_ = Http2Server::listen(context_, address, keepExchange).value();
+        const auto next = send(makePost("/", "work"));
         runUntilExchanges(2);
-        exchanges_[1]->respond(answer("back again"));
+        exchanges_[1]->respond(makeResponse("back again"));
         runUntilEnded({ next });
-        EXPECT_TRUE(next->hasAnswer());
+        EXPECT_TRUE(next->hasResponse());
     }
 
     // Symptom: half a picture. Sequence: the answer begins; then the connection closes, the stream is reset, or the
@@ -184,26 +184,26 @@
     TEST_F(Http2ClientFailureTest, anAnswerCutShortIsIncomplete)
     {
         const std::string headers
-            = raw::frame(raw::Headers, raw::endHeaders, 1, raw::okFields() + raw::field("content-length", "100"));
+            = raw::frame(raw::Headers, raw::endHeaders, 1, raw::responseFields() + raw::field("content-length", "100"));
         const std::string half = headers + raw::frame(raw::Data, 0, 1, "half");
-        const std::string refusedStream = raw::number(7);
+        const std::string refusedStream = raw::encodeUint32(7);
         {
             SCOPED_TRACE("by the end of the connection");
-            speakToPeer();
+            connectToPeer();
             const auto call = sendToPeer();
             peer_.write(half);
             peer_.close();
             EXPECT_EQ(failureOf(call), HttpFailureKind::Incomplete);
         }
-        for (const std::string& end : { raw::frame(raw::Reset, 0, 1, raw::number(2)),
+        for (const std::string& end : { raw::frame(raw::Reset, 0, 1, raw::encodeUint32(2)),
                  raw::frame(raw::Reset, 0, 1, refusedStream), raw::frame(raw::Data, raw::endStream, 1, "short"),
                  raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::field("x-trailer", "1")),
                  std::string("no frame at all, so the connection is given up"),
                  raw::frame(raw::Headers, raw::endHeaders, 1, raw::field("Upper-Case", "1")) }) {
             SCOPED_TRACE("by " + testing::PrintToString(end));
             RawPeer next(context_);
-            client_ = std::make_unique<Http2Client>(context_, next.acceptOne());
-            const auto call = send(post("/", "work"));
+            client_ = std::make_unique<Http2Client>(context_, next.listen());
+            const auto call = send(makePost("/", "work"));
             runUntil([&] { return next.hasFrame(raw::Data); });
             next.write(raw::frame(raw::Settings, 0, 0, ""));
             next.write(half);
@@ -219,11 +219,11 @@
         Http2Limits limits;
         limits.bodyBytes = 1000;
         limits.headerBytes = 1000;
-        Http2Client careful(context_, server_->address(), limits);
-        const auto longBody = sendBy(careful, post("/", "work"));
-        const auto longHeader = sendBy(careful, post("/", "work"));
+        Http2Client limitedClient(context_, server_->address(), limits);
+        const auto longBody = sendWith(limitedClient, makePost("/", "work"));
+        const auto longHeader = sendWith(limitedClient, makePost("/", "work"));
         runUntilExchanges(2);
-        exchanges_[0]->respond(answer(std::string(1001, 'x')));
+        exchanges_[0]->respond(makeResponse(std::string(1001, 'x')));
         HttpResponse response;
         response.headers = { { "x-long", std::string(1001, 'x') } };
         exchanges_[1]->respond(response);
@@ -238,9 +238,9 @@
         Http2Limits limits;
         limits.concurrentStreams = 1;
         listen(limits);
-        const auto sent = send(post("/", "work"));
+        const auto sent = send(makePost("/", "work"));
         runUntilExchanges(1);
-        const auto waiting = send(post("/", "work"));
+        const auto waiting = send(makePost("/", "work"));
         client_.reset();
         ASSERT_TRUE(sent->hasEnded() && waiting->hasEnded());
         EXPECT_EQ(sent->failure(), HttpFailureKind::Cancelled);
--- a/Tests/Net/Http2ExchangeTest.cpp
+++ b/Tests/Net/Http2ExchangeTest.cpp
@@ -8,7 +8,7 @@
     TEST_F(Http2ExchangeTest, carriesWholeMessagesBothWays)
     {
         listen();
-        HttpRequest request = post("/fit?size=m", "a picture");
+        HttpRequest request = makePost("/fit?size=m", "a picture");
         request.headers = { { "x-request-id", "7" }, { "x-two", "a" }, { "x-two", "b" } };
         const auto call = send(request);
         EXPECT_EQ(client_->openRequests(), 1U);
@@ -28,14 +28,14 @@
         response.headers = { { "x-backend", "3" } };
         response.body = "fitted";
         exchanges_[0]->respond(response);
-        exchanges_[0]->respond(answer("a second answer is ignored"));
+        exchanges_[0]->respond(makeResponse("a second answer is ignored"));
         runUntilEnded({ call });
         {
             SCOPED_TRACE("the caller sees the answer as it was given");
-            ASSERT_TRUE(call->hasAnswer());
-            EXPECT_EQ(call->answer().status, 201);
-            EXPECT_EQ(call->answer().header("x-backend"), "3");
-            EXPECT_EQ(call->answer().body, "fitted");
+            ASSERT_TRUE(call->hasResponse());
+            EXPECT_EQ(call->response().status, 201);
+            EXPECT_EQ(call->response().header("x-backend"), "3");
+            EXPECT_EQ(call->response().body, "fitted");
             EXPECT_EQ(server_->openExchanges(), 0U);
             EXPECT_EQ(client_->openRequests(), 0U);
             EXPECT_GT(client_->bytesTransferred(), 0U);
@@ -49,15 +49,15 @@
         listen();
         std::vector<std::shared_ptr<Call>> calls;
         for (std::size_t i = 0; i < count; ++i)
-            calls.push_back(send(post("/" + std::to_string(i), std::to_string(i))));
+            calls.push_back(send(makePost("/" + std::to_string(i), std::to_string(i))));
         runUntilExchanges(count);
         EXPECT_EQ(client_->openRequests(), count);
         for (auto exchange = exchanges_.rbegin(); exchange != exchanges_.rend(); ++exchange)
-            (*exchange)->respond(answer("answer " + (*exchange)->request().body));
+            (*exchange)->respond(makeResponse("answer " + (*exchange)->request().body));
         runUntilEnded(calls);
         for (std::size_t i = 0; i < count; ++i) {
-            ASSERT_TRUE(calls[i]->hasAnswer());
-            EXPECT_EQ(calls[i]->answer().body, "answer " + std::to_string(i));
+            ASSERT_TRUE(calls[i]->hasResponse());
+            EXPECT_EQ(calls[i]->response().body, "answer " + std::to_string(i));
         }
     }
 
@@ -67,13 +67,13 @@
         for (std::size_t i = 0; i < picture.size(); ++i)
             picture[i] = static_cast<char>(i * 31 + i / 4096);
         listen();
-        const auto call = send(post("/", picture));
+        const auto call = send(makePost("/", picture));
         runUntilExchanges(1);
         EXPECT_TRUE(exchanges_[0]->request().body == picture);
-        exchanges_[0]->respond(answer(exchanges_[0]->request().body));
+        exchanges_[0]->respond(makeResponse(exchanges_[0]->request().body));
         runUntilEnded({ call });
-        ASSERT_TRUE(call->hasAnswer());
-        EXPECT_TRUE(call->answer().body == picture);
+        ASSERT_TRUE(call->hasResponse());
+        EXPECT_TRUE(call->response().body == picture);
     }
 
     TEST_F(Http2ExchangeTest, leavesTheBodyOutWhereHttpHasNone)
@@ -84,32 +84,33 @@
         const auto call = send(head);
         runUntilExchanges(1);
         EXPECT_EQ(exchanges_[0]->request().authority, server_->address().toString());
-        HttpResponse response = answer("fitted");
+        HttpResponse response = makeResponse("fitted");
         response.headers = { { "content-length", "6" } };
         exchanges_[0]->respond(response);
         runUntilEnded({ call });
-        ASSERT_TRUE(call->hasAnswer());
-        EXPECT_EQ(call->answer().header("content-length"), "6");
-        EXPECT_TRUE(call->answer().body.empty());
+        ASSERT_TRUE(call->hasResponse());
+        EXPECT_EQ(call->response().header("content-length"), "6");
+        EXPECT_TRUE(call->response().body.empty());
     }
 
     TEST_F(Http2ExchangeTest, takesACallbackThatDestroysTheClient)
     {
         listen();
         std::vector<std::string> ends;
-        const auto sendAndNote = [&](const std::string& path, bool destroys) {
-            client_->send(post(path, "x"), Clock::now() + std::chrono::minutes(1), [&, path, destroys](auto outcome) {
-                ends.push_back(path + (outcome ? " answered" : " failed"));
-                if (destroys)
-                    client_.reset();
-            });
+        const auto sendAndRecord = [&](const std::string& path, bool destroys) {
+            client_->send(
+                makePost(path, "x"), Clock::now() + std::chrono::minutes(1), [&, path, destroys](auto outcome) {
+                    ends.push_back(path + (outcome ? " answered" : " failed"));
+                    if (destroys)
+                        client_.reset();
+                });
         };
-        sendAndNote("/first", true);
-        sendAndNote("/answered-too", false);
-        sendAndNote("/open", false);
+        sendAndRecord("/first", true);
+        sendAndRecord("/answered-too", false);
+        sendAndRecord("/open", false);
         runUntilExchanges(3);
-        exchanges_[0]->respond(answer("x"));
-        exchanges_[1]->respond(answer("x"));
+        exchanges_[0]->respond(makeResponse("x"));
+        exchanges_[1]->respond(makeResponse("x"));
         runUntil([&] { return !client_; });
         EXPECT_EQ(ends, (std::vector<std::string> { "/first answered", "/answered-too answered", "/open failed" }));
     }
@@ -117,12 +118,12 @@
     TEST_F(Http2ExchangeTest, takesACallbackThatDestroysTheServer)
     {
         listen();
-        const auto call = send(post("/", "x"));
+        const auto call = send(makePost("/", "x"));
         runUntilExchanges(1);
         exchanges_[0]->onCancelled([&] { server_.reset(); });
         client_->cancel(call->id);
         runUntil([&] { return !server_; });
-        exchanges_[0]->respond(answer("nobody is left to read this"));
+        exchanges_[0]->respond(makeResponse("nobody is left to read this"));
         runUntilEnded({ call });
         EXPECT_EQ(call->failure(), HttpFailureKind::Cancelled);
     }
--- a/Tests/Net/Http2Fixture.h
+++ b/Tests/Net/Http2Fixture.h
@@ -24,9 +24,9 @@
         Http2Client::RequestId id = 0;
 
         bool hasEnded() const { return outcome.has_value(); }
-        bool hasAnswer() const { return hasEnded() && outcome->has_value(); }
+        bool hasResponse() const { return hasEnded() && outcome->has_value(); }
         HttpFailureKind failure() const { return outcome->error().kind; }
-        const HttpResponse& answer() const { return outcome->value(); }
+        const HttpResponse& response() const { return outcome->value(); }
     };
 
     static constexpr Endpoint loopback { 0x7F000001, 0 };
@@ -41,21 +41,21 @@
         client_ = std::make_unique<Http2Client>(context_, server_->address());
     }
 
-    std::shared_ptr<Call> send(HttpRequest request, Duration patience = std::chrono::minutes(1))
+    std::shared_ptr<Call> send(HttpRequest request, Duration timeout = std::chrono::minutes(1))
     {
-        return sendBy(*client_, std::move(request), patience);
+        return sendWith(*client_, std::move(request), timeout);
     }
 
-    static std::shared_ptr<Call> sendBy(
-        Http2Client& sender, HttpRequest request, Duration patience = std::chrono::minutes(1))
+    static std::shared_ptr<Call> sendWith(
+        Http2Client& sender, HttpRequest request, Duration timeout = std::chrono::minutes(1))
     {
         auto call = std::make_shared<Call>();
-        call->id = sender.send(std::move(request), Clock::now() + patience,
+        call->id = sender.send(std::move(request), Clock::now() + timeout,
             [call](HttpOutcome outcome) { call->outcome = std::move(outcome); });
         return call;
     }
 
-    static HttpRequest post(std::string path, std::string body)
+    static HttpRequest makePost(std::string path, std::string body)
     {
         HttpRequest request;
         request.method = "POST";
@@ -65,7 +65,7 @@
         return request;
     }
 
-    static HttpResponse answer(std::string body)
+    static HttpResponse makeResponse(std::string body)
     {
         HttpResponse response;
         response.body = std::move(body);
@@ -87,16 +87,16 @@
     }
 
     // Shows that the server still serves: a new client's request is answered.
-    void expectService()
+    void expectServerResponds()
     {
         const std::size_t before = exchanges_.size();
         Http2Client other(context_, server_->address());
-        const auto call = sendBy(other, post("/still-there", "x"));
+        const auto call = sendWith(other, makePost("/still-there", "x"));
         runUntilExchanges(before + 1);
-        exchanges_.back()->respond(answer("yes"));
+        exchanges_.back()->respond(makeResponse("yes"));
         runUntilEnded({ call });
-        ASSERT_TRUE(call->hasAnswer());
-        EXPECT_EQ(call->answer().body, "yes");
+        ASSERT_TRUE(call->hasResponse());
+        EXPECT_EQ(call->response().body, "yes");
     }
 
     void runUntilEnded(const std::vector<std::shared_ptr<Call>>& calls)
--- a/Tests/Net/Http2ServerFailureTest.cpp
+++ b/Tests/Net/Http2ServerFailureTest.cpp
@@ -7,23 +7,23 @@
     class Http2ServerFailureTest : public Http2Fixture {
     protected:
         // Connects a peer that greets as a client should.
-        void greet(RawPeer& peer)
+        void connectPeer(RawPeer& peer)
         {
             peer.connect(server_->address());
             peer.write(std::string(raw::preface) + raw::frame(raw::Settings, 0, 0, ""));
         }
 
         // One kind of misuse: the server counts it once, answers it as expected and goes on serving.
-        void expectCounted(const std::string& bytes, bool endsConnection)
+        void expectProtocolError(const std::string& bytes, bool endsConnection)
         {
             const std::uint64_t before = server_->protocolErrors();
             RawPeer peer(context_);
-            greet(peer);
+            connectPeer(peer);
             peer.write(bytes);
             runUntil([&] { return endsConnection ? peer.isEnded() : peer.hasFrame(raw::Reset); });
             EXPECT_EQ(server_->protocolErrors(), before + 1);
             peer.close();
-            expectService();
+            expectServerResponds();
         }
     };
 
@@ -32,9 +32,9 @@
     TEST_F(Http2ServerFailureTest, drainsWithoutCuttingOpenStreams)
     {
         listen();
-        const auto open = send(post("/open", "work"));
+        const auto open = send(makePost("/open", "work"));
         runUntilExchanges(1);
-        const auto onItsWay = send(post("/on-its-way", "work"));
+        const auto inFlight = send(makePost("/on-its-way", "work"));
         bool isDrained = false;
         server_->drain([&] { isDrained = true; });
         runUntilExchanges(2);
@@ -42,14 +42,14 @@
         {
             SCOPED_TRACE("a new connection finds nobody");
             Http2Client other(context_, server_->address());
-            const auto refused = sendBy(other, post("/", "work"));
+            const auto refused = sendWith(other, makePost("/", "work"));
             runUntilEnded({ refused });
             EXPECT_EQ(refused->failure(), HttpFailureKind::NotSent);
         }
-        exchanges_[0]->respond(answer(std::string(std::size_t(1024) * 1024, 'x')));
-        exchanges_[1]->respond(answer("x"));
-        runUntilEnded({ open, onItsWay });
-        EXPECT_TRUE(open->hasAnswer() && onItsWay->hasAnswer());
+        exchanges_[0]->respond(makeResponse(std::string(std::size_t(1024) * 1024, 'x')));
+        exchanges_[1]->respond(makeResponse("x"));
+        runUntilEnded({ open, inFlight });
+        EXPECT_TRUE(open->hasResponse() && inFlight->hasResponse());
         runUntil([&] { return isDrained; });
     }
 
@@ -58,14 +58,14 @@
     TEST_F(Http2ServerFailureTest, servesConnectionsThatWaitToBeAccepted)
     {
         listen();
-        RawPeer early(context_);
-        greet(early);
-        early.write(raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::postFields()));
+        RawPeer queued(context_);
+        connectPeer(queued);
+        queued.write(raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::requestFields()));
         bool isDrained = false;
         server_->drain([&] { isDrained = true; });
         runUntilExchanges(1);
-        exchanges_[0]->respond(answer("x"));
-        runUntil([&] { return early.hasFrame(raw::Data) && isDrained; });
+        exchanges_[0]->respond(makeResponse("x"));
+        runUntil([&] { return queued.hasFrame(raw::Data) && isDrained; });
     }
 
     // Symptom: a drain that never ends. Sequence: GOAWAY and ping meet a client that does not answer.
@@ -74,7 +74,7 @@
     {
         listen();
         RawPeer silent(context_);
-        greet(silent);
+        connectPeer(silent);
         runUntil([&] { return silent.hasFrame(raw::Settings); });
         bool isDrained = false;
         server_->drain([&] { isDrained = true; });
@@ -96,7 +96,7 @@
             runUntil([&] { return peer.isEnded(); });
             EXPECT_EQ(server_->protocolErrors(), ++count);
         }
-        expectService();
+        expectServerResponds();
     }
 
     // Symptom: requests that a backend server would read otherwise than we do. Sequence: one malformed frame or
@@ -109,29 +109,29 @@
         };
         {
             SCOPED_TRACE("frame over 16 KB");
-            expectCounted(raw::frame(raw::Data, 0, 1, std::string(16385, 'x')), true);
+            expectProtocolError(raw::frame(raw::Data, 0, 1, std::string(16385, 'x')), true);
         }
         {
             SCOPED_TRACE("data on a stream that was never opened");
-            expectCounted(raw::frame(raw::Data, 0, 1, "x"), true);
+            expectProtocolError(raw::frame(raw::Data, 0, 1, "x"), true);
         }
         {
             SCOPED_TRACE("headers that don't decompress");
-            expectCounted(headers("\xFF\xFF\xFF\xFF\xFF\xFF\xFF\xFF"), true);
+            expectProtocolError(headers("\xFF\xFF\xFF\xFF\xFF\xFF\xFF\xFF"), true);
         }
         {
             SCOPED_TRACE("upper-case header name");
-            expectCounted(headers(raw::postFields() + raw::field("Bad-Name", "1"), raw::endStream), false);
+            expectProtocolError(headers(raw::requestFields() + raw::field("Bad-Name", "1"), raw::endStream), false);
         }
         {
             SCOPED_TRACE("body shorter than its content-length");
-            expectCounted(headers(raw::postFields() + raw::field("content-length", "9"))
+            expectProtocolError(headers(raw::requestFields() + raw::field("content-length", "9"))
                     + raw::frame(raw::Data, raw::endStream, 1, "short"),
                 false);
         }
         {
             SCOPED_TRACE("no method");
-            expectCounted(headers(raw::field("x", "1"), raw::endStream), false);
+            expectProtocolError(headers(raw::field("x", "1"), raw::endStream), false);
         }
         for (const Exchange& exchange : exchanges_)
             EXPECT_EQ(exchange->request().path, "/still-there") << "no malformed request reached the handler";
@@ -148,19 +148,19 @@
             const std::uint64_t before = server_->protocolErrors();
             const auto call = send(std::move(request));
             runUntilEnded({ call });
-            ASSERT_TRUE(call->hasAnswer()) << call->outcome->error().detail;
-            EXPECT_EQ(call->answer().status, status);
+            ASSERT_TRUE(call->hasResponse()) << call->outcome->error().detail;
+            EXPECT_EQ(call->response().status, status);
             EXPECT_EQ(server_->protocolErrors(), before + 1);
         };
-        expectStatus(post("/", std::string(std::size_t(8) * 1024 * 1024, 'x')), 413);
-        HttpRequest announced = post("/", std::string(100'001, 'x'));
+        expectStatus(makePost("/", std::string(std::size_t(8) * 1024 * 1024, 'x')), 413);
+        HttpRequest announced = makePost("/", std::string(100'001, 'x'));
         announced.headers = { { "content-length", "100001" } };
         expectStatus(announced, 413);
-        HttpRequest longHeader = post("/", "x");
+        HttpRequest longHeader = makePost("/", "x");
         longHeader.headers = { { "x-long", std::string(30'000, 'x') } };
         expectStatus(longHeader, 431);
         EXPECT_TRUE(exchanges_.empty());
-        expectService();
+        expectServerResponds();
     }
 
     // Symptom: the server's memory grows. Sequence: malformed requests whose resets are never read; the client's window
@@ -168,19 +168,19 @@
     TEST_F(Http2ServerFailureTest, endsAConnectionThatNeverReads)
     {
         listen();
-        RawPeer deaf(context_);
-        deaf.connect(server_->address(), RawPeer::Reading::Never);
-        deaf.write(std::string(raw::preface) + raw::frame(raw::Settings, 0, 0, ""));
+        RawPeer unreadPeer(context_);
+        unreadPeer.connect(server_->address(), RawPeer::Reading::Never);
+        unreadPeer.write(std::string(raw::preface) + raw::frame(raw::Settings, 0, 0, ""));
         std::uint32_t stream = 1;
         runUntil([&] {
             std::string burst;
             for (const std::uint32_t end = stream + 400; stream < end; stream += 2)
                 burst += raw::frame(raw::Headers, raw::endHeaders | raw::endStream, stream, raw::field("x", "1"));
-            return !deaf.write(burst);
+            return !unreadPeer.write(burst);
         });
         EXPECT_LT(stream / 2, 1'000'000U) << "requests until the server gave up";
         EXPECT_TRUE(exchanges_.empty());
-        expectService();
+        expectServerResponds();
     }
 
     // Symptom: no descriptors left. Sequence: more connections than the limit. Cause: a client that leaks them.
@@ -190,7 +190,7 @@
         limits.connections = 1;
         listen(limits);
         RawPeer first(context_);
-        greet(first);
+        connectPeer(first);
         runUntil([&] { return first.hasFrame(raw::Settings); });
         RawPeer second(context_);
         second.connect(server_->address());
@@ -205,15 +205,15 @@
     {
         listen();
         RawPeer peer(context_);
-        greet(peer);
-        peer.write(raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::postFields()));
+        connectPeer(peer);
+        peer.write(raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::requestFields()));
         runUntilExchanges(1);
         bool isCancelled = false;
         exchanges_[0]->onCancelled([&] { isCancelled = true; });
         peer.close();
         runUntil([&] { return isCancelled; });
-        exchanges_[0]->respond(answer("too late"));
-        expectService();
+        exchanges_[0]->respond(makeResponse("too late"));
+        expectServerResponds();
     }
 
     TEST_F(Http2ServerFailureTest, saysWhyItCantListen)
--- a/Tests/Net/MetricsEndpointTest.cpp
+++ b/Tests/Net/MetricsEndpointTest.cpp
@@ -21,10 +21,10 @@
         boost::asio::ip::tcp::socket socket(context);
         socket.connect(toTcp(server));
         boost::asio::write(socket, boost::asio::buffer(std::string("GET /metrics HTTP/1.0\r\n\r\n")));
-        std::string answer;
+        std::string response;
         boost::system::error_code end;
-        boost::asio::read(socket, boost::asio::dynamic_buffer(answer), end);
-        return answer;
+        boost::asio::read(socket, boost::asio::dynamic_buffer(response), end);
+        return response;
     }
 
     TEST(MetricsEndpointTest, servesTheRegistry)
--- a/Tests/Net/RawHttp2.cpp
+++ b/Tests/Net/RawHttp2.cpp
@@ -8,7 +8,7 @@
 
 namespace raw {
 
-    std::string number(std::uint32_t value)
+    std::string encodeUint32(std::uint32_t value)
     {
         return { static_cast<char>(value >> 24), static_cast<char>(value >> 16), static_cast<char>(value >> 8),
             static_cast<char>(value) };
@@ -16,10 +16,10 @@
 
     std::string frame(FrameType type, std::uint8_t flags, std::uint32_t stream, std::string_view payload)
     {
-        std::string bytes = number(static_cast<std::uint32_t>(payload.size())).substr(1);
+        std::string bytes = encodeUint32(static_cast<std::uint32_t>(payload.size())).substr(1);
         bytes += static_cast<char>(type);
         bytes += static_cast<char>(flags);
-        return bytes + number(stream) + std::string(payload);
+        return bytes + encodeUint32(stream) + std::string(payload);
     }
 
     std::string field(std::string_view name, std::string_view value)
@@ -31,13 +31,13 @@
         return bytes.append(value);
     }
 
-    std::string postFields()
+    std::string requestFields()
     {
         return "\x83\x86\x84\x01\x05"
                "tryon";
     }
 
-    std::string okFields() { return "\x88"; }
+    std::string responseFields() { return "\x88"; }
 
 }
 
@@ -47,7 +47,7 @@
 {
 }
 
-Endpoint RawPeer::acceptOne()
+Endpoint RawPeer::listen()
 {
     const auto address = toTcp({ 0x7F000001, 0 });
     acceptor_.open(address.protocol());
@@ -93,18 +93,18 @@
         });
 }
 
-std::size_t RawPeer::frames(raw::FrameType type) const
+std::size_t RawPeer::countFrames(raw::FrameType type) const
 {
-    constexpr std::size_t head = 9;
+    constexpr std::size_t frameHeaderBytes = 9;
     std::size_t count = 0;
-    std::size_t at = received_.starts_with(raw::preface) ? raw::preface.size() : 0;
-    while (at + head <= received_.size()) {
-        const auto byte = [&](std::size_t offset) { return static_cast<std::uint8_t>(received_[at + offset]); };
+    std::size_t position = received_.starts_with(raw::preface) ? raw::preface.size() : 0;
+    while (position + frameHeaderBytes <= received_.size()) {
+        const auto byte = [&](std::size_t offset) { return static_cast<std::uint8_t>(received_[position + offset]); };
         const std::size_t size = (std::size_t(byte(0)) << 16) | (std::size_t(byte(1)) << 8) | byte(2);
-        const bool isWhole = at + head + size <= received_.size();
+        const bool isWhole = position + frameHeaderBytes + size <= received_.size();
         if (isWhole && byte(3) == type)
             ++count;
-        at += head + size;
+        position += frameHeaderBytes + size;
     }
     return count;
 }
--- a/Tests/Net/RawHttp2.h
+++ b/Tests/Net/RawHttp2.h
@@ -29,13 +29,13 @@
     inline constexpr std::uint8_t endHeaders = 4;
     inline constexpr std::string_view preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-    std::string number(std::uint32_t);
+    std::string encodeUint32(std::uint32_t);
     std::string frame(FrameType, std::uint8_t flags, std::uint32_t stream, std::string_view payload);
     // A field that no table holds; names and values under 127 bytes.
     std::string field(std::string_view name, std::string_view value);
     // The pseudo-headers of "POST /" to "tryon", and of a 200 answer.
-    std::string postFields();
-    std::string okFields();
+    std::string requestFields();
+    std::string responseFields();
 
 }
 
@@ -45,7 +45,7 @@
     explicit RawPeer(boost::asio::io_context&);
 
     // Takes the first connection of a listener on an ephemeral port.
-    Endpoint acceptOne();
+    Endpoint listen();
     enum class Reading {
         Always,
         Never,
@@ -57,8 +57,8 @@
     void close();
 
     // How many such frames have been read whole.
-    std::size_t frames(raw::FrameType) const;
-    bool hasFrame(raw::FrameType type) const { return frames(type) > 0; }
+    std::size_t countFrames(raw::FrameType) const;
+    bool hasFrame(raw::FrameType type) const { return countFrames(type) > 0; }
     bool isEnded() const { return ended_; }
 
 private:
--- a/Tests/Net/UdpSocketTest.cpp
+++ b/Tests/Net/UdpSocketTest.cpp
@@ -14,11 +14,11 @@
 
         std::unique_ptr<UdpSocket> open()
         {
-            const auto note = [this](const Endpoint& sender, std::span<const std::uint8_t> bytes) {
+            const auto record = [this](const Endpoint& sender, std::span<const std::uint8_t> bytes) {
                 senders_.push_back(sender);
                 received_.emplace_back(bytes.begin(), bytes.end());
             };
-            return UdpSocket::bind(context_, loopback, note, 8).value();
+            return UdpSocket::bind(context_, loopback, record, 8).value();
         }
 
         static void send(UdpSocket& from, const Endpoint& to, const std::string& text)
@@ -68,11 +68,11 @@
 
     TEST_F(UdpSocketTest, takesAHandlerThatDestroysIt)
     {
-        std::unique_ptr<UdpSocket> victim;
-        victim = UdpSocket::bind(context_, loopback, [&](auto&&...) { victim.reset(); }).value();
+        std::unique_ptr<UdpSocket> selfDestroying;
+        selfDestroying = UdpSocket::bind(context_, loopback, [&](auto&&...) { selfDestroying.reset(); }).value();
         const auto sender = open();
-        send(*sender, victim->address(), "bye");
-        runUntil([&] { return !victim; });
+        send(*sender, selfDestroying->address(), "bye");
+        runUntil([&] { return !selfDestroying; });
     }
 
     TEST_F(UdpSocketTest, saysWhyItCantBind)
