--- a/Tests/Net/Http1Test.cpp
+++ b/Tests/Net/Http1Test.cpp
@@ -54,7 +54,7 @@
         }
     };
 
-    TEST_F(Http1Test, requestsAreAnsweredOnOneConnectionAfterTheOther)
+    TEST_F(Http1Test, SequentialRequests)
     {
         Http1Client client(context, server->address());
         for (int i = 0; i < 3; ++i) {
@@ -66,7 +66,7 @@
         EXPECT_EQ(call(client, "/other").value().status, 404);
     }
 
-    TEST_F(Http1Test, anAnswerMayComeLater)
+    TEST_F(Http1Test, DeferredResponse)
     {
         Http1Client client(context, server->address());
         std::optional<HttpOutcome> outcome;
@@ -85,7 +85,7 @@
     // Symptom: a balancer heard nothing more from the store, for good.
     // Sequence: its connection goes silent without a reset.
     // Cause: a read without a time limit.
-    TEST_F(Http1Test, aSilentConnectionIsGivenUpAndNotUsedAgain)
+    TEST_F(Http1Test, SilentConnectionTimesOutAndIsNotReused)
     {
         Http1Client client(context, server->address());
         const HttpOutcome silent = call(client, "/held", 50ms);
@@ -97,7 +97,7 @@
     // Symptom: a zone's watcher asked the store for the same news again and again.
     // Sequence: the answer holds a large configuration, and a thin link takes longer for it than the call may last.
     // Cause: the deadline also ended answers that were coming.
-    TEST_F(Http1Test, anAnswerThatIsComingMayEndAfterTheDeadline)
+    TEST_F(Http1Test, ResponseInProgressOutlivesDeadline)
     {
         using boost::asio::ip::tcp;
         tcp::acceptor acceptor(context, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
@@ -133,7 +133,7 @@
         }
     }
 
-    TEST_F(Http1Test, aServerThatIsNotThereMeansNothingWasSent)
+    TEST_F(Http1Test, ConnectionRefusedIsNotSent)
     {
         const Endpoint closedAddress = listen()->address();
         Http1Client client(context, closedAddress);
@@ -142,7 +142,7 @@
         EXPECT_EQ(outcome.error().kind, HttpFailureKind::NotSent);
     }
 
-    TEST_F(Http1Test, openRequestsEndWithTheClient)
+    TEST_F(Http1Test, DestructorCancelsOpenRequests)
     {
         std::optional<HttpOutcome> outcome;
         {
@@ -159,7 +159,7 @@
         context.poll();
     }
 
-    TEST_F(Http1Test, whatIsNoRequestClosesTheConnection)
+    TEST_F(Http1Test, MalformedRequestClosesConnection)
     {
         boost::asio::ip::tcp::socket socket(context);
         const Endpoint address = server->address();
@@ -175,7 +175,7 @@
     }
 
     // A server that sends the head of an answer and half of its body, and then nothing.
-    TEST_F(Http1Test, howMuchOfAnAnswerHasComeIsToldAndItCanBeGivenUp)
+    TEST_F(Http1Test, ProgressAndCancellationOfPartialResponse)
     {
         using boost::asio::ip::tcp;
         tcp::acceptor acceptor(context, { boost::asio::ip::address_v4::loopback(), 0 });
--- a/Tests/Net/Http2ClientFailureTest.cpp
+++ b/Tests/Net/Http2ClientFailureTest.cpp
@@ -37,7 +37,7 @@
     };
 
     // Symptom: the backend server's process is gone. Sequence: connect is refused. Cause: nobody listens on the port.
-    TEST_F(Http2ClientFailureTest, nothingIsSentWhenNobodyListens)
+    TEST_F(Http2ClientFailureTest, ConnectionRefusedIsNotSent)
     {
         boost::asio::ip::tcp::acceptor closedPort(context_);
         closedPort.open(boost::asio::ip::tcp::v4());
@@ -48,7 +48,7 @@
 
     // Symptom: a VM takes no connections. Sequence: the kernel drops SYNs; connectTimeout passes.
     // Cause: the listener's queue is full, as on a process that hangs.
-    TEST_F(Http2ClientFailureTest, nothingIsSentWhenConnectingTakesTooLong)
+    TEST_F(Http2ClientFailureTest, ConnectTimeoutIsNotSent)
     {
         boost::asio::ip::tcp::acceptor fullListener(context_);
         fullListener.open(boost::asio::ip::tcp::v4());
@@ -64,7 +64,7 @@
 
     // Symptom: a caller gives up early. Sequence: send, then cancel or deadline, before the loop turns.
     // Cause: the request still waits for the connection.
-    TEST_F(Http2ClientFailureTest, nothingIsSentWhenGivenUpBeforeTheConnectionStands)
+    TEST_F(Http2ClientFailureTest, CancelOrDeadlineBeforeConnectIsNotSent)
     {
         listen();
         const auto cancelled = send(makePost("/cancelled", "work"));
@@ -78,7 +78,7 @@
 
     // Symptom: a busy server. Sequence: the only stream is taken; a second request is cancelled, a third one waits on.
     // Cause: the server's SETTINGS allow one stream.
-    TEST_F(Http2ClientFailureTest, nothingIsSentWhileARequestWaitsItsTurn)
+    TEST_F(Http2ClientFailureTest, CancelOfQueuedRequestIsNotSent)
     {
         Http2Limits limits;
         limits.concurrentStreams = 1;
@@ -98,7 +98,7 @@
     }
 
     // Symptom: a slow backend server. Sequence: the deadline passes after sending. Cause: no answer in time.
-    TEST_F(Http2ClientFailureTest, tellsTheServerWhenTheDeadlinePasses)
+    TEST_F(Http2ClientFailureTest, DeadlineResetsStream)
     {
         listen();
         const auto call = send(makePost("/", "work"), std::chrono::milliseconds(200));
@@ -111,7 +111,7 @@
     }
 
     // Symptom: the caller went away. Sequence: cancel after sending. Cause: nobody waits for the answer.
-    TEST_F(Http2ClientFailureTest, tellsTheServerOfACancel)
+    TEST_F(Http2ClientFailureTest, CancelResetsStream)
     {
         listen();
         const auto call = send(makePost("/", "work"));
@@ -128,7 +128,7 @@
     }
 
     // Symptom: a drained backend server sends work back. Sequence: RST_STREAM. Cause: refuse(), or the handler's slip.
-    TEST_F(Http2ClientFailureTest, tellsARefusalFromAHandlerThatGaveNoAnswer)
+    TEST_F(Http2ClientFailureTest, DistinguishesRefusedFromDroppedExchange)
     {
         listen();
         const auto refused = send(makePost("/", "work"));
@@ -143,7 +143,7 @@
 
     // Symptom: a restart cuts requests. Sequence: two requests sent; GOAWAY names the first as the last; the connection
     // closes. Cause: the server never looked at the second one, but may have acted on the first.
-    TEST_F(Http2ClientFailureTest, aGoAwayRefusesOnlyLaterStreams)
+    TEST_F(Http2ClientFailureTest, GoAwayRefusesOnlyLaterStreams)
     {
         connectToPeer();
         const auto first = sendToPeer();
@@ -158,7 +158,7 @@
 
     // Symptom: a backend server crashes. Sequence: the request is read whole, then the connection closes.
     // Cause: the server may have acted; the client can't know.
-    TEST_F(Http2ClientFailureTest, aConnectionLostAfterSendingIsLostAndTheNextRequestOpensANewOne)
+    TEST_F(Http2ClientFailureTest, ReconnectsAfterConnectionLoss)
     {
         listen();
         const auto lost = send(makePost("/", "work"));
@@ -181,7 +181,7 @@
 
     // Symptom: half a picture. Sequence: the answer begins; then the connection closes, the stream is reset, or the
     // message ends short. Cause: the server failed in mid-answer. None of these may look like a success.
-    TEST_F(Http2ClientFailureTest, anAnswerCutShortIsIncomplete)
+    TEST_F(Http2ClientFailureTest, TruncatedResponseIsIncomplete)
     {
         const std::string headers
             = raw::frame(raw::Headers, raw::endHeaders, 1, raw::responseFields() + raw::field("content-length", "100"));
@@ -213,7 +213,7 @@
     }
 
     // Symptom: the balancer's memory grows. Sequence: an answer over a limit. Cause: a backend server's fault.
-    TEST_F(Http2ClientFailureTest, anAnswerOverALimitIsIncomplete)
+    TEST_F(Http2ClientFailureTest, ResponseOverLimitIsIncomplete)
     {
         listen();
         Http2Limits limits;
@@ -233,7 +233,7 @@
 
     // Symptom: a callback after its owner's end. Sequence: the client is destroyed with open requests.
     // Cause: callbacks that were only posted. Each has to run before the destructor returns.
-    TEST_F(Http2ClientFailureTest, theDestructorEndsWhatIsOpen)
+    TEST_F(Http2ClientFailureTest, DestructorEndsOpenRequests)
     {
         Http2Limits limits;
         limits.concurrentStreams = 1;
--- a/Tests/Net/Http2ExchangeTest.cpp
+++ b/Tests/Net/Http2ExchangeTest.cpp
@@ -5,7 +5,7 @@
 
     class Http2ExchangeTest : public Http2Fixture { };
 
-    TEST_F(Http2ExchangeTest, carriesWholeMessagesBothWays)
+    TEST_F(Http2ExchangeTest, CarriesRequestAndResponse)
     {
         listen();
         HttpRequest request = makePost("/fit?size=m", "a picture");
@@ -43,7 +43,7 @@
         }
     }
 
-    TEST_F(Http2ExchangeTest, carriesManyStreamsAtOnceAndAnswersThemInAnyOrder)
+    TEST_F(Http2ExchangeTest, ConcurrentStreamsAnsweredInAnyOrder)
     {
         constexpr std::size_t count = 300;
         listen();
@@ -61,7 +61,7 @@
         }
     }
 
-    TEST_F(Http2ExchangeTest, carriesLargeBodiesBothWays)
+    TEST_F(Http2ExchangeTest, CarriesLargeBodies)
     {
         std::string picture(std::size_t(4) * 1024 * 1024, '\0');
         for (std::size_t i = 0; i < picture.size(); ++i)
@@ -76,7 +76,7 @@
         EXPECT_TRUE(call->response().body == picture);
     }
 
-    TEST_F(Http2ExchangeTest, leavesTheBodyOutWhereHttpHasNone)
+    TEST_F(Http2ExchangeTest, OmitsBodyOfHeadResponse)
     {
         listen();
         HttpRequest head;
@@ -93,7 +93,7 @@
         EXPECT_TRUE(call->response().body.empty());
     }
 
-    TEST_F(Http2ExchangeTest, takesACallbackThatDestroysTheClient)
+    TEST_F(Http2ExchangeTest, CallbackMayDestroyClient)
     {
         listen();
         std::vector<std::string> ends;
@@ -115,7 +115,7 @@
         EXPECT_EQ(ends, (std::vector<std::string> { "/first answered", "/answered-too answered", "/open failed" }));
     }
 
-    TEST_F(Http2ExchangeTest, takesACallbackThatDestroysTheServer)
+    TEST_F(Http2ExchangeTest, CallbackMayDestroyServer)
     {
         listen();
         const auto call = send(makePost("/", "x"));
--- a/Tests/Net/Http2ServerFailureTest.cpp
+++ b/Tests/Net/Http2ServerFailureTest.cpp
@@ -29,7 +29,7 @@
 
     // Symptom: errors after a deployment. Sequence: drain with an open stream, new work, the answer, the end.
     // Cause: a server that closes at once would cut the open stream and whatever is on its way.
-    TEST_F(Http2ServerFailureTest, drainsWithoutCuttingOpenStreams)
+    TEST_F(Http2ServerFailureTest, DrainCompletesOpenStreams)
     {
         listen();
         const auto open = send(makePost("/open", "work"));
@@ -55,7 +55,7 @@
 
     // Symptom: requests lost at every deployment. Sequence: a client connects and sends; the server drains before it
     // has accepted. Cause: closing the listener resets what the kernel has set up for it.
-    TEST_F(Http2ServerFailureTest, servesConnectionsThatWaitToBeAccepted)
+    TEST_F(Http2ServerFailureTest, DrainServesQueuedConnections)
     {
         listen();
         RawPeer queued(context_);
@@ -70,7 +70,7 @@
 
     // Symptom: a drain that never ends. Sequence: GOAWAY and ping meet a client that does not answer.
     // Cause: a hung client; after a while the final GOAWAY goes out all the same.
-    TEST_F(Http2ServerFailureTest, drainsAroundASilentClient)
+    TEST_F(Http2ServerFailureTest, DrainsDespiteSilentClient)
     {
         listen();
         RawPeer silent(context_);
@@ -84,7 +84,7 @@
 
     // Symptom: a probe or a wrong client on the port. Sequence: bytes that are no HTTP/2. Cause: the preface is
     // missing.
-    TEST_F(Http2ServerFailureTest, countsGarbageAndGoesOn)
+    TEST_F(Http2ServerFailureTest, CountsNonHttp2ConnectionsAndKeepsServing)
     {
         listen();
         std::uint64_t count = 0;
@@ -101,7 +101,7 @@
 
     // Symptom: requests that a backend server would read otherwise than we do. Sequence: one malformed frame or
     // message. Cause: a faulty or hostile client.
-    TEST_F(Http2ServerFailureTest, countsMalformedFramesAndGoesOn)
+    TEST_F(Http2ServerFailureTest, CountsMalformedFramesAndKeepsServing)
     {
         listen();
         const auto headers = [](const std::string& fields, std::uint8_t flags = 0) {
@@ -138,7 +138,7 @@
     }
 
     // Symptom: the server's memory grows. Sequence: a request over a limit. Cause: a faulty or hostile client.
-    TEST_F(Http2ServerFailureTest, answersWhatIsOverALimitByItself)
+    TEST_F(Http2ServerFailureTest, RejectsRequestsOverLimit)
     {
         Http2Limits limits;
         limits.bodyBytes = 100'000;
@@ -165,7 +165,7 @@
 
     // Symptom: the server's memory grows. Sequence: malformed requests whose resets are never read; the client's window
     // is full. Cause: a hostile client.
-    TEST_F(Http2ServerFailureTest, endsAConnectionThatNeverReads)
+    TEST_F(Http2ServerFailureTest, ClosesConnectionThatNeverReads)
     {
         listen();
         RawPeer unreadPeer(context_);
@@ -184,7 +184,7 @@
     }
 
     // Symptom: no descriptors left. Sequence: more connections than the limit. Cause: a client that leaks them.
-    TEST_F(Http2ServerFailureTest, closesConnectionsOverTheLimit)
+    TEST_F(Http2ServerFailureTest, ClosesConnectionsOverLimit)
     {
         Http2Limits limits;
         limits.connections = 1;
@@ -201,7 +201,7 @@
 
     // Symptom: work goes on for a caller that is gone. Sequence: the connection breaks before the answer.
     // Cause: the handler was not told.
-    TEST_F(Http2ServerFailureTest, tellsTheHandlerThatTheConnectionBroke)
+    TEST_F(Http2ServerFailureTest, CancelsExchangeOnConnectionLoss)
     {
         listen();
         RawPeer peer(context_);
@@ -216,7 +216,7 @@
         expectServerResponds();
     }
 
-    TEST_F(Http2ServerFailureTest, saysWhyItCantListen)
+    TEST_F(Http2ServerFailureTest, ReportsAddressInUse)
     {
         listen();
         const auto second = Http2Server::listen(context_, server_->address(), [](auto&&) {});
--- a/Tests/Net/MetricsEndpointTest.cpp
+++ b/Tests/Net/MetricsEndpointTest.cpp
@@ -27,7 +27,7 @@
         return response;
     }
 
-    TEST(MetricsEndpointTest, servesTheRegistry)
+    TEST(MetricsEndpointTest, ServesRegistry)
     {
         const auto registry = std::make_shared<prometheus::Registry>();
         prometheus::BuildCounter().Name("wisteriadock_requests").Register(*registry).Add({}).Increment(3);
@@ -36,7 +36,7 @@
         EXPECT_NE(scrape(endpoint.value()->address()).find("wisteriadock_requests 3"), std::string::npos);
     }
 
-    TEST(MetricsEndpointTest, saysWhyItCantServe)
+    TEST(MetricsEndpointTest, ReportsAddressInUse)
     {
         const auto first = MetricsEndpoint::serve(loopback, std::make_shared<prometheus::Registry>());
         ASSERT_TRUE(first);
--- a/Tests/Net/UdpSocketTest.cpp
+++ b/Tests/Net/UdpSocketTest.cpp
@@ -38,7 +38,7 @@
         std::vector<std::string> received_;
     };
 
-    TEST_F(UdpSocketTest, carriesDatagramsAndCountsThem)
+    TEST_F(UdpSocketTest, CarriesAndCountsDatagrams)
     {
         const auto one = open();
         const auto two = open();
@@ -52,7 +52,7 @@
     }
 
     // Symptom: a message cut short is read as whole. Sequence: a datagram over the size. Cause: the kernel cuts it.
-    TEST_F(UdpSocketTest, dropsAndCountsWhatIsTooLong)
+    TEST_F(UdpSocketTest, DropsAndCountsOversizedDatagrams)
     {
         const auto small = open();
         const auto large = UdpSocket::bind(context_, loopback, [](auto&&...) {}).value();
@@ -66,7 +66,7 @@
         EXPECT_EQ(small->bytesSent(), 0U);
     }
 
-    TEST_F(UdpSocketTest, takesAHandlerThatDestroysIt)
+    TEST_F(UdpSocketTest, HandlerMayDestroySocket)
     {
         std::unique_ptr<UdpSocket> selfDestroying;
         selfDestroying = UdpSocket::bind(context_, loopback, [&](auto&&...) { selfDestroying.reset(); }).value();
@@ -75,7 +75,7 @@
         runUntil([&] { return !selfDestroying; });
     }
 
-    TEST_F(UdpSocketTest, saysWhyItCantBind)
+    TEST_F(UdpSocketTest, ReportsAddressInUse)
     {
         const auto first = open();
         const auto second = UdpSocket::bind(context_, first->address(), [](auto&&...) {});
