--- a/Source/Net/AsioEndpoint.h
+++ b/Source/Net/AsioEndpoint.h
@@ -7,8 +7,8 @@
 
 namespace wisteriadock {
 
-// Our endpoints as Boost.Asio's and back. The sockets of this project are IPv4; an IPv6 endpoint turns into an unset
-// one.
+// Convert between Endpoint and the endpoint types of Boost.Asio. Only IPv4 is supported: fromAsio() returns an unset
+// Endpoint for an IPv6 address.
 boost::asio::ip::tcp::endpoint toTcp(const Endpoint&);
 boost::asio::ip::udp::endpoint toUdp(const Endpoint&);
 Endpoint fromAsio(const boost::asio::ip::tcp::endpoint&);
--- a/Source/Net/Http1Client.cpp
+++ b/Source/Net/Http1Client.cpp
@@ -29,7 +29,7 @@
     bool isClosed = false;
 };
 
-// One request and its answer on one connection. Handlers keep it alive; finish() runs the callback once.
+// One request and its response on one connection. Pending operations keep it alive; finish() runs the callback once.
 class Http1Client::Exchange : public std::enable_shared_from_this<Exchange> {
 public:
     Exchange(std::shared_ptr<Shared> shared, HttpRequest request, Callback callback)
@@ -48,7 +48,7 @@
         request_.prepare_payload();
         parser_.header_limit(static_cast<std::uint32_t>(shared_->limits.headerBytes));
         parser_.body_limit(shared_->limits.bodyBytes);
-        // Whatever has come is taken at once, also when the head and parts of the body come together.
+        // Parses the available part of the body together with the headers.
         parser_.eager(true);
     }
 
@@ -72,7 +72,7 @@
 
     void fail(HttpFailureKind kind, std::string detail)
     {
-        // Nothing was sent while the connection was still being opened.
+        // No byte was sent if the connection was not established.
         if (kind == HttpFailureKind::DeadlineExceeded && !hasStartedSending_)
             kind = HttpFailureKind::NotSent;
         ErrorValue ignored;
@@ -94,7 +94,7 @@
         timer_.expires_at(deadline);
         timer_.async_wait([self = shared_from_this()](const ErrorValue& error) {
             if (!error)
-                self->fail(HttpFailureKind::DeadlineExceeded, "no answer by the deadline");
+                self->fail(HttpFailureKind::DeadlineExceeded, "no response before the deadline");
         });
     }
 
@@ -141,8 +141,8 @@
             continueReading();
     }
 
-    // A large answer may take longer than the deadline on a thin link; to give it up while it comes would only send it
-    // anew.
+    // Extends the deadline while the response makes progress, so that a large response can complete over a slow link
+    // instead of being requested again.
     void continueReading()
     {
         const TimePoint readDeadline = Clock::now() + shared_->limits.readTimeout;
@@ -214,11 +214,11 @@
 
 void Http1Client::cancelAll()
 {
-    // What a callback sends stays open.
+    // Requests that the callbacks send stay open, hence the copy.
     const std::vector<Exchange*> open(shared_->open.begin(), shared_->open.end());
     for (Exchange* exchange : open) {
         if (shared_->open.contains(exchange))
-            exchange->fail(HttpFailureKind::Cancelled, "given up");
+            exchange->fail(HttpFailureKind::Cancelled, "the request was cancelled");
     }
 }
 
--- a/Source/Net/Http1Client.h
+++ b/Source/Net/Http1Client.h
@@ -15,48 +15,50 @@
 
 namespace wisteriadock {
 
-// Bounds on what one HTTP/1.1 server can make this process hold.
+// Limits on the memory and connections that one HTTP/1.1 server can take up in this process. Sizes are per message.
 struct Http1Limits {
     std::size_t headerBytes = std::size_t(16) * 1024;
     std::size_t bodyBytes = std::size_t(16) * 1024 * 1024;
-    // Connections that wait for their next request; further ones are closed after their answer.
+    // Maximum number of idle connections kept for reuse; any other connection is closed after its response.
     std::size_t idleConnections = 2;
-    // An answer that has begun may come after the deadline if each piece of it comes so soon after the one before.
+    // Maximum time between two reads of one response. A response that arrives in time by this measure may complete
+    // after the deadline of its request.
     std::chrono::milliseconds readTimeout { 700 };
 };
 
-// Requests to one HTTP/1.1 server, each on a connection of its own that is kept for the next one. It has the interface
-// of Http2Client, so that a client of the platform can run over either. A request is sent once: whether it may be sent
-// again only the caller can tell. Not thread-safe: all calls and callbacks happen on the thread of the io_context.
+// Sends requests to one HTTP/1.1 server. Concurrent requests use separate connections, and idle connections are reused.
+// The interface of send() is that of Http2Client, so that a platform client can use either. Requests are never retried:
+// only the caller knows whether that is safe. Not thread-safe: all calls and callbacks happen on the thread of the
+// io_context.
 class Http1Client {
 public:
     using Callback = std::function<void(HttpOutcome)>;
 
     Http1Client(boost::asio::io_context&, Endpoint server, Http1Limits = {});
-    // Every open request ends with Cancelled before the destructor returns.
+    // Ends every open request with HttpFailureKind::Cancelled before it returns.
     ~Http1Client();
     Http1Client(const Http1Client&) = delete;
     Http1Client& operator=(const Http1Client&) = delete;
 
-    // Sends a request. The callback runs exactly once, never inside this call. The answer must begin by the deadline
-    // and then keep coming (Http1Limits::readTimeout). A connection whose answer is late is closed, because it may
-    // have gone silent for good.
+    // Sends a request. The callback runs exactly once, never inside this call. The response must start before the
+    // deadline; after that Http1Limits::readTimeout applies. On a timeout the connection is closed, because it may be
+    // dead.
     void send(HttpRequest, TimePoint deadline, Callback);
 
-    // How much has come of an answer that says how long it is.
+    // Body bytes of a response whose content-length is known.
     struct Progress {
         std::uint64_t received = 0;
         std::uint64_t total = 0;
     };
-    // Of the open requests' answers the one of which most is to come; none while none has begun.
+    // The progress of the open response with the most bytes left to receive; empty if there is none.
     std::optional<Progress> progress() const;
-    // Gives all open requests up: they end with Cancelled, inside this call.
+    // Ends all open requests with HttpFailureKind::Cancelled; their callbacks run inside this call.
     void cancelAll();
 
-    // Closes the connections that wait for a request, so that the next one opens a fresh connection.
+    // Closes the idle connections, so that the next request opens a new one.
     void closeIdle();
 
-    // Payload bytes of requests and answers, for the control-traffic metrics.
+    // TCP payload bytes sent and received so far, for the control-traffic metrics.
     std::uint64_t bytesTransferred() const;
 
 private:
--- a/Source/Net/Http1Server.cpp
+++ b/Source/Net/Http1Server.cpp
@@ -20,12 +20,12 @@
 
 namespace {
 
-    // Checks come every half second; a connection without a request for this long belongs to nobody any more.
+    // Longer than the interval between readiness checks, so that their connections are reused.
     constexpr auto idleTimeout = std::chrono::seconds(15);
-    // Nothing that this server answers takes a body.
+    // No request of this server needs a body.
     constexpr std::uint64_t maxBodyBytes = 4096;
     constexpr std::uint32_t maxHeaderBytes = 8192;
-    // More connections than monitors and routers need; it bounds descriptors and memory.
+    // Bounds the file descriptors and memory in use.
     constexpr std::size_t maxConnections = 64;
     constexpr auto acceptRetryDelay = std::chrono::milliseconds(100);
 
@@ -72,7 +72,7 @@
     }
 
 private:
-    // Ties the answer to a connection that may have ended meanwhile.
+    // Passes the response to its connection, which may have closed in the meantime.
     class Exchange : public Http1Exchange {
     public:
         Exchange(std::shared_ptr<Connection> connection, HttpRequest request)
@@ -196,8 +196,8 @@
     });
 }
 
-// While the process has no descriptor left, accepting fails again and again; without a pause that takes the whole
-// processor.
+// Retries accepting after a delay. Without it the loop would use a whole processor while the process is out of file
+// descriptors.
 void Http1Server::acceptLater(const std::shared_ptr<Shared>& shared)
 {
     shared->acceptTimer.expires_after(acceptRetryDelay);
--- a/Source/Net/Http1Server.h
+++ b/Source/Net/Http1Server.h
@@ -11,24 +11,25 @@
 
 namespace wisteriadock {
 
-// One request being answered. The handler keeps it for as long as it needs; letting it go without an answer closes the
-// connection.
+// A request and its pending response. The handler keeps it until it responds; destroying it without a response closes
+// the connection.
 class Http1Exchange {
 public:
     virtual ~Http1Exchange() = default;
 
     virtual const HttpRequest& request() const = 0;
-    // Answers once. Later calls, and calls after the connection ended, are ignored.
+    // Sends the response. Further calls, and calls after the connection has closed, are ignored.
     virtual void respond(HttpResponse) = 0;
 };
 
-// Answers short HTTP/1.1 requests: readiness checks and metrics. Everything happens on the thread of the io_context, so
-// it costs nothing while nobody asks. Connections that stay silent for long are closed.
+// Serves small HTTP/1.1 requests, such as readiness checks and metrics. Not thread-safe: all calls and callbacks happen
+// on the thread of the io_context. Idle connections are closed after a timeout.
 class Http1Server {
 public:
     using Handler = std::function<void(const std::shared_ptr<Http1Exchange>&)>;
 
-    // Listens at once; a port of 0 takes an ephemeral one. Fails with Unavailable when the address can't be bound.
+    // Starts listening. Port 0 selects an ephemeral port. Fails with ErrorCode::Unavailable if the address can't be
+    // bound.
     static Result<std::unique_ptr<Http1Server>> listen(boost::asio::io_context&, Endpoint, Handler);
     ~Http1Server();
     Http1Server(const Http1Server&) = delete;
--- a/Source/Net/Http2Client.cpp
+++ b/Source/Net/Http2Client.cpp
@@ -28,8 +28,8 @@
 
 std::string_view nameOf(HttpFailureKind kind) { return failureKindNames.name(kind); }
 
-// Keeps the open requests and the sessions. Callbacks run from a queue of their own, so that no session or engine is at
-// work while one of them destroys the client.
+// Owns the open requests and the sessions. Callbacks run from a separate queue, so that no function of a session or
+// engine is active when a callback destroys the client.
 class Http2Client::Implementation final : public Http2ClientSession::Owner,
                                           public std::enable_shared_from_this<Implementation> {
 public:
@@ -70,7 +70,7 @@
     std::shared_ptr<std::uint64_t> bytes_ = std::make_shared<std::uint64_t>(0);
     std::unordered_map<RequestId, RequestPointer> open_;
     std::deque<CompletedRequest> completed_;
-    // The last one takes new requests; those before it only finish what they carry.
+    // The last session accepts new requests; the others only complete their open requests.
     std::vector<std::shared_ptr<Http2ClientSession>> sessions_;
     bool callbacksScheduled_ = false;
     bool stopped_ = false;
@@ -101,13 +101,13 @@
         onRequestEnded(request, HttpFailure { HttpFailureKind::NotSent, reason });
         return;
     }
-    // HTTP/2 servers reject a request that names no host (RFC 9113, 8.3.1).
+    // HTTP/2 servers reject requests without an authority (RFC 9113, 8.3.1).
     if (message.authority.empty() && message.header("host").empty())
         message.authority = server_.toString();
     if (sessions_.empty() || !sessions_.back()->canSubmit())
         openSession();
     if (!sessions_.back()->submit(request, std::move(message)))
-        onRequestEnded(request, HttpFailure { HttpFailureKind::NotSent, "the connection takes no new stream" });
+        onRequestEnded(request, HttpFailure { HttpFailureKind::NotSent, "the connection accepts no new stream" });
 }
 
 void Http2Client::Implementation::openSession()
@@ -126,7 +126,7 @@
 void Http2Client::Implementation::abortRequest(
     const RequestPointer& request, HttpFailureKind kind, const std::string& detail)
 {
-    // A timer that ran out while the answer arrived finds the request ended.
+    // The deadline timer may expire just after the request has ended.
     if (!open_.contains(request->id))
         return;
     if (const auto session = request->session.lock())
@@ -165,12 +165,12 @@
     boost::asio::post(context_, [self = shared_from_this()] { self->runCallbacks(); });
 }
 
-// Takes one at a time: when a callback destroys the client, the destructor runs those that are left.
+// Removes each entry before running its callback: if a callback destroys the client, the destructor runs the rest.
 void Http2Client::Implementation::runCallbacks()
 {
     callbacksScheduled_ = false;
-    // What the callbacks themselves bring to an end waits for the next round, so that a caller who retries at once
-    // can't hold the thread.
+    // Requests that end during these callbacks wait for the next run, so that a caller that retries immediately does
+    // not block the thread.
     for (std::size_t left = completed_.size(); left > 0 && !completed_.empty(); --left) {
         CompletedRequest completed = std::move(completed_.front());
         completed_.pop_front();
--- a/Source/Net/Http2Client.h
+++ b/Source/Net/Http2Client.h
@@ -15,14 +15,15 @@
 
 namespace wisteriadock {
 
-// Why a request has no answer. The distinction decides whether work may be sent again.
+// Why a request has no complete response. Only after NotSent and Refused is it certain that the server did not process
+// the request, so that any request may be sent again.
 enum class HttpFailureKind {
-    NotSent, // No byte of the request left this process: connect failed, or it still waited its turn.
-    Refused, // The server said provably that it did not act: REFUSED_STREAM, or GOAWAY with a lower last stream id.
-    Lost, // The connection or stream broke after sending: the server may have acted.
-    DeadlineExceeded, // The deadline passed after sending: the server may have acted; the stream was reset.
-    Cancelled, // cancel() was called after sending: the server may have acted; the stream was reset.
-    Incomplete, // The answer began but was cut short, or broke a limit or its content-length.
+    NotSent, // No byte of the request was sent: connecting failed, or the request was still queued.
+    Refused, // The server did not process the request: REFUSED_STREAM, or GOAWAY with a lower last stream ID.
+    Lost, // The connection closed or the stream was reset after sending; the server may have processed the request.
+    DeadlineExceeded, // The deadline passed after sending; the server may have processed the request.
+    Cancelled, // The request was cancelled after sending; the server may have processed it.
+    Incomplete, // The response started but was truncated, exceeded a limit or did not match its content-length.
 };
 
 std::string_view nameOf(HttpFailureKind);
@@ -34,15 +35,16 @@
 
 using HttpOutcome = boost::outcome_v2::basic_result<HttpResponse, HttpFailure, boost::outcome_v2::policy::terminate>;
 
-// One HTTP/2 connection to one server, opened on first use and reopened after it broke. Requests share it as streams.
-// Not thread-safe: all calls and callbacks happen on the one thread that runs the io_context.
+// Sends requests to one HTTP/2 server as streams of one connection, which is opened on first use and again after it
+// has closed. Requests are never retried. Not thread-safe: all calls and callbacks happen on the thread of the
+// io_context.
 class Http2Client {
 public:
     using Callback = std::function<void(HttpOutcome)>;
     using RequestId = std::uint64_t;
 
     Http2Client(boost::asio::io_context&, Endpoint server, Http2Limits = {});
-    // Every open request ends with Cancelled or NotSent before the destructor returns.
+    // Ends every open request with HttpFailureKind::Cancelled or NotSent before it returns.
     ~Http2Client();
     Http2Client(const Http2Client&) = delete;
     Http2Client& operator=(const Http2Client&) = delete;
@@ -50,12 +52,12 @@
     // Sends a request. The callback runs exactly once, never inside this call.
     RequestId send(HttpRequest, TimePoint deadline, Callback);
 
-    // Resets the request's stream (RST_STREAM CANCEL); its callback runs with Cancelled, or NotSent if nothing left.
-    // An id that has ended already is ignored.
+    // Resets the stream of the request (RST_STREAM with CANCEL). The callback later runs with Cancelled, or with
+    // NotSent if no byte was sent. The ID of a request that has ended is ignored.
     void cancel(RequestId);
 
     std::size_t openRequests() const;
-    // Bytes written to and read from the socket so far, for the control-traffic metrics.
+    // TCP payload bytes sent and received so far, for the control-traffic metrics.
     std::uint64_t bytesTransferred() const;
 
 private:
--- a/Source/Net/Http2ClientRequest.h
+++ b/Source/Net/Http2ClientRequest.h
@@ -11,7 +11,8 @@
 
 class Http2ClientSession;
 
-// One request on its way, shared by the client, which ends it, and the session that carries it.
+// The state of one open request, shared by the Http2Client, which runs its callback, and the Http2ClientSession that
+// sends it.
 struct Http2ClientRequest {
     explicit Http2ClientRequest(boost::asio::io_context& context)
         : deadline(context)
@@ -24,9 +25,9 @@
 
     std::weak_ptr<Http2ClientSession> session;
     Http2Events::StreamId stream = 0;
-    bool hasStartedSending = false; // The first byte of its HEADERS frame may have been handed to the socket.
+    bool hasStartedSending = false; // The first byte of its HEADERS frame may have been written to the socket.
     bool responseStarted = false;
-    bool hasFinalStatus = false; // Informational answers (1xx) precede the final one.
+    bool hasFinalStatus = false; // Informational responses (1xx) may precede the final response.
     std::size_t headerBytes = 0;
     HttpResponse response;
 };
--- a/Source/Net/Http2ClientSession.cpp
+++ b/Source/Net/Http2ClientSession.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    // The 32 bytes that HTTP/2 adds to each field when it measures a header list (RFC 9113, 6.5.2).
+    // Bytes that HTTP/2 adds per field to the size of a header list (RFC 9113, 6.5.2).
     constexpr std::size_t fieldOverhead = 32;
 
     int statusOf(std::string_view text)
@@ -21,7 +21,7 @@
         return status;
     }
 
-    // How a stream ended that broke before its answer was whole.
+    // The failure of a request whose stream closed before the response was complete.
     HttpFailureKind failureKindOf(const Http2ClientRequest& request)
     {
         if (!request.hasStartedSending)
@@ -97,7 +97,7 @@
         return;
     request->headerBytes += name.size() + value.size() + fieldOverhead;
     if (request->headerBytes > limits().headerBytes)
-        failIncomplete(stream, fmt::format("the answer's headers are over {} bytes", limits().headerBytes));
+        failIncomplete(stream, fmt::format("the response headers exceed {} bytes", limits().headerBytes));
     else if (name == ":status")
         request->response.status = statusOf(value);
     else if (!request->hasFinalStatus)
@@ -121,7 +121,7 @@
         return;
     std::string& body = request->response.body;
     if (body.size() + bytes.size() > limits().bodyBytes)
-        failIncomplete(stream, fmt::format("the answer's body is over {} bytes", limits().bodyBytes));
+        failIncomplete(stream, fmt::format("the response body exceeds {} bytes", limits().bodyBytes));
     else
         body.append(bytes);
 }
@@ -153,8 +153,8 @@
     const Http2ClientRequest* request = find(stream);
     if (!request)
         return;
-    // nghttp2 closes a stream with REFUSED_STREAM when the server reset it so, and when the server's GOAWAY names a
-    // lower stream as its last.
+    // nghttp2 reports REFUSED_STREAM if the server reset the stream with it, or if the server sent a GOAWAY with a
+    // lower last stream ID.
     const bool isRefused = Http2Engine::isRefusal(errorCode) && request->hasStartedSending && !request->responseStarted;
     fail(stream, isRefused ? HttpFailureKind::Refused : failureKindOf(*request),
         fmt::format("the stream was closed with {}", Http2Engine::describe(errorCode)));
--- a/Source/Net/Http2ClientSession.h
+++ b/Source/Net/Http2ClientSession.h
@@ -11,12 +11,13 @@
 
 namespace wisteriadock {
 
-// The client's side of one connection: connects, carries requests as streams and decides how each of them ended.
+// The client side of one HTTP/2 connection: connects, sends requests as streams and determines the outcome of each.
+// Created by Http2Client.
 class Http2ClientSession final : public Http2Session {
 public:
     using RequestPointer = std::shared_ptr<Http2ClientRequest>;
 
-    // The client that the session works for. Both calls may come from anywhere but send().
+    // The client that owns the session. Neither function is called from within connect() or submit().
     class Owner {
     public:
         virtual ~Owner() = default;
@@ -28,12 +29,12 @@
 
     void connect(const Endpoint& server);
 
-    // Whether a new request may go this way; if not, the client opens another connection.
+    // Returns false if new requests need another connection.
     bool canSubmit() const;
-    // Queues the request; false when it has to go another way.
+    // Queues the request. Returns false if this connection accepts no new stream.
     bool submit(const RequestPointer&, HttpRequest);
 
-    // Ends a request as told, or with NotSent when nothing of it has left, and resets its stream.
+    // Resets the stream of a request and ends the request with the given failure, or with NotSent if no byte was sent.
     void abortRequest(const RequestPointer&, HttpFailureKind, const std::string& detail);
 
 private:
--- a/Source/Net/Http2Engine.cpp
+++ b/Source/Net/Http2Engine.cpp
@@ -9,18 +9,17 @@
 
 namespace {
 
-    // One stream's window and the whole connection's: large enough that a body of 16 MB needs no waiting on a LAN.
+    // Flow-control windows, large enough to transfer a body of 16 MB over a LAN at full rate.
     constexpr std::uint32_t streamWindowBytes = 1024 * 1024;
     constexpr std::int32_t connectionWindowBytes = 4 * 1024 * 1024;
 
-    // nghttp2 ends a connection whose client resets more than 33 streams a second, as an answer to rapid-reset floods.
-    // A balancer resets a stream for every caller that gives up and every hedged request that lost, so that bound would
-    // cut busy connections and every stream on them. The higher one still bounds a flood.
+    // The rate limit of stream resets, which protects against rapid-reset floods. nghttp2 closes the connection when it
+    // is exceeded. The default of 33 a second is too low: a balancer resets a stream for each cancelled request and
+    // each hedged request that is no longer needed.
     constexpr std::uint64_t resetBurst = 20'000;
     constexpr std::uint64_t resetsPerSecond = 5'000;
 
-    // Frames that may wait for a client to read. A client that reads nothing and sends only malformed requests would
-    // otherwise pile up the resets that answer them.
+    // Bounds the frames queued for a client that does not read, such as the resets of its malformed requests.
     constexpr std::size_t maxQueuedFrames = 10'000;
 
     std::string_view toView(const std::uint8_t* bytes, std::size_t size)
@@ -30,7 +29,7 @@
 
     nghttp2_nv field(std::string_view name, std::string_view value)
     {
-        // nghttp2 copies both; its type only lacks const.
+        // nghttp2 copies both strings, so const_cast is safe.
         return { reinterpret_cast<std::uint8_t*>(const_cast<char*>(name.data())),
             reinterpret_cast<std::uint8_t*>(const_cast<char*>(value.data())), name.size(), value.size(),
             NGHTTP2_NV_FLAG_NONE };
@@ -70,7 +69,7 @@
         return NGHTTP2_INTERNAL_ERROR;
     }
 
-    // The codes that nghttp2 answers malformed input with; the others are ours.
+    // Whether nghttp2 sends this error code in response to malformed input.
     bool isPeerError(std::uint32_t errorCode)
     {
         switch (errorCode) {
@@ -99,7 +98,7 @@
 
 }
 
-// The C functions that nghttp2 calls; each finds its engine in the user data.
+// The callbacks of nghttp2. The user data points to the engine.
 struct Http2EngineCallbacks {
     using Session = nghttp2_session;
 
@@ -118,7 +117,7 @@
         return 0;
     }
 
-    // Without this callback nghttp2 would leave the malformed field out and hand on the rest of the message.
+    // Rejects the message. Without this callback nghttp2 drops the invalid field and accepts the rest of the message.
     static int onInvalidHeader(Session*, const nghttp2_frame*, const std::uint8_t*, std::size_t, const std::uint8_t*,
         std::size_t, std::uint8_t, void* engine)
     {
@@ -159,7 +158,7 @@
             || (frame->hd.type == NGHTTP2_RST_STREAM && isPeerError(frame->rst_stream.error_code));
         if (reportsPeerError)
             events(engine).onProtocolError();
-        // An answer that is whole before its request is: the rest of the request has no reader (RFC 9113, 8.1).
+        // The response was complete before the request: asks the client to stop sending it (RFC 9113, 8.1).
         const std::int32_t stream = frame->hd.stream_id;
         const bool isServer = static_cast<Http2Engine*>(engine)->role_ == Http2Engine::Role::Server;
         if (isServer && endsMessage(*frame) && nghttp2_session_get_stream_remote_close(session, stream) == 0)
@@ -254,14 +253,14 @@
 Result<void> Http2Engine::receive(std::span<const std::uint8_t> bytes)
 {
     const ssize_t taken = nghttp2_session_mem_recv(session_, bytes.data(), bytes.size());
-    // A client's own queue holds the requests that wait their turn, so its length says nothing of the server.
+    // Only servers limit the queue: that of a client also holds requests that wait for a free stream.
     const bool isQueueFull
         = role_ == Role::Server && nghttp2_session_get_outbound_queue_size(session_) > maxQueuedFrames;
     if (taken >= 0 && !isQueueFull)
         return boost::outcome_v2::success();
     events_.onProtocolError();
     return Error { ErrorCode::InvalidArgument,
-        isQueueFull ? "the client does not read its answers" : nghttp2_strerror(static_cast<int>(taken)) };
+        isQueueFull ? "the client does not read its responses" : nghttp2_strerror(static_cast<int>(taken)) };
 }
 
 Result<void> Http2Engine::produceOutput(std::vector<std::uint8_t>& output, std::size_t maxBytes)
--- a/Source/Net/Http2Engine.h
+++ b/Source/Net/Http2Engine.h
@@ -18,8 +18,8 @@
 
 namespace wisteriadock {
 
-// The HTTP/2 framing of one connection, without its socket: bytes in, events out; messages in, bytes out.
-// Sessions own one each. Wraps one nghttp2 session.
+// The HTTP/2 framing layer of one connection, independent of its socket: turns received bytes into events, and messages
+// into bytes to send. Wraps an nghttp2 session. Each Http2Session owns one.
 class Http2Engine {
 public:
     using StreamId = Http2Events::StreamId;
@@ -29,7 +29,7 @@
         Server,
     };
 
-    // Why a stream is reset, as the other side sees it.
+    // The error code sent in RST_STREAM.
     enum class ResetReason {
         None,
         InternalError,
@@ -42,23 +42,23 @@
     Http2Engine(const Http2Engine&) = delete;
     Http2Engine& operator=(const Http2Engine&) = delete;
 
-    // Reads bytes of the other side. Fails with InvalidArgument when the connection can't go on.
+    // Processes received bytes. Fails with ErrorCode::InvalidArgument if the connection must be closed.
     Result<void> receive(std::span<const std::uint8_t> bytes);
 
-    // Appends output until there is none left or `output` has grown to `maxBytes` bytes or just over.
-    // Fails with ResourceExhausted when the connection can't go on.
+    // Appends the pending frames to `output`, until none is left or `output` holds at least `maxBytes` bytes. The last
+    // frame may exceed the limit. Fails with ErrorCode::ResourceExhausted if the connection must be closed.
     Result<void> produceOutput(std::vector<std::uint8_t>& output, std::size_t maxBytes);
 
-    // False when nothing more is to be read and written: the connection is to be closed.
+    // Returns false if nothing is left to read or write, so that the connection is to be closed.
     bool wantsConnection() const;
 
-    // Queues a request; false when this connection takes no new stream.
+    // Queues a request and sets the ID of its stream. Returns false if this connection accepts no new stream.
     bool submitRequest(HttpRequest, StreamId&);
     void submitResponse(StreamId, HttpResponse);
     void reset(StreamId, ResetReason);
-    // Tells the other side to open no new stream, while those on their way are still served.
+    // Asks the client to open no new stream; requests in flight are still accepted. A ping follows the notice.
     void submitShutdownNotice();
-    // Names the last stream that is served; later ones are refused provably.
+    // Sends the final GOAWAY with the ID of the last processed stream; streams with higher IDs are refused.
     void submitGoAway();
 
     bool canOpenStream() const;
--- a/Source/Net/Http2Limits.h
+++ b/Source/Net/Http2Limits.h
@@ -6,13 +6,14 @@
 
 namespace wisteriadock {
 
-// Bounds on what the other side can make this process hold. A message over a limit is refused and counted.
+// Limits on the memory and connections that a peer can take up in this process. Sizes are per message. Messages and
+// connections over a limit are rejected.
 struct Http2Limits {
     std::size_t headerBytes = std::size_t(16) * 1024;
     std::size_t bodyBytes = std::size_t(16) * 1024 * 1024;
     std::uint32_t concurrentStreams = 1000;
-    std::size_t connections = 4096;
-    std::chrono::milliseconds connectTimeout { 1000 };
+    std::size_t connections = 4096; // Of one server.
+    std::chrono::milliseconds connectTimeout { 1000 }; // Of a client.
 };
 
 }
--- a/Source/Net/Http2Listener.cpp
+++ b/Source/Net/Http2Listener.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-    // How long accepting rests after it failed, mostly for want of file descriptors. Trying again at once would take
-    // the whole thread while the connections that could give descriptors back wait for it.
+    // Delay after accepting failed, usually because the process is out of file descriptors. An immediate retry would
+    // starve the connections whose closing frees descriptors.
     constexpr std::chrono::milliseconds acceptRetryDelay { 100 };
 
 }
@@ -96,8 +96,8 @@
     notifyIfDrained();
 }
 
-// Closing the acceptor resets the connections that the kernel has already set up for it. Their clients may have sent
-// requests, which would be lost without proof that nobody acted on them.
+// Accepts the connections in the kernel's queue. Closing the acceptor would reset them, and their clients could not
+// tell whether the requests that they have sent were processed.
 void Http2Listener::acceptPending()
 {
     boost::system::error_code error;
--- a/Source/Net/Http2Listener.h
+++ b/Source/Net/Http2Listener.h
@@ -12,15 +12,15 @@
 
 namespace wisteriadock {
 
-// Accepts the connections of one Http2Server and keeps its sessions. It outlives the server when the server is
-// destroyed from one of its own callbacks.
+// Accepts the connections of one Http2Server and owns its sessions. It outlives the server if the server is destroyed
+// from one of its own callbacks.
 class Http2Listener final : public Http2ServerSession::Owner, public std::enable_shared_from_this<Http2Listener> {
 public:
     Http2Listener(boost::asio::io_context&, Http2Server::Handler, const Http2Limits&);
 
     Result<void> listen(const Endpoint&);
     void drain(std::function<void()> onDrained);
-    // Closes everything at once; no callback runs afterwards.
+    // Closes all connections immediately; no callback runs afterwards.
     void stop();
 
     Endpoint address() const { return address_; }
--- a/Source/Net/Http2Server.h
+++ b/Source/Net/Http2Server.h
@@ -13,43 +13,48 @@
 
 namespace wisteriadock {
 
-// One request being answered. The handler keeps it for as long as it needs; letting it go without an answer resets
-// the stream with INTERNAL_ERROR, never with a short success.
+// A request and its pending response. The handler keeps it until it responds; destroying it without a response resets
+// the stream with INTERNAL_ERROR.
 class Http2Exchange {
 public:
     virtual ~Http2Exchange() = default;
 
     virtual const HttpRequest& request() const = 0;
 
-    // Answers once; later calls, and calls after the caller reset the stream, are ignored.
+    // Sends the response. Further calls, and calls after the client has reset the stream, are ignored.
     virtual void respond(HttpResponse) = 0;
 
-    // Resets the stream with REFUSED_STREAM: tells the caller that the request was not acted on.
+    // Resets the stream with REFUSED_STREAM, which tells the client that the request was not processed.
     virtual void refuse() = 0;
 
-    // Runs once when the caller resets the stream or its connection ends before the answer was handed over.
+    // Sets a callback that runs once if the client resets the stream or the connection closes before respond() or
+    // refuse() is called.
     virtual void onCancelled(std::function<void()>) = 0;
 };
 
-// Accepts HTTP/2 connections with prior knowledge (no TLS) and hands whole requests to the handler.
-// Requests over a limit are answered 413 or 431 without reaching the handler; malformed ones reset the stream.
-// Not thread-safe: all calls and callbacks happen on the one thread that runs the io_context.
+// Accepts HTTP/2 connections with prior knowledge (no TLS) and passes complete requests to the handler. Requests over a
+// limit get a 413 or 431 response, and malformed requests a stream reset, without reaching the handler. Not
+// thread-safe: all calls and callbacks happen on the thread of the io_context.
 class Http2Server {
 public:
     using Handler = std::function<void(std::shared_ptr<Http2Exchange>)>;
 
-    // Listens at once; a port of 0 takes an ephemeral one. Fails with Unavailable when the address can't be bound.
+    // Starts listening. Port 0 selects an ephemeral port. Fails with ErrorCode::Unavailable if the address can't be
+    // bound.
     static Result<std::unique_ptr<Http2Server>> listen(boost::asio::io_context&, Endpoint, Handler, Http2Limits = {});
     virtual ~Http2Server() = default;
 
     virtual Endpoint address() const = 0;
 
-    // Graceful shutdown: accepts no new connection, sends GOAWAY, lets open streams finish, then runs the callback.
+    // Graceful shutdown: stops accepting connections, sends GOAWAY, completes the open streams and then runs the
+    // callback.
     virtual void drain(std::function<void()> onDrained) = 0;
 
+    // Requests that the handler has not responded to yet.
     virtual std::size_t openExchanges() const = 0;
+    // TCP payload bytes sent and received so far.
     virtual std::uint64_t bytesTransferred() const = 0;
-    // Frames, headers or bodies that were malformed or over a limit.
+    // Malformed frames and messages, and messages and connections over a limit.
     virtual std::uint64_t protocolErrors() const = 0;
 };
 
--- a/Source/Net/Http2ServerExchange.cpp
+++ b/Source/Net/Http2ServerExchange.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // Whether HTTP has no body in such an answer, whatever the handler put there.
+    // Whether HTTP forbids a body in this response.
     bool mustOmitBody(const HttpRequest& request, const HttpResponse& response)
     {
         return request.method == "HEAD" || response.status == 204 || response.status == 304;
--- a/Source/Net/Http2ServerExchange.h
+++ b/Source/Net/Http2ServerExchange.h
@@ -10,8 +10,8 @@
 
 class Http2ServerSession;
 
-// An exchange of one stream of a session. The handler owns it; the session only points to it weakly, so that the
-// handler's letting go shows.
+// The exchange of one stream. Only the handler owns it: the session holds a weak pointer, so that the destructor runs
+// when the handler drops it.
 class Http2ServerExchange final : public Http2Exchange {
 public:
     Http2ServerExchange(std::weak_ptr<Http2ServerSession>, Http2Events::StreamId, HttpRequest);
@@ -24,11 +24,11 @@
     void refuse() override;
     void onCancelled(std::function<void()>) override;
 
-    // The session's word that the stream has ended without an answer.
+    // Called by the session when the stream has closed without a response; runs the callback of onCancelled().
     void cancel();
 
 private:
-    // The session, the first time that this exchange ends; null afterwards.
+    // Ends the exchange. Returns its session on the first call and null afterwards.
     std::shared_ptr<Http2ServerSession> finish();
 
     std::weak_ptr<Http2ServerSession> session_;
--- a/Source/Net/Http2ServerSession.cpp
+++ b/Source/Net/Http2ServerSession.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-    // The 32 bytes that HTTP/2 adds to each field when it measures a header list (RFC 9113, 6.5.2).
+    // Bytes that HTTP/2 adds per field to the size of a header list (RFC 9113, 6.5.2).
     constexpr std::size_t fieldOverhead = 32;
 
-    // How long a client may leave the shutdown notice unanswered before it gets the final GOAWAY.
+    // Time that a client has to acknowledge the ping after the shutdown notice; then the final GOAWAY is sent anyway.
     constexpr std::chrono::seconds shutdownNoticeTimeout { 1 };
 
     constexpr int contentTooLarge = 413;
@@ -46,8 +46,8 @@
 {
 }
 
-// A GOAWAY that names the last stream at once would refuse requests that are on their way. So a notice goes first; the
-// answer to the ping behind it shows that the client has read the notice and that everything before has arrived.
+// Sends a shutdown notice and a ping first: an immediate final GOAWAY would refuse requests in flight. The ping
+// acknowledgement shows that the client has read the notice and that all its earlier requests have arrived.
 void Http2ServerSession::drain()
 {
     if (std::exchange(draining_, true))
--- a/Source/Net/Http2ServerSession.h
+++ b/Source/Net/Http2ServerSession.h
@@ -12,10 +12,11 @@
 
 namespace wisteriadock {
 
-// The server's side of one connection: gathers requests, hands whole ones on and sends the answers.
+// The server side of one HTTP/2 connection: assembles requests, passes complete ones to its owner and sends the
+// responses. Created by Http2Listener.
 class Http2ServerSession final : public Http2Session {
 public:
-    // The server that the session works for.
+    // The Http2Listener that owns the session.
     class Owner {
     public:
         virtual ~Owner() = default;
@@ -27,12 +28,12 @@
     Http2ServerSession(boost::asio::ip::tcp::socket, const Http2Limits&, ByteCounter, std::weak_ptr<Owner>);
 
     void start() { begin(); }
-    // Lets the open streams and those on their way finish, then closes the connection.
+    // Completes the open streams and the requests in flight, then closes the connection.
     void drain();
-    // Closes the connection without telling anybody.
+    // Closes the connection without notifying the owner or the exchanges.
     void discard();
 
-    // Called by exchanges; streams that have closed meanwhile are ignored.
+    // Called by Http2ServerExchange; closed streams are ignored.
     void respond(StreamId, HttpResponse);
     void reset(StreamId, Http2Engine::ResetReason);
 
@@ -43,8 +44,8 @@
         HttpRequest request;
         std::size_t headerBytes = 0;
         bool headersEnded = false;
-        bool isRejected = false; // Answered by the session itself; what still arrives is dropped.
-        bool isDispatched = false; // The handler has its exchange and has not answered yet.
+        bool isRejected = false; // The session has sent an error response; further input is dropped.
+        bool isDispatched = false; // The handler has the exchange and has not responded yet.
         std::weak_ptr<Http2ServerExchange> exchange;
     };
 
@@ -71,7 +72,7 @@
     std::weak_ptr<Owner> owner_;
     boost::asio::steady_timer drainTimer_;
     std::unordered_map<StreamId, Stream> streams_;
-    // What the engine told, to be acted on once it is idle.
+    // Recorded during events of the engine and processed in onEngineIdle().
     std::vector<StreamId> completeRequests_;
     std::vector<std::shared_ptr<Http2ServerExchange>> cancelled_;
     std::size_t openExchanges_ = 0;
--- a/Source/Net/Http2Session.cpp
+++ b/Source/Net/Http2Session.cpp
@@ -13,11 +13,11 @@
     constexpr std::size_t readBufferBytes = std::size_t(32) * 1024;
     constexpr std::size_t maxWriteBytes = std::size_t(64) * 1024;
 
-    // How long a connection that is done waits for the other side to close it.
+    // Time that the peer has to close the connection after this side has shut down sending.
     constexpr std::chrono::seconds lingerTimeout { 1 };
 
-    // How long sent bytes may stay unacknowledged, or unread by a process whose window is full. Without it a connection
-    // to a dead VM would take every new request for a quarter of an hour, and each would only end at its deadline.
+    // TCP_USER_TIMEOUT: the time that sent data may stay unacknowledged, or unsent because the window of the peer is
+    // full. Without it, new requests would use a connection to a dead VM for many minutes and end at their deadlines.
     constexpr unsigned userTimeoutMilliseconds = 5000;
 
     void configureSocket(boost::asio::ip::tcp::socket& socket)
@@ -85,7 +85,7 @@
 {
     const auto received = engine_.receive(bytes);
     onEngineIdle();
-    // Nothing that is still to come could be understood, and an engine that failed must not be fed again.
+    // The engine must not be called again after it failed.
     if (!received)
         abort(received.error().detail);
     else
@@ -109,7 +109,7 @@
         return;
     output_.clear();
     const auto produced = engine_.produceOutput(output_, maxWriteBytes);
-    // The write begins before anybody hears of it: whoever is told that a request left may rely on it.
+    // Starts the write before onEngineIdle(), so that a request reported as sent has been handed to the socket.
     if (!output_.empty())
         write();
     onEngineIdle();
@@ -135,7 +135,7 @@
     if (ended_)
         return;
     *bytes_ += size;
-    // What the other side sent before it closed is still to be read: it may hold whole answers or a refusal.
+    // Keeps reading after a write error: the input may still hold complete responses or a GOAWAY.
     if (error)
         linger(error.message());
     else if (lingering_)
@@ -144,8 +144,8 @@
         flush();
 }
 
-// Closing a socket that has unread input makes the kernel throw away output that the other side has not got yet, such
-// as the end of an answer. So only the sending half is closed, and the rest read until the other side closes too.
+// Shuts down sending and reads until the peer closes the connection. Closing a socket with unread input would make the
+// kernel discard output that the peer has not received yet, such as the end of a response.
 void Http2Session::linger(const std::string& reason)
 {
     if (!lingering_) {
--- a/Source/Net/Http2Session.h
+++ b/Source/Net/Http2Session.h
@@ -12,38 +12,38 @@
 
 namespace wisteriadock {
 
-// One HTTP/2 connection: pumps an Http2Engine over a socket. The client's and the server's sessions derive from it and
-// act on its events. It lives as long as it has work on its socket, and tells its end once by onEnded().
+// One HTTP/2 connection: transfers bytes between an Http2Engine and a socket. Http2ClientSession and Http2ServerSession
+// derive from it and handle the events. Pending socket operations keep it alive. onEnded() is called once.
 class Http2Session : public std::enable_shared_from_this<Http2Session>, protected Http2Events {
 public:
-    // Counts the bytes of all connections of one client or server.
+    // Counts the TCP payload bytes of all connections of one client or server, in both directions.
     using ByteCounter = std::shared_ptr<std::uint64_t>;
 
     ~Http2Session() override = default;
     Http2Session(const Http2Session&) = delete;
     Http2Session& operator=(const Http2Session&) = delete;
 
-    // Closes the socket at once; onEnded() still runs unless the session has ended already.
+    // Closes the socket immediately and calls onEnded(), unless the session has already ended.
     void abort(const std::string& reason);
 
 protected:
     Http2Session(boost::asio::ip::tcp::socket, Http2Engine::Role, const Http2Limits&, ByteCounter);
 
-    // Begins to read and write; call it once, when the socket is connected.
+    // Starts reading and writing. Call it once, after the socket is connected.
     void begin();
-    // Writes what the engine holds, soon: what is queued until then leaves in one write.
+    // Posts a write of the engine's pending output, so that frames queued until then share one write.
     void scheduleFlush();
 
     Http2Engine& engine() { return engine_; }
     const Http2Engine& engine() const { return engine_; }
     const Http2Limits& limits() const { return limits_; }
     boost::asio::ip::tcp::socket& socket() { return socket_; }
-    // False once the connection is on its way down: nothing that is queued now would leave.
+    // False once the connection is closing and no further output will be sent.
     bool canWrite() const { return !ended_ && !lingering_; }
 
-    // The connection is over, for good. No event follows.
+    // The connection has closed. No event follows.
     virtual void onEnded(const std::string& reason) = 0;
-    // The engine has just read input or made output, and may be used without restraint.
+    // The engine has finished processing input or producing output; all its functions may be called.
     virtual void onEngineIdle() { }
 
 private:
--- a/Source/Net/HttpMessage.h
+++ b/Source/Net/HttpMessage.h
@@ -6,7 +6,7 @@
 
 namespace wisteriadock {
 
-// A header field; names are lower case as HTTP/2 demands.
+// A header field. The name is in lower case, as HTTP/2 requires.
 struct HttpHeader {
     std::string name;
     std::string value;
@@ -14,7 +14,7 @@
     bool operator==(const HttpHeader&) const = default;
 };
 
-// A whole request. Pseudo-headers have members of their own and never stand in headers.
+// A complete request. Pseudo-headers are separate members and never part of `headers`.
 struct HttpRequest {
     std::string method = "GET";
     std::string path = "/";
@@ -22,11 +22,11 @@
     std::vector<HttpHeader> headers;
     std::string body;
 
-    // The first value of a header, or an empty view when it is absent.
+    // Returns the first value of a header, or an empty view if it is absent.
     std::string_view header(std::string_view name) const;
 };
 
-// A whole answer.
+// A complete response.
 struct HttpResponse {
     int status = 200;
     std::vector<HttpHeader> headers;
--- a/Source/Net/MetricsEndpoint.h
+++ b/Source/Net/MetricsEndpoint.h
@@ -13,10 +13,10 @@
 
 namespace wisteriadock {
 
-// Serves a registry of metrics over HTTP at /metrics, on a thread of its own, for as long as it lives.
+// Serves a Prometheus registry over HTTP at /metrics, on a separate thread, until it is destroyed.
 class MetricsEndpoint {
 public:
-    // A port of 0 takes an ephemeral one. Fails with Unavailable when the address can't be bound.
+    // Port 0 selects an ephemeral port. Fails with ErrorCode::Unavailable if the address can't be bound.
     static Result<std::unique_ptr<MetricsEndpoint>> serve(Endpoint, std::shared_ptr<prometheus::Registry>);
     ~MetricsEndpoint();
     MetricsEndpoint(const MetricsEndpoint&) = delete;
@@ -28,7 +28,7 @@
     MetricsEndpoint(Endpoint, std::shared_ptr<prometheus::Registry>, std::unique_ptr<prometheus::Exposer>);
 
     Endpoint address_;
-    // The exposer itself only points to the registry weakly.
+    // The exposer holds only a weak pointer to the registry.
     std::shared_ptr<prometheus::Registry> registry_;
     std::unique_ptr<prometheus::Exposer> exposer_;
 };
--- a/Source/Net/UdpSocket.cpp
+++ b/Source/Net/UdpSocket.cpp
@@ -16,7 +16,7 @@
         : socket_(context)
         , handler_(std::move(handler))
         , maxDatagramBytes_(maxDatagramBytes)
-        // One byte more than may come, so that a datagram that is too long shows as such rather than cut.
+        // One byte above the limit, so that an oversized datagram is detected instead of truncated.
         , buffer_(maxDatagramBytes + 1)
     {
     }
--- a/Source/Net/UdpSocket.h
+++ b/Source/Net/UdpSocket.h
@@ -13,18 +13,18 @@
 
 namespace wisteriadock {
 
-// The control thread's door for datagrams. Sending never waits: a datagram that the kernel won't take is dropped and
-// counted, as the network itself may do. Not thread-safe: all calls and callbacks happen on the io_context's thread.
+// A bound UDP socket for control traffic. Sending never blocks: a datagram that the kernel rejects is dropped and
+// counted. Not thread-safe: all calls and callbacks happen on the thread of the io_context.
 class UdpSocket {
 public:
-    // The bytes are the socket's own and only last for the call. The handler may destroy the socket.
+    // Receives each datagram. `bytes` is valid only during the call. The handler may destroy the socket.
     using Handler = std::function<void(const Endpoint& sender, std::span<const std::uint8_t> bytes)>;
 
-    // The largest payload that fits an Ethernet frame whole.
+    // The largest UDP payload that fits into one Ethernet frame without fragmentation.
     static constexpr std::size_t defaultMaxDatagramBytes = 1472;
 
-    // Receives at once; a port of 0 takes an ephemeral one. Datagrams longer than `maxDatagramBytes` are dropped and
-    // counted in both directions. Fails with Unavailable when the address can't be bound.
+    // Binds the socket and starts receiving. Port 0 selects an ephemeral port. Datagrams longer than `maxDatagramBytes`
+    // are dropped and counted in both directions. Fails with ErrorCode::Unavailable if the address can't be bound.
     static Result<std::unique_ptr<UdpSocket>> bind(
         boost::asio::io_context&, Endpoint, Handler, std::size_t maxDatagramBytes = defaultMaxDatagramBytes);
     ~UdpSocket();
@@ -34,10 +34,10 @@
     void send(const Endpoint& receiver, std::span<const std::uint8_t> bytes);
 
     Endpoint address() const;
-    // Payload bytes.
+    // UDP payload bytes.
     std::uint64_t bytesSent() const;
     std::uint64_t bytesReceived() const;
-    // Datagrams that were too long, or that the kernel refused to send.
+    // Datagrams that were too long, or that the kernel rejected.
     std::uint64_t datagramsDropped() const;
 
 private:
