--- a/Source/Net/Http1Client.cpp
+++ b/Source/Net/Http1Client.cpp
@@ -17,7 +17,7 @@
 
 namespace http = boost::beast::http;
 using boost::asio::ip::tcp;
-using ErrorValue = boost::system::error_code;
+using BoostErrorCode = boost::system::error_code;
 
 struct Http1Client::Shared {
     boost::asio::io_context& context;
@@ -62,7 +62,7 @@
             write();
             return;
         }
-        socket_.async_connect(toTcp(shared_->server), [self = shared_from_this()](const ErrorValue& error) {
+        socket_.async_connect(toTcp(shared_->server), [self = shared_from_this()](const BoostErrorCode& error) {
             if (error)
                 self->fail(HttpFailureKind::NotSent, "connect: " + error.message());
             else
@@ -75,7 +75,7 @@
         // No byte was sent if the connection was not established.
         if (kind == HttpFailureKind::DeadlineExceeded && !hasStartedSending_)
             kind = HttpFailureKind::NotSent;
-        ErrorValue ignored;
+        BoostErrorCode ignored;
         socket_.close(ignored);
         finish(HttpFailure { kind, std::move(detail) });
     }
@@ -92,7 +92,7 @@
     void startDeadlineTimer(TimePoint deadline)
     {
         timer_.expires_at(deadline);
-        timer_.async_wait([self = shared_from_this()](const ErrorValue& error) {
+        timer_.async_wait([self = shared_from_this()](const BoostErrorCode& error) {
             if (!error)
                 self->fail(HttpFailureKind::DeadlineExceeded, "no response before the deadline");
         });
@@ -102,7 +102,7 @@
     {
         if (!callback_)
             return;
-        ErrorValue ignored;
+        BoostErrorCode ignored;
         socket_.set_option(tcp::no_delay(true), ignored);
         write();
     }
@@ -110,25 +110,26 @@
     void write()
     {
         hasStartedSending_ = true;
-        http::async_write(socket_, request_, [self = shared_from_this()](const ErrorValue& error, std::size_t bytes) {
-            self->shared_->bytes += bytes;
-            if (error)
-                self->fail(HttpFailureKind::Lost, "write: " + error.message());
-            else if (self->callback_)
-                self->read();
-        });
+        http::async_write(
+            socket_, request_, [self = shared_from_this()](const BoostErrorCode& error, std::size_t bytes) {
+                self->shared_->bytes += bytes;
+                if (error)
+                    self->fail(HttpFailureKind::Lost, "write: " + error.message());
+                else if (self->callback_)
+                    self->read();
+            });
     }
 
     void read()
     {
         http::async_read_some(
-            socket_, buffer_, parser_, [self = shared_from_this()](const ErrorValue& error, std::size_t bytes) {
+            socket_, buffer_, parser_, [self = shared_from_this()](const BoostErrorCode& error, std::size_t bytes) {
                 self->shared_->bytes += bytes;
                 self->onRead(error);
             });
     }
 
-    void onRead(const ErrorValue& error)
+    void onRead(const BoostErrorCode& error)
     {
         if (!callback_)
             return;
--- a/Source/Net/Http1Server.cpp
+++ b/Source/Net/Http1Server.cpp
@@ -16,7 +16,7 @@
 
 namespace http = boost::beast::http;
 using boost::asio::ip::tcp;
-using ErrorValue = boost::system::error_code;
+using BoostErrorCode = boost::system::error_code;
 
 namespace {
 
@@ -53,19 +53,20 @@
         parser_->header_limit(maxHeaderBytes);
         parser_->body_limit(maxBodyBytes);
         timer_.expires_after(idleTimeout);
-        timer_.async_wait([self = shared_from_this()](const ErrorValue& error) {
+        timer_.async_wait([self = shared_from_this()](const BoostErrorCode& error) {
             if (!error)
                 self->close();
         });
-        http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](const ErrorValue& error, std::size_t) {
-            error ? self->close() : self->handleRequest();
-        });
+        http::async_read(
+            socket_, buffer_, *parser_, [self = shared_from_this()](const BoostErrorCode& error, std::size_t) {
+                error ? self->close() : self->handleRequest();
+            });
     }
 
     void close()
     {
         timer_.cancel();
-        ErrorValue ignored;
+        BoostErrorCode ignored;
         socket_.close(ignored);
         if (const auto owner = owner_.lock())
             owner->connections.erase(shared_from_this());
@@ -125,7 +126,7 @@
         response_.body() = std::move(response.body);
         response_.keep_alive(parser_->get().keep_alive());
         response_.prepare_payload();
-        http::async_write(socket_, response_, [self = shared_from_this()](const ErrorValue& error, std::size_t) {
+        http::async_write(socket_, response_, [self = shared_from_this()](const BoostErrorCode& error, std::size_t) {
             error || !self->response_.keep_alive() ? self->close() : self->read();
         });
     }
@@ -142,7 +143,7 @@
     boost::asio::io_context& context, Endpoint endpoint, Handler handler)
 {
     tcp::acceptor acceptor(context);
-    ErrorValue error;
+    BoostErrorCode error;
     acceptor.open(tcp::v4(), error);
     if (!error)
         acceptor.set_option(tcp::acceptor::reuse_address(true), error);
@@ -166,7 +167,7 @@
 
 Http1Server::~Http1Server()
 {
-    ErrorValue ignored;
+    BoostErrorCode ignored;
     shared_->acceptor.close(ignored);
     const auto connections = shared_->connections;
     for (const auto& connection : connections)
@@ -175,13 +176,13 @@
 
 Endpoint Http1Server::address() const
 {
-    ErrorValue ignored;
+    BoostErrorCode ignored;
     return fromAsio(shared_->acceptor.local_endpoint(ignored));
 }
 
 void Http1Server::accept(const std::shared_ptr<Shared>& shared)
 {
-    shared->acceptor.async_accept([weak = std::weak_ptr(shared)](const ErrorValue& error, tcp::socket socket) {
+    shared->acceptor.async_accept([weak = std::weak_ptr(shared)](const BoostErrorCode& error, tcp::socket socket) {
         const auto owner = weak.lock();
         if (!owner || error == boost::asio::error::operation_aborted)
             return;
