--- a/Tests/Net/Http1Test.cpp
+++ b/Tests/Net/Http1Test.cpp
@@ -38,7 +38,7 @@
             return std::move(result).value();
         }
 
-        // Runs until the callback has come.
+        // Sends a request and runs the event loop until its callback has run.
         HttpOutcome call(Http1Client& client, const std::string& path, Duration timeout = 10s)
         {
             std::optional<HttpOutcome> outcome;
@@ -82,9 +82,7 @@
         EXPECT_EQ(outcome->value().body, "late");
     }
 
-    // Symptom: a balancer heard nothing more from the store, for good.
-    // Sequence: its connection goes silent without a reset.
-    // Cause: a read without a time limit.
+    // Guards against reads without a timeout, which wait forever on a connection that is dead but was not reset.
     TEST_F(Http1Test, SilentConnectionTimesOutAndIsNotReused)
     {
         Http1Client client(context, server->address());
@@ -94,9 +92,8 @@
         EXPECT_EQ(call(client, "/ready").value().body, "/ready");
     }
 
-    // Symptom: a zone's watcher asked the store for the same news again and again.
-    // Sequence: the answer holds a large configuration, and a thin link takes longer for it than the call may last.
-    // Cause: the deadline also ended answers that were coming.
+    // Guards against a deadline that ends a response in progress: a large response over a slow link would be requested
+    // again and again.
     TEST_F(Http1Test, ResponseInProgressOutlivesDeadline)
     {
         using boost::asio::ip::tcp;
@@ -125,7 +122,7 @@
         };
         EXPECT_EQ(callWithReadTimeout(30s).value().body, "begend");
         {
-            SCOPED_TRACE("unless it stops coming");
+            SCOPED_TRACE("the response stalls");
             peer.close();
             const HttpOutcome stalled = callWithReadTimeout(1ms);
             ASSERT_FALSE(stalled);
@@ -133,6 +130,7 @@
         }
     }
 
+    // Guards against a refused connection being reported as if the request could have been sent.
     TEST_F(Http1Test, ConnectionRefusedIsNotSent)
     {
         const Endpoint closedAddress = listen()->address();
@@ -142,6 +140,7 @@
         EXPECT_EQ(outcome.error().kind, HttpFailureKind::NotSent);
     }
 
+    // Guards against callbacks that run after the client was destroyed, or never.
     TEST_F(Http1Test, DestructorCancelsOpenRequests)
     {
         std::optional<HttpOutcome> outcome;
@@ -159,6 +158,7 @@
         context.poll();
     }
 
+    // Guards against connections that stay open after bytes that are not HTTP.
     TEST_F(Http1Test, MalformedRequestClosesConnection)
     {
         boost::asio::ip::tcp::socket socket(context);
@@ -174,7 +174,7 @@
         EXPECT_TRUE(*ended);
     }
 
-    // A server that sends the head of an answer and half of its body, and then nothing.
+    // Guards against wrong progress and a missing cancellation when a server sends only half of the body.
     TEST_F(Http1Test, ProgressAndCancellationOfPartialResponse)
     {
         using boost::asio::ip::tcp;
--- a/Tests/Net/Http2ClientFailureTest.cpp
+++ b/Tests/Net/Http2ClientFailureTest.cpp
@@ -7,17 +7,17 @@
 namespace wisteriadock {
 namespace {
 
-    // Work that must run at most once is sent again only after NotSent and Refused, so each kind is told from the
-    // others by what the other side can have seen.
+    // Requests that must run at most once are retried only after NotSent and Refused, so the failure kind must tell
+    // whether the server may have processed the request.
     class Http2ClientFailureTest : public Http2Fixture {
     protected:
-        // Makes the client speak to a peer that the test leads by hand.
+        // Replaces the client by one that connects to the raw peer.
         void connectToPeer(Http2Limits limits = {})
         {
             client_ = std::make_unique<Http2Client>(context_, peer_.listen(), limits);
         }
 
-        // Sends a request and lets the peer read it whole.
+        // Sends a request and runs the event loop until the peer has received it completely.
         std::shared_ptr<Call> sendToPeer()
         {
             auto call = send(makePost("/", "work"));
@@ -36,7 +36,7 @@
         RawPeer peer_ { context_ };
     };
 
-    // Symptom: the backend server's process is gone. Sequence: connect is refused. Cause: nobody listens on the port.
+    // Guards against a refused connection being reported as if the request could have been sent.
     TEST_F(Http2ClientFailureTest, ConnectionRefusedIsNotSent)
     {
         boost::asio::ip::tcp::acceptor closedPort(context_);
@@ -46,8 +46,7 @@
         EXPECT_EQ(failureOf(send(makePost("/", "work"))), HttpFailureKind::NotSent);
     }
 
-    // Symptom: a VM takes no connections. Sequence: the kernel drops SYNs; connectTimeout passes.
-    // Cause: the listener's queue is full, as on a process that hangs.
+    // Guards against waiting past connectTimeout for a VM whose accept queue is full.
     TEST_F(Http2ClientFailureTest, ConnectTimeoutIsNotSent)
     {
         boost::asio::ip::tcp::acceptor fullListener(context_);
@@ -62,22 +61,20 @@
         EXPECT_EQ(failureOf(send(makePost("/", "work"))), HttpFailureKind::NotSent);
     }
 
-    // Symptom: a caller gives up early. Sequence: send, then cancel or deadline, before the loop turns.
-    // Cause: the request still waits for the connection.
+    // Guards against sending a request that was cancelled or expired while the connection was being established.
     TEST_F(Http2ClientFailureTest, CancelOrDeadlineBeforeConnectIsNotSent)
     {
         listen();
         const auto cancelled = send(makePost("/cancelled", "work"));
         client_->cancel(cancelled->id);
-        EXPECT_FALSE(cancelled->hasEnded()) << "no callback runs inside a call";
+        EXPECT_FALSE(cancelled->hasEnded()) << "the callback ran inside cancel()";
         EXPECT_EQ(failureOf(cancelled), HttpFailureKind::NotSent);
         EXPECT_EQ(failureOf(send(makePost("/expired", "work"), Duration::zero())), HttpFailureKind::NotSent);
         expectServerResponds();
-        EXPECT_EQ(exchanges_.size(), 1U) << "the server has seen neither request";
+        EXPECT_EQ(exchanges_.size(), 1U) << "the server received a cancelled or expired request";
     }
 
-    // Symptom: a busy server. Sequence: the only stream is taken; a second request is cancelled, a third one waits on.
-    // Cause: the server's SETTINGS allow one stream.
+    // Guards against sending a cancelled request that was queued because of SETTINGS_MAX_CONCURRENT_STREAMS.
     TEST_F(Http2ClientFailureTest, CancelOfQueuedRequestIsNotSent)
     {
         Http2Limits limits;
@@ -97,7 +94,7 @@
         EXPECT_TRUE(first->hasResponse() && third->hasResponse());
     }
 
-    // Symptom: a slow backend server. Sequence: the deadline passes after sending. Cause: no answer in time.
+    // Guards against a server that continues to process a request whose deadline has passed.
     TEST_F(Http2ClientFailureTest, DeadlineResetsStream)
     {
         listen();
@@ -110,7 +107,7 @@
         EXPECT_EQ(server_->openExchanges(), 0U);
     }
 
-    // Symptom: the caller went away. Sequence: cancel after sending. Cause: nobody waits for the answer.
+    // Guards against a server that continues to process a cancelled request, or that reports the cancellation twice.
     TEST_F(Http2ClientFailureTest, CancelResetsStream)
     {
         listen();
@@ -124,10 +121,10 @@
         runUntil([&] { return cancels > 0; });
         client_.reset();
         expectServerResponds();
-        EXPECT_EQ(cancels, 1) << "the connection's end is no second cancel";
+        EXPECT_EQ(cancels, 1) << "closing the connection cancelled the exchange again";
     }
 
-    // Symptom: a drained backend server sends work back. Sequence: RST_STREAM. Cause: refuse(), or the handler's slip.
+    // Guards against confusing a refused request with one whose handler dropped the exchange without a response.
     TEST_F(Http2ClientFailureTest, DistinguishesRefusedFromDroppedExchange)
     {
         listen();
@@ -141,8 +138,7 @@
         EXPECT_EQ(failureOf(dropped), HttpFailureKind::Lost);
     }
 
-    // Symptom: a restart cuts requests. Sequence: two requests sent; GOAWAY names the first as the last; the connection
-    // closes. Cause: the server never looked at the second one, but may have acted on the first.
+    // Guards against reporting a request as refused although GOAWAY lists its stream as possibly processed.
     TEST_F(Http2ClientFailureTest, GoAwayRefusesOnlyLaterStreams)
     {
         connectToPeer();
@@ -156,8 +152,7 @@
         EXPECT_EQ(failureOf(first), HttpFailureKind::Lost);
     }
 
-    // Symptom: a backend server crashes. Sequence: the request is read whole, then the connection closes.
-    // Cause: the server may have acted; the client can't know.
+    // Guards against a lost connection that is reported as safe to retry, or that is not reopened.
     TEST_F(Http2ClientFailureTest, ReconnectsAfterConnectionLoss)
     {
         listen();
@@ -168,7 +163,7 @@
         const Endpoint address = server_->address();
         server_.reset();
         EXPECT_EQ(failureOf(lost), HttpFailureKind::Lost);
-        EXPECT_FALSE(isCancelled) << "a destroyed server runs no callback";
+        EXPECT_FALSE(isCancelled) << "the destroyed server ran a callback";
 
         const auto keepExchange = [this](Exchange exchange) { exchanges_.push_back(std::move(exchange)); };
         server_ = Http2Server::listen(context_, address, keepExchange).value();
@@ -179,8 +174,7 @@
         EXPECT_TRUE(next->hasResponse());
     }
 
-    // Symptom: half a picture. Sequence: the answer begins; then the connection closes, the stream is reset, or the
-    // message ends short. Cause: the server failed in mid-answer. None of these may look like a success.
+    // Guards against a truncated response being reported as a success.
     TEST_F(Http2ClientFailureTest, TruncatedResponseIsIncomplete)
     {
         const std::string headers
@@ -188,7 +182,7 @@
         const std::string half = headers + raw::frame(raw::Data, 0, 1, "half");
         const std::string refusedStream = raw::encodeUint32(7);
         {
-            SCOPED_TRACE("by the end of the connection");
+            SCOPED_TRACE("the connection closes");
             connectToPeer();
             const auto call = sendToPeer();
             peer_.write(half);
@@ -200,7 +194,7 @@
                  raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::field("x-trailer", "1")),
                  std::string("no frame at all, so the connection is given up"),
                  raw::frame(raw::Headers, raw::endHeaders, 1, raw::field("Upper-Case", "1")) }) {
-            SCOPED_TRACE("by " + testing::PrintToString(end));
+            SCOPED_TRACE("the peer sends " + testing::PrintToString(end));
             RawPeer next(context_);
             client_ = std::make_unique<Http2Client>(context_, next.listen());
             const auto call = send(makePost("/", "work"));
@@ -212,7 +206,7 @@
         }
     }
 
-    // Symptom: the balancer's memory grows. Sequence: an answer over a limit. Cause: a backend server's fault.
+    // Guards against unbounded memory use by the response of a faulty backend server.
     TEST_F(Http2ClientFailureTest, ResponseOverLimitIsIncomplete)
     {
         listen();
@@ -231,8 +225,7 @@
         EXPECT_EQ(failureOf(longHeader), HttpFailureKind::Incomplete);
     }
 
-    // Symptom: a callback after its owner's end. Sequence: the client is destroyed with open requests.
-    // Cause: callbacks that were only posted. Each has to run before the destructor returns.
+    // Guards against callbacks that run after the client was destroyed.
     TEST_F(Http2ClientFailureTest, DestructorEndsOpenRequests)
     {
         Http2Limits limits;
--- a/Tests/Net/Http2ExchangeTest.cpp
+++ b/Tests/Net/Http2ExchangeTest.cpp
@@ -14,7 +14,7 @@
         EXPECT_EQ(client_->openRequests(), 1U);
         runUntilExchanges(1);
         {
-            SCOPED_TRACE("the handler sees the request as it was sent");
+            SCOPED_TRACE("the handler receives the request unchanged");
             const HttpRequest& seen = exchanges_[0]->request();
             EXPECT_EQ(seen.method, "POST");
             EXPECT_EQ(seen.path, "/fit?size=m");
@@ -28,10 +28,10 @@
         response.headers = { { "x-backend", "3" } };
         response.body = "fitted";
         exchanges_[0]->respond(response);
-        exchanges_[0]->respond(makeResponse("a second answer is ignored"));
+        exchanges_[0]->respond(makeResponse("a second response is ignored"));
         runUntilEnded({ call });
         {
-            SCOPED_TRACE("the caller sees the answer as it was given");
+            SCOPED_TRACE("the client receives the response unchanged");
             ASSERT_TRUE(call->hasResponse());
             EXPECT_EQ(call->response().status, 201);
             EXPECT_EQ(call->response().header("x-backend"), "3");
@@ -93,6 +93,7 @@
         EXPECT_TRUE(call->response().body.empty());
     }
 
+    // Guards against use of a client after one of its callbacks has destroyed it.
     TEST_F(Http2ExchangeTest, CallbackMayDestroyClient)
     {
         listen();
@@ -115,6 +116,7 @@
         EXPECT_EQ(ends, (std::vector<std::string> { "/first answered", "/answered-too answered", "/open failed" }));
     }
 
+    // Guards against use of a server after one of its callbacks has destroyed it.
     TEST_F(Http2ExchangeTest, CallbackMayDestroyServer)
     {
         listen();
@@ -123,7 +125,7 @@
         exchanges_[0]->onCancelled([&] { server_.reset(); });
         client_->cancel(call->id);
         runUntil([&] { return !server_; });
-        exchanges_[0]->respond(makeResponse("nobody is left to read this"));
+        exchanges_[0]->respond(makeResponse("ignored"));
         runUntilEnded({ call });
         EXPECT_EQ(call->failure(), HttpFailureKind::Cancelled);
     }
--- a/Tests/Net/Http2Fixture.h
+++ b/Tests/Net/Http2Fixture.h
@@ -13,12 +13,12 @@
 
 namespace wisteriadock {
 
-// A server on an ephemeral port and a client of it, on one io_context that the test turns until a condition holds.
+// A server on an ephemeral port and a client connected to it, on one io_context that tests run until a condition holds.
 class Http2Fixture : public testing::Test {
 protected:
     using Exchange = std::shared_ptr<Http2Exchange>;
 
-    // What became of one request.
+    // A request and its outcome.
     struct Call {
         std::optional<HttpOutcome> outcome;
         Http2Client::RequestId id = 0;
@@ -31,7 +31,7 @@
 
     static constexpr Endpoint loopback { 0x7F000001, 0 };
 
-    // Listens with a handler that keeps every exchange in `exchanges`.
+    // Starts a server whose handler stores each exchange in `exchanges_`, and a client of it.
     void listen(Http2Limits limits = {})
     {
         auto listening = Http2Server::listen(
@@ -72,21 +72,21 @@
         return response;
     }
 
-    // Turns the loop until the condition holds. CTest's time-out ends a test whose condition never comes.
+    // Runs the event loop until the condition holds; the timeout of CTest applies.
     template <typename Condition> void runUntil(Condition condition)
     {
         context_.restart();
         while (!condition())
-            ASSERT_GT(context_.run_one(), 0U) << "the loop has nothing left to do";
+            ASSERT_GT(context_.run_one(), 0U) << "the event loop ran out of work";
     }
 
-    // Turns the loop until the handler has so many exchanges.
+    // Runs the event loop until the handler has received `count` exchanges in total.
     void runUntilExchanges(std::size_t count)
     {
         runUntil([&] { return exchanges_.size() >= count; });
     }
 
-    // Shows that the server still serves: a new client's request is answered.
+    // Checks that the server responds to a new client.
     void expectServerResponds()
     {
         const std::size_t before = exchanges_.size();
--- a/Tests/Net/Http2ServerFailureTest.cpp
+++ b/Tests/Net/Http2ServerFailureTest.cpp
@@ -6,14 +6,15 @@
 
     class Http2ServerFailureTest : public Http2Fixture {
     protected:
-        // Connects a peer that greets as a client should.
+        // Connects a peer and sends the client preface and SETTINGS.
         void connectPeer(RawPeer& peer)
         {
             peer.connect(server_->address());
             peer.write(std::string(raw::preface) + raw::frame(raw::Settings, 0, 0, ""));
         }
 
-        // One kind of misuse: the server counts it once, answers it as expected and goes on serving.
+        // Sends a malformed frame or message and checks that the server counts one protocol error, closes the
+        // connection or resets the stream, and continues to serve other clients.
         void expectProtocolError(const std::string& bytes, bool endsConnection)
         {
             const std::uint64_t before = server_->protocolErrors();
@@ -27,8 +28,7 @@
         }
     };
 
-    // Symptom: errors after a deployment. Sequence: drain with an open stream, new work, the answer, the end.
-    // Cause: a server that closes at once would cut the open stream and whatever is on its way.
+    // Guards against a drain that loses open streams or requests in flight.
     TEST_F(Http2ServerFailureTest, DrainCompletesOpenStreams)
     {
         listen();
@@ -40,7 +40,7 @@
         runUntilExchanges(2);
         EXPECT_FALSE(isDrained);
         {
-            SCOPED_TRACE("a new connection finds nobody");
+            SCOPED_TRACE("a new connection is refused");
             Http2Client other(context_, server_->address());
             const auto refused = sendWith(other, makePost("/", "work"));
             runUntilEnded({ refused });
@@ -53,8 +53,7 @@
         runUntil([&] { return isDrained; });
     }
 
-    // Symptom: requests lost at every deployment. Sequence: a client connects and sends; the server drains before it
-    // has accepted. Cause: closing the listener resets what the kernel has set up for it.
+    // Guards against a drain that resets the connections in the accept queue of the kernel.
     TEST_F(Http2ServerFailureTest, DrainServesQueuedConnections)
     {
         listen();
@@ -68,8 +67,7 @@
         runUntil([&] { return queued.hasFrame(raw::Data) && isDrained; });
     }
 
-    // Symptom: a drain that never ends. Sequence: GOAWAY and ping meet a client that does not answer.
-    // Cause: a hung client; after a while the final GOAWAY goes out all the same.
+    // Guards against a drain that never completes because a client does not acknowledge the ping.
     TEST_F(Http2ServerFailureTest, DrainsDespiteSilentClient)
     {
         listen();
@@ -82,8 +80,7 @@
         EXPECT_TRUE(silent.hasFrame(raw::GoAway));
     }
 
-    // Symptom: a probe or a wrong client on the port. Sequence: bytes that are no HTTP/2. Cause: the preface is
-    // missing.
+    // Guards against a server that fails on bytes without the HTTP/2 preface.
     TEST_F(Http2ServerFailureTest, CountsNonHttp2ConnectionsAndKeepsServing)
     {
         listen();
@@ -99,8 +96,7 @@
         expectServerResponds();
     }
 
-    // Symptom: requests that a backend server would read otherwise than we do. Sequence: one malformed frame or
-    // message. Cause: a faulty or hostile client.
+    // Guards against malformed requests that reach the handler, since a backend server might parse them differently.
     TEST_F(Http2ServerFailureTest, CountsMalformedFramesAndKeepsServing)
     {
         listen();
@@ -116,7 +112,7 @@
             expectProtocolError(raw::frame(raw::Data, 0, 1, "x"), true);
         }
         {
-            SCOPED_TRACE("headers that don't decompress");
+            SCOPED_TRACE("headers that can't be decompressed");
             expectProtocolError(headers("\xFF\xFF\xFF\xFF\xFF\xFF\xFF\xFF"), true);
         }
         {
@@ -134,10 +130,10 @@
             expectProtocolError(headers(raw::field("x", "1"), raw::endStream), false);
         }
         for (const Exchange& exchange : exchanges_)
-            EXPECT_EQ(exchange->request().path, "/still-there") << "no malformed request reached the handler";
+            EXPECT_EQ(exchange->request().path, "/still-there") << "a malformed request reached the handler";
     }
 
-    // Symptom: the server's memory grows. Sequence: a request over a limit. Cause: a faulty or hostile client.
+    // Guards against unbounded memory use by the request of a faulty or hostile client.
     TEST_F(Http2ServerFailureTest, RejectsRequestsOverLimit)
     {
         Http2Limits limits;
@@ -163,8 +159,7 @@
         expectServerResponds();
     }
 
-    // Symptom: the server's memory grows. Sequence: malformed requests whose resets are never read; the client's window
-    // is full. Cause: a hostile client.
+    // Guards against unbounded memory use by stream resets that a hostile client never reads.
     TEST_F(Http2ServerFailureTest, ClosesConnectionThatNeverReads)
     {
         listen();
@@ -178,12 +173,12 @@
                 burst += raw::frame(raw::Headers, raw::endHeaders | raw::endStream, stream, raw::field("x", "1"));
             return !unreadPeer.write(burst);
         });
-        EXPECT_LT(stream / 2, 1'000'000U) << "requests until the server gave up";
+        EXPECT_LT(stream / 2, 1'000'000U) << "requests sent before the server closed the connection";
         EXPECT_TRUE(exchanges_.empty());
         expectServerResponds();
     }
 
-    // Symptom: no descriptors left. Sequence: more connections than the limit. Cause: a client that leaks them.
+    // Guards against a client that uses up the file descriptors of the server.
     TEST_F(Http2ServerFailureTest, ClosesConnectionsOverLimit)
     {
         Http2Limits limits;
@@ -199,8 +194,7 @@
         first.close();
     }
 
-    // Symptom: work goes on for a caller that is gone. Sequence: the connection breaks before the answer.
-    // Cause: the handler was not told.
+    // Guards against a handler that continues to work for a client whose connection has closed.
     TEST_F(Http2ServerFailureTest, CancelsExchangeOnConnectionLoss)
     {
         listen();
@@ -216,6 +210,7 @@
         expectServerResponds();
     }
 
+    // Guards against an error without the address that can't be bound.
     TEST_F(Http2ServerFailureTest, ReportsAddressInUse)
     {
         listen();
--- a/Tests/Net/MetricsEndpointTest.cpp
+++ b/Tests/Net/MetricsEndpointTest.cpp
@@ -36,6 +36,7 @@
         EXPECT_NE(scrape(endpoint.value()->address()).find("wisteriadock_requests 3"), std::string::npos);
     }
 
+    // Guards against an error without the address that can't be bound.
     TEST(MetricsEndpointTest, ReportsAddressInUse)
     {
         const auto first = MetricsEndpoint::serve(loopback, std::make_shared<prometheus::Registry>());
--- a/Tests/Net/RawHttp2.h
+++ b/Tests/Net/RawHttp2.h
@@ -12,7 +12,7 @@
 
 namespace wisteriadock {
 
-// HTTP/2 by hand, for peers that break its rules or stop in the middle.
+// Encodes HTTP/2 frames byte by byte, for peers that violate the protocol or stop in the middle of a message.
 namespace raw {
 
     enum FrameType : std::uint8_t {
@@ -31,20 +31,20 @@
 
     std::string encodeUint32(std::uint32_t);
     std::string frame(FrameType, std::uint8_t flags, std::uint32_t stream, std::string_view payload);
-    // A field that no table holds; names and values under 127 bytes.
+    // A literal HPACK field without indexing; name and value must be shorter than 127 bytes.
     std::string field(std::string_view name, std::string_view value);
-    // The pseudo-headers of "POST /" to "tryon", and of a 200 answer.
+    // The pseudo-headers of a "POST /" request to the authority "tryon", and of a 200 response.
     std::string requestFields();
     std::string responseFields();
 
 }
 
-// A TCP peer that writes what a test tells it to and keeps what it reads.
+// A TCP peer that writes the bytes given by a test and records the bytes it reads.
 class RawPeer {
 public:
     explicit RawPeer(boost::asio::io_context&);
 
-    // Takes the first connection of a listener on an ephemeral port.
+    // Listens on an ephemeral port, returns its address and accepts one connection.
     Endpoint listen();
     enum class Reading {
         Always,
@@ -52,11 +52,11 @@
     };
     void connect(const Endpoint&, Reading = Reading::Always);
 
-    // False when the other side has closed.
+    // Returns false if the connection is closed.
     bool write(std::string_view bytes);
     void close();
 
-    // How many such frames have been read whole.
+    // Counts the frames of this type that have been received completely.
     std::size_t countFrames(raw::FrameType) const;
     bool hasFrame(raw::FrameType type) const { return countFrames(type) > 0; }
     bool isEnded() const { return ended_; }
--- a/Tests/Net/UdpSocketTest.cpp
+++ b/Tests/Net/UdpSocketTest.cpp
@@ -51,7 +51,7 @@
         EXPECT_EQ(two->bytesReceived(), 5U);
     }
 
-    // Symptom: a message cut short is read as whole. Sequence: a datagram over the size. Cause: the kernel cuts it.
+    // Guards against passing on an oversized datagram that the kernel has truncated.
     TEST_F(UdpSocketTest, DropsAndCountsOversizedDatagrams)
     {
         const auto small = open();
@@ -66,6 +66,7 @@
         EXPECT_EQ(small->bytesSent(), 0U);
     }
 
+    // Guards against use of a socket after its handler has destroyed it.
     TEST_F(UdpSocketTest, HandlerMayDestroySocket)
     {
         std::unique_ptr<UdpSocket> selfDestroying;
@@ -75,6 +76,7 @@
         runUntil([&] { return !selfDestroying; });
     }
 
+    // Guards against an error without the address that can't be bound.
     TEST_F(UdpSocketTest, ReportsAddressInUse)
     {
         const auto first = open();
