--- a/Source/Net/Http1Client.h
+++ b/Source/Net/Http1Client.h
@@ -21,8 +21,7 @@
     std::size_t bodyBytes = std::size_t(16) * 1024 * 1024;
     // Maximum number of idle connections kept for reuse; any other connection is closed after its response.
     std::size_t idleConnections = 2;
-    // Maximum time between two reads of one response. A response that arrives in time by this measure may complete
-    // after the deadline of its request.
+    // Maximum time between two reads of one response after the deadline of its request.
     std::chrono::milliseconds readTimeout { 700 };
 };
 
@@ -41,8 +40,8 @@
     Http1Client& operator=(const Http1Client&) = delete;
 
     // Sends a request. The callback runs exactly once, never inside this call. The response must start before the
-    // deadline; after that Http1Limits::readTimeout applies. On a timeout the connection is closed, because it may be
-    // dead.
+    // deadline. Once it has started, it may continue past the deadline, as long as no read takes longer than
+    // Http1Limits::readTimeout. On a timeout the connection is closed, because it may be dead.
     void send(HttpRequest, TimePoint deadline, Callback);
 
     // Body bytes of a response whose content-length is known.
--- a/Tests/Net/Http2ClientFailureTest.cpp
+++ b/Tests/Net/Http2ClientFailureTest.cpp
@@ -152,7 +152,7 @@
         EXPECT_EQ(failureOf(first), HttpFailureKind::Lost);
     }
 
-    // Guards against a lost connection that is reported as safe to retry, or that is not reopened.
+    // Guards against a request on a lost connection being reported as unprocessed, and against a missing reconnect.
     TEST_F(Http2ClientFailureTest, ReconnectsAfterConnectionLoss)
     {
         listen();
