--- a/Source/Net/Http1Client.cpp
+++ b/Source/Net/Http1Client.cpp
@@ -17,7 +17,7 @@
 
 namespace http = boost::beast::http;
 using boost::asio::ip::tcp;
-using ErrorValue = boost::system::error_code;
+using BoostErrorCode = boost::system::error_code;
 
 struct Http1Client::Shared {
     boost::asio::io_context& context;
@@ -29,7 +29,7 @@
     bool isClosed = false;
 };
 
-// One request and its answer on one connection. Handlers keep it alive; finish() runs the callback once.
+// One request and its response on one connection. Pending operations keep it alive; finish() runs the callback once.
 class Http1Client::Exchange : public std::enable_shared_from_this<Exchange> {
 public:
     Exchange(std::shared_ptr<Shared> shared, HttpRequest request, Callback callback)
@@ -48,34 +48,34 @@
         request_.prepare_payload();
         parser_.header_limit(static_cast<std::uint32_t>(shared_->limits.headerBytes));
         parser_.body_limit(shared_->limits.bodyBytes);
-        // Whatever has come is taken at once, also when the head and parts of the body come together.
+        // Parses the available part of the body together with the headers.
         parser_.eager(true);
     }
 
     void start(TimePoint deadline)
     {
         shared_->open.insert(this);
-        awaitDeadline(deadline);
+        startDeadlineTimer(deadline);
         if (!shared_->idle.empty()) {
             socket_ = std::move(shared_->idle.back());
             shared_->idle.pop_back();
             write();
             return;
         }
-        socket_.async_connect(toTcp(shared_->server), [self = shared_from_this()](const ErrorValue& error) {
+        socket_.async_connect(toTcp(shared_->server), [self = shared_from_this()](const BoostErrorCode& error) {
             if (error)
                 self->fail(HttpFailureKind::NotSent, "connect: " + error.message());
             else
-                self->afterConnect();
+                self->onConnected();
         });
     }
 
     void fail(HttpFailureKind kind, std::string detail)
     {
-        // Nothing was sent while the connection was still being opened.
-        if (kind == HttpFailureKind::DeadlineExceeded && !hasBegunToSend_)
+        // No byte was sent if the connection was not established.
+        if (kind == HttpFailureKind::DeadlineExceeded && !hasStartedSending_)
             kind = HttpFailureKind::NotSent;
-        ErrorValue ignored;
+        BoostErrorCode ignored;
         socket_.close(ignored);
         finish(HttpFailure { kind, std::move(detail) });
     }
@@ -89,46 +89,47 @@
     }
 
 private:
-    void awaitDeadline(TimePoint deadline)
+    void startDeadlineTimer(TimePoint deadline)
     {
         timer_.expires_at(deadline);
-        timer_.async_wait([self = shared_from_this()](const ErrorValue& error) {
+        timer_.async_wait([self = shared_from_this()](const BoostErrorCode& error) {
             if (!error)
-                self->fail(HttpFailureKind::DeadlineExceeded, "no answer by the deadline");
+                self->fail(HttpFailureKind::DeadlineExceeded, "no response before the deadline");
         });
     }
 
-    void afterConnect()
+    void onConnected()
     {
         if (!callback_)
             return;
-        ErrorValue ignored;
+        BoostErrorCode ignored;
         socket_.set_option(tcp::no_delay(true), ignored);
         write();
     }
 
     void write()
     {
-        hasBegunToSend_ = true;
-        http::async_write(socket_, request_, [self = shared_from_this()](const ErrorValue& error, std::size_t bytes) {
-            self->shared_->bytes += bytes;
-            if (error)
-                self->fail(HttpFailureKind::Lost, "write: " + error.message());
-            else if (self->callback_)
-                self->read();
-        });
+        hasStartedSending_ = true;
+        http::async_write(
+            socket_, request_, [self = shared_from_this()](const BoostErrorCode& error, std::size_t bytes) {
+                self->shared_->bytes += bytes;
+                if (error)
+                    self->fail(HttpFailureKind::Lost, "write: " + error.message());
+                else if (self->callback_)
+                    self->read();
+            });
     }
 
     void read()
     {
         http::async_read_some(
-            socket_, buffer_, parser_, [self = shared_from_this()](const ErrorValue& error, std::size_t bytes) {
+            socket_, buffer_, parser_, [self = shared_from_this()](const BoostErrorCode& error, std::size_t bytes) {
                 self->shared_->bytes += bytes;
-                self->afterRead(error);
+                self->onRead(error);
             });
     }
 
-    void afterRead(const ErrorValue& error)
+    void onRead(const BoostErrorCode& error)
     {
         if (!callback_)
             return;
@@ -138,16 +139,16 @@
         else if (parser_.is_done())
             succeed();
         else
-            readOn();
+            continueReading();
     }
 
-    // A large answer may take longer than the deadline on a thin link; to give it up while it comes would only send it
-    // anew.
-    void readOn()
+    // Extends the deadline while the response makes progress, so that a large response can complete over a slow link
+    // instead of being requested again.
+    void continueReading()
     {
-        const TimePoint pieceDue = Clock::now() + shared_->limits.nextPieceWithin;
-        if (pieceDue > timer_.expiry())
-            awaitDeadline(pieceDue);
+        const TimePoint readDeadline = Clock::now() + shared_->limits.readTimeout;
+        if (readDeadline > timer_.expiry())
+            startDeadlineTimer(readDeadline);
         read();
     }
 
@@ -183,7 +184,7 @@
     http::response_parser<http::string_body> parser_;
     boost::beast::flat_buffer buffer_;
     Callback callback_;
-    bool hasBegunToSend_ = false;
+    bool hasStartedSending_ = false;
 };
 
 Http1Client::Http1Client(boost::asio::io_context& context, Endpoint server, Http1Limits limits)
@@ -200,24 +201,25 @@
 
 std::optional<Http1Client::Progress> Http1Client::progress() const
 {
-    std::optional<Progress> longest;
+    std::optional<Progress> mostRemaining;
     for (const Exchange* exchange : shared_->open) {
         const auto progress = exchange->progress();
-        const bool isLonger
-            = progress && (!longest || progress->total - progress->received > longest->total - longest->received);
-        if (isLonger)
-            longest = progress;
+        const bool hasMoreRemaining = progress
+            && (!mostRemaining
+                || progress->total - progress->received > mostRemaining->total - mostRemaining->received);
+        if (hasMoreRemaining)
+            mostRemaining = progress;
     }
-    return longest;
+    return mostRemaining;
 }
 
 void Http1Client::cancelAll()
 {
-    // What a callback sends stays open.
+    // Requests that the callbacks send stay open, hence the copy.
     const std::vector<Exchange*> open(shared_->open.begin(), shared_->open.end());
     for (Exchange* exchange : open) {
         if (shared_->open.contains(exchange))
-            exchange->fail(HttpFailureKind::Cancelled, "given up");
+            exchange->fail(HttpFailureKind::Cancelled, "the request was cancelled");
     }
 }
 
--- a/Source/Net/Http2Engine.cpp
+++ b/Source/Net/Http2Engine.cpp
@@ -9,19 +9,18 @@
 
 namespace {
 
-    // One stream's window and the whole connection's: large enough that a body of 16 MB needs no waiting on a LAN.
-    constexpr std::uint32_t streamWindow = 1024 * 1024;
-    constexpr std::int32_t connectionWindow = 4 * 1024 * 1024;
+    // Flow-control windows, large enough to transfer a body of 16 MB over a LAN at full rate.
+    constexpr std::uint32_t streamWindowBytes = 1024 * 1024;
+    constexpr std::int32_t connectionWindowBytes = 4 * 1024 * 1024;
 
-    // nghttp2 ends a connection whose client resets more than 33 streams a second, as an answer to rapid-reset floods.
-    // A balancer resets a stream for every caller that gives up and every hedged request that lost, so that bound would
-    // cut busy connections and every stream on them. The higher one still bounds a flood.
+    // The rate limit of stream resets, which protects against rapid-reset floods. nghttp2 closes the connection when it
+    // is exceeded. The default of 33 a second is too low: a balancer resets a stream for each cancelled request and
+    // each hedged request that is no longer needed.
     constexpr std::uint64_t resetBurst = 20'000;
     constexpr std::uint64_t resetsPerSecond = 5'000;
 
-    // Frames that may wait for a client to read. A client that reads nothing and sends only malformed requests would
-    // otherwise pile up the resets that answer them.
-    constexpr std::size_t waitingFrames = 10'000;
+    // Bounds the frames queued for a client that does not read, such as the resets of its malformed requests.
+    constexpr std::size_t maxQueuedFrames = 10'000;
 
     std::string_view toView(const std::uint8_t* bytes, std::size_t size)
     {
@@ -30,7 +29,7 @@
 
     nghttp2_nv field(std::string_view name, std::string_view value)
     {
-        // nghttp2 copies both; its type only lacks const.
+        // nghttp2 copies both strings, so const_cast is safe.
         return { reinterpret_cast<std::uint8_t*>(const_cast<char*>(name.data())),
             reinterpret_cast<std::uint8_t*>(const_cast<char*>(value.data())), name.size(), value.size(),
             NGHTTP2_NV_FLAG_NONE };
@@ -70,8 +69,8 @@
         return NGHTTP2_INTERNAL_ERROR;
     }
 
-    // The codes that nghttp2 answers malformed input with; the others are ours.
-    bool blamesOtherSide(std::uint32_t errorCode)
+    // Whether nghttp2 sends this error code in response to malformed input.
+    bool isPeerError(std::uint32_t errorCode)
     {
         switch (errorCode) {
         case NGHTTP2_PROTOCOL_ERROR:
@@ -99,7 +98,7 @@
 
 }
 
-// The C functions that nghttp2 calls; each finds its engine in the user data.
+// The callbacks of nghttp2. The user data points to the engine.
 struct Http2EngineCallbacks {
     using Session = nghttp2_session;
 
@@ -118,7 +117,7 @@
         return 0;
     }
 
-    // Without this callback nghttp2 would leave the malformed field out and hand on the rest of the message.
+    // Rejects the message. Without this callback nghttp2 drops the invalid field and accepts the rest of the message.
     static int onInvalidHeader(Session*, const nghttp2_frame*, const std::uint8_t*, std::size_t, const std::uint8_t*,
         std::size_t, std::uint8_t, void* engine)
     {
@@ -142,24 +141,24 @@
         if (frame->hd.type == NGHTTP2_GOAWAY)
             events(engine).onGoAwayReceived();
         if (frame->hd.type == NGHTTP2_PING && (frame->hd.flags & NGHTTP2_FLAG_ACK) != 0)
-            events(engine).onPingAnswered();
+            events(engine).onPingAcknowledged();
         return 0;
     }
 
     static int beforeFrameSend(Session*, const nghttp2_frame* frame, void* engine)
     {
         if (frame->hd.type == NGHTTP2_HEADERS)
-            events(engine).onHeadersLeaving(frame->hd.stream_id);
+            events(engine).onHeadersSending(frame->hd.stream_id);
         return 0;
     }
 
     static int onFrameSent(Session* session, const nghttp2_frame* frame, void* engine)
     {
-        const bool blames = (frame->hd.type == NGHTTP2_GOAWAY && blamesOtherSide(frame->goaway.error_code))
-            || (frame->hd.type == NGHTTP2_RST_STREAM && blamesOtherSide(frame->rst_stream.error_code));
-        if (blames)
+        const bool reportsPeerError = (frame->hd.type == NGHTTP2_GOAWAY && isPeerError(frame->goaway.error_code))
+            || (frame->hd.type == NGHTTP2_RST_STREAM && isPeerError(frame->rst_stream.error_code));
+        if (reportsPeerError)
             events(engine).onProtocolError();
-        // An answer that is whole before its request is: the rest of the request has no reader (RFC 9113, 8.1).
+        // The response was complete before the request: asks the client to stop sending it (RFC 9113, 8.1).
         const std::int32_t stream = frame->hd.stream_id;
         const bool isServer = static_cast<Http2Engine*>(engine)->role_ == Http2Engine::Role::Server;
         if (isServer && endsMessage(*frame) && nghttp2_session_get_stream_remote_close(session, stream) == 0)
@@ -199,7 +198,7 @@
         return static_cast<ssize_t>(taken);
     }
 
-    static nghttp2_session_callbacks* table()
+    static nghttp2_session_callbacks* createTable()
     {
         nghttp2_session_callbacks* callbacks = nullptr;
         nghttp2_session_callbacks_new(&callbacks);
@@ -215,7 +214,7 @@
         return callbacks;
     }
 
-    static nghttp2_data_provider bodyOf(Http2Engine& engine)
+    static nghttp2_data_provider bodyProvider(Http2Engine& engine)
     {
         nghttp2_data_provider provider {};
         provider.source.ptr = &engine;
@@ -232,21 +231,21 @@
     nghttp2_option_new(&option);
     nghttp2_option_set_no_closed_streams(option, 1);
     nghttp2_option_set_stream_reset_rate_limit(option, resetBurst, resetsPerSecond);
-    nghttp2_session_callbacks* callbacks = Http2EngineCallbacks::table();
+    nghttp2_session_callbacks* callbacks = Http2EngineCallbacks::createTable();
     const auto create = role == Role::Client ? nghttp2_session_client_new2 : nghttp2_session_server_new2;
     create(&session_, callbacks, this, option);
     nghttp2_session_callbacks_del(callbacks);
     nghttp2_option_del(option);
 
     std::vector<nghttp2_settings_entry> settings {
-        { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindow },
+        { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindowBytes },
         { NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(limits.headerBytes) },
         { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, limits.concurrentStreams },
     };
     if (role == Role::Client)
         settings.push_back({ NGHTTP2_SETTINGS_ENABLE_PUSH, 0 });
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
-    nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, connectionWindow);
+    nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, connectionWindowBytes);
 }
 
 Http2Engine::~Http2Engine() { nghttp2_session_del(session_); }
@@ -254,18 +253,19 @@
 Result<void> Http2Engine::receive(std::span<const std::uint8_t> bytes)
 {
     const ssize_t taken = nghttp2_session_mem_recv(session_, bytes.data(), bytes.size());
-    // A client's own queue holds the requests that wait their turn, so its length says nothing of the server.
-    const bool isFlooded = role_ == Role::Server && nghttp2_session_get_outbound_queue_size(session_) > waitingFrames;
-    if (taken >= 0 && !isFlooded)
+    // Only servers limit the queue: that of a client also holds requests that wait for a free stream.
+    const bool isQueueFull
+        = role_ == Role::Server && nghttp2_session_get_outbound_queue_size(session_) > maxQueuedFrames;
+    if (taken >= 0 && !isQueueFull)
         return boost::outcome_v2::success();
     events_.onProtocolError();
     return Error { ErrorCode::InvalidArgument,
-        isFlooded ? "the client does not read its answers" : nghttp2_strerror(static_cast<int>(taken)) };
+        isQueueFull ? "the client does not read its responses" : nghttp2_strerror(static_cast<int>(taken)) };
 }
 
-Result<void> Http2Engine::collect(std::vector<std::uint8_t>& output, std::size_t atMost)
+Result<void> Http2Engine::produceOutput(std::vector<std::uint8_t>& output, std::size_t maxBytes)
 {
-    while (output.size() < atMost) {
+    while (output.size() < maxBytes) {
         const std::uint8_t* bytes = nullptr;
         const ssize_t size = nghttp2_session_mem_send(session_, &bytes);
         if (size < 0)
@@ -285,7 +285,7 @@
 bool Http2Engine::submitRequest(HttpRequest request, StreamId& stream)
 {
     const std::vector<nghttp2_nv> fields = fieldsOf(request);
-    const nghttp2_data_provider provider = Http2EngineCallbacks::bodyOf(*this);
+    const nghttp2_data_provider provider = Http2EngineCallbacks::bodyProvider(*this);
     const bool hasBody = !request.body.empty();
     stream = nghttp2_submit_request(
         session_, nullptr, fields.data(), fields.size(), hasBody ? &provider : nullptr, nullptr);
@@ -301,7 +301,7 @@
     const std::string status = fmt::format("{}", response.status);
     std::vector<nghttp2_nv> fields { field(":status", status) };
     appendHeaders(fields, response.headers);
-    const nghttp2_data_provider provider = Http2EngineCallbacks::bodyOf(*this);
+    const nghttp2_data_provider provider = Http2EngineCallbacks::bodyProvider(*this);
     const bool hasBody = !response.body.empty();
     if (nghttp2_submit_response(session_, stream, fields.data(), fields.size(), hasBody ? &provider : nullptr) != 0)
         return;
@@ -326,9 +326,9 @@
     nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE, last, NGHTTP2_NO_ERROR, nullptr, 0);
 }
 
-bool Http2Engine::mayOpenStream() const { return nghttp2_session_check_request_allowed(session_) != 0; }
+bool Http2Engine::canOpenStream() const { return nghttp2_session_check_request_allowed(session_) != 0; }
 
-bool Http2Engine::isSendingOpen(StreamId stream) const
+bool Http2Engine::isLocalSideOpen(StreamId stream) const
 {
     return nghttp2_session_get_stream_local_close(session_, stream) == 0;
 }
--- a/Source/Net/Http2Session.cpp
+++ b/Source/Net/Http2Session.cpp
@@ -10,22 +10,22 @@
 
 namespace {
 
-    constexpr std::size_t readBytes = std::size_t(32) * 1024;
-    constexpr std::size_t writeBytes = std::size_t(64) * 1024;
+    constexpr std::size_t readBufferBytes = std::size_t(32) * 1024;
+    constexpr std::size_t maxWriteBytes = std::size_t(64) * 1024;
 
-    // How long a connection that is done waits for the other side to close it.
-    constexpr std::chrono::seconds lingerTime { 1 };
+    // Time that the peer has to close the connection after this side has shut down sending.
+    constexpr std::chrono::seconds lingerTimeout { 1 };
 
-    // How long sent bytes may stay unacknowledged, or unread by a process whose window is full. Without it a connection
-    // to a dead VM would take every new request for a quarter of an hour, and each would only end at its deadline.
-    constexpr unsigned unacknowledgedMilliseconds = 5000;
+    // TCP_USER_TIMEOUT: the time that sent data may stay unacknowledged, or unsent because the window of the peer is
+    // full. Without it, new requests would use a connection to a dead VM for many minutes and end at their deadlines.
+    constexpr unsigned userTimeoutMilliseconds = 5000;
 
-    void prepare(boost::asio::ip::tcp::socket& socket)
+    void configureSocket(boost::asio::ip::tcp::socket& socket)
     {
         boost::system::error_code ignored;
         socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-        ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledgedMilliseconds,
-            sizeof unacknowledgedMilliseconds);
+        ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &userTimeoutMilliseconds,
+            sizeof userTimeoutMilliseconds);
     }
 
 }
@@ -43,10 +43,10 @@
 void Http2Session::begin()
 {
     begun_ = true;
-    prepare(socket_);
-    input_.resize(readBytes);
+    configureSocket(socket_);
+    input_.resize(readBufferBytes);
     read();
-    schedulePump();
+    scheduleFlush();
 }
 
 void Http2Session::abort(const std::string& reason)
@@ -76,47 +76,47 @@
         return;
     }
     *bytes_ += size;
-    feed({ input_.data(), size });
+    processInput({ input_.data(), size });
     if (!ended_)
         read();
 }
 
-void Http2Session::feed(std::span<const std::uint8_t> bytes)
+void Http2Session::processInput(std::span<const std::uint8_t> bytes)
 {
     const auto received = engine_.receive(bytes);
     onEngineIdle();
-    // Nothing that is still to come could be understood, and an engine that failed must not be fed again.
+    // The engine must not be called again after it failed.
     if (!received)
         abort(received.error().detail);
     else
-        schedulePump();
+        scheduleFlush();
 }
 
-void Http2Session::schedulePump()
+void Http2Session::scheduleFlush()
 {
-    if (!begun_ || pumpScheduled_ || writing_ || ended_ || lingering_)
+    if (!begun_ || flushScheduled_ || writing_ || ended_ || lingering_)
         return;
-    pumpScheduled_ = true;
+    flushScheduled_ = true;
     boost::asio::post(socket_.get_executor(), [self = shared_from_this()] {
-        self->pumpScheduled_ = false;
-        self->pump();
+        self->flushScheduled_ = false;
+        self->flush();
     });
 }
 
-void Http2Session::pump()
+void Http2Session::flush()
 {
     if (writing_ || ended_ || lingering_)
         return;
     output_.clear();
-    const auto collected = engine_.collect(output_, writeBytes);
-    // The write begins before anybody hears of it: whoever is told that a request left may rely on it.
+    const auto produced = engine_.produceOutput(output_, maxWriteBytes);
+    // Starts the write before onEngineIdle(), so that a request reported as sent has been handed to the socket.
     if (!output_.empty())
         write();
     onEngineIdle();
     if (ended_)
         return;
-    if (!collected)
-        linger(collected.error().detail);
+    if (!produced)
+        linger(produced.error().detail);
     else if (!writing_ && !engine_.wantsConnection())
         linger("the connection was shut down");
 }
@@ -135,22 +135,22 @@
     if (ended_)
         return;
     *bytes_ += size;
-    // What the other side sent before it closed is still to be read: it may hold whole answers or a refusal.
+    // Keeps reading after a write error: the input may still hold complete responses or a GOAWAY.
     if (error)
         linger(error.message());
     else if (lingering_)
         linger(lingerReason_);
     else
-        pump();
+        flush();
 }
 
-// Closing a socket that has unread input makes the kernel throw away output that the other side has not got yet, such
-// as the end of an answer. So only the sending half is closed, and the rest read until the other side closes too.
+// Shuts down sending and reads until the peer closes the connection. Closing a socket with unread input would make the
+// kernel discard output that the peer has not received yet, such as the end of a response.
 void Http2Session::linger(const std::string& reason)
 {
     if (!lingering_) {
         lingerReason_ = reason;
-        lingerTimer_.expires_after(lingerTime);
+        lingerTimer_.expires_after(lingerTimeout);
         lingerTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
             if (!error)
                 self->abort(self->lingerReason_);
--- a/Tests/Net/Http1Test.cpp
+++ b/Tests/Net/Http1Test.cpp
@@ -19,7 +19,7 @@
 
     struct Http1Test : testing::Test {
         boost::asio::io_context context;
-        std::vector<std::shared_ptr<Http1Exchange>> held;
+        std::vector<std::shared_ptr<Http1Exchange>> pendingExchanges;
         std::unique_ptr<Http1Server> server = listen();
 
         std::unique_ptr<Http1Server> listen()
@@ -27,7 +27,7 @@
             auto result = Http1Server::listen(
                 context, { 0x7F000001, 0 }, [this](const std::shared_ptr<Http1Exchange>& exchange) {
                     if (exchange->request().path == "/held") {
-                        held.push_back(exchange);
+                        pendingExchanges.push_back(exchange);
                         return;
                     }
                     HttpResponse response;
@@ -38,15 +38,15 @@
             return std::move(result).value();
         }
 
-        // Runs until the callback has come.
-        HttpOutcome call(Http1Client& client, const std::string& path, Duration within = 10s)
+        // Sends a request and runs the event loop until its callback has run.
+        HttpOutcome call(Http1Client& client, const std::string& path, Duration timeout = 10s)
         {
             std::optional<HttpOutcome> outcome;
             HttpRequest request;
             request.path = path;
             request.authority = "test";
             client.send(
-                std::move(request), Clock::now() + within, [&](const HttpOutcome& result) { outcome = result; });
+                std::move(request), Clock::now() + timeout, [&](const HttpOutcome& result) { outcome = result; });
             EXPECT_FALSE(outcome.has_value()) << "the callback ran inside the call";
             while (!outcome)
                 context.run_one();
@@ -54,7 +54,7 @@
         }
     };
 
-    TEST_F(Http1Test, requestsAreAnsweredOnOneConnectionAfterTheOther)
+    TEST_F(Http1Test, SequentialRequests)
     {
         Http1Client client(context, server->address());
         for (int i = 0; i < 3; ++i) {
@@ -66,26 +66,24 @@
         EXPECT_EQ(call(client, "/other").value().status, 404);
     }
 
-    TEST_F(Http1Test, anAnswerMayComeLater)
+    TEST_F(Http1Test, DeferredResponse)
     {
         Http1Client client(context, server->address());
         std::optional<HttpOutcome> outcome;
         HttpRequest request;
         request.path = "/held";
         client.send(std::move(request), Clock::now() + 10s, [&](const HttpOutcome& result) { outcome = result; });
-        while (held.empty())
+        while (pendingExchanges.empty())
             context.run_one();
         EXPECT_TRUE(call(client, "/ready"));
-        held.front()->respond({ .status = 200, .headers = {}, .body = "late" });
+        pendingExchanges.front()->respond({ .status = 200, .headers = {}, .body = "late" });
         while (!outcome)
             context.run_one();
         EXPECT_EQ(outcome->value().body, "late");
     }
 
-    // Symptom: a balancer heard nothing more from the store, for good.
-    // Sequence: its connection goes silent without a reset.
-    // Cause: a read without a time limit.
-    TEST_F(Http1Test, aSilentConnectionIsGivenUpAndNotUsedAgain)
+    // Guards against reads without a timeout, which wait forever on a connection that is dead but was not reset.
+    TEST_F(Http1Test, SilentConnectionTimesOutAndIsNotReused)
     {
         Http1Client client(context, server->address());
         const HttpOutcome silent = call(client, "/held", 50ms);
@@ -94,55 +92,56 @@
         EXPECT_EQ(call(client, "/ready").value().body, "/ready");
     }
 
-    // Symptom: a zone's watcher asked the store for the same news again and again.
-    // Sequence: the answer holds a large configuration, and a thin link takes longer for it than the call may last.
-    // Cause: the deadline also ended answers that were coming.
-    TEST_F(Http1Test, anAnswerThatIsComingMayEndAfterTheDeadline)
+    // Guards against a deadline that ends a response in progress: a large response over a slow link would be requested
+    // again and again.
+    TEST_F(Http1Test, ResponseInProgressOutlivesDeadline)
     {
         using boost::asio::ip::tcp;
         tcp::acceptor acceptor(context, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
         tcp::socket peer(context);
-        boost::asio::steady_timer rest(context);
+        boost::asio::steady_timer delayTimer(context);
         std::string received(4096, ' ');
-        const std::string begin = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nbeg";
-        const std::string end = "end";
-        const auto answer = [&](std::chrono::milliseconds nextPieceWithin) {
+        const std::string firstPart = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nbeg";
+        const std::string lastPart = "end";
+        const auto callWithReadTimeout = [&](std::chrono::milliseconds readTimeout) {
             Http1Limits limits;
-            limits.nextPieceWithin = nextPieceWithin;
+            limits.readTimeout = readTimeout;
             Http1Client client(context, { 0x7F000001, acceptor.local_endpoint().port() }, limits);
             const TimePoint deadline = Clock::now() + 2s;
             acceptor.async_accept(peer, [&](const boost::system::error_code&) {
                 peer.async_read_some(boost::asio::buffer(received), [&](const boost::system::error_code&, std::size_t) {
-                    boost::asio::write(peer, boost::asio::buffer(begin));
-                    rest.expires_at(deadline + 50ms);
-                    rest.async_wait([&](const boost::system::error_code&) {
+                    boost::asio::write(peer, boost::asio::buffer(firstPart));
+                    delayTimer.expires_at(deadline + 50ms);
+                    delayTimer.async_wait([&](const boost::system::error_code&) {
                         boost::system::error_code ignored;
-                        boost::asio::write(peer, boost::asio::buffer(end), ignored);
+                        boost::asio::write(peer, boost::asio::buffer(lastPart), ignored);
                     });
                 });
             });
             return call(client, "/", deadline - Clock::now());
         };
-        EXPECT_EQ(answer(30s).value().body, "begend");
+        EXPECT_EQ(callWithReadTimeout(30s).value().body, "begend");
         {
-            SCOPED_TRACE("unless it stops coming");
+            SCOPED_TRACE("the response stalls");
             peer.close();
-            const HttpOutcome stalled = answer(1ms);
+            const HttpOutcome stalled = callWithReadTimeout(1ms);
             ASSERT_FALSE(stalled);
             EXPECT_EQ(stalled.error().kind, HttpFailureKind::DeadlineExceeded);
         }
     }
 
-    TEST_F(Http1Test, aServerThatIsNotThereMeansNothingWasSent)
+    // Guards against a refused connection being reported as if the request could have been sent.
+    TEST_F(Http1Test, ConnectionRefusedIsNotSent)
     {
-        const Endpoint nobody = listen()->address();
-        Http1Client client(context, nobody);
+        const Endpoint closedAddress = listen()->address();
+        Http1Client client(context, closedAddress);
         const HttpOutcome outcome = call(client, "/ready");
         ASSERT_FALSE(outcome);
         EXPECT_EQ(outcome.error().kind, HttpFailureKind::NotSent);
     }
 
-    TEST_F(Http1Test, openRequestsEndWithTheClient)
+    // Guards against callbacks that run after the client was destroyed, or never.
+    TEST_F(Http1Test, DestructorCancelsOpenRequests)
     {
         std::optional<HttpOutcome> outcome;
         {
@@ -150,16 +149,17 @@
             HttpRequest request;
             request.path = "/held";
             client.send(std::move(request), Clock::now() + 10s, [&](const HttpOutcome& result) { outcome = result; });
-            while (held.empty())
+            while (pendingExchanges.empty())
                 context.run_one();
         }
         ASSERT_TRUE(outcome.has_value());
         EXPECT_EQ(outcome->error().kind, HttpFailureKind::Cancelled);
-        held.clear();
+        pendingExchanges.clear();
         context.poll();
     }
 
-    TEST_F(Http1Test, whatIsNoRequestClosesTheConnection)
+    // Guards against connections that stay open after bytes that are not HTTP.
+    TEST_F(Http1Test, MalformedRequestClosesConnection)
     {
         boost::asio::ip::tcp::socket socket(context);
         const Endpoint address = server->address();
@@ -174,8 +174,8 @@
         EXPECT_TRUE(*ended);
     }
 
-    // A server that sends the head of an answer and half of its body, and then nothing.
-    TEST_F(Http1Test, howMuchOfAnAnswerHasComeIsToldAndItCanBeGivenUp)
+    // Guards against wrong progress and a missing cancellation when a server sends only half of the body.
+    TEST_F(Http1Test, ProgressAndCancellationOfPartialResponse)
     {
         using boost::asio::ip::tcp;
         tcp::acceptor acceptor(context, { boost::asio::ip::address_v4::loopback(), 0 });
--- a/Tests/Net/Http2ExchangeTest.cpp
+++ b/Tests/Net/Http2ExchangeTest.cpp
@@ -5,16 +5,16 @@
 
     class Http2ExchangeTest : public Http2Fixture { };
 
-    TEST_F(Http2ExchangeTest, carriesWholeMessagesBothWays)
+    TEST_F(Http2ExchangeTest, CarriesRequestAndResponse)
     {
         listen();
-        HttpRequest request = post("/fit?size=m", "a picture");
+        HttpRequest request = makePost("/fit?size=m", "a picture");
         request.headers = { { "x-request-id", "7" }, { "x-two", "a" }, { "x-two", "b" } };
         const auto call = send(request);
         EXPECT_EQ(client_->openRequests(), 1U);
         runUntilExchanges(1);
         {
-            SCOPED_TRACE("the handler sees the request as it was sent");
+            SCOPED_TRACE("the handler receives the request unchanged");
             const HttpRequest& seen = exchanges_[0]->request();
             EXPECT_EQ(seen.method, "POST");
             EXPECT_EQ(seen.path, "/fit?size=m");
@@ -28,14 +28,14 @@
         response.headers = { { "x-backend", "3" } };
         response.body = "fitted";
         exchanges_[0]->respond(response);
-        exchanges_[0]->respond(answer("a second answer is ignored"));
+        exchanges_[0]->respond(makeResponse("a second response is ignored"));
         runUntilEnded({ call });
         {
-            SCOPED_TRACE("the caller sees the answer as it was given");
-            ASSERT_TRUE(call->hasAnswer());
-            EXPECT_EQ(call->answer().status, 201);
-            EXPECT_EQ(call->answer().header("x-backend"), "3");
-            EXPECT_EQ(call->answer().body, "fitted");
+            SCOPED_TRACE("the client receives the response unchanged");
+            ASSERT_TRUE(call->hasResponse());
+            EXPECT_EQ(call->response().status, 201);
+            EXPECT_EQ(call->response().header("x-backend"), "3");
+            EXPECT_EQ(call->response().body, "fitted");
             EXPECT_EQ(server_->openExchanges(), 0U);
             EXPECT_EQ(client_->openRequests(), 0U);
             EXPECT_GT(client_->bytesTransferred(), 0U);
@@ -43,40 +43,40 @@
         }
     }
 
-    TEST_F(Http2ExchangeTest, carriesManyStreamsAtOnceAndAnswersThemInAnyOrder)
+    TEST_F(Http2ExchangeTest, ConcurrentStreamsAnsweredInAnyOrder)
     {
         constexpr std::size_t count = 300;
         listen();
         std::vector<std::shared_ptr<Call>> calls;
         for (std::size_t i = 0; i < count; ++i)
-            calls.push_back(send(post("/" + std::to_string(i), std::to_string(i))));
+            calls.push_back(send(makePost("/" + std::to_string(i), std::to_string(i))));
         runUntilExchanges(count);
         EXPECT_EQ(client_->openRequests(), count);
         for (auto exchange = exchanges_.rbegin(); exchange != exchanges_.rend(); ++exchange)
-            (*exchange)->respond(answer("answer " + (*exchange)->request().body));
+            (*exchange)->respond(makeResponse("answer " + (*exchange)->request().body));
         runUntilEnded(calls);
         for (std::size_t i = 0; i < count; ++i) {
-            ASSERT_TRUE(calls[i]->hasAnswer());
-            EXPECT_EQ(calls[i]->answer().body, "answer " + std::to_string(i));
+            ASSERT_TRUE(calls[i]->hasResponse());
+            EXPECT_EQ(calls[i]->response().body, "answer " + std::to_string(i));
         }
     }
 
-    TEST_F(Http2ExchangeTest, carriesLargeBodiesBothWays)
+    TEST_F(Http2ExchangeTest, CarriesLargeBodies)
     {
         std::string picture(std::size_t(4) * 1024 * 1024, '\0');
         for (std::size_t i = 0; i < picture.size(); ++i)
             picture[i] = static_cast<char>(i * 31 + i / 4096);
         listen();
-        const auto call = send(post("/", picture));
+        const auto call = send(makePost("/", picture));
         runUntilExchanges(1);
         EXPECT_TRUE(exchanges_[0]->request().body == picture);
-        exchanges_[0]->respond(answer(exchanges_[0]->request().body));
+        exchanges_[0]->respond(makeResponse(exchanges_[0]->request().body));
         runUntilEnded({ call });
-        ASSERT_TRUE(call->hasAnswer());
-        EXPECT_TRUE(call->answer().body == picture);
+        ASSERT_TRUE(call->hasResponse());
+        EXPECT_TRUE(call->response().body == picture);
     }
 
-    TEST_F(Http2ExchangeTest, leavesTheBodyOutWhereHttpHasNone)
+    TEST_F(Http2ExchangeTest, OmitsBodyOfHeadResponse)
     {
         listen();
         HttpRequest head;
@@ -84,45 +84,48 @@
         const auto call = send(head);
         runUntilExchanges(1);
         EXPECT_EQ(exchanges_[0]->request().authority, server_->address().toString());
-        HttpResponse response = answer("fitted");
+        HttpResponse response = makeResponse("fitted");
         response.headers = { { "content-length", "6" } };
         exchanges_[0]->respond(response);
         runUntilEnded({ call });
-        ASSERT_TRUE(call->hasAnswer());
-        EXPECT_EQ(call->answer().header("content-length"), "6");
-        EXPECT_TRUE(call->answer().body.empty());
+        ASSERT_TRUE(call->hasResponse());
+        EXPECT_EQ(call->response().header("content-length"), "6");
+        EXPECT_TRUE(call->response().body.empty());
     }
 
-    TEST_F(Http2ExchangeTest, takesACallbackThatDestroysTheClient)
+    // Guards against use of a client after one of its callbacks has destroyed it.
+    TEST_F(Http2ExchangeTest, CallbackMayDestroyClient)
     {
         listen();
         std::vector<std::string> ends;
-        const auto sendAndNote = [&](const std::string& path, bool destroys) {
-            client_->send(post(path, "x"), Clock::now() + std::chrono::minutes(1), [&, path, destroys](auto outcome) {
-                ends.push_back(path + (outcome ? " answered" : " failed"));
-                if (destroys)
-                    client_.reset();
-            });
+        const auto sendAndRecord = [&](const std::string& path, bool destroys) {
+            client_->send(
+                makePost(path, "x"), Clock::now() + std::chrono::minutes(1), [&, path, destroys](auto outcome) {
+                    ends.push_back(path + (outcome ? " answered" : " failed"));
+                    if (destroys)
+                        client_.reset();
+                });
         };
-        sendAndNote("/first", true);
-        sendAndNote("/answered-too", false);
-        sendAndNote("/open", false);
+        sendAndRecord("/first", true);
+        sendAndRecord("/answered-too", false);
+        sendAndRecord("/open", false);
         runUntilExchanges(3);
-        exchanges_[0]->respond(answer("x"));
-        exchanges_[1]->respond(answer("x"));
+        exchanges_[0]->respond(makeResponse("x"));
+        exchanges_[1]->respond(makeResponse("x"));
         runUntil([&] { return !client_; });
         EXPECT_EQ(ends, (std::vector<std::string> { "/first answered", "/answered-too answered", "/open failed" }));
     }
 
-    TEST_F(Http2ExchangeTest, takesACallbackThatDestroysTheServer)
+    // Guards against use of a server after one of its callbacks has destroyed it.
+    TEST_F(Http2ExchangeTest, CallbackMayDestroyServer)
     {
         listen();
-        const auto call = send(post("/", "x"));
+        const auto call = send(makePost("/", "x"));
         runUntilExchanges(1);
         exchanges_[0]->onCancelled([&] { server_.reset(); });
         client_->cancel(call->id);
         runUntil([&] { return !server_; });
-        exchanges_[0]->respond(answer("nobody is left to read this"));
+        exchanges_[0]->respond(makeResponse("ignored"));
         runUntilEnded({ call });
         EXPECT_EQ(call->failure(), HttpFailureKind::Cancelled);
     }
--- a/Tests/Net/MetricsEndpointTest.cpp
+++ b/Tests/Net/MetricsEndpointTest.cpp
@@ -21,13 +21,13 @@
         boost::asio::ip::tcp::socket socket(context);
         socket.connect(toTcp(server));
         boost::asio::write(socket, boost::asio::buffer(std::string("GET /metrics HTTP/1.0\r\n\r\n")));
-        std::string answer;
+        std::string response;
         boost::system::error_code end;
-        boost::asio::read(socket, boost::asio::dynamic_buffer(answer), end);
-        return answer;
+        boost::asio::read(socket, boost::asio::dynamic_buffer(response), end);
+        return response;
     }
 
-    TEST(MetricsEndpointTest, servesTheRegistry)
+    TEST(MetricsEndpointTest, ServesRegistry)
     {
         const auto registry = std::make_shared<prometheus::Registry>();
         prometheus::BuildCounter().Name("wisteriadock_requests").Register(*registry).Add({}).Increment(3);
@@ -36,7 +36,8 @@
         EXPECT_NE(scrape(endpoint.value()->address()).find("wisteriadock_requests 3"), std::string::npos);
     }
 
-    TEST(MetricsEndpointTest, saysWhyItCantServe)
+    // Guards against an error without the address that can't be bound.
+    TEST(MetricsEndpointTest, ReportsAddressInUse)
     {
         const auto first = MetricsEndpoint::serve(loopback, std::make_shared<prometheus::Registry>());
         ASSERT_TRUE(first);
--- a/Tests/Net/UdpSocketTest.cpp
+++ b/Tests/Net/UdpSocketTest.cpp
@@ -14,11 +14,11 @@
 
         std::unique_ptr<UdpSocket> open()
         {
-            const auto note = [this](const Endpoint& sender, std::span<const std::uint8_t> bytes) {
+            const auto record = [this](const Endpoint& sender, std::span<const std::uint8_t> bytes) {
                 senders_.push_back(sender);
                 received_.emplace_back(bytes.begin(), bytes.end());
             };
-            return UdpSocket::bind(context_, loopback, note, 8).value();
+            return UdpSocket::bind(context_, loopback, record, 8).value();
         }
 
         static void send(UdpSocket& from, const Endpoint& to, const std::string& text)
@@ -38,7 +38,7 @@
         std::vector<std::string> received_;
     };
 
-    TEST_F(UdpSocketTest, carriesDatagramsAndCountsThem)
+    TEST_F(UdpSocketTest, CarriesAndCountsDatagrams)
     {
         const auto one = open();
         const auto two = open();
@@ -51,8 +51,8 @@
         EXPECT_EQ(two->bytesReceived(), 5U);
     }
 
-    // Symptom: a message cut short is read as whole. Sequence: a datagram over the size. Cause: the kernel cuts it.
-    TEST_F(UdpSocketTest, dropsAndCountsWhatIsTooLong)
+    // Guards against passing on an oversized datagram that the kernel has truncated.
+    TEST_F(UdpSocketTest, DropsAndCountsOversizedDatagrams)
     {
         const auto small = open();
         const auto large = UdpSocket::bind(context_, loopback, [](auto&&...) {}).value();
@@ -66,16 +66,18 @@
         EXPECT_EQ(small->bytesSent(), 0U);
     }
 
-    TEST_F(UdpSocketTest, takesAHandlerThatDestroysIt)
+    // Guards against use of a socket after its handler has destroyed it.
+    TEST_F(UdpSocketTest, HandlerMayDestroySocket)
     {
-        std::unique_ptr<UdpSocket> victim;
-        victim = UdpSocket::bind(context_, loopback, [&](auto&&...) { victim.reset(); }).value();
+        std::unique_ptr<UdpSocket> selfDestroying;
+        selfDestroying = UdpSocket::bind(context_, loopback, [&](auto&&...) { selfDestroying.reset(); }).value();
         const auto sender = open();
-        send(*sender, victim->address(), "bye");
-        runUntil([&] { return !victim; });
+        send(*sender, selfDestroying->address(), "bye");
+        runUntil([&] { return !selfDestroying; });
     }
 
-    TEST_F(UdpSocketTest, saysWhyItCantBind)
+    // Guards against an error without the address that can't be bound.
+    TEST_F(UdpSocketTest, ReportsAddressInUse)
     {
         const auto first = open();
         const auto second = UdpSocket::bind(context_, first->address(), [](auto&&...) {});
