--- a/Source/Model/ModelResult.h
+++ b/Source/Model/ModelResult.h
@@ -17,19 +17,19 @@
     Failed, // No answer within the caller's time.
 };
 
-inline constexpr std::size_t modelOutcomes = 4;
+inline constexpr std::size_t modelOutcomeCount = 4;
 
 std::string_view nameOf(ModelOutcome);
 
 // What callers got of the requests that they asked in one span of time.
 struct ModelCounts {
-    std::uint64_t outcomes[modelOutcomes] = {};
-    double worthOwed = 0;
-    double worthEarned = 0;
+    std::uint64_t outcomes[modelOutcomeCount] = {};
+    double maxWorth = 0;
+    double earnedWorth = 0;
 
-    void add(ModelOutcome, double owed, double earned);
-    std::uint64_t asked() const;
-    double served() const { return worthOwed > 0 ? worthEarned / worthOwed : 1; }
+    void add(ModelOutcome, double worth, double earned);
+    std::uint64_t total() const;
+    double servedShare() const { return maxWorth > 0 ? earnedWorth / maxWorth : 1; }
 };
 
 // What callers got in a run.
@@ -48,27 +48,27 @@
     std::uint64_t resets = 0;
 
     // The mean of the two worst windows.
-    double worstWindows() const;
+    double worstWindowsMean() const;
 };
 
 // The middle of the values, and the smallest and largest.
-struct ModelSpread {
+struct MedianAndRange {
     double median = 0;
-    double least = 0;
-    double most = 0;
+    double min = 0;
+    double max = 0;
 };
 
-ModelSpread spreadOf(std::vector<double> values);
+MedianAndRange medianAndRangeOf(std::vector<double> values);
 
 // The results of one policy over several seeds.
-struct ModelRow {
+struct PolicyResults {
     std::string policy;
     std::vector<ModelResult> results;
 };
 
-std::string textOf(const std::vector<ModelRow>&);
-std::string jsonOf(const std::vector<ModelRow>&);
+std::string textOf(const std::vector<PolicyResults>&);
+std::string jsonOf(const std::vector<PolicyResults>&);
 // The served share and the servers' load over time, means over the seeds, a line a step and a column a policy.
-std::string seriesOf(const std::vector<ModelRow>&);
+std::string timeSeriesCsvOf(const std::vector<PolicyResults>&);
 
 }
--- a/Source/Model/ModelRun.cpp
+++ b/Source/Model/ModelRun.cpp
@@ -286,10 +286,10 @@
     return Run(scenario, policy, seed).play();
 }
 
-std::vector<ModelRow> runModels(const ModelScenario& scenario, const std::vector<const ModelPolicy*>& policies,
+std::vector<PolicyResults> runModels(const ModelScenario& scenario, const std::vector<const ModelPolicy*>& policies,
     std::uint64_t firstSeed, unsigned seeds, unsigned threads, const std::function<void(std::size_t done)>& told)
 {
-    std::vector<ModelRow> rows;
+    std::vector<PolicyResults> rows;
     rows.reserve(policies.size());
     for (const ModelPolicy* policy : policies)
         rows.push_back({ std::string(policy->name), std::vector<ModelResult>(seeds) });
--- a/Source/Model/main.cpp
+++ b/Source/Model/main.cpp
@@ -78,7 +78,7 @@
         if (series.empty())
             return Done;
         std::ofstream file(series);
-        file << seriesOf(rows);
+        file << timeSeriesCsvOf(rows);
         return file.flush() ? Done : fail(BadFile, fmt::format("{}: can't be written", series));
     }
 
--- a/Tests/Model/ModelTest.cpp
+++ b/Tests/Model/ModelTest.cpp
@@ -93,18 +93,18 @@
     }
 
     // The middle of so many seeds.
-    ModelSpread played(const ModelScenario& scenario, const char* policy, double (*value)(const ModelResult&))
+    MedianAndRange played(const ModelScenario& scenario, const char* policy, double (*value)(const ModelResult&))
     {
         constexpr unsigned seeds = 9;
         const auto rows = runModels(scenario, { findModelPolicy(policy) }, 1, seeds, 2, [](std::size_t) {});
         std::vector<double> values;
         for (const ModelResult& result : rows.front().results)
             values.push_back(value(result));
-        return spreadOf(values);
+        return medianAndRangeOf(values);
     }
 
-    double served(const ModelResult& result) { return result.all.served(); }
-    double worst(const ModelResult& result) { return result.worstWindows(); }
+    double served(const ModelResult& result) { return result.all.servedShare(); }
+    double worst(const ModelResult& result) { return result.worstWindowsMean(); }
     double countOf(const ModelResult& result, ModelOutcome outcome)
     {
         return static_cast<double>(result.all.outcomes[static_cast<std::size_t>(outcome)]);
@@ -126,19 +126,19 @@
         const ModelScenario calm = scenario("");
         const ModelResult first = runModel(calm, *findModelPolicy("today"), 7);
         const ModelResult second = runModel(calm, *findModelPolicy("today"), 7);
-        EXPECT_EQ(first.all.asked(), second.all.asked());
-        EXPECT_EQ(first.all.worthEarned, second.all.worthEarned);
+        EXPECT_EQ(first.all.total(), second.all.total());
+        EXPECT_EQ(first.all.earnedWorth, second.all.earnedWorth);
         EXPECT_EQ(first.serverLoad, second.serverLoad);
-        EXPECT_NE(first.all.asked(), runModel(calm, *findModelPolicy("today"), 8).all.asked());
-        EXPECT_GT(first.all.asked(), 2000U);
+        EXPECT_NE(first.all.total(), runModel(calm, *findModelPolicy("today"), 8).all.total());
+        EXPECT_GT(first.all.total(), 2000U);
     }
 
     // Load: all slots are taken 40% of the time, nothing fails.
     TEST(ModelRunTest, inCalmEverythingIsServedInTimeAndNothingIsRefused)
     {
         const ModelScenario calm = scenario("");
-        EXPECT_GT(played(calm, "today", served).least, 0.995);
-        EXPECT_EQ(played(calm, "today", failed).most, 0);
+        EXPECT_GT(played(calm, "today", served).min, 0.995);
+        EXPECT_EQ(played(calm, "today", failed).max, 0);
     }
 
     // Load: callers ask 1.4 times what all slots can do, for 4 s. Without admission 0.42 of the worst windows is
