--- a/Source/Model/ModelCallers.cpp
+++ b/Source/Model/ModelCallers.cpp
@@ -56,13 +56,13 @@
 
 void ModelCallers::start()
 {
-    for (std::size_t kind = 0; kind < scenario_.kinds.size(); ++kind)
+    for (std::size_t kind = 0; kind < scenario_.requestKinds.size(); ++kind)
         scheduleNext(kind);
 }
 
 void ModelCallers::scheduleNext(std::size_t kind)
 {
-    const double rate = scenario_.kinds[kind].perSecond * loadFactor_;
+    const double rate = scenario_.requestKinds[kind].perSecond * loadFactor_;
     if (rate <= 0)
         return;
     const double gap = boost::random::exponential_distribution<>(rate)(random_);
@@ -76,7 +76,7 @@
 
 void ModelCallers::ask(std::size_t kindIndex)
 {
-    const ModelRequestKind& kind = scenario_.kinds[kindIndex];
+    const ModelRequestKind& kind = scenario_.requestKinds[kindIndex];
     Request request;
     request.kind = kindIndex;
     request.zone = boost::random::uniform_int_distribution<std::uint32_t>(0, scenario_.zones - 1)(random_);
@@ -204,7 +204,7 @@
     flow->sequence += requestBytes;
     flow->acknowledgement += answerBytes;
     const Request& request = requestOf(id);
-    const bool isInTime = events_.now() - request.askedAt <= kindOf(request).aim;
+    const bool isInTime = events_.now() - request.askedAt <= kindOf(request).targetLatency;
     finish(id, isInTime ? ModelOutcome::InTime : ModelOutcome::Late);
     const bool keeps = kindOf(request).keepsFlows && boost::random::uniform_01<>()(random_) >= scenario_.closingShare;
     if (!keeps)
--- a/Source/Model/ModelCallers.h
+++ b/Source/Model/ModelCallers.h
@@ -82,7 +82,7 @@
     void close(const FlowEnds&);
     Flow* find(const FlowEnds&);
     Request& requestOf(ModelRequestId request) { return requests_[request - 1]; }
-    const ModelRequestKind& kindOf(const Request& request) const { return scenario_.kinds[request.kind]; }
+    const ModelRequestKind& kindOf(const Request& request) const { return scenario_.requestKinds[request.kind]; }
     FlowEnds newEnds(const Request&);
 
     EventQueue& events_;
--- a/Source/Model/ModelPolicy.h
+++ b/Source/Model/ModelPolicy.h
@@ -16,7 +16,7 @@
     AdmissionSettings admission;
     // Before each decision the forwarder is told every server's true load, so that no placing by what a forwarder can
     // observe does better.
-    bool knowsAll = false;
+    bool knowsTrueLoads = false;
 };
 
 // Today's, its baselines, and today's without one mechanism each ("no_...").
--- a/Source/Model/ModelRun.cpp
+++ b/Source/Model/ModelRun.cpp
@@ -55,7 +55,7 @@
         {
             callers_.start();
             std::chrono::milliseconds longestBudget { 0 };
-            for (const ModelRequestKind& kind : scenario_.kinds)
+            for (const ModelRequestKind& kind : scenario_.requestKinds)
                 longestBudget = std::max(longestBudget, kind.budget);
             events_.runUntil(startedAt_ + scenario_.length + longestBudget + 1ms);
             ModelResult result = callers_.result();
@@ -77,9 +77,9 @@
 
         void makeForwarders()
         {
-            for (std::size_t kind = 0; kind < scenario_.kinds.size(); ++kind)
-                configuration_.routes.push_back({ scenario_.kinds[kind].name, modelRouteOf(kind),
-                    { { scenario_.kinds[kind].service, 1 } }, scenario_.kinds[kind].aim });
+            for (std::size_t kind = 0; kind < scenario_.requestKinds.size(); ++kind)
+                configuration_.routes.push_back({ scenario_.requestKinds[kind].name, modelRouteOf(kind),
+                    { { scenario_.requestKinds[kind].service, 1 } }, scenario_.requestKinds[kind].targetLatency });
             configuration_.version = 1;
             for (std::uint32_t zone = 0; zone < scenario_.zones; ++zone) {
                 for (std::uint32_t i = 0; i < scenario_.forwardersPerZone; ++i) {
@@ -134,13 +134,13 @@
         void strike(const ModelFault& fault)
         {
             switch (fault.kind) {
-            case ModelFaultKind::PowerOfAll:
+            case ModelFaultKind::PowerLossOfAll:
                 return kill(pick(nodes_.size(), 1), fault.length);
             case ModelFaultKind::Kill:
                 return kill(pick(nodes_.size(), fault.share), fault.length);
-            case ModelFaultKind::Stop:
+            case ModelFaultKind::PlannedStop:
                 return stop(pick(nodes_.size(), fault.share));
-            case ModelFaultKind::ServersDie:
+            case ModelFaultKind::ServersCrash:
                 for (const std::size_t server : pick(backends_.size(), fault.share))
                     die(server);
                 return;
@@ -183,7 +183,7 @@
         {
             backends_.die(index, [this, index] {
                 for (std::size_t node = 0; node < nodes_.size(); ++node) {
-                    events_.after(scenario_.newsDelay, [this, node, index] {
+                    events_.after(scenario_.propagationDelay, [this, node, index] {
                         if (TokenRouter* router = nodes_[node].forwarder->router())
                             router->removeServer(backends_.server(index).entry().id, false, events_.now());
                     });
@@ -240,7 +240,7 @@
             forwarder.handle(
                 packet,
                 [this, &forwarder, opens = packet.opens] {
-                    if (policy_.knowsAll && opens)
+                    if (policy_.knowsTrueLoads && opens)
                         backends_.tellLoadsTo(*forwarder.router());
                 },
                 [this, &forwarder, packet, request](
--- a/Source/Model/ModelScenario.h
+++ b/Source/Model/ModelScenario.h
@@ -28,7 +28,7 @@
     double workMilliseconds = 20;
     // Of the logarithm of the work.
     double spread = 0.5;
-    std::chrono::milliseconds aim { 120 };
+    std::chrono::milliseconds targetLatency { 120 };
     std::chrono::milliseconds budget { 2000 };
     // What an answer within the aim and a later one are worth.
     double worth = 1;
@@ -40,20 +40,20 @@
 };
 
 enum class ModelFaultKind {
-    PowerOfAll, // All forwarders are gone for the fault's time and start again, one after the other.
+    PowerLossOfAll, // All forwarders are gone for the fault's time and start again, one after the other.
     Kill, // So is a share of them.
-    ServersDie, // A share of a service's servers falls silent for good; their entries lapse after three heartbeats.
+    ServersCrash, // A share of a service's servers falls silent for good; their entries lapse after three heartbeats.
     ServersSlow, // A share works `factor` times as long.
     Overload, // Callers ask `factor` times as much.
     Shift, // A share of the first zone's requests comes from the last zone.
-    Stop, // A share of the forwarders stops as planned, one after the other, and starts again.
+    PlannedStop, // A share of the forwarders stops as planned, one after the other, and starts again.
 };
 
 std::string_view nameOf(ModelFaultKind);
 
 struct ModelFault {
     std::string name;
-    ModelFaultKind kind = ModelFaultKind::PowerOfAll;
+    ModelFaultKind kind = ModelFaultKind::PowerLossOfAll;
     std::chrono::milliseconds at { 10000 };
     std::chrono::milliseconds length { 1500 };
     double share = 0.2;
@@ -80,11 +80,11 @@
     std::chrono::microseconds zoneDelay { 200 };
     std::chrono::microseconds crossZoneDelay { 900 };
     // How long it takes until a forwarder knows what the store says.
-    std::chrono::milliseconds newsDelay { 500 };
+    std::chrono::milliseconds propagationDelay { 500 };
     std::chrono::milliseconds heartbeat { 1200 };
 
     std::vector<ModelService> services;
-    std::vector<ModelRequestKind> kinds;
+    std::vector<ModelRequestKind> requestKinds;
     std::vector<ModelFault> faults;
 
     // Reads a scenario file (INI). All problems are reported at once, each with its line and what was expected.
--- a/Tests/Model/ModelTest.cpp
+++ b/Tests/Model/ModelTest.cpp
@@ -123,22 +123,22 @@
 
     TEST(ModelRunTest, theSameSeedGivesTheSameRun)
     {
-        const ModelScenario calm = scenario("");
-        const ModelResult first = runModel(calm, *findModelPolicy("today"), 7);
-        const ModelResult second = runModel(calm, *findModelPolicy("today"), 7);
+        const ModelScenario faultless = scenario("");
+        const ModelResult first = runModel(faultless, *findModelPolicy("today"), 7);
+        const ModelResult second = runModel(faultless, *findModelPolicy("today"), 7);
         EXPECT_EQ(first.all.total(), second.all.total());
         EXPECT_EQ(first.all.earnedWorth, second.all.earnedWorth);
         EXPECT_EQ(first.serverLoad, second.serverLoad);
-        EXPECT_NE(first.all.total(), runModel(calm, *findModelPolicy("today"), 8).all.total());
+        EXPECT_NE(first.all.total(), runModel(faultless, *findModelPolicy("today"), 8).all.total());
         EXPECT_GT(first.all.total(), 2000U);
     }
 
     // Load: all slots are taken 40% of the time, nothing fails.
     TEST(ModelRunTest, inCalmEverythingIsServedInTimeAndNothingIsRefused)
     {
-        const ModelScenario calm = scenario("");
-        EXPECT_GT(played(calm, "today", served).min, 0.995);
-        EXPECT_EQ(played(calm, "today", failed).max, 0);
+        const ModelScenario faultless = scenario("");
+        EXPECT_GT(played(faultless, "today", served).min, 0.995);
+        EXPECT_EQ(played(faultless, "today", failed).max, 0);
     }
 
     // Load: callers ask 1.4 times what all slots can do, for 4 s. Without admission 0.42 of the worst windows is
