--- a/Source/Model/ModelBackends.cpp
+++ b/Source/Model/ModelBackends.cpp
@@ -12,13 +12,13 @@
 namespace {
 
     // The servers' habits on the users' platform.
-    constexpr std::uint32_t heartbeatsUntilLapse = 3;
+    constexpr std::uint32_t heartbeatsUntilExpiry = 3;
     constexpr std::chrono::microseconds handshakeTime { 300 };
 
     constexpr std::uint32_t firstServerAddress = 0x0A800001;
     constexpr std::uint16_t serverPort = 8080;
     // The load of a server that is dead, for a router that is told all: more than any living one has.
-    constexpr std::uint32_t loadOfDead = 1000;
+    constexpr std::uint32_t crashedServerLoad = 1000;
 
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-void ModelBackends::listTo(TokenRouter& router) const
+void ModelBackends::putListedServersInto(TokenRouter& router) const
 {
     for (const Server& server : servers_) {
         if (server.isListed)
@@ -56,11 +56,11 @@
     }
 }
 
-void ModelBackends::tellLoadsTo(TokenRouter& router) const
+void ModelBackends::setTrueLoadsIn(TokenRouter& router) const
 {
     router.directory().forEach([&](KnownServer& known) {
         const ModelServer& server = *servers_[indexOf(known.entry.id)].server;
-        known.seen.busy = server.isAlive() ? server.load() : loadOfDead;
+        known.seen.busy = server.isAlive() ? server.load() : crashedServerLoad;
         known.seen.flows = known.seen.busy;
     });
 }
@@ -74,53 +74,54 @@
     if (packet.opens) {
         server.flows.try_emplace(ends);
         const std::uint32_t token = tokenOf(server.server->entry().number);
-        return answer(handshakeTime, [this, ends, token] { callers_.handleOpened(ends, token); });
+        return reply(handshakeTime, [this, ends, token] { callers_.handleOpened(ends, token); });
     }
     const auto found = server.flows.find(ends);
     if (found == server.flows.end()) {
         if (!packet.finishes)
-            answer(Duration {}, [this, ends] { callers_.handleReset(ends); });
+            reply(Duration {}, [this, ends] { callers_.handleReset(ends); });
     } else if (packet.finishes) {
         server.flows.erase(found);
     } else if (request != noModelRequest) {
-        work(index, found->second, ends, request);
+        handleRequest(index, found->second, ends, request);
     }
 }
 
 // A request that was sent again is neither run twice nor refused once it runs.
-void ModelBackends::work(std::size_t index, Flow& flow, const FlowEnds& ends, ModelRequestId request)
+void ModelBackends::handleRequest(std::size_t index, Flow& flow, const FlowEnds& ends, ModelRequestId request)
 {
     if (flow.request == request) {
         if (flow.isAnswered)
-            answer(Duration {}, [this, ends, request] { callers_.handleAnswer(ends, request); });
+            reply(Duration {}, [this, ends, request] { callers_.handleAnswer(ends, request); });
         return;
     }
-    const bool isTaken = server(index).take(callers_.workOf(request), [this, index, ends, request] {
+    const bool isAccepted = server(index).submit(callers_.workOf(request), [this, index, ends, request] {
         const auto held = servers_[index].flows.find(ends);
         if (held != servers_[index].flows.end())
             held->second.isAnswered = true;
-        answer(Duration {}, [this, ends, request] { callers_.handleAnswer(ends, request); });
+        reply(Duration {}, [this, ends, request] { callers_.handleAnswer(ends, request); });
     });
-    if (isTaken)
+    if (isAccepted)
         flow = { request, false };
     else
-        answer(Duration {}, [this, ends, request] { callers_.handleRefusal(ends, request); });
+        reply(Duration {}, [this, ends, request] { callers_.handleRefusal(ends, request); });
 }
 
-void ModelBackends::answer(Duration after, std::function<void()> action)
+void ModelBackends::reply(Duration after, std::function<void()> action)
 {
     events_.after(after + scenario_.callerDelay, std::move(action));
 }
 
-void ModelBackends::die(std::size_t index, std::function<void()> lapsed)
+void ModelBackends::crash(std::size_t index, std::function<void()> onEntryExpired)
 {
     Server& server = servers_[index];
-    server.server->die();
+    server.server->crash();
     server.flows.clear();
-    events_.after(scenario_.heartbeat * heartbeatsUntilLapse, [this, index, lapsed = std::move(lapsed)] {
-        servers_[index].isListed = false;
-        lapsed();
-    });
+    events_.after(
+        scenario_.heartbeat * heartbeatsUntilExpiry, [this, index, onEntryExpired = std::move(onEntryExpired)] {
+            servers_[index].isListed = false;
+            onEntryExpired();
+        });
 }
 
 std::uint32_t ModelBackends::load() const
@@ -141,7 +142,7 @@
         for (const Server& server : servers_) {
             if (server.service != service)
                 continue;
-            const auto taken = static_cast<double>(server.server->taken());
+            const auto taken = static_cast<double>(server.server->acceptedCount());
             sum += taken;
             most = std::max(most, taken);
             ++count;
--- a/Source/Model/ModelBackends.h
+++ b/Source/Model/ModelBackends.h
@@ -29,13 +29,13 @@
     ModelServer& server(std::size_t index) { return *servers_[index].server; }
 
     // Tells a forwarder that starts what the store lists.
-    void listTo(TokenRouter&) const;
+    void putListedServersInto(TokenRouter&) const;
     // Tells a router the true load of each server.
-    void tellLoadsTo(TokenRouter&) const;
+    void setTrueLoadsIn(TokenRouter&) const;
     // A packet that a forwarder sent on.
     void receive(std::size_t index, const TokenPacket&, ModelRequestId);
     // The server falls silent for good; lapsed runs when its entry has vanished from the store.
-    void die(std::size_t index, std::function<void()> lapsed);
+    void crash(std::size_t index, std::function<void()> onEntryExpired);
 
     // Requests that wait or run at all servers.
     std::uint32_t load() const;
@@ -56,8 +56,8 @@
         absl::flat_hash_map<FlowEnds, Flow> flows {};
     };
 
-    void work(std::size_t index, Flow&, const FlowEnds&, ModelRequestId);
-    void answer(Duration after, std::function<void()> action);
+    void handleRequest(std::size_t index, Flow&, const FlowEnds&, ModelRequestId);
+    void reply(Duration after, std::function<void()> action);
 
     EventQueue& events_;
     const ModelScenario& scenario_;
--- a/Source/Model/ModelRun.cpp
+++ b/Source/Model/ModelRun.cpp
@@ -102,7 +102,7 @@
             Node& node = nodes_[index];
             node.isLeaving = false;
             node.forwarder->start(configuration_);
-            backends_.listTo(*node.forwarder->router());
+            backends_.putListedServersInto(*node.forwarder->router());
         }
 
         void end(std::size_t index, Duration down)
@@ -142,12 +142,12 @@
                 return stop(pick(nodes_.size(), fault.share));
             case ModelFaultKind::ServersCrash:
                 for (const std::size_t server : pick(backends_.size(), fault.share))
-                    die(server);
+                    crash(server);
                 return;
             case ModelFaultKind::ServersSlow:
                 for (const std::size_t server : pick(backends_.size(), fault.share)) {
-                    backends_.server(server).setSlowness(fault.factor);
-                    events_.after(fault.length, [this, server] { backends_.server(server).setSlowness(1); });
+                    backends_.server(server).setSlowdown(fault.factor);
+                    events_.after(fault.length, [this, server] { backends_.server(server).setSlowdown(1); });
                 }
                 return;
             case ModelFaultKind::Overload:
@@ -179,9 +179,9 @@
             }
         }
 
-        void die(std::size_t index)
+        void crash(std::size_t index)
         {
-            backends_.die(index, [this, index] {
+            backends_.crash(index, [this, index] {
                 for (std::size_t node = 0; node < nodes_.size(); ++node) {
                     events_.after(scenario_.propagationDelay, [this, node, index] {
                         if (TokenRouter* router = nodes_[node].forwarder->router())
@@ -241,7 +241,7 @@
                 packet,
                 [this, &forwarder, opens = packet.opens] {
                     if (policy_.knowsTrueLoads && opens)
-                        backends_.tellLoadsTo(*forwarder.router());
+                        backends_.setTrueLoadsIn(*forwarder.router());
                 },
                 [this, &forwarder, packet, request](
                     const PacketDecision& decision) { perform(forwarder, packet, request, decision); });
--- a/Source/Model/ModelServer.cpp
+++ b/Source/Model/ModelServer.cpp
@@ -4,11 +4,11 @@
 
 namespace wisteriadock {
 
-bool ModelServer::take(Duration work, Done done)
+bool ModelServer::submit(Duration work, Done done)
 {
     if (running_ >= entry_.slots && waiting_.size() >= queue_)
         return false;
-    ++taken_;
+    ++acceptedCount_;
     if (running_ < entry_.slots)
         begin({ work, std::move(done) });
     else
@@ -19,7 +19,7 @@
 void ModelServer::begin(Work work)
 {
     ++running_;
-    const auto length = std::chrono::duration_cast<Duration>(work.length * slowness_);
+    const auto length = std::chrono::duration_cast<Duration>(work.length * slowdown_);
     events_.after(length, [this, done = std::move(work.done)] { end(done); });
 }
 
--- a/Source/Model/ModelServer.h
+++ b/Source/Model/ModelServer.h
@@ -24,13 +24,13 @@
 
     const RegisteredServer& entry() const { return entry_; }
     // False when it refuses the work, since all slots and the queue are full.
-    bool take(Duration work, Done);
+    bool submit(Duration work, Done);
     // Falls silent for good, with all that it works on.
-    void die() { isAlive_ = false; }
+    void crash() { isAlive_ = false; }
     bool isAlive() const { return isAlive_; }
-    void setSlowness(double factor) { slowness_ = factor; }
+    void setSlowdown(double factor) { slowdown_ = factor; }
     std::uint32_t load() const { return running_ + static_cast<std::uint32_t>(waiting_.size()); }
-    std::uint64_t taken() const { return taken_; }
+    std::uint64_t acceptedCount() const { return acceptedCount_; }
 
 private:
     struct Work {
@@ -45,9 +45,9 @@
     RegisteredServer entry_;
     std::uint32_t queue_;
     bool isAlive_ = true;
-    double slowness_ = 1;
+    double slowdown_ = 1;
     std::uint32_t running_ = 0;
-    std::uint64_t taken_ = 0;
+    std::uint64_t acceptedCount_ = 0;
     std::deque<Work> waiting_;
 };
 
--- a/Tests/Model/ModelTest.cpp
+++ b/Tests/Model/ModelTest.cpp
@@ -36,11 +36,12 @@
         entry.slots = 2;
         ModelServer server(events, entry, 1);
         std::vector<int> done;
-        const auto take = [&](int number) { return server.take(10ms, [&done, number] { done.push_back(number); }); };
-        EXPECT_TRUE(take(1));
-        EXPECT_TRUE(take(2));
-        EXPECT_TRUE(take(3));
-        EXPECT_FALSE(take(4));
+        const auto submit
+            = [&](int number) { return server.submit(10ms, [&done, number] { done.push_back(number); }); };
+        EXPECT_TRUE(submit(1));
+        EXPECT_TRUE(submit(2));
+        EXPECT_TRUE(submit(3));
+        EXPECT_FALSE(submit(4));
         EXPECT_EQ(server.load(), 3U);
         events.runUntil(events.now() + 10ms);
         EXPECT_EQ(done, (std::vector { 1, 2 }));
@@ -48,11 +49,11 @@
         EXPECT_EQ(done, (std::vector { 1, 2, 3 }));
         {
             SCOPED_TRACE("a dead server ends nothing, and a slow one takes longer");
-            server.setSlowness(3);
-            take(5);
+            server.setSlowdown(3);
+            submit(5);
             events.runUntil(events.now() + 29ms);
             EXPECT_EQ(done.size(), 3U);
-            server.die();
+            server.crash();
             events.runUntil(events.now() + 29ms);
             EXPECT_EQ(done.size(), 3U);
         }
