--- a/Source/Model/ModelCallers.cpp
+++ b/Source/Model/ModelCallers.cpp
@@ -16,10 +16,10 @@
     using namespace std::chrono_literals;
 
     // How callers of the users' platform send again.
-    constexpr std::array<std::chrono::milliseconds, 3> openingsAfter { 0ms, 200ms, 600ms };
-    constexpr std::chrono::milliseconds openingGivenUpAfter { 1400 };
-    constexpr std::chrono::milliseconds firstInterval { 200 };
-    constexpr Duration longestInterval = 1600ms;
+    constexpr std::array<std::chrono::milliseconds, 3> openingDelays { 0ms, 200ms, 600ms };
+    constexpr std::chrono::milliseconds openingTimeout { 1400 };
+    constexpr std::chrono::milliseconds initialRetransmitInterval { 200 };
+    constexpr Duration maxRetransmitInterval = 1600ms;
 
     constexpr std::uint16_t requestBytes = 100;
     constexpr std::uint32_t answerBytes = 1000;
@@ -27,16 +27,16 @@
     constexpr std::uint32_t serverSequence = 5000;
     constexpr std::uint32_t firstCallerAddress = 0x64400000;
     // Work takes at most so many times the usual.
-    constexpr double longestWork = 6;
+    constexpr double maxWorkFactor = 6;
 
     Duration durationOf(double seconds)
     {
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
     }
 
-    std::size_t indexOf(Duration since, std::chrono::milliseconds length)
+    std::size_t indexOf(Duration offset, std::chrono::milliseconds length)
     {
-        return static_cast<std::size_t>(since / length);
+        return static_cast<std::size_t>(offset / length);
     }
 
 }
@@ -69,45 +69,45 @@
     events_.after(durationOf(gap), [this, kind] {
         if (events_.now() - startedAt_ >= scenario_.length)
             return;
-        ask(kind);
+        startRequest(kind);
         scheduleNext(kind);
     });
 }
 
-void ModelCallers::ask(std::size_t kindIndex)
+void ModelCallers::startRequest(std::size_t kindIndex)
 {
     const ModelRequestKind& kind = scenario_.requestKinds[kindIndex];
     Request request;
     request.kind = kindIndex;
     request.zone = boost::random::uniform_int_distribution<std::uint32_t>(0, scenario_.zones - 1)(random_);
-    if (request.zone == 0 && boost::random::uniform_01<>()(random_) < shift_)
+    if (request.zone == 0 && boost::random::uniform_01<>()(random_) < zoneShift_)
         request.zone = scenario_.zones - 1;
     request.caller = boost::random::uniform_int_distribution<std::uint32_t>(0, scenario_.callersPerZone - 1)(random_);
-    request.askedAt = events_.now();
+    request.requestedAt = events_.now();
     const double mean = std::log(kind.workMilliseconds) - kind.spread * kind.spread / 2;
     const double work = boost::random::lognormal_distribution<>(mean, kind.spread)(random_);
-    request.work = durationOf(std::min(work, kind.workMilliseconds * longestWork) / 1000);
+    request.work = durationOf(std::min(work, kind.workMilliseconds * maxWorkFactor) / 1000);
     requests_.push_back(request);
     const ModelRequestId id = requests_.size();
     events_.after(kind.budget, [this, id] {
-        if (!requestOf(id).isOver)
+        if (!requestOf(id).isFinished)
             finish(id, ModelOutcome::Failed);
     });
-    begin(id, false);
+    startAttempt(id, false);
 }
 
-void ModelCallers::begin(ModelRequestId id, bool onNewFlow)
+void ModelCallers::startAttempt(ModelRequestId id, bool onNewFlow)
 {
     Request& request = requestOf(id);
-    ++request.tries;
-    std::vector<FlowEnds>& pool = idle_[{ request.zone, request.caller, request.kind }];
+    ++request.attempts;
+    std::vector<FlowEnds>& pool = idleFlows_[{ request.zone, request.caller, request.kind }];
     if (onNewFlow || pool.empty())
-        return open(id);
+        return openFlow(id);
     const FlowEnds ends = pool.back();
     pool.pop_back();
     Flow& flow = flows_.at(ends);
     flow.request = id;
-    sendRequest(ends, ++flow.turn, firstInterval);
+    sendRequest(ends, ++flow.requestNumber, initialRetransmitInterval);
 }
 
 FlowEnds ModelCallers::newEnds(const Request& request)
@@ -118,7 +118,7 @@
     return { { address, static_cast<std::uint16_t>(1024 + number % 50000) }, modelRouteOf(request.kind) };
 }
 
-void ModelCallers::open(ModelRequestId id)
+void ModelCallers::openFlow(ModelRequestId id)
 {
     const Request& request = requestOf(id);
     const FlowEnds ends = newEnds(request);
@@ -128,11 +128,11 @@
     flow.kind = request.kind;
     flow.sequence = callerSequence;
     flow.request = id;
-    flow.turn = 1;
+    flow.requestNumber = 1;
     flows_.emplace(ends, flow);
-    for (std::uint32_t copies = 0; copies < openingsAfter.size(); ++copies)
-        events_.after(openingsAfter[copies], [this, ends, copies] { sendOpening(ends, copies); });
-    events_.after(openingGivenUpAfter, [this, ends, id] {
+    for (std::uint32_t copies = 0; copies < openingDelays.size(); ++copies)
+        events_.after(openingDelays[copies], [this, ends, copies] { sendOpening(ends, copies); });
+    events_.after(openingTimeout, [this, ends, id] {
         const Flow* waiting = find(ends);
         if (!waiting || waiting->isOpen)
             return;
@@ -163,13 +163,13 @@
     flow->token = token;
     flow->sequence += 1;
     flow->acknowledgement = serverSequence;
-    sendRequest(ends, flow->turn, firstInterval);
+    sendRequest(ends, flow->requestNumber, initialRetransmitInterval);
 }
 
-void ModelCallers::sendRequest(const FlowEnds& ends, std::uint64_t turn, Duration interval)
+void ModelCallers::sendRequest(const FlowEnds& ends, std::uint64_t requestNumber, Duration interval)
 {
     const Flow* flow = find(ends);
-    if (!flow || flow->turn != turn || flow->request == noModelRequest)
+    if (!flow || flow->requestNumber != requestNumber || flow->request == noModelRequest)
         return;
     TokenPacket packet;
     packet.ends = ends;
@@ -179,11 +179,12 @@
     packet.acknowledges = true;
     packet.payloadBytes = requestBytes;
     send_(flow->zone, packet, flow->request);
-    events_.after(
-        interval, [this, ends, turn, interval] { sendRequest(ends, turn, std::min(interval * 2, longestInterval)); });
+    events_.after(interval, [this, ends, requestNumber, interval] {
+        sendRequest(ends, requestNumber, std::min(interval * 2, maxRetransmitInterval));
+    });
 }
 
-void ModelCallers::sendPlain(const FlowEnds& ends, const Flow& flow, bool finishes)
+void ModelCallers::sendAcknowledgement(const FlowEnds& ends, const Flow& flow, bool finishes)
 {
     TokenPacket packet;
     packet.ends = ends;
@@ -204,13 +205,13 @@
     flow->sequence += requestBytes;
     flow->acknowledgement += answerBytes;
     const Request& request = requestOf(id);
-    const bool isInTime = events_.now() - request.askedAt <= kindOf(request).targetLatency;
+    const bool isInTime = events_.now() - request.requestedAt <= kindOf(request).targetLatency;
     finish(id, isInTime ? ModelOutcome::InTime : ModelOutcome::Late);
     const bool keeps = kindOf(request).keepsFlows && boost::random::uniform_01<>()(random_) >= scenario_.closingShare;
     if (!keeps)
         return close(ends);
-    sendPlain(ends, *flow, false);
-    idle_[{ flow->zone, flow->caller, flow->kind }].push_back(ends);
+    sendAcknowledgement(ends, *flow, false);
+    idleFlows_[{ flow->zone, flow->caller, flow->kind }].push_back(ends);
 }
 
 void ModelCallers::handleRefusal(const FlowEnds& ends, ModelRequestId id)
@@ -230,7 +231,7 @@
     ++result_.resets;
     const ModelRequestId id = flow->request;
     const bool wasOpen = flow->isOpen;
-    std::erase(idle_[{ flow->zone, flow->caller, flow->kind }], ends);
+    std::erase(idleFlows_[{ flow->zone, flow->caller, flow->kind }], ends);
     flows_.erase(ends);
     if (id != noModelRequest)
         retry(id, !wasOpen || kindOf(requestOf(id)).isIdempotent, ModelOutcome::Failed);
@@ -239,10 +240,10 @@
 void ModelCallers::retry(ModelRequestId id, bool mayRepeat, ModelOutcome otherwise)
 {
     const Request& request = requestOf(id);
-    if (request.isOver)
+    if (request.isFinished)
         return;
-    if (mayRepeat && request.tries <= kindOf(request).retries)
-        begin(id, true);
+    if (mayRepeat && request.attempts <= kindOf(request).retries)
+        startAttempt(id, true);
     else
         finish(id, otherwise);
 }
@@ -250,16 +251,16 @@
 void ModelCallers::finish(ModelRequestId id, ModelOutcome outcome)
 {
     Request& request = requestOf(id);
-    if (std::exchange(request.isOver, true))
+    if (std::exchange(request.isFinished, true))
         return;
     const ModelRequestKind& kind = kindOf(request);
     const double earned = outcome == ModelOutcome::InTime ? kind.worth
         : outcome == ModelOutcome::Late                   ? kind.lateWorth
                                                           : 0;
-    const Duration since = request.askedAt - startedAt_;
+    const Duration offset = request.requestedAt - startedAt_;
     result_.all.add(outcome, kind.worth, earned);
-    result_.windows[indexOf(since, ModelResult::windowLength)].add(outcome, kind.worth, earned);
-    result_.steps[indexOf(since, ModelResult::stepLength)].add(outcome, kind.worth, earned);
+    result_.windows[indexOf(offset, ModelResult::windowLength)].add(outcome, kind.worth, earned);
+    result_.steps[indexOf(offset, ModelResult::stepLength)].add(outcome, kind.worth, earned);
     if (outcome != ModelOutcome::Failed)
         return;
     // Whoever waits no longer ends the flow that the request was on.
@@ -273,7 +274,7 @@
     const Flow flow = flows_.at(ends);
     flows_.erase(ends);
     if (flow.isOpen)
-        sendPlain(ends, flow, true);
+        sendAcknowledgement(ends, flow, true);
 }
 
 ModelCallers::Flow* ModelCallers::find(const FlowEnds& ends)
--- a/Source/Model/ModelCallers.h
+++ b/Source/Model/ModelCallers.h
@@ -33,7 +33,7 @@
     void start();
     void setLoadFactor(double factor) { loadFactor_ = factor; }
     // A share of the first zone's requests comes from the last one.
-    void setShift(double share) { shift_ = share; }
+    void setZoneShift(double share) { zoneShift_ = share; }
 
     void handleOpened(const FlowEnds&, std::uint32_t token);
     void handleAnswer(const FlowEnds&, ModelRequestId);
@@ -55,27 +55,27 @@
         std::uint32_t acknowledgement = 0;
         // The request in progress, and how often this flow has had one.
         ModelRequestId request = noModelRequest;
-        std::uint64_t turn = 0;
+        std::uint64_t requestNumber = 0;
     };
     struct Request {
         std::size_t kind = 0;
         std::uint32_t zone = 0;
         std::uint32_t caller = 0;
-        TimePoint askedAt;
+        TimePoint requestedAt;
         Duration work {};
-        std::uint32_t tries = 0;
-        bool isOver = false;
+        std::uint32_t attempts = 0;
+        bool isFinished = false;
     };
     // A caller's kept flows of one kind: zone, caller, kind.
     using PoolKey = std::tuple<std::uint32_t, std::uint32_t, std::size_t>;
 
     void scheduleNext(std::size_t kind);
-    void ask(std::size_t kind);
-    void begin(ModelRequestId, bool onNewFlow);
-    void open(ModelRequestId);
+    void startRequest(std::size_t kind);
+    void startAttempt(ModelRequestId, bool onNewFlow);
+    void openFlow(ModelRequestId);
     void sendOpening(const FlowEnds&, std::uint32_t copies);
-    void sendRequest(const FlowEnds&, std::uint64_t turn, Duration interval);
-    void sendPlain(const FlowEnds&, const Flow&, bool finishes);
+    void sendRequest(const FlowEnds&, std::uint64_t requestNumber, Duration interval);
+    void sendAcknowledgement(const FlowEnds&, const Flow&, bool finishes);
     // The try ended without an answer; the caller may try again.
     void retry(ModelRequestId, bool mayRepeat, ModelOutcome otherwise);
     void finish(ModelRequestId, ModelOutcome);
@@ -91,10 +91,10 @@
     Send send_;
     TimePoint startedAt_;
     double loadFactor_ = 1;
-    double shift_ = 0;
+    double zoneShift_ = 0;
     std::uint64_t nextPort_ = 0;
     absl::flat_hash_map<FlowEnds, Flow> flows_;
-    std::map<PoolKey, std::vector<FlowEnds>> idle_;
+    std::map<PoolKey, std::vector<FlowEnds>> idleFlows_;
     std::vector<Request> requests_;
     ModelResult result_;
 };
--- a/Source/Model/ModelRun.cpp
+++ b/Source/Model/ModelRun.cpp
@@ -155,8 +155,8 @@
                 events_.after(fault.length, [this] { callers_.setLoadFactor(1); });
                 return;
             case ModelFaultKind::Shift:
-                callers_.setShift(fault.share);
-                events_.after(fault.length, [this] { callers_.setShift(0); });
+                callers_.setZoneShift(fault.share);
+                events_.after(fault.length, [this] { callers_.setZoneShift(0); });
                 return;
             }
         }
