--- a/Source/Model/ModelForwarder.cpp
+++ b/Source/Model/ModelForwarder.cpp
@@ -13,26 +13,27 @@
     settings.admission = policy_.admission;
     router_ = std::make_unique<TokenRouter>(settings);
     router_->applyConfiguration(configuration);
-    freeAt_ = events_.now();
+    idleAt_ = events_.now();
 }
 
-void ModelForwarder::end()
+void ModelForwarder::kill()
 {
     router_.reset();
-    ++life_;
+    ++generation_;
 }
 
-void ModelForwarder::handle(const TokenPacket& packet, std::function<void()> prepare, Decide decide)
+void ModelForwarder::handle(const TokenPacket& packet, std::function<void()> prepare, DecisionHandler decide)
 {
     if (!isUp())
         return;
-    freeAt_ = std::max(freeAt_, events_.now()) + packetTime_;
-    events_.at(freeAt_, [this, packet, prepare = std::move(prepare), decide = std::move(decide), life = life_] {
-        if (life != life_)
-            return;
-        prepare();
-        decide(router_->route(packet, events_.now()));
-    });
+    idleAt_ = std::max(idleAt_, events_.now()) + packetTime_;
+    events_.at(
+        idleAt_, [this, packet, prepare = std::move(prepare), decide = std::move(decide), generation = generation_] {
+            if (generation != generation_)
+                return;
+            prepare();
+            decide(router_->route(packet, events_.now()));
+        });
 }
 
 void ModelForwarder::tick()
--- a/Source/Model/ModelForwarder.h
+++ b/Source/Model/ModelForwarder.h
@@ -14,7 +14,7 @@
 // A forwarder in simulated time: the product's TokenRouter behind a processor that handles one packet after the other.
 class ModelForwarder {
 public:
-    using Decide = std::function<void(const PacketDecision&)>;
+    using DecisionHandler = std::function<void(const PacketDecision&)>;
 
     ModelForwarder(EventQueue& events, std::string zone, const ModelPolicy& policy, Duration packetTime)
         : events_(events)
@@ -27,7 +27,7 @@
     // Serves with the routes of this configuration and no memory of anything.
     void start(const ForwardingConfiguration&);
     // Forgets everything; what is in its processor is lost.
-    void end();
+    void kill();
     bool isUp() const { return router_ != nullptr; }
     // Null while it is down.
     TokenRouter* router() { return router_.get(); }
@@ -35,7 +35,7 @@
 
     // The decision is made when the processor gets to the packet, and not at all when the forwarder is down or ends.
     // prepare runs just before it.
-    void handle(const TokenPacket&, std::function<void()> prepare, Decide);
+    void handle(const TokenPacket&, std::function<void()> prepare, DecisionHandler);
     void tick();
 
 private:
@@ -44,8 +44,8 @@
     const ModelPolicy& policy_;
     Duration packetTime_;
     std::unique_ptr<TokenRouter> router_;
-    std::uint64_t life_ = 0;
-    TimePoint freeAt_ = TimePoint::min();
+    std::uint64_t generation_ = 0;
+    TimePoint idleAt_ = TimePoint::min();
 };
 
 }
--- a/Source/Model/ModelRun.cpp
+++ b/Source/Model/ModelRun.cpp
@@ -26,11 +26,11 @@
 
     // The routers' habits on the users' platform.
     constexpr std::chrono::milliseconds probeInterval { 500 };
-    constexpr std::uint32_t missesUntilOut = 2;
+    constexpr std::uint32_t missesUntilRemoval = 2;
     // A forwarder's tick, and how it stops as planned.
     constexpr std::chrono::milliseconds tickInterval { 250 };
-    constexpr std::chrono::milliseconds stopTime { 1500 };
-    constexpr std::chrono::milliseconds betweenStops { 1200 };
+    constexpr std::chrono::milliseconds stopDuration { 1500 };
+    constexpr std::chrono::milliseconds stopInterval { 1200 };
 
     class Run {
     public:
@@ -40,18 +40,18 @@
             , random_(seed)
             , callers_(events_, scenario, hashPair(seed, 1),
                   [this](std::uint32_t zone, const TokenPacket& packet, ModelRequestId request) {
-                      events_.after(scenario_.callerDelay, [=, this] { enter(zone, packet, request); });
+                      events_.after(scenario_.callerDelay, [=, this] { routePacket(zone, packet, request); });
                   })
             , backends_(events_, scenario, callers_, random_)
             , startedAt_(events_.now())
         {
             makeForwarders();
             for (const ModelFault& fault : scenario.faults)
-                events_.after(fault.at, [this, &fault] { strike(fault); });
-            events_.after(ModelResult::stepLength, [this] { sample(); });
+                events_.after(fault.at, [this, &fault] { injectFault(fault); });
+            events_.after(ModelResult::stepLength, [this] { sampleLoad(); });
         }
 
-        ModelResult play()
+        ModelResult run()
         {
             callers_.start();
             std::chrono::milliseconds longestBudget { 0 };
@@ -68,12 +68,12 @@
         struct Node {
             std::unique_ptr<ModelForwarder> forwarder;
             bool isInRotation = true;
-            bool isLeaving = false;
+            bool isStopping = false;
             std::uint32_t misses = 0;
             // Counts ends, so that a start that was planned before another end does not count.
-            std::uint64_t life = 0;
+            std::uint64_t generation = 0;
         };
-        double draw() { return boost::random::uniform_01<>()(random_); }
+        double drawUniform() { return boost::random::uniform_01<>()(random_); }
 
         void makeForwarders()
         {
@@ -89,35 +89,35 @@
                 }
             }
             for (std::size_t node = 0; node < nodes_.size(); ++node) {
-                start(node);
+                startForwarder(node);
                 events_.after(
-                    std::chrono::duration_cast<Duration>(probeInterval * draw()), [this, node] { probe(node); });
+                    std::chrono::duration_cast<Duration>(probeInterval * drawUniform()), [this, node] { probe(node); });
                 events_.after(
-                    std::chrono::duration_cast<Duration>(tickInterval * draw()), [this, node] { tick(node); });
+                    std::chrono::duration_cast<Duration>(tickInterval * drawUniform()), [this, node] { tick(node); });
             }
         }
 
-        void start(std::size_t index)
+        void startForwarder(std::size_t index)
         {
             Node& node = nodes_[index];
-            node.isLeaving = false;
+            node.isStopping = false;
             node.forwarder->start(configuration_);
             backends_.putListedServersInto(*node.forwarder->router());
         }
 
-        void end(std::size_t index, Duration down)
+        void killForwarder(std::size_t index, Duration down)
         {
             Node& node = nodes_[index];
-            node.forwarder->end();
-            const Duration whole = down + scenario_.startTime;
-            events_.after(whole, [this, index, life = ++node.life] {
-                if (nodes_[index].life == life)
-                    start(index);
+            node.forwarder->kill();
+            const Duration downtime = down + scenario_.startTime;
+            events_.after(downtime, [this, index, generation = ++node.generation] {
+                if (nodes_[index].generation == generation)
+                    startForwarder(index);
             });
         }
 
         // Some of the numbers below `count`.
-        std::vector<std::size_t> pick(std::size_t count, double share)
+        std::vector<std::size_t> pickRandom(std::size_t count, double share)
         {
             std::vector<std::size_t> all(count);
             for (std::size_t i = 0; i < count; ++i)
@@ -131,21 +131,21 @@
             return all;
         }
 
-        void strike(const ModelFault& fault)
+        void injectFault(const ModelFault& fault)
         {
             switch (fault.kind) {
             case ModelFaultKind::PowerLossOfAll:
-                return kill(pick(nodes_.size(), 1), fault.length);
+                return killForwarders(pickRandom(nodes_.size(), 1), fault.length);
             case ModelFaultKind::Kill:
-                return kill(pick(nodes_.size(), fault.share), fault.length);
+                return killForwarders(pickRandom(nodes_.size(), fault.share), fault.length);
             case ModelFaultKind::PlannedStop:
-                return stop(pick(nodes_.size(), fault.share));
+                return stopForwarders(pickRandom(nodes_.size(), fault.share));
             case ModelFaultKind::ServersCrash:
-                for (const std::size_t server : pick(backends_.size(), fault.share))
-                    crash(server);
+                for (const std::size_t server : pickRandom(backends_.size(), fault.share))
+                    crashServer(server);
                 return;
             case ModelFaultKind::ServersSlow:
-                for (const std::size_t server : pick(backends_.size(), fault.share)) {
+                for (const std::size_t server : pickRandom(backends_.size(), fault.share)) {
                     backends_.server(server).setSlowdown(fault.factor);
                     events_.after(fault.length, [this, server] { backends_.server(server).setSlowdown(1); });
                 }
@@ -161,25 +161,25 @@
             }
         }
 
-        void kill(const std::vector<std::size_t>& nodes, Duration down)
+        void killForwarders(const std::vector<std::size_t>& nodes, Duration down)
         {
             for (const std::size_t node : nodes)
-                end(node, down + std::chrono::duration_cast<Duration>(scenario_.startSpread * draw()));
+                killForwarder(node, down + std::chrono::duration_cast<Duration>(scenario_.startSpread * drawUniform()));
         }
 
-        void stop(const std::vector<std::size_t>& nodes)
+        void stopForwarders(const std::vector<std::size_t>& nodes)
         {
             Duration when {};
             for (const std::size_t node : nodes) {
                 events_.after(when, [this, node] {
-                    nodes_[node].isLeaving = true;
-                    events_.after(stopTime, [this, node] { end(node, {}); });
+                    nodes_[node].isStopping = true;
+                    events_.after(stopDuration, [this, node] { killForwarder(node, {}); });
                 });
-                when += betweenStops;
+                when += stopInterval;
             }
         }
 
-        void crash(std::size_t index)
+        void crashServer(std::size_t index)
         {
             backends_.crash(index, [this, index] {
                 for (std::size_t node = 0; node < nodes_.size(); ++node) {
@@ -194,9 +194,9 @@
         void probe(std::size_t index)
         {
             Node& node = nodes_[index];
-            const bool answers = node.forwarder->isUp() && !node.isLeaving;
+            const bool answers = node.forwarder->isUp() && !node.isStopping;
             node.misses = answers ? 0 : node.misses + 1;
-            if (answers || node.misses >= missesUntilOut)
+            if (answers || node.misses >= missesUntilRemoval)
                 node.isInRotation = answers;
             events_.after(probeInterval, [this, index] { probe(index); });
         }
@@ -231,7 +231,7 @@
             return targets.empty() ? nodesOf(zone, false) : targets;
         }
 
-        void enter(std::uint32_t zone, const TokenPacket& packet, ModelRequestId request)
+        void routePacket(std::uint32_t zone, const TokenPacket& packet, ModelRequestId request)
         {
             const std::vector<std::size_t> targets = targetsOf(zone);
             const std::uint64_t hash = hashPair(
@@ -244,27 +244,27 @@
                         backends_.setTrueLoadsIn(*forwarder.router());
                 },
                 [this, &forwarder, packet, request](
-                    const PacketDecision& decision) { perform(forwarder, packet, request, decision); });
+                    const PacketDecision& decision) { applyDecision(forwarder, packet, request, decision); });
         }
 
-        void perform(const ModelForwarder& forwarder, const TokenPacket& packet, ModelRequestId request,
+        void applyDecision(const ModelForwarder& forwarder, const TokenPacket& packet, ModelRequestId request,
             const PacketDecision& decision)
         {
             if (decision.verdict == PacketVerdict::Reset)
                 events_.after(scenario_.callerDelay, [this, ends = packet.ends] { callers_.handleReset(ends); });
             if (decision.verdict != PacketVerdict::Forward)
                 return;
-            const bool isNear = decision.server->entry.availabilityZone == forwarder.zone();
+            const bool isSameZone = decision.server->entry.availabilityZone == forwarder.zone();
             const std::size_t index = backends_.indexOf(decision.server->entry.id);
-            events_.after(isNear ? scenario_.zoneDelay : scenario_.crossZoneDelay,
+            events_.after(isSameZone ? scenario_.zoneDelay : scenario_.crossZoneDelay,
                 [this, index, packet, request] { backends_.receive(index, packet, request); });
         }
 
-        void sample()
+        void sampleLoad()
         {
             serverLoad_.push_back(backends_.load());
             if (events_.now() - startedAt_ < scenario_.length)
-                events_.after(ModelResult::stepLength, [this] { sample(); });
+                events_.after(ModelResult::stepLength, [this] { sampleLoad(); });
         }
 
         const ModelScenario& scenario_;
@@ -283,11 +283,11 @@
 
 ModelResult runModel(const ModelScenario& scenario, const ModelPolicy& policy, std::uint64_t seed)
 {
-    return Run(scenario, policy, seed).play();
+    return Run(scenario, policy, seed).run();
 }
 
 std::vector<PolicyResults> runModels(const ModelScenario& scenario, const std::vector<const ModelPolicy*>& policies,
-    std::uint64_t firstSeed, unsigned seeds, unsigned threads, const std::function<void(std::size_t done)>& told)
+    std::uint64_t firstSeed, unsigned seeds, unsigned threads, const std::function<void(std::size_t done)>& onProgress)
 {
     std::vector<PolicyResults> rows;
     rows.reserve(policies.size());
@@ -302,7 +302,7 @@
             const std::size_t seed = i % seeds;
             rows[policy].results[seed] = runModel(scenario, *policies[policy], firstSeed + seed);
             const std::lock_guard guard(lock);
-            told(++done);
+            onProgress(++done);
         }
     };
     std::vector<std::thread> workers;
--- a/Source/Model/ModelRun.h
+++ b/Source/Model/ModelRun.h
@@ -16,6 +16,6 @@
 // Plays it for each policy and for so many seeds from the first on, on so many threads. told runs after each run, on
 // any thread but never twice at once, with the number of runs that are done.
 std::vector<PolicyResults> runModels(const ModelScenario&, const std::vector<const ModelPolicy*>&,
-    std::uint64_t firstSeed, unsigned seeds, unsigned threads, const std::function<void(std::size_t done)>& told);
+    std::uint64_t firstSeed, unsigned seeds, unsigned threads, const std::function<void(std::size_t done)>& onProgress);
 
 }
--- a/Source/Model/main.cpp
+++ b/Source/Model/main.cpp
@@ -44,7 +44,7 @@
         return Done;
     }
 
-    int play()
+    int runScenario()
     {
         std::vector<const ModelPolicy*> policies;
         for (const std::string& name : absl::GetFlag(FLAGS_policies)) {
@@ -91,5 +91,5 @@
         "Plays a deployment, its load and its faults in simulated time, and compares policies.\n"
         "  wisteriadock-model --scenario FILE [--policies today,hash] [--seeds 20]");
     absl::ParseCommandLine(argc, argv);
-    return absl::GetFlag(FLAGS_list) ? wisteriadock::listPolicies() : wisteriadock::play();
+    return absl::GetFlag(FLAGS_list) ? wisteriadock::listPolicies() : wisteriadock::runScenario();
 }
