--- a/Source/Soak/SoakCallers.h
+++ b/Source/Soak/SoakCallers.h
@@ -46,7 +46,7 @@
     // Sends copies and retransmissions that are due, and gives up. Call it every 20 ms or so.
     void tick(TimePoint now);
 
-    // When the latest opening packet of the flow was sent and through which balancer; for the judge.
+    // When the latest opening packet of the flow was sent and through which balancer; for the checker.
     struct Opening {
         TimePoint sent;
         std::string balancer;
--- a/Source/Soak/SoakJudge.cpp
+++ b/Source/Soak/SoakChecker.cpp
@@ -1,4 +1,4 @@
-#include "Soak/SoakJudge.h"
+#include "Soak/SoakChecker.h"
 
 #include <fmt/format.h>
 
@@ -28,22 +28,22 @@
 
 }
 
-void SoakJudge::disturb(const std::string& balancer, TimePoint until)
+void SoakChecker::disturb(const std::string& balancer, TimePoint until)
 {
     TimePoint& end = disturbedUntil_.try_emplace(balancer, TimePoint::min()).first->second;
     end = std::max(end, until);
 }
 
-void SoakJudge::disturbStore(TimePoint until) { storeDisturbedUntil_ = std::max(storeDisturbedUntil_, until); }
+void SoakChecker::disturbStore(TimePoint until) { storeDisturbedUntil_ = std::max(storeDisturbedUntil_, until); }
 
-void SoakJudge::disturbAll(TimePoint until)
+void SoakChecker::disturbAll(TimePoint until)
 {
     disturbStore(until);
     for (auto& [balancer, end] : disturbedUntil_)
         end = std::max(end, until);
 }
 
-bool SoakJudge::isCalm(const std::string& balancer, TimePoint now) const
+bool SoakChecker::isCalm(const std::string& balancer, TimePoint now) const
 {
     const auto own = disturbedUntil_.find(balancer);
     const TimePoint end
@@ -51,14 +51,14 @@
     return now >= end + bounds_.calm;
 }
 
-void SoakJudge::noteConfiguration(const ForwardingConfiguration& configuration, TimePoint now)
+void SoakChecker::noteConfiguration(const ForwardingConfiguration& configuration, TimePoint now)
 {
     versions_.push_back({ configuration, now });
 }
 
-void SoakJudge::noteServerLeaves(const std::string& server, TimePoint now) { leaving_.try_emplace(server, now); }
+void SoakChecker::noteServerLeaves(const std::string& server, TimePoint now) { leaving_.try_emplace(server, now); }
 
-bool SoakJudge::allows(const ForwardingConfiguration& configuration, Endpoint route, const std::string& service) const
+bool SoakChecker::allows(const ForwardingConfiguration& configuration, Endpoint route, const std::string& service) const
 {
     return std::ranges::any_of(configuration.routes, [&](const FlowRoute& known) {
         return known.address == route
@@ -66,7 +66,7 @@
     });
 }
 
-void SoakJudge::noteOpening(const SoakOpening& opening, TimePoint now)
+void SoakChecker::noteOpening(const SoakOpening& opening, TimePoint now)
 {
     ++openings_;
     const auto allowing = std::ranges::find_if(versions_.rbegin(), versions_.rend(),
@@ -93,12 +93,12 @@
             millisecondsBetween(emptied->second, now), opening.availabilityZone, opening.balancer));
 }
 
-void SoakJudge::noteChangedPacket(const std::string& where)
+void SoakChecker::noteChangedPacket(const std::string& where)
 {
     violate(fmt::format("CHANGED: a packet that its sender did not write reached {}", where));
 }
 
-void SoakJudge::noteReset(
+void SoakChecker::noteReset(
     const std::string& flow, const std::string& balancer, bool isOpen, bool serverLives, TimePoint)
 {
     ++resets_;
@@ -106,7 +106,7 @@
         violate(fmt::format("FLOW: open flow {} was reset through {} while its server lives", flow, balancer));
 }
 
-void SoakJudge::noteRequest(bool isServed, const std::string& balancer, Endpoint route, TimePoint sent, TimePoint now)
+void SoakChecker::noteRequest(bool isServed, const std::string& balancer, Endpoint route, TimePoint sent, TimePoint now)
 {
     (isServed ? served_ : unserved_) += 1;
     if (allBack_ != TimePoint::max() && sent > allBack_ + bounds_.recovery)
@@ -119,7 +119,7 @@
         (isServed ? calmServed_ : calmUnserved_) += 1;
 }
 
-void SoakJudge::noteExit(const std::string& balancer, int code, bool wasExpected)
+void SoakChecker::noteExit(const std::string& balancer, int code, bool wasExpected)
 {
     if (!wasExpected)
         violate(fmt::format("EXIT: {} ended by itself with {}", balancer, code));
@@ -127,7 +127,7 @@
         violate(fmt::format("EXIT: {} ended a planned stop with {}", balancer, code));
 }
 
-void SoakJudge::finish()
+void SoakChecker::finish()
 {
     // A run in which nothing could be seen has proved nothing.
     if (served_ < fewRequests || openings_ < fewRequests)
@@ -142,7 +142,7 @@
         violations_.push_back(fmt::format("and {} more", omitted_));
 }
 
-void SoakJudge::violate(std::string text)
+void SoakChecker::violate(std::string text)
 {
     if (violations_.size() < keptViolations)
         violations_.push_back(std::move(text));
--- a/Source/Soak/SoakJudge.h
+++ b/Source/Soak/SoakChecker.h
@@ -36,9 +36,9 @@
 
 // Checks what balancers promise, from what callers and backend servers see: it never asks a balancer. All times are
 // those of the run's clock.
-class SoakJudge {
+class SoakChecker {
 public:
-    explicit SoakJudge(SoakBounds bounds = {})
+    explicit SoakChecker(SoakBounds bounds = {})
         : bounds_(bounds)
     {
     }
--- a/Source/Soak/SoakRun.cpp
+++ b/Source/Soak/SoakRun.cpp
@@ -43,25 +43,25 @@
     , proxy_(loop.context(), plan.seed)
     , random_(plan.seed ^ 0xF10F5)
 {
-    serverEvents_.onChangedPacket = [this](const RegisteredServer& server) { judge_.noteChangedPacket(server.id); };
+    serverEvents_.onChangedPacket = [this](const RegisteredServer& server) { checker_.noteChangedPacket(server.id); };
     serverEvents_.onOpening = [this](const RegisteredServer& server, const FlowEnds& ends) {
         for (const auto& callers : callers_) {
             if (const SoakCallers::Opening* opening = callers->openingOf(ends);
                 opening && opening->sent != TimePoint()) {
-                judge_.noteOpening({ server.id, server.service, server.availabilityZone, ends.route, opening->balancer,
-                                       opening->sent },
+                checker_.noteOpening({ server.id, server.service, server.availabilityZone, ends.route,
+                                         opening->balancer, opening->sent },
                     Clock::now());
                 return;
             }
         }
     };
-    callerEvents_.onChangedPacket = [this] { judge_.noteChangedPacket("a caller"); };
+    callerEvents_.onChangedPacket = [this] { checker_.noteChangedPacket("a caller"); };
     callerEvents_.onRequest = [this](bool isServed, const std::string& balancer, Endpoint route, TimePoint sent) {
-        judge_.noteRequest(isServed, balancer, route, sent, Clock::now());
+        checker_.noteRequest(isServed, balancer, route, sent, Clock::now());
     };
     callerEvents_.onReset = [this](const FlowEnds& ends, const std::string& balancer, bool isOpen) {
         const bool serverLives = std::ranges::any_of(servers_, [&](const auto& server) { return server->holds(ends); });
-        judge_.noteReset(fmt::format("{}>{}", ends.caller.toString(), ends.route.toString()), balancer, isOpen,
+        checker_.noteReset(fmt::format("{}>{}", ends.caller.toString(), ends.route.toString()), balancer, isOpen,
             serverLives, Clock::now());
     };
     callerEvents_.routePacket = [this](const FlowEnds& ends) { return routePacket(ends); };
@@ -81,7 +81,7 @@
         BOOST_OUTCOME_TRY(loop_.runUntil(Clock::now() + tickPeriod));
         tick(Clock::now());
     }
-    judge_.finish();
+    checker_.finish();
     keepLogs();
     return boost::outcome_v2::success();
 }
@@ -160,7 +160,7 @@
             balancer.storeEntry = store;
             balancer.readiness = std::make_unique<Http1Client>(
                 loop_.context(), Endpoint { balancer.address.address, readyPort }, Http1Limits {});
-            judge_.disturb(balancer.name, Clock::now());
+            checker_.disturb(balancer.name, Clock::now());
             balancers_.push_back(std::move(balancer));
         }
     }
@@ -198,7 +198,7 @@
     balancer.isEndExpected = false;
     balancer.isStopping = false;
     balancer.startAt.reset();
-    judge_.disturb(balancer.name, Clock::now());
+    checker_.disturb(balancer.name, Clock::now());
     return boost::outcome_v2::success();
 }
 
@@ -227,7 +227,7 @@
 {
     auto server = SoakServer::open(loop_.context(), entry, flowPort, serverEvents_);
     if (!server)
-        return judge_.noteFailedStep(server.error());
+        return checker_.noteFailedStep(server.error());
     servers_.push_back(std::move(server).value());
     writeEntry(*servers_.back());
 }
@@ -240,7 +240,7 @@
 void SoakRun::writeConfiguration()
 {
     store_->put(std::string(platform::configurationKey), platform::encodeConfiguration(configuration_));
-    judge_.noteConfiguration(configuration_, Clock::now());
+    checker_.noteConfiguration(configuration_, Clock::now());
     std::vector<Endpoint> routes;
     for (const FlowRoute& route : configuration_.routes)
         routes.push_back(route.address);
@@ -303,17 +303,17 @@
             balancer.process->signal(SIGCONT);
             balancer.wakeAt.reset();
             balancer.isPaused = false;
-            judge_.disturb(balancer.name, now);
+            checker_.disturb(balancer.name, now);
         }
         const bool hasEnded = balancer.process && !balancer.process->running();
         if (hasEnded) {
             const int code = balancer.process->exitCode().value_or(-1);
             // 128 and the signal: killed by this run.
             if (!balancer.isEndExpected || balancer.isStopping)
-                judge_.noteExit(balancer.name, code, balancer.isEndExpected);
+                checker_.noteExit(balancer.name, code, balancer.isEndExpected);
             std::ofstream(directory_.path() / (balancer.process->name() + ".log")) << balancer.process->output();
             balancer.process.reset();
-            judge_.disturb(balancer.name, now);
+            checker_.disturb(balancer.name, now);
             if (!balancer.startAt)
                 balancer.startAt = now + 200ms;
         }
@@ -354,7 +354,7 @@
     std::ofstream plan(directory_.path() / "plan.txt");
     for (const SoakStep& step : plan_.steps)
         plan << step.toString() << "\n";
-    for (const std::string& violation : judge_.violations())
+    for (const std::string& violation : checker_.violations())
         plan << violation << "\n";
 }
 
--- a/Source/Soak/SoakRun.h
+++ b/Source/Soak/SoakRun.h
@@ -6,7 +6,7 @@
 #include "FaultProxy/FaultProxy.h"
 #include "Net/Http1Client.h"
 #include "Soak/SoakCallers.h"
-#include "Soak/SoakJudge.h"
+#include "Soak/SoakChecker.h"
 #include "Soak/SoakSchedule.h"
 #include "Soak/SoakServer.h"
 #include "Soak/SoakStore.h"
@@ -42,10 +42,10 @@
     SoakRun(const SoakRun&) = delete;
     SoakRun& operator=(const SoakRun&) = delete;
 
-    // Fails when the run could not be made; what was broken stands in the judge.
+    // Fails when the run could not be made; what was broken stands in the checker.
     Result<void> run();
 
-    const SoakJudge& judge() const { return judge_; }
+    const SoakChecker& checker() const { return checker_; }
 
 private:
     // The platform's bound for a planned stop, shortened.
@@ -125,7 +125,7 @@
     EventLoop& loop_;
     const RunDirectory& directory_;
     FaultProxy proxy_;
-    SoakJudge judge_;
+    SoakChecker checker_;
     SoakServerEvents serverEvents_;
     SoakCallerEvents callerEvents_;
     std::uint8_t network_ = 0;
--- a/Source/Soak/SoakSteps.cpp
+++ b/Source/Soak/SoakSteps.cpp
@@ -36,10 +36,10 @@
     case SoakStepKind::PacketsReordered:
         return performOnBalancer(step, balancers_[step.target % balancers_.size()], now);
     case SoakStepKind::KillAll:
-        judge_.disturbAll(now + step.length);
+        checker_.disturbAll(now + step.length);
         for (Balancer& balancer : balancers_)
             kill(balancer, now + step.length);
-        judge_.noteAllBack(now + step.length);
+        checker_.noteAllBack(now + step.length);
         return;
     case SoakStepKind::StoreBusy:
     case SoakStepKind::StoreSilent:
@@ -84,10 +84,10 @@
     FaultSettings faults;
     switch (step.kind) {
     case SoakStepKind::KillBalancer:
-        judge_.disturb(balancer.name, now + step.length);
+        checker_.disturb(balancer.name, now + step.length);
         return kill(balancer, now + step.length);
     case SoakStepKind::StopBalancer:
-        judge_.disturb(balancer.name, now + grace);
+        checker_.disturb(balancer.name, now + grace);
         if (!balancer.process || balancer.isEndExpected || balancer.wakeAt)
             return;
         balancer.process->signal(SIGTERM);
@@ -95,7 +95,7 @@
         balancer.isStopping = true;
         return;
     case SoakStepKind::PauseBalancer:
-        judge_.disturb(balancer.name, now + step.length);
+        checker_.disturb(balancer.name, now + step.length);
         if (!balancer.process || balancer.isEndExpected)
             return;
         balancer.process->signal(SIGSTOP);
@@ -108,16 +108,16 @@
         return;
     case SoakStepKind::StoreCutOff:
         faults.cut = true;
-        judge_.disturb(balancer.name, now + step.length);
+        checker_.disturb(balancer.name, now + step.length);
         return setLink(balancer.storeLink, faults, true, step.length, now);
     case SoakStepKind::StoreResets:
         faults.cut = true;
         faults.reset = true;
-        judge_.disturb(balancer.name, now + step.length);
+        checker_.disturb(balancer.name, now + step.length);
         return setLink(balancer.storeLink, faults, true, step.length, now);
     case SoakStepKind::StoreOneWay:
         faults.cut = true;
-        judge_.disturb(balancer.name, now + step.length);
+        checker_.disturb(balancer.name, now + step.length);
         return setLink(balancer.storeLink, faults, false, step.length, now);
     case SoakStepKind::PacketsLost:
         faults.loss = 0.2;
@@ -130,7 +130,7 @@
         faults.jitter = 20ms;
         break;
     }
-    judge_.disturb(balancer.name, now + step.length);
+    checker_.disturb(balancer.name, now + step.length);
     setLink(balancer.packetLink, faults, true, step.length, now);
 }
 
@@ -148,7 +148,7 @@
 
 void SoakRun::setStore(SoakStore::Trouble trouble, std::chrono::milliseconds length, TimePoint now)
 {
-    judge_.disturbStore(now + length);
+    checker_.disturbStore(now + length);
     store_->setTrouble(trouble);
     after(length, now, [this] { store_->setTrouble(SoakStore::Trouble::None); });
 }
@@ -164,7 +164,7 @@
         return setStore(SoakStore::Trouble::Slow, step.length, now);
     case SoakStepKind::StoreForgets:
         store_->forgetHistory();
-        return judge_.disturbStore(now);
+        return checker_.disturbStore(now);
     case SoakStepKind::StoreStale:
         // The store may do that at any time, so nothing is excused by it.
         store_->makeStale(true);
@@ -178,7 +178,7 @@
         after(step.length / 2, now, [this, id] { store_->remove(platform::serverKeyOf(id)); });
         after(step.length + 1500ms, now, [this, id] { withServer(id, [this](auto& it) { writeEntry(it); }); });
     }
-    judge_.disturbStore(now + step.length + 1500ms);
+    checker_.disturbStore(now + step.length + 1500ms);
 }
 
 void SoakRun::withServer(const std::string& id, const std::function<void(SoakServer&)>& action)
@@ -195,7 +195,7 @@
     servers_.erase(servers_.begin() + static_cast<std::ptrdiff_t>(index));
     after(3 * heartbeat, now, [this, id] {
         store_->remove(platform::serverKeyOf(id));
-        judge_.noteServerLeaves(id, Clock::now());
+        checker_.noteServerLeaves(id, Clock::now());
     });
 }
 
@@ -225,7 +225,7 @@
             again.startedAt = ++lastStart_;
             again.readiness = ServerReadiness::Ready;
             openServer(again);
-            judge_.noteServerStartsAgain(again.id);
+            checker_.noteServerStartsAgain(again.id);
         });
     }
     case SoakStepKind::ServerReplacedInPlace:
@@ -241,7 +241,7 @@
     }
     server.drain();
     writeEntry(server);
-    judge_.noteServerLeaves(entry.id, now);
+    checker_.noteServerLeaves(entry.id, now);
     openServer(entry.service, entry.availabilityZone, { entry.address.address + 100, entry.address.port });
     after(5s, now, [this, id = entry.id] {
         std::erase_if(servers_, [&](const auto& other) { return other->entry().id == id; });
@@ -265,16 +265,16 @@
 
 std::string SoakRun::zoneOf(const SoakStep& step) const { return zoneName(step.target % options_.availabilityZones); }
 
-// Longer than the bound, so that the judge sees what comes after it.
+// Longer than the bound, so that the checker sees what comes after it.
 void SoakRun::emptyZone(const SoakStep& step, TimePoint now)
 {
     constexpr auto beyondTheBound = 4s;
     const std::string zone = zoneOf(step);
     const std::string key = platform::evacuatedZoneKeyOf(zone);
     store_->put(key, "{}");
-    judge_.noteZoneEmptied(zone, now);
+    checker_.noteZoneEmptied(zone, now);
     after(step.length + beyondTheBound, now, [this, zone, key] {
-        judge_.noteZoneTakenBack(zone);
+        checker_.noteZoneTakenBack(zone);
         store_->remove(key);
     });
 }
@@ -294,7 +294,7 @@
             entry.readiness = ServerReadiness::Ready;
             entry.warmupLeft = 2s;
             openServer(entry);
-            judge_.noteServerStartsAgain(entry.id);
+            checker_.noteServerStartsAgain(entry.id);
         }
     });
 }
--- a/Source/Soak/main.cpp
+++ b/Source/Soak/main.cpp
@@ -48,17 +48,17 @@
             directory.value()->keep();
             return CouldNotRun;
         }
-        const SoakJudge& judge = run.judge();
-        const bool isBroken = !judge.violations().empty();
+        const SoakChecker& checker = run.checker();
+        const bool isBroken = !checker.violations().empty();
         const std::string keep = absl::GetFlag(FLAGS_keep);
         const bool keeps = keep == "all" || (keep == "broken" && isBroken);
         if (keeps)
             directory.value()->keep();
         fmt::print("seed {}: {} steps, {} openings, {} of {} requests served ({} judged as calm), {} resets, {}{}\n",
-            seed, plan.steps.size(), judge.openings(), judge.served(), judge.requests(), judge.calmRequests(),
-            judge.resets(), isBroken ? "BROKEN" : "held",
+            seed, plan.steps.size(), checker.openings(), checker.served(), checker.requests(), checker.calmRequests(),
+            checker.resets(), isBroken ? "BROKEN" : "held",
             keeps ? fmt::format(", logs in {}", directory.value()->path().string()) : "");
-        for (const std::string& violation : judge.violations())
+        for (const std::string& violation : checker.violations())
             fmt::print("  {}\n", violation);
         std::fflush(stdout);
         return isBroken ? PromiseBroken : PromisesHeld;
