--- a/Source/Soak/SoakCallers.cpp
+++ b/Source/Soak/SoakCallers.cpp
@@ -132,7 +132,7 @@
     const auto [balancer, name] = events_.routePacket(flow.ends);
     flow.lastBalancer = name;
     if (balancer.isSet())
-        socket_->send(balancer, sealPacket(packet, payload));
+        socket_->send(balancer, encodeWithChecksum(packet, payload));
 }
 
 void SoakCallers::receive(std::span<const std::uint8_t> datagram)
@@ -146,11 +146,11 @@
     if (found == flows_.end() || packet->ends.caller != found->second.ends.route)
         return;
     Flow& flow = found->second;
-    if (packet->resets && hasNoSum(datagram)) {
+    if (packet->resets && hasNoChecksum(datagram)) {
         events_.onReset(flow.ends, flow.lastBalancer, flow.state != State::Opening);
         return end(port, flow.state != State::Idle);
     }
-    if (!isSealed(datagram))
+    if (!hasValidChecksum(datagram))
         return events_.onCorruptedPacket();
     if (packet->resets)
         return end(port, flow.state != State::Idle);
--- a/Source/Soak/SoakPacket.cpp
+++ b/Source/Soak/SoakPacket.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-    std::uint32_t sumOf(std::span<const std::uint8_t> datagram)
+    std::uint32_t checksumOf(std::span<const std::uint8_t> datagram)
     {
         const std::vector<std::uint8_t> covered = platform::checksummedBytes(datagram);
-        const auto sum = static_cast<std::uint32_t>(hashBytes(covered.data(), covered.size(), soakKey));
-        return sum == 0 ? 1 : sum;
+        const auto checksum = static_cast<std::uint32_t>(hashBytes(covered.data(), covered.size(), soakChecksumKey));
+        return checksum == 0 ? 1 : checksum;
     }
 
 }
 
-std::vector<std::uint8_t> sealPacket(const TokenPacket& packet, std::span<const std::uint8_t> payload)
+std::vector<std::uint8_t> encodeWithChecksum(const TokenPacket& packet, std::span<const std::uint8_t> payload)
 {
     TokenPacket head = packet;
     head.payloadBytes = static_cast<std::uint16_t>(payload.size());
@@ -26,12 +26,15 @@
     std::vector<std::uint8_t> datagram(bytes.size() + payload.size());
     std::copy(bytes.begin(), bytes.end(), datagram.begin());
     std::copy(payload.begin(), payload.end(), datagram.begin() + platform::packetHeaderBytes);
-    platform::writeChecksum(datagram, sumOf(datagram));
+    platform::writeChecksum(datagram, checksumOf(datagram));
     return datagram;
 }
 
-bool isSealed(std::span<const std::uint8_t> datagram) { return platform::readChecksum(datagram) == sumOf(datagram); }
+bool hasValidChecksum(std::span<const std::uint8_t> datagram)
+{
+    return platform::readChecksum(datagram) == checksumOf(datagram);
+}
 
-bool hasNoSum(std::span<const std::uint8_t> datagram) { return platform::readChecksum(datagram) == 0; }
+bool hasNoChecksum(std::span<const std::uint8_t> datagram) { return platform::readChecksum(datagram) == 0; }
 
 }
--- a/Source/Soak/SoakPacket.h
+++ b/Source/Soak/SoakPacket.h
@@ -13,12 +13,12 @@
 // neither know nor change.
 
 // The sum's key of this run's callers and servers.
-inline constexpr std::uint64_t soakKey = 0x736F616B;
+inline constexpr std::uint64_t soakChecksumKey = 0x736F616B;
 
-std::vector<std::uint8_t> sealPacket(const TokenPacket&, std::span<const std::uint8_t> payload = {});
+std::vector<std::uint8_t> encodeWithChecksum(const TokenPacket&, std::span<const std::uint8_t> payload = {});
 // Whether the packet is as its sender wrote it. A reset of a balancer's own has no sum, and is none of a sender's.
-bool isSealed(std::span<const std::uint8_t> datagram);
+bool hasValidChecksum(std::span<const std::uint8_t> datagram);
 // Resets of balancers carry no sum.
-bool hasNoSum(std::span<const std::uint8_t> datagram);
+bool hasNoChecksum(std::span<const std::uint8_t> datagram);
 
 }
--- a/Source/Soak/SoakServer.cpp
+++ b/Source/Soak/SoakServer.cpp
@@ -55,7 +55,7 @@
         return;
     const auto bytes = datagram.subspan(platform::serverPrefixBytes);
     const auto packet = platform::decodePacket(bytes);
-    if (!packet || !isSealed(bytes))
+    if (!packet || !hasValidChecksum(bytes))
         return events_.onCorruptedPacket(entry_);
     packet->opens ? takeOpening(*packet) : takeTraffic(*packet);
 }
@@ -127,7 +127,7 @@
     packet.token = flow.token;
     packet.acknowledgement = flow.callerSequence;
     packet.acknowledges = !packet.resets;
-    socket_->send({ ends.caller.address, callerPort_ }, sealPacket(packet, payload));
+    socket_->send({ ends.caller.address, callerPort_ }, encodeWithChecksum(packet, payload));
 }
 
 }
--- a/Tests/Soak/SoakServerTest.cpp
+++ b/Tests/Soak/SoakServerTest.cpp
@@ -52,7 +52,7 @@
         const auto send = [&](const TokenPacket& sent) {
             const auto prefix = platform::serverPrefix(entry.number);
             std::vector<std::uint8_t> datagram(prefix.begin(), prefix.end());
-            const auto body = sealPacket(sent, {});
+            const auto body = encodeWithChecksum(sent, {});
             datagram.insert(datagram.end(), body.begin(), body.end());
             answers.value()->send(address, datagram);
         };
