--- a/Source/Soak/SoakRun.h
+++ b/Source/Soak/SoakRun.h
@@ -111,7 +111,7 @@
     std::string zoneOf(const SoakStep&) const;
     void emptyZone(const SoakStep&, TimePoint now);
     void silenceZone(const SoakStep&, TimePoint now);
-    void setStore(SoakStore::Trouble, std::chrono::milliseconds, TimePoint now);
+    void setStore(SoakStore::Fault, std::chrono::milliseconds, TimePoint now);
     void setLink(
         const std::string& link, const FaultSettings&, bool bothWays, std::chrono::milliseconds, TimePoint now);
     // Does nothing when the server has ended meanwhile.
--- a/Source/Soak/SoakSteps.cpp
+++ b/Source/Soak/SoakSteps.cpp
@@ -146,33 +146,33 @@
     });
 }
 
-void SoakRun::setStore(SoakStore::Trouble trouble, std::chrono::milliseconds length, TimePoint now)
+void SoakRun::setStore(SoakStore::Fault fault, std::chrono::milliseconds length, TimePoint now)
 {
     checker_.disturbStore(now + length);
-    store_->setTrouble(trouble);
-    after(length, now, [this] { store_->setTrouble(SoakStore::Trouble::None); });
+    store_->setFault(fault);
+    after(length, now, [this] { store_->setFault(SoakStore::Fault::None); });
 }
 
 void SoakRun::performOnStore(const SoakStep& step, TimePoint now)
 {
     switch (step.kind) {
     case SoakStepKind::StoreBusy:
-        return setStore(SoakStore::Trouble::Busy, step.length, now);
+        return setStore(SoakStore::Fault::Busy, step.length, now);
     case SoakStepKind::StoreSilent:
-        return setStore(SoakStore::Trouble::Silent, step.length, now);
+        return setStore(SoakStore::Fault::Silent, step.length, now);
     case SoakStepKind::StoreSlow:
-        return setStore(SoakStore::Trouble::Slow, step.length, now);
+        return setStore(SoakStore::Fault::Slow, step.length, now);
     case SoakStepKind::StoreForgets:
-        store_->forgetHistory();
+        store_->compactHistory();
         return checker_.disturbStore(now);
     case SoakStepKind::StoreStale:
         // The store may do that at any time, so nothing is excused by it.
-        store_->makeStale(true);
-        return after(step.length, now, [this] { store_->makeStale(false); });
+        store_->setStaleReads(true);
+        return after(step.length, now, [this] { store_->setStaleReads(false); });
     default:
         break;
     }
-    setStore(SoakStore::Trouble::Busy, step.length, now);
+    setStore(SoakStore::Fault::Busy, step.length, now);
     for (std::size_t i = 0; i < servers_.size(); i += 3) {
         const std::string id = servers_[i]->entry().id;
         after(step.length / 2, now, [this, id] { store_->remove(platform::serverKeyOf(id)); });
--- a/Source/Soak/SoakStore.cpp
+++ b/Source/Soak/SoakStore.cpp
@@ -10,7 +10,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto slowAnswer = 300ms;
+    constexpr auto slowResponseDelay = 300ms;
     // As many items as the platform gives in one page.
     constexpr std::size_t pageItems = 500;
 
@@ -39,7 +39,7 @@
     const PlatformItem item { key, std::move(value), ++revision_, false };
     items_[key] = item;
     history_.push_back(item);
-    answerWaiting();
+    answerPendingWatches();
 }
 
 void SoakStore::remove(const std::string& key)
@@ -47,36 +47,36 @@
     if (items_.erase(key) == 0)
         return;
     history_.push_back({ key, {}, ++revision_, true });
-    answerWaiting();
+    answerPendingWatches();
 }
 
-void SoakStore::makeStale(bool isStale)
+void SoakStore::setStaleReads(bool isStale)
 {
-    stale_.reset();
+    staleSnapshot_.reset();
     if (isStale)
-        stale_ = Snapshot { items_, revision_ };
+        staleSnapshot_ = Snapshot { items_, revision_ };
 }
 
 void SoakStore::handle(const std::shared_ptr<Http1Exchange>& exchange)
 {
     ++calls_;
-    switch (trouble_) {
-    case Trouble::Busy:
+    switch (fault_) {
+    case Fault::Busy:
         exchange->respond(responseOf(503));
         return;
-    case Trouble::Silent:
-        neverAnswered_.push_back(exchange);
+    case Fault::Silent:
+        unanswered_.push_back(exchange);
         return;
-    case Trouble::Slow: {
-        const auto timer = std::make_shared<boost::asio::steady_timer>(context_, slowAnswer);
+    case Fault::Slow: {
+        const auto timer = std::make_shared<boost::asio::steady_timer>(context_, slowResponseDelay);
         timer->async_wait([this, timer, exchange](const boost::system::error_code& error) {
             if (!error)
                 answer(exchange);
         });
         return;
     }
-    case Trouble::None:
-        neverAnswered_.clear();
+    case Fault::None:
+        unanswered_.clear();
         answer(exchange);
         return;
     }
@@ -86,9 +86,9 @@
 {
     if (const auto list = platform::listCallOf(exchange->request())) {
         PlatformPage page;
-        const bool isStale = list->mayBeStale && stale_;
-        page.revision = isStale ? stale_->revision : revision_;
-        for (const auto& [key, item] : isStale ? stale_->items : items_) {
+        const bool isStale = list->mayBeStale && staleSnapshot_;
+        page.revision = isStale ? staleSnapshot_->revision : revision_;
+        for (const auto& [key, item] : isStale ? staleSnapshot_->items : items_) {
             if (!key.starts_with(list->prefix) || key <= list->after)
                 continue;
             page.hasMore = page.items.size() == pageItems;
@@ -106,7 +106,7 @@
 
 void SoakStore::watch(const std::shared_ptr<Http1Exchange>& exchange, const ChangesCall& call)
 {
-    if (call.revision < forgottenTo_) {
+    if (call.revision < compactedRevision_) {
         exchange->respond(responseOf(platform::historyGoneStatus));
         return;
     }
@@ -115,16 +115,16 @@
         exchange->respond(responseOf(200, platform::encodeChanges(changes)));
         return;
     }
-    const std::uint64_t number = nextWaiting_++;
+    const std::uint64_t number = nextWatchId_++;
     const auto timer = std::make_shared<boost::asio::steady_timer>(context_, call.wait);
-    waiting_[number] = { exchange, call, timer };
+    pendingWatches_[number] = { exchange, call, timer };
     timer->async_wait([this, number](const boost::system::error_code& error) {
-        const auto found = error ? waiting_.end() : waiting_.find(number);
-        if (found == waiting_.end())
+        const auto found = error ? pendingWatches_.end() : pendingWatches_.find(number);
+        if (found == pendingWatches_.end())
             return;
-        const Waiting waiting = std::move(found->second);
-        waiting_.erase(found);
-        waiting.exchange->respond(responseOf(200, platform::encodeChanges(changesAfter(waiting.call))));
+        const PendingWatch pending = std::move(found->second);
+        pendingWatches_.erase(found);
+        pending.exchange->respond(responseOf(200, platform::encodeChanges(changesAfter(pending.call))));
     });
 }
 
@@ -139,11 +139,11 @@
     return changes;
 }
 
-void SoakStore::answerWaiting()
+void SoakStore::answerPendingWatches()
 {
-    if (trouble_ == Trouble::Silent || trouble_ == Trouble::Busy)
+    if (fault_ == Fault::Silent || fault_ == Fault::Busy)
         return;
-    std::erase_if(waiting_, [&](const auto& row) {
+    std::erase_if(pendingWatches_, [&](const auto& row) {
         const PlatformChanges changes = changesAfter(row.second.call);
         if (changes.items.empty())
             return false;
--- a/Source/Soak/SoakStore.h
+++ b/Source/Soak/SoakStore.h
@@ -18,7 +18,7 @@
 // A stand-in for the platform's store in its own protocol, with the faults that it may have.
 class SoakStore {
 public:
-    enum class Trouble {
+    enum class Fault {
         None,
         Busy, // Answers that nothing was done.
         Silent, // Takes calls and never answers.
@@ -34,14 +34,14 @@
     void put(const std::string& key, std::string value);
     void remove(const std::string& key);
     // Answers of watches from before now say that their history is gone.
-    void forgetHistory() { forgottenTo_ = revision_; }
-    void setTrouble(Trouble trouble) { trouble_ = trouble; }
+    void compactHistory() { compactedRevision_ = revision_; }
+    void setFault(Fault fault) { fault_ = fault; }
     // From now on listings that may be old show what there is now; or again what there is then.
-    void makeStale(bool isStale);
+    void setStaleReads(bool isStale);
     std::uint64_t calls() const { return calls_; }
 
 private:
-    struct Waiting {
+    struct PendingWatch {
         std::shared_ptr<Http1Exchange> exchange;
         ChangesCall call;
         std::shared_ptr<boost::asio::steady_timer> timer;
@@ -56,7 +56,7 @@
     void answer(const std::shared_ptr<Http1Exchange>&);
     void watch(const std::shared_ptr<Http1Exchange>&, const ChangesCall&);
     PlatformChanges changesAfter(const ChangesCall&) const;
-    void answerWaiting();
+    void answerPendingWatches();
 
     boost::asio::io_context& context_;
     std::unique_ptr<Http1Server> server_;
@@ -65,15 +65,15 @@
         std::uint64_t revision = 0;
     };
     std::map<std::string, PlatformItem> items_;
-    std::optional<Snapshot> stale_;
+    std::optional<Snapshot> staleSnapshot_;
     std::vector<PlatformItem> history_;
     std::uint64_t revision_ = 1;
-    std::uint64_t forgottenTo_ = 0;
+    std::uint64_t compactedRevision_ = 0;
     std::uint64_t calls_ = 0;
-    Trouble trouble_ = Trouble::None;
-    std::map<std::uint64_t, Waiting> waiting_;
-    std::uint64_t nextWaiting_ = 0;
-    std::vector<std::shared_ptr<Http1Exchange>> neverAnswered_;
+    Fault fault_ = Fault::None;
+    std::map<std::uint64_t, PendingWatch> pendingWatches_;
+    std::uint64_t nextWatchId_ = 0;
+    std::vector<std::shared_ptr<Http1Exchange>> unanswered_;
 };
 
 }
