--- a/Source/Soak/SoakRun.cpp
+++ b/Source/Soak/SoakRun.cpp
@@ -62,7 +62,7 @@
     };
     callerEvents_.onReset = [this](const FlowEnds& ends, const std::string& balancer, bool isOpen) {
         const bool isServerAlive
-            = std::ranges::any_of(servers_, [&](const auto& server) { return server->holds(ends); });
+            = std::ranges::any_of(servers_, [&](const auto& server) { return server->hasOpenFlow(ends); });
         checker_.noteReset(fmt::format("{}>{}", ends.caller.toString(), ends.route.toString()), balancer, isOpen,
             isServerAlive, Clock::now());
     };
--- a/Source/Soak/SoakServer.cpp
+++ b/Source/Soak/SoakServer.cpp
@@ -39,7 +39,7 @@
 {
 }
 
-bool SoakServer::holds(const FlowEnds& ends) const
+bool SoakServer::hasOpenFlow(const FlowEnds& ends) const
 {
     const auto entry = flows_.find(ends);
     return entry != flows_.end() && entry->second.isOpen;
@@ -57,10 +57,10 @@
     const auto packet = platform::decodePacket(bytes);
     if (!packet || !hasValidChecksum(bytes))
         return events_.onCorruptedPacket(entry_);
-    packet->opens ? takeOpening(*packet) : takeTraffic(*packet);
+    packet->opens ? handleOpening(*packet) : handleTraffic(*packet);
 }
 
-void SoakServer::takeOpening(const TokenPacket& packet)
+void SoakServer::handleOpening(const TokenPacket& packet)
 {
     if (isFull_)
         return;
@@ -78,7 +78,7 @@
     reply(packet.ends, flow, answer);
 }
 
-void SoakServer::takeTraffic(const TokenPacket& packet)
+void SoakServer::handleTraffic(const TokenPacket& packet)
 {
     const auto entry = flows_.find(packet.ends);
     if (entry == flows_.end()) {
@@ -96,9 +96,9 @@
     }
     if (packet.payloadBytes == 0)
         return;
-    if (manner_ == Manner::Mute)
+    if (requestBehaviour_ == RequestBehaviour::Ignore)
         return;
-    if (manner_ == Manner::Resets) {
+    if (requestBehaviour_ == RequestBehaviour::Reset) {
         reset(packet);
         flows_.erase(entry);
         return;
--- a/Source/Soak/SoakServer.h
+++ b/Source/Soak/SoakServer.h
@@ -34,12 +34,12 @@
     const RegisteredServer& entry() const { return entry_; }
     void drain() { entry_.readiness = ServerReadiness::Draining; }
     // Whether the flow is open here. A copy of its opening packet may have come here too and opened nothing.
-    bool holds(const FlowEnds&) const;
+    bool hasOpenFlow(const FlowEnds&) const;
     // Takes no new flows, as a server that is full.
     void setFull(bool isFull) { isFull_ = isFull; }
     // What it does with requests, while its entry says that it is ready.
-    enum class Manner { Answers, Mute, Resets };
-    void setManner(Manner manner) { manner_ = manner; }
+    enum class RequestBehaviour { Respond, Ignore, Reset };
+    void setRequestBehaviour(RequestBehaviour behaviour) { requestBehaviour_ = behaviour; }
 
 private:
     struct Flow {
@@ -52,8 +52,8 @@
     SoakServer(RegisteredServer, std::uint16_t callerPort, const SoakServerEvents&);
 
     void receive(std::span<const std::uint8_t> datagram);
-    void takeOpening(const TokenPacket&);
-    void takeTraffic(const TokenPacket&);
+    void handleOpening(const TokenPacket&);
+    void handleTraffic(const TokenPacket&);
     void reset(const TokenPacket&);
     void reply(const FlowEnds&, const Flow&, TokenPacket, std::span<const std::uint8_t> payload = {});
 
@@ -64,7 +64,7 @@
     std::map<FlowEnds, Flow, bool (*)(const FlowEnds&, const FlowEnds&)> flows_;
     std::uint32_t nextSequence_ = 100;
     bool isFull_ = false;
-    Manner manner_ = Manner::Answers;
+    RequestBehaviour requestBehaviour_ = RequestBehaviour::Respond;
 };
 
 }
--- a/Source/Soak/SoakSteps.cpp
+++ b/Source/Soak/SoakSteps.cpp
@@ -210,9 +210,11 @@
         return after(step.length, now, [this, id = entry.id] { withServer(id, [](auto& it) { it.setFull(false); }); });
     case SoakStepKind::ServerMute:
     case SoakStepKind::ServerResets:
-        server.setManner(step.kind == SoakStepKind::ServerMute ? SoakServer::Manner::Mute : SoakServer::Manner::Resets);
-        return after(step.length, now,
-            [this, id = entry.id] { withServer(id, [](auto& it) { it.setManner(SoakServer::Manner::Answers); }); });
+        server.setRequestBehaviour(step.kind == SoakStepKind::ServerMute ? SoakServer::RequestBehaviour::Ignore
+                                                                         : SoakServer::RequestBehaviour::Reset);
+        return after(step.length, now, [this, id = entry.id] {
+            withServer(id, [](auto& it) { it.setRequestBehaviour(SoakServer::RequestBehaviour::Respond); });
+        });
     case SoakStepKind::ServerCrashes:
         crash(index, now);
         return after(
--- a/Tests/Soak/SoakServerTest.cpp
+++ b/Tests/Soak/SoakServerTest.cpp
@@ -58,12 +58,12 @@
         };
         send(packet);
         ASSERT_TRUE(loop.waitUntil([&] { return openings == 1; }, 10s, "the opening packet"));
-        EXPECT_FALSE(server.value()->holds(packet.ends));
+        EXPECT_FALSE(server.value()->hasOpenFlow(packet.ends));
 
         packet.opens = false;
         packet.acknowledges = true;
         send(packet);
-        EXPECT_TRUE(loop.waitUntil([&] { return server.value()->holds(packet.ends); }, 10s, "the open flow"));
+        EXPECT_TRUE(loop.waitUntil([&] { return server.value()->hasOpenFlow(packet.ends); }, 10s, "the open flow"));
     }
 
 }
