--- a/Source/Soak/SoakSchedule.cpp
+++ b/Source/Soak/SoakSchedule.cpp
@@ -22,13 +22,13 @@
         { SoakStepKind::StoreBusy, "store_busy" },
         { SoakStepKind::StoreSilent, "store_silent" },
         { SoakStepKind::StoreSlow, "store_slow" },
-        { SoakStepKind::StoreForgets, "store_forgets" },
-        { SoakStepKind::StoreLapses, "store_lapses" },
-        { SoakStepKind::StoreCutOff, "store_cut_off" },
+        { SoakStepKind::StoreHistoryCompacted, "store_forgets" },
+        { SoakStepKind::StoreEntriesExpire, "store_lapses" },
+        { SoakStepKind::StoreUnreachable, "store_cut_off" },
         { SoakStepKind::StoreResets, "store_resets" },
         { SoakStepKind::StoreOneWay, "store_one_way" },
         { SoakStepKind::PacketsLost, "packets_lost" },
-        { SoakStepKind::PacketsDoubled, "packets_doubled" },
+        { SoakStepKind::PacketsDuplicated, "packets_doubled" },
         { SoakStepKind::PacketsReordered, "packets_reordered" },
         { SoakStepKind::ServerCrashes, "server_crashes" },
         { SoakStepKind::ServerDrains, "server_drains" },
@@ -36,26 +36,26 @@
         { SoakStepKind::ServerFull, "server_full" },
         { SoakStepKind::RouteAdded, "route_added" },
         { SoakStepKind::RouteRemoved, "route_removed" },
-        { SoakStepKind::ConfigurationStorm, "configuration_storm" },
-        { SoakStepKind::ServerMute, "server_mute" },
+        { SoakStepKind::ConfigurationBurst, "configuration_storm" },
+        { SoakStepKind::ServerUnresponsive, "server_mute" },
         { SoakStepKind::ServerResets, "server_resets" },
         { SoakStepKind::StoreStale, "store_stale" },
-        { SoakStepKind::ServerStartsAgain, "server_starts_again" },
+        { SoakStepKind::ServerRestarts, "server_starts_again" },
         { SoakStepKind::ForeignEntries, "foreign_entries" },
-        { SoakStepKind::ZoneEmptied, "zone_emptied" },
-        { SoakStepKind::ZoneSilent, "zone_silent" },
+        { SoakStepKind::ZoneEvacuated, "zone_emptied" },
+        { SoakStepKind::ZoneServersRestart, "zone_silent" },
     });
-    static_assert(stepNames.rows().size() == soakStepKinds);
+    static_assert(stepNames.rows().size() == soakStepKindCount);
 
     // Steps begin within this part of the run; the rest is for recovery.
-    constexpr double troubledPart = 0.55;
-    constexpr double quietBeginning = 0.1;
+    constexpr double faultPart = 0.55;
+    constexpr double warmupPart = 0.1;
     constexpr double stepsPerSecond = 0.9;
     constexpr double addedStepsPerSecond = 0.3;
-    constexpr double seriesChance = 0.25;
+    constexpr double repeatProbability = 0.25;
 
     // One of the kinds from first on and before end.
-    SoakStep drawStep(SeededRandom& random, std::chrono::milliseconds at, std::size_t first, std::size_t end)
+    SoakStep generateStep(SeededRandom& random, std::chrono::milliseconds at, std::size_t first, std::size_t end)
     {
         SoakStep step;
         step.at = at;
@@ -77,17 +77,18 @@
         "{:.2f} s {} (target {}, {} ms)", static_cast<double>(at.count()) / 1000, nameOf(kind), target, length.count());
 }
 
-SoakPlan drawSoakPlan(std::uint64_t seed, std::chrono::milliseconds length)
+SoakPlan generateSoakPlan(std::uint64_t seed, std::chrono::milliseconds length)
 {
     SeededRandom random(seed);
     SoakPlan plan { seed, length, {} };
     const auto total = static_cast<double>(length.count());
-    const auto count = static_cast<int>(total / 1000 * troubledPart * stepsPerSecond);
+    const auto count = static_cast<int>(total / 1000 * faultPart * stepsPerSecond);
     for (int i = 0; i < count; ++i) {
-        const double at = random.nextBetween(quietBeginning, troubledPart) * total;
-        const SoakStep step = drawStep(random, std::chrono::milliseconds(static_cast<int>(at)), 0, firstAddedSoakStep);
+        const double at = random.nextBetween(warmupPart, faultPart) * total;
+        const SoakStep step
+            = generateStep(random, std::chrono::milliseconds(static_cast<int>(at)), 0, firstAddedStepKind);
         plan.steps.push_back(step);
-        if (random.nextUniform() >= seriesChance)
+        if (random.nextUniform() >= repeatProbability)
             continue;
         // The same again, soon, for another target.
         SoakStep next = step;
@@ -97,16 +98,16 @@
     }
     const auto addKinds = [&](std::uint64_t salt, std::size_t first, std::size_t end) {
         SeededRandom added(seed ^ salt);
-        const auto addedCount = static_cast<int>(total / 1000 * troubledPart * addedStepsPerSecond);
+        const auto addedCount = static_cast<int>(total / 1000 * faultPart * addedStepsPerSecond);
         for (int i = 0; i < addedCount; ++i) {
-            const double at = added.nextBetween(quietBeginning, troubledPart) * total;
-            plan.steps.push_back(drawStep(added, std::chrono::milliseconds(static_cast<int>(at)), first, end));
+            const double at = added.nextBetween(warmupPart, faultPart) * total;
+            plan.steps.push_back(generateStep(added, std::chrono::milliseconds(static_cast<int>(at)), first, end));
         }
     };
-    addKinds(0xADDED, firstAddedSoakStep, firstSoakStepOfIdentity);
-    addKinds(0x1DE17, firstSoakStepOfIdentity, firstSoakStepOfZones);
-    addKinds(0x20E5, firstSoakStepOfZones, soakStepKinds);
-    plan.steps.push_back({ std::chrono::milliseconds(static_cast<int>(total * troubledPart)), SoakStepKind::KillAll, 0,
+    addKinds(0xADDED, firstAddedStepKind, firstIdentityStepKind);
+    addKinds(0x1DE17, firstIdentityStepKind, firstZoneStepKind);
+    addKinds(0x20E5, firstZoneStepKind, soakStepKindCount);
+    plan.steps.push_back({ std::chrono::milliseconds(static_cast<int>(total * faultPart)), SoakStepKind::KillAll, 0,
         std::chrono::milliseconds(static_cast<int>(random.nextBetween(300, 1200))) });
     // Planned work while nothing else is disturbed, when the bounds hold for every forwarder.
     constexpr double undisturbedPart = 0.78;
@@ -114,7 +115,7 @@
     for (const SoakStepKind kind : { SoakStepKind::RouteRemoved, SoakStepKind::RouteAdded, SoakStepKind::ServerDrains })
         plan.steps.push_back({ timeAt(undisturbedPart), kind, static_cast<std::uint32_t>(random.next() % 1000), {} });
     plan.steps.push_back(
-        { timeAt(undisturbedPart), SoakStepKind::ZoneEmptied, static_cast<std::uint32_t>(seed), length });
+        { timeAt(undisturbedPart), SoakStepKind::ZoneEvacuated, static_cast<std::uint32_t>(seed), length });
     std::ranges::stable_sort(plan.steps, {}, &SoakStep::at);
     return plan;
 }
--- a/Source/Soak/SoakSchedule.h
+++ b/Source/Soak/SoakSchedule.h
@@ -18,13 +18,13 @@
     StoreBusy,
     StoreSilent,
     StoreSlow,
-    StoreForgets, // Its history is gone.
-    StoreLapses, // Busy, and the entries of some servers vanish meanwhile and come back after it.
-    StoreCutOff, // One balancer does not reach the store.
+    StoreHistoryCompacted, // Its history is gone.
+    StoreEntriesExpire, // Busy, and the entries of some servers vanish meanwhile and come back after it.
+    StoreUnreachable, // One balancer does not reach the store.
     StoreResets, // One balancer's connections to the store are reset.
     StoreOneWay, // The store's answers do not reach one balancer.
     PacketsLost, // Of one balancer, as are the next two.
-    PacketsDoubled,
+    PacketsDuplicated,
     PacketsReordered,
     ServerCrashes, // Without a word; its entry vanishes after three heartbeats.
     ServerDrains, // And another one takes its place.
@@ -32,21 +32,21 @@
     ServerFull, // Takes no new flows for a while.
     RouteAdded,
     RouteRemoved,
-    ConfigurationStorm, // Versions in quick succession.
-    ServerMute, // Takes flows and requests, and never answers a request.
+    ConfigurationBurst, // Versions in quick succession.
+    ServerUnresponsive, // Takes flows and requests, and never answers a request.
     ServerResets, // Takes flows, and resets them at their next request.
     StoreStale, // Listings that may be old are as old as the step.
-    ServerStartsAgain, // Crashes, and starts again under its id before its entry lapses.
+    ServerRestarts, // Crashes, and starts again under its id before its entry lapses.
     ForeignEntries, // Another writer spoils a server's entry, and leaves some of its own, until the step ends.
-    ZoneEmptied, // Operators order a zone to be emptied until some seconds after the step's time.
-    ZoneSilent, // All servers of a zone end together, and start again together under their ids, cold.
+    ZoneEvacuated, // Operators order a zone to be emptied until some seconds after the step's time.
+    ZoneServersRestart, // All servers of a zone end together, and start again together under their ids, cold.
 };
 
-inline constexpr std::size_t soakStepKinds = 30;
+inline constexpr std::size_t soakStepKindCount = 30;
 // The kinds from each of these on are drawn apart from the others, so that older seeds keep their steps.
-inline constexpr std::size_t firstAddedSoakStep = 23;
-inline constexpr std::size_t firstSoakStepOfIdentity = 26;
-inline constexpr std::size_t firstSoakStepOfZones = 28;
+inline constexpr std::size_t firstAddedStepKind = 23;
+inline constexpr std::size_t firstIdentityStepKind = 26;
+inline constexpr std::size_t firstZoneStepKind = 28;
 
 std::string_view nameOf(SoakStepKind);
 
@@ -68,6 +68,6 @@
 
 // The schedule of a seed: steps that overlap and come in series, then everything is killed, and a calm time in which
 // everything has to work again. The same seed and length give the same schedule on every machine.
-SoakPlan drawSoakPlan(std::uint64_t seed, std::chrono::milliseconds length);
+SoakPlan generateSoakPlan(std::uint64_t seed, std::chrono::milliseconds length);
 
 }
--- a/Source/Soak/SoakSteps.cpp
+++ b/Source/Soak/SoakSteps.cpp
@@ -28,11 +28,11 @@
     case SoakStepKind::StopBalancer:
     case SoakStepKind::PauseBalancer:
     case SoakStepKind::ReloadBalancer:
-    case SoakStepKind::StoreCutOff:
+    case SoakStepKind::StoreUnreachable:
     case SoakStepKind::StoreResets:
     case SoakStepKind::StoreOneWay:
     case SoakStepKind::PacketsLost:
-    case SoakStepKind::PacketsDoubled:
+    case SoakStepKind::PacketsDuplicated:
     case SoakStepKind::PacketsReordered:
         return performOnBalancer(step, balancers_[step.target % balancers_.size()], now);
     case SoakStepKind::KillAll:
@@ -44,27 +44,27 @@
     case SoakStepKind::StoreBusy:
     case SoakStepKind::StoreSilent:
     case SoakStepKind::StoreSlow:
-    case SoakStepKind::StoreForgets:
-    case SoakStepKind::StoreLapses:
+    case SoakStepKind::StoreHistoryCompacted:
+    case SoakStepKind::StoreEntriesExpire:
     case SoakStepKind::StoreStale:
         return performOnStore(step, now);
     case SoakStepKind::ServerCrashes:
     case SoakStepKind::ServerDrains:
     case SoakStepKind::ServerReplacedInPlace:
     case SoakStepKind::ServerFull:
-    case SoakStepKind::ServerMute:
+    case SoakStepKind::ServerUnresponsive:
     case SoakStepKind::ServerResets:
-    case SoakStepKind::ServerStartsAgain:
+    case SoakStepKind::ServerRestarts:
         return performOnServer(step, now);
     case SoakStepKind::ForeignEntries:
         return writeForeignEntries(step, now);
-    case SoakStepKind::ZoneEmptied:
+    case SoakStepKind::ZoneEvacuated:
         return emptyZone(step, now);
-    case SoakStepKind::ZoneSilent:
+    case SoakStepKind::ZoneServersRestart:
         return silenceZone(step, now);
     case SoakStepKind::RouteAdded:
     case SoakStepKind::RouteRemoved:
-    case SoakStepKind::ConfigurationStorm:
+    case SoakStepKind::ConfigurationBurst:
         return performOnConfiguration(step, now);
     }
 }
@@ -106,7 +106,7 @@
         if (balancer.process && !balancer.isEndExpected)
             balancer.process->signal(SIGHUP);
         return;
-    case SoakStepKind::StoreCutOff:
+    case SoakStepKind::StoreUnreachable:
         faults.cut = true;
         checker_.disturb(balancer.name, now + step.length);
         return setLink(balancer.storeLink, faults, true, step.length, now);
@@ -122,7 +122,7 @@
     case SoakStepKind::PacketsLost:
         faults.loss = 0.2;
         break;
-    case SoakStepKind::PacketsDoubled:
+    case SoakStepKind::PacketsDuplicated:
         faults.duplicate = 0.5;
         break;
     default:
@@ -162,7 +162,7 @@
         return setStore(SoakStore::Fault::Silent, step.length, now);
     case SoakStepKind::StoreSlow:
         return setStore(SoakStore::Fault::Slow, step.length, now);
-    case SoakStepKind::StoreForgets:
+    case SoakStepKind::StoreHistoryCompacted:
         store_->compactHistory();
         return checker_.disturbStore(now);
     case SoakStepKind::StoreStale:
@@ -208,10 +208,10 @@
     case SoakStepKind::ServerFull:
         server.setFull(true);
         return after(step.length, now, [this, id = entry.id] { withServer(id, [](auto& it) { it.setFull(false); }); });
-    case SoakStepKind::ServerMute:
+    case SoakStepKind::ServerUnresponsive:
     case SoakStepKind::ServerResets:
-        server.setRequestBehaviour(step.kind == SoakStepKind::ServerMute ? SoakServer::RequestBehaviour::Ignore
-                                                                         : SoakServer::RequestBehaviour::Reset);
+        server.setRequestBehaviour(step.kind == SoakStepKind::ServerUnresponsive ? SoakServer::RequestBehaviour::Ignore
+                                                                                 : SoakServer::RequestBehaviour::Reset);
         return after(step.length, now, [this, id = entry.id] {
             withServer(id, [](auto& it) { it.setRequestBehaviour(SoakServer::RequestBehaviour::Respond); });
         });
@@ -219,7 +219,7 @@
         crash(index, now);
         return after(
             step.length + 2s, now, [this, entry] { openServer(entry.service, entry.availabilityZone, entry.address); });
-    case SoakStepKind::ServerStartsAgain: {
+    case SoakStepKind::ServerRestarts: {
         servers_.erase(servers_.begin() + static_cast<std::ptrdiff_t>(index));
         constexpr auto longestDown = 3 * heartbeat;
         return after(std::min<std::chrono::milliseconds>(step.length, longestDown), now, [this, entry] {
--- a/Source/Soak/main.cpp
+++ b/Source/Soak/main.cpp
@@ -40,7 +40,7 @@
         const auto directory = RunDirectory::create();
         if (!directory)
             return CouldNotRun;
-        const SoakPlan plan = drawSoakPlan(seed, length);
+        const SoakPlan plan = generateSoakPlan(seed, length);
         SoakRun run(options, plan, loop, *directory.value());
         const auto result = run.run();
         if (!result) {
--- a/Tests/Soak/SoakCheckerTest.cpp
+++ b/Tests/Soak/SoakCheckerTest.cpp
@@ -152,15 +152,15 @@
     {
         std::set<SoakStepKind> kinds;
         for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-            const SoakPlan plan = drawSoakPlan(seed, 30s);
-            const SoakPlan again = drawSoakPlan(seed, 30s);
+            const SoakPlan plan = generateSoakPlan(seed, 30s);
+            const SoakPlan again = generateSoakPlan(seed, 30s);
             ASSERT_EQ(plan.steps.size(), again.steps.size());
             for (std::size_t i = 0; i < plan.steps.size(); ++i) {
                 EXPECT_EQ(plan.steps[i].toString(), again.steps[i].toString());
                 kinds.insert(plan.steps[i].kind);
             }
         }
-        EXPECT_EQ(kinds.size(), soakStepKinds);
+        EXPECT_EQ(kinds.size(), soakStepKindCount);
     }
 
     // Guards against an order that balancers pass over, and a checker that does not see it or does not see its end.
