--- a/Source/Soak/SoakRun.cpp
+++ b/Source/Soak/SoakRun.cpp
@@ -26,8 +26,8 @@
 
     constexpr auto tickPeriod = 20ms;
     constexpr auto checkPeriod = 500ms;
-    constexpr int missesThatCount = 2;
-    constexpr auto startLimit = 20s;
+    constexpr int missesUntilRemoval = 2;
+    constexpr auto startTimeout = 20s;
     constexpr std::uint32_t firstServerHost = 20;
     constexpr std::uint32_t callerHost = 200;
 
@@ -70,7 +70,7 @@
 }
 
 // Ending the clients of the readiness checks runs their callbacks, which use what else is here. Destroyed in the order
-// of the members, later_ would be gone by then: one run in fifty ended with a corrupted heap.
+// of the members, delayedActions_ would be gone by then: one run in fifty ended with a corrupted heap.
 SoakRun::~SoakRun() { balancers_.clear(); }
 
 Result<void> SoakRun::run()
@@ -84,7 +84,7 @@
         tick(Clock::now());
     }
     checker_.finish();
-    keepLogs();
+    saveLogs();
     return boost::outcome_v2::success();
 }
 
@@ -111,13 +111,13 @@
     return loop_.waitUntil(
         [this] {
             const TimePoint now = Clock::now();
-            performDue(now);
+            performDueActions(now);
             for (Balancer& balancer : balancers_)
                 checkReadiness(balancer);
             watchProcesses(now);
             return std::ranges::all_of(balancers_, [](const Balancer& balancer) { return balancer.misses == 0; });
         },
-        startLimit, "all forwarders are ready");
+        startTimeout, "all forwarders are ready");
 }
 
 // Runs beside each other must not meet: each takes a network of loopback addresses, and holds one address of it for as
@@ -158,8 +158,8 @@
                 proxy_.putLink(
                     { balancer.packetLink, LinkProtocol::Udp, any, { balancer.address.address, flowPort } }));
             BOOST_OUTCOME_TRY(store, proxy_.putLink({ balancer.storeLink, LinkProtocol::Tcp, any, store_->address() }));
-            balancer.packetEntry = packets;
-            balancer.storeEntry = store;
+            balancer.packetProxyAddress = packets;
+            balancer.storeProxyAddress = store;
             balancer.readiness = std::make_unique<Http1Client>(
                 loop_.context(), Endpoint { balancer.address.address, readyPort }, Http1Limits {});
             checker_.disturb(balancer.name, Clock::now());
@@ -182,7 +182,8 @@
                                          "{}\npeer = {}\n[store]\naddress = {}\n[peers]\nseed_vms = {}\n"
                                          "[limits]\ngrace_seconds = {}\n; written at start {}\n",
         balancer.name, balancer.availabilityZone, at(flowPort), at(readyPort), at(peerPort),
-        balancer.storeEntry.toString(), seeds, std::chrono::duration<double>(grace).count(), balancer.starts);
+        balancer.storeProxyAddress.toString(), seeds, std::chrono::duration<double>(stopGracePeriod).count(),
+        balancer.starts);
     BOOST_OUTCOME_TRY(directory_.write(balancer.name + ".ini", text));
     return boost::outcome_v2::success();
 }
@@ -194,12 +195,12 @@
     const auto settings = directory_.path() / (balancer.name + ".ini");
     BOOST_OUTCOME_TRY(process,
         ChildProcess::start(loop_.context(),
-            { fmt::format("{}-{}", balancer.name, balancer.starts), options_.program,
+            { fmt::format("{}-{}", balancer.name, balancer.starts), options_.forwarderProgram,
                 { "--settings=" + settings.string() }, directory_.path() }));
     balancer.process = std::move(process);
-    balancer.isEndExpected = false;
+    balancer.isExitExpected = false;
     balancer.isStopping = false;
-    balancer.startAt.reset();
+    balancer.restartAt.reset();
     checker_.disturb(balancer.name, Clock::now());
     return boost::outcome_v2::success();
 }
@@ -213,7 +214,7 @@
     entry.address = freeAddressFrom(address);
     entry.availabilityZone = zone;
     entry.slots = 4;
-    entry.startedAt = ++lastStart_;
+    entry.startedAt = ++lastStartNumber_;
     openServer(entry);
 }
 
@@ -246,9 +247,9 @@
     std::vector<Endpoint> routes;
     for (const FlowRoute& route : configuration_.routes)
         routes.push_back(route.address);
-    everyRoute_.insert(routes.begin(), routes.end());
+    allRoutes_.insert(routes.begin(), routes.end());
     std::vector<Endpoint> removed;
-    std::ranges::copy_if(everyRoute_, std::back_inserter(removed),
+    std::ranges::copy_if(allRoutes_, std::back_inserter(removed),
         [&](const Endpoint& route) { return std::ranges::count(routes, route) == 0; });
     for (const auto& callers : callers_)
         callers->setRoutes(routes, removed);
@@ -257,8 +258,8 @@
 void SoakRun::tick(TimePoint now)
 {
     while (nextStep_ < plan_.steps.size() && now >= startedAt_ + plan_.steps[nextStep_].at)
-        perform(plan_.steps[nextStep_++], now);
-    performDue(now);
+        performStep(plan_.steps[nextStep_++], now);
+    performDueActions(now);
     watchProcesses(now);
     for (Balancer& balancer : balancers_)
         checkReadiness(balancer);
@@ -270,40 +271,40 @@
         callers->tick(now);
 }
 
-void SoakRun::performDue(TimePoint now)
+void SoakRun::performDueActions(TimePoint now)
 {
-    std::vector<Later> due;
-    std::erase_if(later_, [&](Later& later) {
-        const bool isDue = now >= later.at;
+    std::vector<DelayedAction> due;
+    std::erase_if(delayedActions_, [&](DelayedAction& delayed) {
+        const bool isDue = now >= delayed.at;
         if (isDue)
-            due.push_back(std::move(later));
+            due.push_back(std::move(delayed));
         return isDue;
     });
-    for (const Later& later : due)
-        later.action();
+    for (const DelayedAction& delayed : due)
+        delayed.action();
 }
 
 void SoakRun::checkReadiness(Balancer& balancer)
 {
-    if (balancer.isCheckOpen)
+    if (balancer.isCheckPending)
         return;
-    balancer.isCheckOpen = true;
+    balancer.isCheckPending = true;
     HttpRequest request;
     request.path = "/readiness";
     request.authority = "router";
     balancer.readiness->send(std::move(request), Clock::now() + checkPeriod, [this, &balancer](HttpOutcome outcome) {
         const bool isReady = outcome && outcome.value().status == 200;
-        balancer.misses = isReady ? 0 : std::min(balancer.misses + 1, missesThatCount);
-        after(checkPeriod, Clock::now(), [&balancer] { balancer.isCheckOpen = false; });
+        balancer.misses = isReady ? 0 : std::min(balancer.misses + 1, missesUntilRemoval);
+        scheduleAfter(checkPeriod, Clock::now(), [&balancer] { balancer.isCheckPending = false; });
     });
 }
 
 void SoakRun::watchProcesses(TimePoint now)
 {
     for (Balancer& balancer : balancers_) {
-        if (balancer.wakeAt && now >= *balancer.wakeAt) {
+        if (balancer.resumeAt && now >= *balancer.resumeAt) {
             balancer.process->signal(SIGCONT);
-            balancer.wakeAt.reset();
+            balancer.resumeAt.reset();
             balancer.isPaused = false;
             checker_.disturb(balancer.name, now);
         }
@@ -311,15 +312,15 @@
         if (hasEnded) {
             const int code = balancer.process->exitCode().value_or(-1);
             // 128 and the signal: killed by this run.
-            if (!balancer.isEndExpected || balancer.isStopping)
-                checker_.noteExit(balancer.name, code, balancer.isEndExpected);
+            if (!balancer.isExitExpected || balancer.isStopping)
+                checker_.noteExit(balancer.name, code, balancer.isExitExpected);
             std::ofstream(directory_.path() / (balancer.process->name() + ".log")) << balancer.process->output();
             balancer.process.reset();
             checker_.disturb(balancer.name, now);
-            if (!balancer.startAt)
-                balancer.startAt = now + 200ms;
+            if (!balancer.restartAt)
+                balancer.restartAt = now + 200ms;
         }
-        if (!balancer.process && balancer.startAt && now >= *balancer.startAt)
+        if (!balancer.process && balancer.restartAt && now >= *balancer.restartAt)
             (void)startBalancer(balancer);
     }
 }
@@ -333,21 +334,21 @@
         if (balancer.availabilityZone != zoneName(zone))
             continue;
         all.push_back(&balancer);
-        if (balancer.misses < missesThatCount)
+        if (balancer.misses < missesUntilRemoval)
             ready.push_back(&balancer);
     }
     const auto& chosen = 2 * ready.size() < all.size() ? all : ready;
     const Balancer& balancer
         = *chosen[hashPair(ends.caller.port, ends.route.address ^ ends.caller.address) % chosen.size()];
-    return { balancer.packetEntry, balancer.name };
+    return { balancer.packetProxyAddress, balancer.name };
 }
 
-void SoakRun::after(std::chrono::milliseconds time, TimePoint now, std::function<void()> action)
+void SoakRun::scheduleAfter(std::chrono::milliseconds time, TimePoint now, std::function<void()> action)
 {
-    later_.push_back({ now + time, std::move(action) });
+    delayedActions_.push_back({ now + time, std::move(action) });
 }
 
-void SoakRun::keepLogs() const
+void SoakRun::saveLogs() const
 {
     for (const Balancer& balancer : balancers_) {
         if (balancer.process)
--- a/Source/Soak/SoakRun.h
+++ b/Source/Soak/SoakRun.h
@@ -26,7 +26,7 @@
 
 struct SoakOptions {
     // wisteriadock-forwarder.
-    std::filesystem::path program;
+    std::filesystem::path forwarderProgram;
     std::size_t availabilityZones = 3;
     std::size_t balancersPerZone = 2;
     std::size_t serversPerZone = 4;
@@ -49,7 +49,7 @@
 
 private:
     // The platform's bound for a planned stop, shortened.
-    static constexpr std::chrono::milliseconds grace { 3000 };
+    static constexpr std::chrono::milliseconds stopGracePeriod { 3000 };
     static constexpr std::array<const char*, 2> services { "tryon", "scanintake" };
 
     // Routes are addresses that only stand in packets.
@@ -61,24 +61,24 @@
         Endpoint address; // Its own, without a port.
         std::string packetLink;
         std::string storeLink;
-        Endpoint packetEntry; // Where routers send.
-        Endpoint storeEntry; // Where it finds the store.
+        Endpoint packetProxyAddress; // Where routers send.
+        Endpoint storeProxyAddress; // Where it finds the store.
         std::unique_ptr<ChildProcess> process;
         std::unique_ptr<Http1Client> readiness;
         // Counts missed checks; two take it out of the rotation.
         int misses = 2;
-        bool isCheckOpen = false;
+        bool isCheckPending = false;
         // Why it is expected to be down, and when it is started again.
-        bool isEndExpected = false;
+        bool isExitExpected = false;
         bool isStopping = false;
         bool isPaused = false;
-        std::optional<TimePoint> startAt;
-        std::optional<TimePoint> wakeAt;
+        std::optional<TimePoint> restartAt;
+        std::optional<TimePoint> resumeAt;
         std::uint32_t starts = 0;
     };
 
     // Things to be undone or done later.
-    struct Later {
+    struct DelayedAction {
         TimePoint at;
         std::function<void()> action;
     };
@@ -95,13 +95,13 @@
     void writeConfiguration();
 
     void tick(TimePoint now);
-    void performDue(TimePoint now);
+    void performDueActions(TimePoint now);
     void checkReadiness(Balancer&);
     void watchProcesses(TimePoint now);
     std::pair<Endpoint, std::string> routePacket(const FlowEnds&) const;
-    void perform(const SoakStep&, TimePoint now);
+    void performStep(const SoakStep&, TimePoint now);
     // Ends its process at once; another one starts at the time.
-    void kill(Balancer&, TimePoint startAt);
+    void kill(Balancer&, TimePoint restartAt);
     void performOnBalancer(const SoakStep&, Balancer&, TimePoint now);
     void performOnStore(const SoakStep&, TimePoint now);
     void performOnServer(const SoakStep&, TimePoint now);
@@ -109,16 +109,16 @@
     void performOnConfiguration(const SoakStep&, TimePoint now);
     static std::string zoneName(std::size_t zone);
     std::string zoneOf(const SoakStep&) const;
-    void emptyZone(const SoakStep&, TimePoint now);
-    void silenceZone(const SoakStep&, TimePoint now);
-    void setStore(SoakStore::Fault, std::chrono::milliseconds, TimePoint now);
-    void setLink(
+    void evacuateZone(const SoakStep&, TimePoint now);
+    void restartZoneServers(const SoakStep&, TimePoint now);
+    void setStoreFault(SoakStore::Fault, std::chrono::milliseconds, TimePoint now);
+    void setLinkFaults(
         const std::string& link, const FaultSettings&, bool bothWays, std::chrono::milliseconds, TimePoint now);
     // Does nothing when the server has ended meanwhile.
     void withServer(const std::string& id, const std::function<void(SoakServer&)>& action);
-    void crash(std::size_t server, TimePoint now);
-    void after(std::chrono::milliseconds, TimePoint now, std::function<void()>);
-    void keepLogs() const;
+    void crashServer(std::size_t server, TimePoint now);
+    void scheduleAfter(std::chrono::milliseconds, TimePoint now, std::function<void()>);
+    void saveLogs() const;
 
     const SoakOptions options_;
     const SoakPlan plan_;
@@ -135,11 +135,11 @@
     std::vector<std::unique_ptr<SoakServer>> servers_;
     std::vector<std::unique_ptr<SoakCallers>> callers_;
     ForwardingConfiguration configuration_;
-    std::set<Endpoint> everyRoute_;
-    std::vector<Later> later_;
+    std::set<Endpoint> allRoutes_;
+    std::vector<DelayedAction> delayedActions_;
     std::uint64_t nextServerNumber_ = 0x1000;
     // When the last server started, as entries tell it: the order is all that matters.
-    std::uint64_t lastStart_ = 0;
+    std::uint64_t lastStartNumber_ = 0;
     std::uint32_t nextRoute_ = 10;
     SeededRandom random_;
     double flowsDue_ = 0;
--- a/Source/Soak/SoakSteps.cpp
+++ b/Source/Soak/SoakSteps.cpp
@@ -21,7 +21,7 @@
 
 }
 
-void SoakRun::perform(const SoakStep& step, TimePoint now)
+void SoakRun::performStep(const SoakStep& step, TimePoint now)
 {
     switch (step.kind) {
     case SoakStepKind::KillBalancer:
@@ -59,9 +59,9 @@
     case SoakStepKind::ForeignEntries:
         return writeForeignEntries(step, now);
     case SoakStepKind::ZoneEvacuated:
-        return emptyZone(step, now);
+        return evacuateZone(step, now);
     case SoakStepKind::ZoneServersRestart:
-        return silenceZone(step, now);
+        return restartZoneServers(step, now);
     case SoakStepKind::RouteAdded:
     case SoakStepKind::RouteRemoved:
     case SoakStepKind::ConfigurationBurst:
@@ -69,14 +69,14 @@
     }
 }
 
-void SoakRun::kill(Balancer& balancer, TimePoint startAt)
+void SoakRun::kill(Balancer& balancer, TimePoint restartAt)
 {
     if (balancer.process)
         balancer.process->signal(SIGKILL);
-    balancer.isEndExpected = true;
+    balancer.isExitExpected = true;
     balancer.isStopping = false;
-    balancer.wakeAt.reset();
-    balancer.startAt = startAt;
+    balancer.resumeAt.reset();
+    balancer.restartAt = restartAt;
 }
 
 void SoakRun::performOnBalancer(const SoakStep& step, Balancer& balancer, TimePoint now)
@@ -87,38 +87,38 @@
         checker_.disturb(balancer.name, now + step.length);
         return kill(balancer, now + step.length);
     case SoakStepKind::StopBalancer:
-        checker_.disturb(balancer.name, now + grace);
-        if (!balancer.process || balancer.isEndExpected || balancer.wakeAt)
+        checker_.disturb(balancer.name, now + stopGracePeriod);
+        if (!balancer.process || balancer.isExitExpected || balancer.resumeAt)
             return;
         balancer.process->signal(SIGTERM);
-        balancer.isEndExpected = true;
+        balancer.isExitExpected = true;
         balancer.isStopping = true;
         return;
     case SoakStepKind::PauseBalancer:
         checker_.disturb(balancer.name, now + step.length);
-        if (!balancer.process || balancer.isEndExpected)
+        if (!balancer.process || balancer.isExitExpected)
             return;
         balancer.process->signal(SIGSTOP);
-        balancer.wakeAt = now + step.length;
+        balancer.resumeAt = now + step.length;
         return;
     case SoakStepKind::ReloadBalancer:
         (void)writeSettings(balancer);
-        if (balancer.process && !balancer.isEndExpected)
+        if (balancer.process && !balancer.isExitExpected)
             balancer.process->signal(SIGHUP);
         return;
     case SoakStepKind::StoreUnreachable:
         faults.cut = true;
         checker_.disturb(balancer.name, now + step.length);
-        return setLink(balancer.storeLink, faults, true, step.length, now);
+        return setLinkFaults(balancer.storeLink, faults, true, step.length, now);
     case SoakStepKind::StoreResets:
         faults.cut = true;
         faults.reset = true;
         checker_.disturb(balancer.name, now + step.length);
-        return setLink(balancer.storeLink, faults, true, step.length, now);
+        return setLinkFaults(balancer.storeLink, faults, true, step.length, now);
     case SoakStepKind::StoreOneWay:
         faults.cut = true;
         checker_.disturb(balancer.name, now + step.length);
-        return setLink(balancer.storeLink, faults, false, step.length, now);
+        return setLinkFaults(balancer.storeLink, faults, false, step.length, now);
     case SoakStepKind::PacketsLost:
         faults.loss = 0.2;
         break;
@@ -131,52 +131,52 @@
         break;
     }
     checker_.disturb(balancer.name, now + step.length);
-    setLink(balancer.packetLink, faults, true, step.length, now);
+    setLinkFaults(balancer.packetLink, faults, true, step.length, now);
 }
 
-void SoakRun::setLink(const std::string& link, const FaultSettings& faults, bool bothWays,
+void SoakRun::setLinkFaults(const std::string& link, const FaultSettings& faults, bool bothWays,
     std::chrono::milliseconds length, TimePoint now)
 {
     proxy_.setFaults({ link }, Direction::ToSource, faults);
     if (bothWays)
         proxy_.setFaults({ link }, Direction::ToTarget, faults);
-    after(length, now, [this, link] {
+    scheduleAfter(length, now, [this, link] {
         proxy_.setFaults({ link }, Direction::ToSource, {});
         proxy_.setFaults({ link }, Direction::ToTarget, {});
     });
 }
 
-void SoakRun::setStore(SoakStore::Fault fault, std::chrono::milliseconds length, TimePoint now)
+void SoakRun::setStoreFault(SoakStore::Fault fault, std::chrono::milliseconds length, TimePoint now)
 {
     checker_.disturbStore(now + length);
     store_->setFault(fault);
-    after(length, now, [this] { store_->setFault(SoakStore::Fault::None); });
+    scheduleAfter(length, now, [this] { store_->setFault(SoakStore::Fault::None); });
 }
 
 void SoakRun::performOnStore(const SoakStep& step, TimePoint now)
 {
     switch (step.kind) {
     case SoakStepKind::StoreBusy:
-        return setStore(SoakStore::Fault::Busy, step.length, now);
+        return setStoreFault(SoakStore::Fault::Busy, step.length, now);
     case SoakStepKind::StoreSilent:
-        return setStore(SoakStore::Fault::Silent, step.length, now);
+        return setStoreFault(SoakStore::Fault::Silent, step.length, now);
     case SoakStepKind::StoreSlow:
-        return setStore(SoakStore::Fault::Slow, step.length, now);
+        return setStoreFault(SoakStore::Fault::Slow, step.length, now);
     case SoakStepKind::StoreHistoryCompacted:
         store_->compactHistory();
         return checker_.disturbStore(now);
     case SoakStepKind::StoreStale:
         // The store may do that at any time, so nothing is excused by it.
         store_->setStaleReads(true);
-        return after(step.length, now, [this] { store_->setStaleReads(false); });
+        return scheduleAfter(step.length, now, [this] { store_->setStaleReads(false); });
     default:
         break;
     }
-    setStore(SoakStore::Fault::Busy, step.length, now);
+    setStoreFault(SoakStore::Fault::Busy, step.length, now);
     for (std::size_t i = 0; i < servers_.size(); i += 3) {
         const std::string id = servers_[i]->entry().id;
-        after(step.length / 2, now, [this, id] { store_->remove(platform::serverKeyOf(id)); });
-        after(step.length + 1500ms, now, [this, id] { withServer(id, [this](auto& it) { writeEntry(it); }); });
+        scheduleAfter(step.length / 2, now, [this, id] { store_->remove(platform::serverKeyOf(id)); });
+        scheduleAfter(step.length + 1500ms, now, [this, id] { withServer(id, [this](auto& it) { writeEntry(it); }); });
     }
     checker_.disturbStore(now + step.length + 1500ms);
 }
@@ -189,11 +189,11 @@
     }
 }
 
-void SoakRun::crash(std::size_t index, TimePoint now)
+void SoakRun::crashServer(std::size_t index, TimePoint now)
 {
     const std::string id = servers_[index]->entry().id;
     servers_.erase(servers_.begin() + static_cast<std::ptrdiff_t>(index));
-    after(3 * heartbeat, now, [this, id] {
+    scheduleAfter(3 * heartbeat, now, [this, id] {
         store_->remove(platform::serverKeyOf(id));
         checker_.noteServerDraining(id, Clock::now());
     });
@@ -207,33 +207,34 @@
     switch (step.kind) {
     case SoakStepKind::ServerFull:
         server.setFull(true);
-        return after(step.length, now, [this, id = entry.id] { withServer(id, [](auto& it) { it.setFull(false); }); });
+        return scheduleAfter(
+            step.length, now, [this, id = entry.id] { withServer(id, [](auto& it) { it.setFull(false); }); });
     case SoakStepKind::ServerUnresponsive:
     case SoakStepKind::ServerResets:
         server.setRequestBehaviour(step.kind == SoakStepKind::ServerUnresponsive ? SoakServer::RequestBehaviour::Ignore
                                                                                  : SoakServer::RequestBehaviour::Reset);
-        return after(step.length, now, [this, id = entry.id] {
+        return scheduleAfter(step.length, now, [this, id = entry.id] {
             withServer(id, [](auto& it) { it.setRequestBehaviour(SoakServer::RequestBehaviour::Respond); });
         });
     case SoakStepKind::ServerCrashes:
-        crash(index, now);
-        return after(
+        crashServer(index, now);
+        return scheduleAfter(
             step.length + 2s, now, [this, entry] { openServer(entry.service, entry.availabilityZone, entry.address); });
     case SoakStepKind::ServerRestarts: {
         servers_.erase(servers_.begin() + static_cast<std::ptrdiff_t>(index));
         constexpr auto longestDown = 3 * heartbeat;
-        return after(std::min<std::chrono::milliseconds>(step.length, longestDown), now, [this, entry] {
+        return scheduleAfter(std::min<std::chrono::milliseconds>(step.length, longestDown), now, [this, entry] {
             RegisteredServer again = entry;
-            again.startedAt = ++lastStart_;
+            again.startedAt = ++lastStartNumber_;
             again.readiness = ServerReadiness::Ready;
             openServer(again);
             checker_.noteServerRestarted(again.id);
         });
     }
     case SoakStepKind::ServerReplacedInPlace:
-        crash(index, now);
+        crashServer(index, now);
         // The platform gives an address away after two seconds, to whichever service.
-        return after(2s, now, [this, entry] {
+        return scheduleAfter(2s, now, [this, entry] {
             openServer(entry.service == services[0] ? services[1] : services[0], entry.availabilityZone, entry.address);
             // The service that lost a server gets one elsewhere.
             openServer(entry.service, entry.availabilityZone, { entry.address.address + 50, entry.address.port });
@@ -245,7 +246,7 @@
     writeEntry(server);
     checker_.noteServerDraining(entry.id, now);
     openServer(entry.service, entry.availabilityZone, { entry.address.address + 100, entry.address.port });
-    after(5s, now, [this, id = entry.id] {
+    scheduleAfter(5s, now, [this, id = entry.id] {
         std::erase_if(servers_, [&](const auto& other) { return other->entry().id == id; });
         store_->remove(platform::serverKeyOf(id));
     });
@@ -258,30 +259,30 @@
     for (std::size_t i = 0; i < values.size(); ++i) {
         const std::string key = platform::serverKeyOf(fmt::format("foreign-{:x}", i + 1));
         store_->put(key, values[i]);
-        after(step.length, now, [this, key] { store_->remove(key); });
+        scheduleAfter(step.length, now, [this, key] { store_->remove(key); });
     }
     const std::string id = servers_[step.target % servers_.size()]->entry().id;
     store_->put(platform::serverKeyOf(id), values[step.target % values.size()]);
-    after(step.length, now, [this, id] { withServer(id, [this](auto& it) { writeEntry(it); }); });
+    scheduleAfter(step.length, now, [this, id] { withServer(id, [this](auto& it) { writeEntry(it); }); });
 }
 
 std::string SoakRun::zoneOf(const SoakStep& step) const { return zoneName(step.target % options_.availabilityZones); }
 
 // Longer than the bound, so that the checker sees what comes after it.
-void SoakRun::emptyZone(const SoakStep& step, TimePoint now)
+void SoakRun::evacuateZone(const SoakStep& step, TimePoint now)
 {
-    constexpr auto beyondTheBound = 4s;
+    constexpr auto timeBeyondBound = 4s;
     const std::string zone = zoneOf(step);
     const std::string key = platform::evacuatedZoneKeyOf(zone);
     store_->put(key, "{}");
     checker_.noteZoneEvacuated(zone, now);
-    after(step.length + beyondTheBound, now, [this, zone, key] {
+    scheduleAfter(step.length + timeBeyondBound, now, [this, zone, key] {
         checker_.noteEvacuationRevoked(zone);
         store_->remove(key);
     });
 }
 
-void SoakRun::silenceZone(const SoakStep& step, TimePoint now)
+void SoakRun::restartZoneServers(const SoakStep& step, TimePoint now)
 {
     std::vector<RegisteredServer> ended;
     std::erase_if(servers_, [&](const auto& server) {
@@ -290,9 +291,9 @@
             ended.push_back(server->entry());
         return isThere;
     });
-    after(step.length, now, [this, ended] {
+    scheduleAfter(step.length, now, [this, ended] {
         for (RegisteredServer entry : ended) {
-            entry.startedAt = ++lastStart_;
+            entry.startedAt = ++lastStartNumber_;
             entry.readiness = ServerReadiness::Ready;
             entry.warmupLeft = 2s;
             openServer(entry);
@@ -303,8 +304,8 @@
 
 void SoakRun::performOnConfiguration(const SoakStep& step, TimePoint now)
 {
-    constexpr std::size_t fewestRoutes = 3;
-    constexpr int versionsOfStorm = 8;
+    constexpr std::size_t minRoutes = 3;
+    constexpr int versionsPerBurst = 8;
     const auto write = [this] {
         configuration_.version += 1 + random_.next() % 5;
         writeConfiguration();
@@ -316,13 +317,13 @@
             { fmt::format("route-{}", nextRoute_), routeOf(nextRoute_), { { services[step.target % 2], 1 } } });
         return write();
     case SoakStepKind::RouteRemoved:
-        if (configuration_.routes.size() > fewestRoutes)
+        if (configuration_.routes.size() > minRoutes)
             configuration_.routes.erase(configuration_.routes.begin()
                 + static_cast<std::ptrdiff_t>(step.target % configuration_.routes.size()));
         return write();
     default:
-        for (int i = 0; i < versionsOfStorm; ++i)
-            after(i * 150ms, now, write);
+        for (int i = 0; i < versionsPerBurst; ++i)
+            scheduleAfter(i * 150ms, now, write);
         return;
     }
 }
--- a/Source/Soak/main.cpp
+++ b/Source/Soak/main.cpp
@@ -21,9 +21,9 @@
 namespace {
 
     enum ExitCode : int {
-        PromisesHeld = 0,
-        PromiseBroken = 1,
-        CouldNotRun = 2,
+        Passed = 0,
+        Violated = 1,
+        RunFailed = 2,
     };
 
     bool isInRange(const char* flag, unsigned value, unsigned low, unsigned high)
@@ -39,36 +39,36 @@
         EventLoop loop;
         const auto directory = RunDirectory::create();
         if (!directory)
-            return CouldNotRun;
+            return RunFailed;
         const SoakPlan plan = generateSoakPlan(seed, length);
         SoakRun run(options, plan, loop, *directory.value());
         const auto result = run.run();
         if (!result) {
             fmt::print("seed {}: could not run: {}\n", seed, result.error().toString());
             directory.value()->keep();
-            return CouldNotRun;
+            return RunFailed;
         }
         const SoakChecker& checker = run.checker();
-        const bool isBroken = !checker.violations().empty();
+        const bool hasViolations = !checker.violations().empty();
         const std::string keep = absl::GetFlag(FLAGS_keep);
-        const bool keeps = keep == "all" || (keep == "broken" && isBroken);
+        const bool keeps = keep == "all" || (keep == "broken" && hasViolations);
         if (keeps)
             directory.value()->keep();
         fmt::print("seed {}: {} steps, {} openings, {} of {} requests served ({} judged as calm), {} resets, {}{}\n",
             seed, plan.steps.size(), checker.openings(), checker.served(), checker.requests(),
-            checker.undisturbedRequests(), checker.resets(), isBroken ? "BROKEN" : "held",
+            checker.undisturbedRequests(), checker.resets(), hasViolations ? "BROKEN" : "held",
             keeps ? fmt::format(", logs in {}", directory.value()->path().string()) : "");
         for (const std::string& violation : checker.violations())
             fmt::print("  {}\n", violation);
         std::fflush(stdout);
-        return isBroken ? PromiseBroken : PromisesHeld;
+        return hasViolations ? Violated : Passed;
     }
 
     int runAll(const char* ownPath)
     {
         const unsigned seconds = absl::GetFlag(FLAGS_seconds);
         SoakOptions options;
-        options.program = std::filesystem::path(ownPath).parent_path() / "wisteriadock-forwarder";
+        options.forwarderProgram = std::filesystem::path(ownPath).parent_path() / "wisteriadock-forwarder";
         options.availabilityZones = absl::GetFlag(FLAGS_availability_zones);
         options.balancersPerZone = absl::GetFlag(FLAGS_balancers);
         options.serversPerZone = absl::GetFlag(FLAGS_servers);
@@ -79,16 +79,16 @@
             && isInRange("servers", absl::GetFlag(FLAGS_servers), 2, 40)
             && isInRange("flows_per_second", absl::GetFlag(FLAGS_flows_per_second), 1, 2000);
         if (!isGood)
-            return CouldNotRun;
-        ExitCode worst = PromisesHeld;
-        unsigned broken = 0;
+            return RunFailed;
+        ExitCode worst = Passed;
+        unsigned violatedRuns = 0;
         const unsigned runs = absl::GetFlag(FLAGS_runs);
         for (unsigned i = 0; i < runs; ++i) {
             const ExitCode code = runSeed(options, absl::GetFlag(FLAGS_seed) + i, std::chrono::seconds(seconds));
-            broken += code != PromisesHeld;
+            violatedRuns += code != Passed;
             worst = std::max(worst, code);
         }
-        fmt::print("{} of {} seeds held\n", runs - broken, runs);
+        fmt::print("{} of {} seeds held\n", runs - violatedRuns, runs);
         return worst;
     }
 
