--- a/Source/Soak/SoakCallers.cpp
+++ b/Source/Soak/SoakCallers.cpp
@@ -13,14 +13,14 @@
     using namespace std::chrono_literals;
 
     constexpr std::size_t requestBytes = 100;
-    constexpr auto secondCopyAfter = 400ms;
-    constexpr auto firstCopyAfter = 200ms;
-    constexpr auto openingFails = 800ms;
-    constexpr auto longestPause = 1600ms;
-    constexpr auto requestFails = 3000ms;
-    constexpr auto thinkingTime = 300ms;
-    constexpr std::uint32_t requestsOfLongFlow = 40;
-    constexpr std::uint64_t flowsForOneBehind = 10;
+    constexpr auto secondCopyDelay = 400ms;
+    constexpr auto firstCopyDelay = 200ms;
+    constexpr auto openingTimeout = 800ms;
+    constexpr auto maxRetransmitInterval = 1600ms;
+    constexpr auto requestTimeout = 3000ms;
+    constexpr auto thinkTime = 300ms;
+    constexpr std::uint32_t requestsPerLongFlow = 40;
+    constexpr std::uint64_t flowsPerRemovedRouteUse = 10;
 
 }
 
@@ -51,14 +51,14 @@
             return;
         const std::uint16_t port = nextPort_++;
         Flow& flow = flows_[port];
-        const bool isBehind = !removedRoutes_.empty() && random_.next() % flowsForOneBehind == 0;
-        const std::vector<Endpoint>& routes = isBehind ? removedRoutes_ : routes_;
+        const bool usesRemovedRoute = !removedRoutes_.empty() && random_.next() % flowsPerRemovedRouteUse == 0;
+        const std::vector<Endpoint>& routes = usesRemovedRoute ? removedRoutes_ : routes_;
         flow.ends = { { own_.address, port }, routes[random_.next() % routes.size()] };
         flow.isLong = random_.next() % 2 == 0;
-        flow.requestsLeft = flow.isLong ? requestsOfLongFlow : 1;
+        flow.requestsLeft = flow.isLong ? requestsPerLongFlow : 1;
         // Far from the end of the range: the stand-ins do not wrap around.
         flow.sequence = static_cast<std::uint32_t>(random_.next() & 0x0FFFFFFF);
-        flow.askedAt = now;
+        flow.requestedAt = now;
         sendOpening(flow, now);
     }
 }
@@ -73,31 +73,32 @@
 {
     std::vector<std::uint16_t> failed;
     for (auto& [port, flow] : flows_) {
-        if (now < flow.againAt)
+        if (now < flow.nextActionAt)
             continue;
         if (flow.state == State::Idle) {
-            ask(flow, now);
+            startRequest(flow, now);
         } else if (flow.state == State::Opening) {
             if (flow.copies == 2)
                 failed.push_back(port);
             else
                 ++flow.copies, sendOpening(flow, now);
-        } else if (now - flow.askedAt > requestFails) {
+        } else if (now - flow.requestedAt > requestTimeout) {
             failed.push_back(port);
         } else {
-            flow.pause = std::min<std::chrono::milliseconds>(2 * flow.pause, longestPause);
-            flow.againAt = now + flow.pause;
+            flow.retransmitInterval
+                = std::min<std::chrono::milliseconds>(2 * flow.retransmitInterval, maxRetransmitInterval);
+            flow.nextActionAt = now + flow.retransmitInterval;
             sendRequest(flow);
         }
     }
     for (const std::uint16_t port : failed)
-        end(port, true);
+        endFlow(port, true);
 }
 
 void SoakCallers::sendOpening(Flow& flow, TimePoint now)
 {
-    constexpr std::array<std::chrono::milliseconds, 3> waits { firstCopyAfter, secondCopyAfter, openingFails };
-    flow.againAt = now + waits[flow.copies];
+    constexpr std::array<std::chrono::milliseconds, 3> waits { firstCopyDelay, secondCopyDelay, openingTimeout };
+    flow.nextActionAt = now + waits[flow.copies];
     TokenPacket packet;
     packet.opens = true;
     packet.sequence = flow.sequence;
@@ -106,12 +107,12 @@
     flow.opening = { now, flow.lastBalancer };
 }
 
-void SoakCallers::ask(Flow& flow, TimePoint now)
+void SoakCallers::startRequest(Flow& flow, TimePoint now)
 {
-    flow.state = State::Asking;
-    flow.askedAt = now;
-    flow.pause = firstCopyAfter;
-    flow.againAt = now + flow.pause;
+    flow.state = State::AwaitingResponse;
+    flow.requestedAt = now;
+    flow.retransmitInterval = firstCopyDelay;
+    flow.nextActionAt = now + flow.retransmitInterval;
     sendRequest(flow);
 }
 
@@ -148,16 +149,16 @@
     Flow& flow = found->second;
     if (packet->resets && hasNoChecksum(datagram)) {
         events_.onReset(flow.ends, flow.lastBalancer, flow.state != State::Opening);
-        return end(port, flow.state != State::Idle);
+        return endFlow(port, flow.state != State::Idle);
     }
     if (!hasValidChecksum(datagram))
         return events_.onCorruptedPacket();
     if (packet->resets)
-        return end(port, flow.state != State::Idle);
-    takeAnswer(flow, *packet, now);
+        return endFlow(port, flow.state != State::Idle);
+    handleServerPacket(flow, *packet, now);
 }
 
-void SoakCallers::takeAnswer(Flow& flow, const TokenPacket& packet, TimePoint now)
+void SoakCallers::handleServerPacket(Flow& flow, const TokenPacket& packet, TimePoint now)
 {
     flow.token = packet.token;
     if (packet.opens) {
@@ -165,17 +166,17 @@
             return;
         flow.sequence += 1;
         flow.acknowledgement = packet.sequence + 1;
-        return ask(flow, now);
+        return startRequest(flow, now);
     }
-    const bool isAnswer = flow.state == State::Asking && packet.payloadBytes > 0
+    const bool isAnswer = flow.state == State::AwaitingResponse && packet.payloadBytes > 0
         && packet.acknowledgement == flow.sequence + requestBytes && packet.sequence == flow.acknowledgement;
     if (!isAnswer)
         return;
-    events_.onRequest(true, flow.lastBalancer, flow.ends.route, flow.askedAt);
+    events_.onRequest(true, flow.lastBalancer, flow.ends.route, flow.requestedAt);
     flow.sequence += requestBytes;
     flow.acknowledgement += packet.payloadBytes;
     flow.state = State::Idle;
-    flow.againAt = now + thinkingTime;
+    flow.nextActionAt = now + thinkTime;
     TokenPacket confirmation;
     confirmation.acknowledges = true;
     confirmation.token = flow.token;
@@ -187,12 +188,12 @@
         flows_.erase(flow.ends.caller.port);
 }
 
-void SoakCallers::end(std::uint16_t port, bool hasFailed)
+void SoakCallers::endFlow(std::uint16_t port, bool hasFailedRequest)
 {
     const auto found = flows_.find(port);
-    if (hasFailed) {
+    if (hasFailedRequest) {
         const Flow& flow = found->second;
-        events_.onRequest(false, flow.lastBalancer, flow.ends.route, flow.askedAt);
+        events_.onRequest(false, flow.lastBalancer, flow.ends.route, flow.requestedAt);
     }
     flows_.erase(found);
 }
--- a/Source/Soak/SoakCallers.h
+++ b/Source/Soak/SoakCallers.h
@@ -57,7 +57,7 @@
     enum class State {
         Opening,
         Idle,
-        Asking,
+        AwaitingResponse,
     };
 
     struct Flow {
@@ -69,9 +69,9 @@
         std::uint32_t sequence = 0;
         std::uint32_t acknowledgement = 0;
         // When the first packet of this request was sent, and when it is sent again.
-        TimePoint askedAt;
-        TimePoint againAt;
-        std::chrono::milliseconds pause { 0 };
+        TimePoint requestedAt;
+        TimePoint nextActionAt;
+        std::chrono::milliseconds retransmitInterval { 0 };
         std::uint32_t requestsLeft = 0;
         Opening opening;
         std::string lastBalancer;
@@ -80,13 +80,13 @@
     SoakCallers(Endpoint own, std::uint64_t seed, const SoakCallerEvents&);
 
     void receive(std::span<const std::uint8_t> datagram);
-    void takeAnswer(Flow&, const TokenPacket&, TimePoint now);
+    void handleServerPacket(Flow&, const TokenPacket&, TimePoint now);
     void sendOpening(Flow&, TimePoint now);
-    void ask(Flow&, TimePoint now);
+    void startRequest(Flow&, TimePoint now);
     void sendRequest(Flow&);
     void send(Flow&, TokenPacket, std::size_t payloadBytes);
     // The flow is over, with a request that was not served or without one.
-    void end(std::uint16_t port, bool hasFailed);
+    void endFlow(std::uint16_t port, bool hasFailedRequest);
 
     Endpoint own_;
     SeededRandom random_;
