--- a/Source/Model/EventQueue.h
+++ b/Source/Model/EventQueue.h
@@ -10,21 +10,24 @@
 
 namespace wisteriadock {
 
-// Simulated time: actions run in the order of their times, and those of one time in the order in which they were added.
+// The clock and the pending actions of a discrete-event simulation. Actions run in the order of their times; actions of
+// equal time run in the order in which they were added.
 class EventQueue {
 public:
     TimePoint now() const { return clock_.now(); }
 
+    // Runs the action at the time, or next if the time has passed.
     void at(TimePoint time, std::function<void()> action)
     {
         events_.push({ std::max(time, now()), nextOrder_++, std::move(action) });
     }
     void after(Duration delay, std::function<void()> action) { at(now() + delay, std::move(action)); }
 
+    // Runs all actions up to and including `end` and leaves the clock at `end`.
     void runUntil(TimePoint end)
     {
         while (!events_.empty() && events_.top().time <= end) {
-            // The queue only shows its first element as constant; nobody sees it again.
+            // top() is const; moving from it is safe because pop() follows at once.
             Event event = std::move(const_cast<Event&>(events_.top()));
             events_.pop();
             clock_.advance(event.time - now());
--- a/Source/Model/ModelBackends.cpp
+++ b/Source/Model/ModelBackends.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-    // The servers' habits on the users' platform.
+    // The behaviour of servers on the users' platform.
     constexpr std::uint32_t heartbeatsUntilExpiry = 3;
     constexpr std::chrono::microseconds handshakeTime { 300 };
 
     constexpr std::uint32_t firstServerAddress = 0x0A800001;
     constexpr std::uint16_t serverPort = 8080;
-    // The load of a server that is dead, for a router that is told all: more than any living one has.
+    // The load that setTrueLoadsIn() gives a crashed server: more than a running one has.
     constexpr std::uint32_t crashedServerLoad = 1000;
 
 }
@@ -87,7 +87,7 @@
     }
 }
 
-// A request that was sent again is neither run twice nor refused once it runs.
+// A retransmitted request is neither run twice nor rejected once it has been accepted.
 void ModelBackends::handleRequest(std::size_t index, Flow& flow, const FlowEnds& ends, ModelRequestId request)
 {
     if (flow.request == request) {
--- a/Source/Model/ModelBackends.h
+++ b/Source/Model/ModelBackends.h
@@ -19,7 +19,8 @@
 
 std::string modelZoneName(std::uint32_t zone);
 
-// All backend servers of a run, with the flows that they hold. They answer callers directly.
+// All backend servers of a simulation run and the flows open at each. A run delivers forwarded packets to receive();
+// the servers reply to the callers directly, bypassing the forwarders.
 class ModelBackends {
 public:
     ModelBackends(EventQueue&, const ModelScenario&, ModelCallers&, boost::random::mt19937_64& random);
@@ -28,22 +29,24 @@
     std::size_t indexOf(const std::string& id) const { return indexOfId_.at(id); }
     ModelServer& server(std::size_t index) { return *servers_[index].server; }
 
-    // Tells a forwarder that starts what the store lists.
+    // Adds the servers that the store lists to the router of a forwarder that starts.
     void putListedServersInto(TokenRouter&) const;
-    // Tells a router the true load of each server.
+    // Overwrites the load that the router has observed of each server with the true load, in requests.
     void setTrueLoadsIn(TokenRouter&) const;
-    // A packet that a forwarder sent on.
+    // Handles a packet that a forwarder sent to the server.
     void receive(std::size_t index, const TokenPacket&, ModelRequestId);
-    // The server falls silent for good; lapsed runs when its entry has vanished from the store.
+    // Crashes the server for the rest of the run: it ignores all packets. onEntryExpired runs when its entry has
+    // expired in the store.
     void crash(std::size_t index, std::function<void()> onEntryExpired);
 
-    // Requests that wait or run at all servers.
+    // The number of requests queued or running at all servers.
     std::uint32_t load() const;
-    // The most requests that a server took over the mean of its service, of the service where that is worst.
+    // The requests accepted by the busiest server of a service divided by the mean of that service's servers; the
+    // largest such ratio of all services.
     double busiestOverMean() const;
 
 private:
-    // A flow as its server sees it.
+    // The state of a flow at its server.
     struct Flow {
         ModelRequestId request = noModelRequest;
         bool isAnswered = false;
--- a/Source/Model/ModelCallers.cpp
+++ b/Source/Model/ModelCallers.cpp
@@ -15,7 +15,7 @@
 
     using namespace std::chrono_literals;
 
-    // How callers of the users' platform send again.
+    // The retransmission schedule of callers on the users' platform, from the first packet on.
     constexpr std::array<std::chrono::milliseconds, 3> openingDelays { 0ms, 200ms, 600ms };
     constexpr std::chrono::milliseconds openingTimeout { 1400 };
     constexpr std::chrono::milliseconds initialRetransmitInterval { 200 };
@@ -26,7 +26,7 @@
     constexpr std::uint32_t callerSequence = 1000;
     constexpr std::uint32_t serverSequence = 5000;
     constexpr std::uint32_t firstCallerAddress = 0x64400000;
-    // Work takes at most so many times the usual.
+    // Limits the log-normal work to this multiple of its mean.
     constexpr double maxWorkFactor = 6;
 
     Duration durationOf(double seconds)
@@ -112,7 +112,7 @@
 
 FlowEnds ModelCallers::newEnds(const Request& request)
 {
-    // Callers have many ports, and those of a model many addresses too.
+    // Every flow has a caller address and port of its own, so that flows never share a key.
     const std::uint64_t number = nextPort_++;
     const auto address = firstCallerAddress + static_cast<std::uint32_t>(number / 50000);
     return { { address, static_cast<std::uint16_t>(1024 + number % 50000) }, modelRouteOf(request.kind) };
@@ -263,7 +263,7 @@
     result_.steps[indexOf(offset, ModelResult::stepLength)].add(outcome, kind.worth, earned);
     if (outcome != ModelOutcome::Failed)
         return;
-    // Whoever waits no longer ends the flow that the request was on.
+    // A caller that gives up closes the flow of the request.
     const auto open = std::ranges::find_if(flows_, [&](const auto& row) { return row.second.request == id; });
     if (open != flows_.end())
         close(FlowEnds(open->first));
--- a/Source/Model/ModelCallers.h
+++ b/Source/Model/ModelCallers.h
@@ -16,31 +16,34 @@
 
 namespace wisteriadock {
 
-// Names a request within a run; none for packets that begin no request.
+// Identifies a request within a run, counted from 1. Packets that carry no request have noModelRequest.
 using ModelRequestId = std::uint64_t;
 inline constexpr ModelRequestId noModelRequest = 0;
 
-// The callers: they ask at random, keep flows open or open one for each request, send again what is not acknowledged,
-// and try again as their kind of request allows. The timing is that of the users' platform.
+// The callers of a simulation run. They send requests as a Poisson process, reuse open flows or open one per request,
+// retransmit what is not acknowledged, and retry as the kind of request allows. They count the outcome of each request.
 class ModelCallers {
 public:
-    // Hands a packet to the routers of a zone.
+    // Passes a packet to the routers of a zone.
     using Send = std::function<void(std::uint32_t zone, const TokenPacket&, ModelRequestId)>;
 
     ModelCallers(EventQueue&, const ModelScenario&, std::uint64_t seed, Send);
 
-    // Begins to ask.
+    // Schedules the first request of each kind.
     void start();
+    // Multiplies the request rate of every kind.
     void setLoadFactor(double factor) { loadFactor_ = factor; }
-    // A share of the first zone's requests comes from the last one.
+    // The share (0 to 1) of the first zone's requests that come from the last zone instead.
     void setZoneShift(double share) { zoneShift_ = share; }
 
+    // The server accepted the flow and issued the token that later packets carry.
     void handleOpened(const FlowEnds&, std::uint32_t token);
     void handleAnswer(const FlowEnds&, ModelRequestId);
-    // The server's slots and queue are full: it did not run the request and says so.
+    // The server rejected the request without running it, since its slots and queue are full.
     void handleRefusal(const FlowEnds&, ModelRequestId);
     void handleReset(const FlowEnds&);
 
+    // The processing time of the request at a server of normal speed.
     Duration workOf(ModelRequestId request) const { return requests_[request - 1].work; }
     const ModelResult& result() const { return result_; }
 
@@ -53,7 +56,7 @@
         bool isOpen = false;
         std::uint32_t sequence = 0;
         std::uint32_t acknowledgement = 0;
-        // The request in progress, and how often this flow has had one.
+        // The request in progress, and the number of requests that this flow has carried.
         ModelRequestId request = noModelRequest;
         std::uint64_t requestNumber = 0;
     };
@@ -66,7 +69,7 @@
         std::uint32_t attempts = 0;
         bool isFinished = false;
     };
-    // A caller's kept flows of one kind: zone, caller, kind.
+    // Zone, caller and kind of request: flows are reused only within one key.
     using PoolKey = std::tuple<std::uint32_t, std::uint32_t, std::size_t>;
 
     void scheduleNext(std::size_t kind);
@@ -76,7 +79,7 @@
     void sendOpening(const FlowEnds&, std::uint32_t copies);
     void sendRequest(const FlowEnds&, std::uint64_t requestNumber, Duration interval);
     void sendAcknowledgement(const FlowEnds&, const Flow&, bool finishes);
-    // The try ended without an answer; the caller may try again.
+    // Starts another attempt if allowed; otherwise finishes the request with the given outcome.
     void retry(ModelRequestId, bool mayRepeat, ModelOutcome otherwise);
     void finish(ModelRequestId, ModelOutcome);
     void close(const FlowEnds&);
@@ -99,7 +102,7 @@
     ModelResult result_;
 };
 
-// The address by which the requests of a kind enter.
+// The route address of the requests of a kind.
 Endpoint modelRouteOf(std::size_t kind);
 
 }
--- a/Source/Model/ModelForwarder.h
+++ b/Source/Model/ModelForwarder.h
@@ -11,7 +11,8 @@
 
 namespace wisteriadock {
 
-// A forwarder in simulated time: the product's TokenRouter behind a processor that handles one packet after the other.
+// A forwarder in simulated time: the production TokenRouter behind a processor that handles packets one at a time. A
+// simulation run starts, kills and ticks it and passes packets to it.
 class ModelForwarder {
 public:
     using DecisionHandler = std::function<void(const PacketDecision&)>;
@@ -24,17 +25,17 @@
     {
     }
 
-    // Serves with the routes of this configuration and no memory of anything.
+    // Starts with an empty TokenRouter that has only the routes of this configuration.
     void start(const ForwardingConfiguration&);
-    // Forgets everything; what is in its processor is lost.
+    // Drops all state and the packets that wait for the processor.
     void kill();
     bool isUp() const { return router_ != nullptr; }
-    // Null while it is down.
+    // Null while the forwarder is down.
     TokenRouter* router() { return router_.get(); }
     const std::string& zone() const { return zone_; }
 
-    // The decision is made when the processor gets to the packet, and not at all when the forwarder is down or ends.
-    // prepare runs just before it.
+    // Routes the packet once the processor reaches it: `prepare` runs, then `decide` with the decision. Neither runs if
+    // the forwarder is down or killed before that.
     void handle(const TokenPacket&, std::function<void()> prepare, DecisionHandler);
     void tick();
 
@@ -42,9 +43,10 @@
     EventQueue& events_;
     std::string zone_;
     const ModelPolicy& policy_;
-    Duration packetTime_;
+    Duration packetTime_; // Processor time per packet.
     std::unique_ptr<TokenRouter> router_;
-    std::uint64_t generation_ = 0;
+    std::uint64_t generation_ = 0; // Counts kills; packets queued before a kill are dropped.
+    // When the processor has handled all queued packets.
     TimePoint idleAt_ = TimePoint::min();
 };
 
--- a/Source/Model/ModelPolicy.cpp
+++ b/Source/Model/ModelPolicy.cpp
@@ -30,8 +30,8 @@
     {
         return {
             { "today", "the settings that forwarders start with", {}, {}, false },
-            { "all_knowing", "today's, told the true load of every server", {}, {}, true },
-            { "no_admission", "no new flow is refused for load", {}, neverRefusing(), false },
+            { "all_knowing", "today's, given the true load of every server", {}, {}, true },
+            { "no_admission", "no new flow is refused because of load", {}, neverRefusing(), false },
             changed(
                 "hash", "a hash of flow and server within the own zone",
                 [](OpeningSettings& opening) {
@@ -41,10 +41,11 @@
                     opening.zoneLivenessTimeout = never;
                 },
                 neverRefusing()),
-            changed("no_load", "without known work", [](OpeningSettings& opening) { opening.loadWeight = 0; }),
-            changed("no_leave_out", "silent servers are not left out",
+            changed("no_load", "the load of servers doesn't count",
+                [](OpeningSettings& opening) { opening.loadWeight = 0; }),
+            changed("no_leave_out", "unresponsive servers are not ejected",
                 [](OpeningSettings& opening) { opening.openingTimeout = never; }),
-            changed("no_zone_proof", "other zones need no sign of life",
+            changed("no_zone_proof", "other zones need no proof of liveness",
                 [](OpeningSettings& opening) { opening.zoneLivenessTimeout = never; }),
             changed("no_cold_factor", "cold servers count as warm",
                 [](OpeningSettings& opening) { opening.coldFactor = 1; }),
--- a/Source/Model/ModelPolicy.h
+++ b/Source/Model/ModelPolicy.h
@@ -8,19 +8,20 @@
 
 namespace wisteriadock {
 
-// How the forwarders of a run place new flows: the decisions of the product, with some of their settings changed.
+// How the forwarders of a run select a backend server for a new flow: the production code with some settings changed.
 struct ModelPolicy {
     std::string_view name;
     std::string_view description;
     OpeningSettings opening;
     AdmissionSettings admission;
-    // Before each decision the forwarder is told every server's true load, so that no placing by what a forwarder can
-    // observe does better.
+    // Each forwarder gets the true load of every server before it routes an opening packet: an upper bound for policies
+    // that rely on what a forwarder can observe.
     bool knowsTrueLoads = false;
 };
 
-// Today's, its baselines, and today's without one mechanism each ("no_...").
+// The default policy ("today"), its baselines, and variants of the default with one mechanism disabled ("no_...").
 const std::vector<ModelPolicy>& modelPolicies();
+// Null for an unknown name.
 const ModelPolicy* findModelPolicy(std::string_view name);
 
 }
--- a/Source/Model/ModelResult.h
+++ b/Source/Model/ModelResult.h
@@ -11,47 +11,49 @@
 namespace wisteriadock {
 
 enum class ModelOutcome {
-    InTime,
+    InTime, // Answered within the target latency.
     Late,
-    Refused, // The last try was refused without being run.
-    Failed, // No answer within the caller's time.
+    Refused, // A server rejected the last attempt without running it.
+    Failed, // No answer within the caller's time budget.
 };
 
 inline constexpr std::size_t modelOutcomeCount = 4;
 
 std::string_view nameOf(ModelOutcome);
 
-// What callers got of the requests that they asked in one span of time.
+// The outcomes of the requests that callers started in one span of time.
 struct ModelCounts {
     std::uint64_t outcomes[modelOutcomeCount] = {};
+    // The worth of all requests if each were answered in time, and the worth earned.
     double maxWorth = 0;
     double earnedWorth = 0;
 
     void add(ModelOutcome, double worth, double earned);
     std::uint64_t total() const;
+    // Earned worth divided by maximum worth, 0 to 1; 1 without requests.
     double servedShare() const { return maxWorth > 0 ? earnedWorth / maxWorth : 1; }
 };
 
-// What callers got in a run.
+// The results of one run.
 struct ModelResult {
-    // For the windows and for series over time.
+    // The lengths of the elements of `windows`, and of `steps` and `serverLoad`.
     static constexpr std::chrono::milliseconds windowLength { 2000 };
     static constexpr std::chrono::milliseconds stepLength { 100 };
 
     ModelCounts all;
     std::vector<ModelCounts> windows;
     std::vector<ModelCounts> steps;
-    // Requests that wait or run at all servers together, at the end of each step.
+    // The number of requests queued or running at all servers at the end of each step.
     std::vector<std::uint32_t> serverLoad;
-    // Requests of the busiest server over the mean of its service.
+    // See ModelBackends::busiestOverMean().
     double busiestOverMean = 0;
+    // Flows reset by a forwarder or a server.
     std::uint64_t resets = 0;
 
-    // The mean of the two worst windows.
+    // The mean served share of the two windows with the lowest.
     double worstWindowsMean() const;
 };
 
-// The middle of the values, and the smallest and largest.
 struct MedianAndRange {
     double median = 0;
     double min = 0;
@@ -66,9 +68,11 @@
     std::vector<ModelResult> results;
 };
 
+// A table with one line per policy.
 std::string textOf(const std::vector<PolicyResults>&);
 std::string jsonOf(const std::vector<PolicyResults>&);
-// The served share and the servers' load over time, means over the seeds, a line a step and a column a policy.
+// CSV with one line per step and two columns per policy: the served share and the servers' load, averaged over the
+// seeds.
 std::string timeSeriesCsvOf(const std::vector<PolicyResults>&);
 
 }
--- a/Source/Model/ModelRun.cpp
+++ b/Source/Model/ModelRun.cpp
@@ -24,14 +24,16 @@
 
     using namespace std::chrono_literals;
 
-    // The routers' habits on the users' platform.
+    // The health checks of the routers on the users' platform.
     constexpr std::chrono::milliseconds probeInterval { 500 };
     constexpr std::uint32_t missesUntilRemoval = 2;
-    // A forwarder's tick, and how it stops as planned.
     constexpr std::chrono::milliseconds tickInterval { 250 };
+    // The time from a forwarder's stop signal to its exit, and from one planned stop to the next.
     constexpr std::chrono::milliseconds stopDuration { 1500 };
     constexpr std::chrono::milliseconds stopInterval { 1200 };
 
+    // One simulation run: injects the faults, models the routers' health checks and passes packets between callers,
+    // forwarders and backend servers.
     class Run {
     public:
         Run(const ModelScenario& scenario, const ModelPolicy& policy, std::uint64_t seed)
@@ -70,7 +72,7 @@
             bool isInRotation = true;
             bool isStopping = false;
             std::uint32_t misses = 0;
-            // Counts ends, so that a start that was planned before another end does not count.
+            // Counts kills, so that a start scheduled before another kill is skipped.
             std::uint64_t generation = 0;
         };
         double drawUniform() { return boost::random::uniform_01<>()(random_); }
@@ -116,7 +118,7 @@
             });
         }
 
-        // Some of the numbers below `count`.
+        // A random share of the numbers 0 to count - 1, without repetition.
         std::vector<std::size_t> pickRandom(std::size_t count, double share)
         {
             std::vector<std::size_t> all(count);
@@ -218,7 +220,8 @@
             return found;
         }
 
-        // The nodes that the zone's routers spread packets over.
+        // The forwarders that the zone's routers spread packets over: those in rotation, or all of the zone if less
+        // than half are; with none in rotation, those of the first other zone that has some, else all of the zone.
         std::vector<std::size_t> targetsOf(std::uint32_t zone) const
         {
             std::vector<std::size_t> targets = nodesOf(zone, true);
--- a/Source/Model/ModelRun.h
+++ b/Source/Model/ModelRun.h
@@ -10,11 +10,11 @@
 
 namespace wisteriadock {
 
-// Plays the scenario once in simulated time. The same scenario, policy and seed give the same result on every machine.
+// Simulates the scenario once. The same scenario, policy and seed give the same result on every machine.
 ModelResult runModel(const ModelScenario&, const ModelPolicy&, std::uint64_t seed);
 
-// Plays it for each policy and for so many seeds from the first on, on so many threads. told runs after each run, on
-// any thread but never twice at once, with the number of runs that are done.
+// Simulates the scenario for each policy and for `seeds` consecutive seeds from `firstSeed`, on `threads` threads.
+// onProgress is called after each run with the number of completed runs, from any thread but never concurrently.
 std::vector<PolicyResults> runModels(const ModelScenario&, const std::vector<const ModelPolicy*>&,
     std::uint64_t firstSeed, unsigned seeds, unsigned threads, const std::function<void(std::size_t done)>& onProgress);
 
--- a/Source/Model/ModelScenario.cpp
+++ b/Source/Model/ModelScenario.cpp
@@ -22,7 +22,7 @@
         { ModelFaultKind::PlannedStop, "stop" },
     });
 
-    // Beyond these a run would take hours or more memory than there is.
+    // Limits that keep the time and memory of a run bounded.
     constexpr std::uint32_t maxZones = 20;
     constexpr std::uint32_t maxPerZone = 2000;
     constexpr double maxRequestsPerSecond = 1e6;
--- a/Source/Model/ModelServer.h
+++ b/Source/Model/ModelServer.h
@@ -9,10 +9,10 @@
 
 namespace wisteriadock {
 
-// A backend server's slots and queue.
+// The slots and the request queue of one simulated backend server. Owned by ModelBackends.
 class ModelServer {
 public:
-    // Runs when the work is done.
+    // Called when the work is done.
     using Done = std::function<void()>;
 
     ModelServer(EventQueue& events, RegisteredServer entry, std::uint32_t queue)
@@ -23,12 +23,14 @@
     }
 
     const RegisteredServer& entry() const { return entry_; }
-    // False when it refuses the work, since all slots and the queue are full.
+    // Runs or queues work of the given length. Returns false if all slots and the queue are full.
     bool submit(Duration work, Done);
-    // Falls silent for good, with all that it works on.
+    // Drops all running and queued work; their Done callbacks never run.
     void crash() { isAlive_ = false; }
     bool isAlive() const { return isAlive_; }
+    // Multiplies the length of work that begins from now on.
     void setSlowdown(double factor) { slowdown_ = factor; }
+    // The number of running and queued requests.
     std::uint32_t load() const { return running_ + static_cast<std::uint32_t>(waiting_.size()); }
     std::uint64_t acceptedCount() const { return acceptedCount_; }
 
--- a/Source/Model/main.cpp
+++ b/Source/Model/main.cpp
@@ -14,13 +14,13 @@
 
 ABSL_FLAG(std::string, scenario, "", "the scenario file (INI)");
 ABSL_FLAG(std::vector<std::string>, policies, (std::vector<std::string> { "today", "hash", "all_knowing" }),
-    "policies to compare, or 'all'; --list names them");
+    "policies to compare, or 'all'; --list shows them");
 ABSL_FLAG(bool, list, false, "list the policies and exit");
-ABSL_FLAG(std::uint64_t, seed, 1, "the first seed");
-ABSL_FLAG(unsigned, seeds, 20, "how many seeds to play (1 to 10000)");
-ABSL_FLAG(unsigned, threads, std::max(1U, std::thread::hardware_concurrency() / 2), "threads to play on (1 to 256)");
+ABSL_FLAG(std::uint64_t, seed, 1, "the seed of the first run");
+ABSL_FLAG(unsigned, seeds, 20, "number of consecutive seeds (1 to 10000)");
+ABSL_FLAG(unsigned, threads, std::max(1U, std::thread::hardware_concurrency() / 2), "number of threads (1 to 256)");
 ABSL_FLAG(std::string, format, "text", "text or json");
-ABSL_FLAG(std::string, series, "", "a CSV file for the served share and the servers' load over time");
+ABSL_FLAG(std::string, series, "", "CSV file to write the served share and the servers' load over time to");
 
 namespace wisteriadock {
 namespace {
@@ -55,14 +55,14 @@
             }
             const ModelPolicy* policy = findModelPolicy(name);
             if (!policy)
-                return fail(BadFlags, fmt::format("--policies: '{}' is none; --list names them", name));
+                return fail(BadFlags, fmt::format("--policies: unknown policy '{}'; --list shows all", name));
             policies.push_back(policy);
         }
         const unsigned seeds = absl::GetFlag(FLAGS_seeds);
         const unsigned threads = absl::GetFlag(FLAGS_threads);
         const std::string format = absl::GetFlag(FLAGS_format);
         if (seeds < 1 || seeds > 10000 || threads < 1 || threads > 256)
-            return fail(BadFlags, "--seeds takes 1 to 10000, --threads 1 to 256");
+            return fail(BadFlags, "--seeds must be 1 to 10000, --threads 1 to 256");
         if (format != "text" && format != "json")
             return fail(BadFlags, fmt::format("--format: '{}' is neither text nor json", format));
         if (absl::GetFlag(FLAGS_scenario).empty())
@@ -79,7 +79,7 @@
             return Done;
         std::ofstream file(series);
         file << timeSeriesCsvOf(rows);
-        return file.flush() ? Done : fail(BadFile, fmt::format("{}: can't be written", series));
+        return file.flush() ? Done : fail(BadFile, fmt::format("{}: cannot be written", series));
     }
 
 }
@@ -87,9 +87,8 @@
 
 int main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage(
-        "Plays a deployment, its load and its faults in simulated time, and compares policies.\n"
-        "  wisteriadock-model --scenario FILE [--policies today,hash] [--seeds 20]");
+    absl::SetProgramUsageMessage("Simulates a deployment, its load and its faults, and compares policies.\n"
+                                 "  wisteriadock-model --scenario FILE [--policies today,hash] [--seeds 20]");
     absl::ParseCommandLine(argc, argv);
     return absl::GetFlag(FLAGS_list) ? wisteriadock::listPolicies() : wisteriadock::runScenario();
 }
--- a/Tests/Model/ModelTest.cpp
+++ b/Tests/Model/ModelTest.cpp
@@ -12,7 +12,7 @@
 
     using namespace std::chrono_literals;
 
-    TEST(EventQueueTest, actionsRunByTimeAndThenByTheirOrder)
+    TEST(EventQueueTest, ActionsRunByTimeAndThenInInsertionOrder)
     {
         EventQueue events;
         std::string order;
@@ -29,7 +29,7 @@
         EXPECT_EQ(events.now(), begin + 25ms);
     }
 
-    TEST(ModelServerTest, workWaitsForASlotAndIsRefusedBehindAFullQueue)
+    TEST(ModelServerTest, WorkWaitsForASlotAndIsRejectedWhenTheQueueIsFull)
     {
         EventQueue events;
         RegisteredServer entry;
@@ -48,7 +48,7 @@
         events.runUntil(events.now() + 10ms);
         EXPECT_EQ(done, (std::vector { 1, 2, 3 }));
         {
-            SCOPED_TRACE("a dead server ends nothing, and a slow one takes longer");
+            SCOPED_TRACE("a slow server takes longer, and a crashed one completes nothing");
             server.setSlowdown(3);
             submit(5);
             events.runUntil(events.now() + 29ms);
@@ -59,7 +59,7 @@
         }
     }
 
-    // 4 forwarders before 8 servers of 2 slots, whose callers take 40% of them.
+    // 4 forwarders and 8 servers of 2 slots, of which the load occupies 40%.
     std::string scenarioText(const std::string& fault)
     {
         return R"([run]
@@ -93,8 +93,7 @@
         return std::move(parsed).value();
     }
 
-    // The middle of so many seeds.
-    MedianAndRange played(const ModelScenario& scenario, const char* policy, double (*value)(const ModelResult&))
+    MedianAndRange simulate(const ModelScenario& scenario, const char* policy, double (*value)(const ModelResult&))
     {
         constexpr unsigned seeds = 9;
         const auto rows = runModels(scenario, { findModelPolicy(policy) }, 1, seeds, 2, [](std::size_t) {});
@@ -105,14 +104,14 @@
     }
 
     double served(const ModelResult& result) { return result.all.servedShare(); }
-    double worst(const ModelResult& result) { return result.worstWindowsMean(); }
+    double worstWindows(const ModelResult& result) { return result.worstWindowsMean(); }
     double countOf(const ModelResult& result, ModelOutcome outcome)
     {
         return static_cast<double>(result.all.outcomes[static_cast<std::size_t>(outcome)]);
     }
     double failed(const ModelResult& result) { return countOf(result, ModelOutcome::Failed); }
 
-    TEST(ModelScenarioTest, everyProblemIsToldWithItsLine)
+    TEST(ModelScenarioTest, EveryProblemIsReportedWithItsLine)
     {
         const auto parsed = ModelScenario::parse("bad.ini",
             "[fleet]\navailability_zones = 0\n[requests a]\nservice = nobody\nwork = 3\n[fault f]\nkind = flood\n");
@@ -122,7 +121,7 @@
             EXPECT_NE(detail.find(part), std::string::npos) << part << " in\n" << detail;
     }
 
-    TEST(ModelRunTest, theSameSeedGivesTheSameRun)
+    TEST(ModelRunTest, SameSeedGivesSameResult)
     {
         const ModelScenario faultless = scenario("");
         const ModelResult first = runModel(faultless, *findModelPolicy("today"), 7);
@@ -134,48 +133,50 @@
         EXPECT_GT(first.all.total(), 2000U);
     }
 
-    // Load: all slots are taken 40% of the time, nothing fails.
-    TEST(ModelRunTest, inCalmEverythingIsServedInTimeAndNothingIsRefused)
+    TEST(ModelRunTest, WithoutFaultsRequestsAreServedInTimeAndNoneFails)
     {
         const ModelScenario faultless = scenario("");
-        EXPECT_GT(played(faultless, "today", served).min, 0.995);
-        EXPECT_EQ(played(faultless, "today", failed).max, 0);
+        EXPECT_GT(simulate(faultless, "today", served).min, 0.995);
+        EXPECT_EQ(simulate(faultless, "today", failed).max, 0);
     }
 
-    // Load: callers ask 1.4 times what all slots can do, for 4 s. Without admission 0.42 of the worst windows is
-    // served.
-    TEST(ModelRunTest, underOverloadMoreCallersAreServedInTimeWhenSomeAreRefused)
+    // Guards against admission control that serves no more requests in time when the load exceeds the capacity.
+    TEST(ModelRunTest, AdmissionControlRaisesServedShareUnderOverload)
     {
         const ModelScenario overload = scenario(
             "[fault load]\nkind = overload\nat_milliseconds = 2000\nlength_milliseconds = 4000\nfactor = 3\n");
-        const double without = played(overload, "no_admission", worst).median;
-        const double with = played(overload, "today", worst).median;
+        const double without = simulate(overload, "no_admission", worstWindows).median;
+        const double with = simulate(overload, "today", worstWindows).median;
         EXPECT_GT(with, without + 0.05);
-        EXPECT_GT(played(overload, "today", served).median, played(overload, "no_admission", served).median + 0.04);
+        EXPECT_GT(simulate(overload, "today", served).median, simulate(overload, "no_admission", served).median + 0.04);
     }
 
-    // Load: a quarter of the servers works five times as long; the others have slots free.
-    TEST(ModelRunTest, slowServersMakeNobodyBeRefused)
+    // Guards against admission control that refuses flows while only some servers are slow and others have free slots.
+    TEST(ModelRunTest, SlowServersCauseNoRefusals)
     {
         const ModelScenario slow = scenario("[fault slow]\nkind = servers_slow\nat_milliseconds = "
                                             "2000\nlength_milliseconds = 4000\nshare = 0.25\nfactor = 5\n");
-        EXPECT_NEAR(played(slow, "today", served).median, played(slow, "no_admission", served).median, 0.002);
+        EXPECT_NEAR(simulate(slow, "today", served).median, simulate(slow, "no_admission", served).median, 0.002);
     }
 
-    // Load: a quarter of the servers falls silent, and its entries lapse 3.6 s later.
-    TEST(ModelRunTest, silentServersCostNewFlowsLittle)
+    // Guards against placing new flows at crashed servers until their entries expire.
+    TEST(ModelRunTest, EjectionLimitsTheEffectOfCrashedServers)
     {
-        const ModelScenario dark = scenario("[fault dark]\nkind = servers_die\nat_milliseconds = 2000\nshare = 0.25\n");
-        EXPECT_GT(played(dark, "today", worst).median, played(dark, "no_leave_out", worst).median + 0.005);
-        EXPECT_GT(played(dark, "today", worst).median, played(dark, "hash", worst).median + 0.05);
+        const ModelScenario crashed
+            = scenario("[fault dark]\nkind = servers_die\nat_milliseconds = 2000\nshare = 0.25\n");
+        EXPECT_GT(simulate(crashed, "today", worstWindows).median,
+            simulate(crashed, "no_leave_out", worstWindows).median + 0.005);
+        EXPECT_GT(
+            simulate(crashed, "today", worstWindows).median, simulate(crashed, "hash", worstWindows).median + 0.05);
     }
 
-    // Load: what was asked in 1.5 s without any forwarder comes at once, behind servers that are a third busy.
-    TEST(ModelRunTest, afterAReturnOfAllPlacingIsCloseToWhatAnAllKnowingOneDoes)
+    // Guards against poor placement of the burst of requests after all forwarders restart without state.
+    TEST(ModelRunTest, PlacementAfterRestartOfAllForwardersIsCloseToThatWithTrueLoads)
     {
-        const ModelScenario power = scenario("[fault power]\nkind = power_of_all\nat_milliseconds = 3000\n");
-        EXPECT_GT(played(power, "today", worst).median, played(power, "all_knowing", worst).median - 0.02);
-        EXPECT_GT(played(power, "today", worst).median, played(power, "hash", worst).median);
+        const ModelScenario powerLoss = scenario("[fault power]\nkind = power_of_all\nat_milliseconds = 3000\n");
+        EXPECT_GT(simulate(powerLoss, "today", worstWindows).median,
+            simulate(powerLoss, "all_knowing", worstWindows).median - 0.02);
+        EXPECT_GT(simulate(powerLoss, "today", worstWindows).median, simulate(powerLoss, "hash", worstWindows).median);
     }
 
 }
