--- a/Source/Soak/SoakRun.cpp
+++ b/Source/Soak/SoakRun.cpp
@@ -90,7 +90,7 @@
 
 Result<void> SoakRun::build()
 {
-    BOOST_OUTCOME_TRY(claimNetwork());
+    BOOST_OUTCOME_TRY(reserveNetwork());
     BOOST_OUTCOME_TRY(store, SoakStore::open(loop_.context(), { 0x7F000001, 0 }));
     store_ = std::move(store);
     for (std::uint32_t number = 1; number <= 4; ++number)
@@ -122,19 +122,20 @@
 
 // Reserves a /16 network of loopback addresses for this run by binding one address in it for the length of the run, so
 // that concurrent runs do not use the same addresses.
-Result<void> SoakRun::claimNetwork()
+Result<void> SoakRun::reserveNetwork()
 {
     constexpr std::uint32_t firstNetwork = 16;
     constexpr std::uint32_t networks = 200;
-    constexpr std::uint32_t claimHost = 250;
+    constexpr std::uint32_t reservationHost = 250;
     const auto begin = static_cast<std::uint32_t>(::getpid()) % networks;
     for (std::uint32_t i = 0; i < networks; ++i) {
         const std::uint32_t network = firstNetwork + (begin + i) % networks;
-        const Endpoint address { 0x7F000000U | (network << 16) | claimHost, flowPort };
-        auto claim = UdpSocket::bind(loop_.context(), address, [](const Endpoint&, std::span<const std::uint8_t>) {});
-        if (!claim)
+        const Endpoint address { 0x7F000000U | (network << 16) | reservationHost, flowPort };
+        auto reservation
+            = UdpSocket::bind(loop_.context(), address, [](const Endpoint&, std::span<const std::uint8_t>) {});
+        if (!reservation)
             continue;
-        claim_ = std::move(claim).value();
+        reservation_ = std::move(reservation).value();
         network_ = static_cast<std::uint8_t>(network);
         return boost::outcome_v2::success();
     }
--- a/Source/Soak/SoakRun.h
+++ b/Source/Soak/SoakRun.h
@@ -84,7 +84,7 @@
     };
 
     Result<void> build();
-    Result<void> claimNetwork();
+    Result<void> reserveNetwork();
     Result<void> buildBalancers();
     Result<void> startBalancer(Balancer&);
     Result<void> writeSettings(const Balancer&) const;
@@ -129,7 +129,7 @@
     SoakServerEvents serverEvents_;
     SoakCallerEvents callerEvents_;
     std::uint8_t network_ = 0;
-    std::unique_ptr<UdpSocket> claim_;
+    std::unique_ptr<UdpSocket> reservation_;
     std::unique_ptr<SoakStore> store_;
     std::vector<Balancer> balancers_;
     std::vector<std::unique_ptr<SoakServer>> servers_;
--- a/Source/Soak/SoakSchedule.cpp
+++ b/Source/Soak/SoakSchedule.cpp
@@ -20,7 +20,7 @@
         { SoakStepKind::ReloadBalancer, "reload_balancer" },
         { SoakStepKind::KillAll, "kill_all" },
         { SoakStepKind::StoreBusy, "store_busy" },
-        { SoakStepKind::StoreSilent, "store_silent" },
+        { SoakStepKind::StoreUnresponsive, "store_silent" },
         { SoakStepKind::StoreSlow, "store_slow" },
         { SoakStepKind::StoreHistoryCompacted, "store_forgets" },
         { SoakStepKind::StoreEntriesExpire, "store_lapses" },
--- a/Source/Soak/SoakSchedule.h
+++ b/Source/Soak/SoakSchedule.h
@@ -16,7 +16,7 @@
     ReloadBalancer, // Settings file rewritten, then SIGHUP.
     KillAll,
     StoreBusy, // See SoakStore::Fault, as for the next two kinds.
-    StoreSilent,
+    StoreUnresponsive,
     StoreSlow,
     StoreHistoryCompacted, // Watches from older revisions fail.
     StoreEntriesExpire, // Busy; the entries of some servers expire meanwhile and return after it.
--- a/Source/Soak/SoakSteps.cpp
+++ b/Source/Soak/SoakSteps.cpp
@@ -42,7 +42,7 @@
         checker_.noteAllRestarted(now + step.length);
         return;
     case SoakStepKind::StoreBusy:
-    case SoakStepKind::StoreSilent:
+    case SoakStepKind::StoreUnresponsive:
     case SoakStepKind::StoreSlow:
     case SoakStepKind::StoreHistoryCompacted:
     case SoakStepKind::StoreEntriesExpire:
@@ -158,8 +158,8 @@
     switch (step.kind) {
     case SoakStepKind::StoreBusy:
         return setStoreFault(SoakStore::Fault::Busy, step.length, now);
-    case SoakStepKind::StoreSilent:
-        return setStoreFault(SoakStore::Fault::Silent, step.length, now);
+    case SoakStepKind::StoreUnresponsive:
+        return setStoreFault(SoakStore::Fault::Unresponsive, step.length, now);
     case SoakStepKind::StoreSlow:
         return setStoreFault(SoakStore::Fault::Slow, step.length, now);
     case SoakStepKind::StoreHistoryCompacted:
@@ -224,11 +224,11 @@
         servers_.erase(servers_.begin() + static_cast<std::ptrdiff_t>(index));
         constexpr auto longestDown = 3 * heartbeat;
         return scheduleAfter(std::min<std::chrono::milliseconds>(step.length, longestDown), now, [this, entry] {
-            RegisteredServer again = entry;
-            again.startedAt = ++lastStartNumber_;
-            again.readiness = ServerReadiness::Ready;
-            openServer(again);
-            checker_.noteServerRestarted(again.id);
+            RegisteredServer restarted = entry;
+            restarted.startedAt = ++lastStartNumber_;
+            restarted.readiness = ServerReadiness::Ready;
+            openServer(restarted);
+            checker_.noteServerRestarted(restarted.id);
         });
     }
     case SoakStepKind::ServerReplacedInPlace:
@@ -286,10 +286,10 @@
 {
     std::vector<RegisteredServer> ended;
     std::erase_if(servers_, [&](const auto& server) {
-        const bool isThere = server->entry().availabilityZone == zoneOf(step);
-        if (isThere)
+        const bool isInZone = server->entry().availabilityZone == zoneOf(step);
+        if (isInZone)
             ended.push_back(server->entry());
-        return isThere;
+        return isInZone;
     });
     scheduleAfter(step.length, now, [this, ended] {
         for (RegisteredServer entry : ended) {
--- a/Source/Soak/SoakStore.cpp
+++ b/Source/Soak/SoakStore.cpp
@@ -64,7 +64,7 @@
     case Fault::Busy:
         exchange->respond(responseOf(503));
         return;
-    case Fault::Silent:
+    case Fault::Unresponsive:
         unanswered_.push_back(exchange);
         return;
     case Fault::Slow: {
@@ -141,7 +141,7 @@
 
 void SoakStore::answerPendingWatches()
 {
-    if (fault_ == Fault::Silent || fault_ == Fault::Busy)
+    if (fault_ == Fault::Unresponsive || fault_ == Fault::Busy)
         return;
     std::erase_if(pendingWatches_, [&](const auto& row) {
         const PlatformChanges changes = changesAfter(row.second.call);
--- a/Source/Soak/SoakStore.h
+++ b/Source/Soak/SoakStore.h
@@ -21,7 +21,7 @@
     enum class Fault {
         None,
         Busy, // Answers every call with status 503.
-        Silent, // Accepts calls and never answers.
+        Unresponsive, // Accepts calls and never answers.
         Slow, // Answers with a delay.
     };
 
