--- a/Source/Model/ModelBackends.cpp
+++ b/Source/Model/ModelBackends.cpp
@@ -137,17 +137,17 @@
     double worst = 0;
     for (std::size_t service = 0; service < scenario_.services.size(); ++service) {
         double sum = 0;
-        double most = 0;
+        double maxAccepted = 0;
         double count = 0;
         for (const Server& server : servers_) {
             if (server.service != service)
                 continue;
-            const auto taken = static_cast<double>(server.server->acceptedCount());
-            sum += taken;
-            most = std::max(most, taken);
+            const auto accepted = static_cast<double>(server.server->acceptedCount());
+            sum += accepted;
+            maxAccepted = std::max(maxAccepted, accepted);
             ++count;
         }
-        worst = std::max(worst, sum > 0 ? most * count / sum : 0);
+        worst = std::max(worst, sum > 0 ? maxAccepted * count / sum : 0);
     }
     return worst;
 }
--- a/Source/Model/ModelCallers.cpp
+++ b/Source/Model/ModelCallers.cpp
@@ -237,7 +237,7 @@
         retry(id, !wasOpen || kindOf(requestOf(id)).isIdempotent, ModelOutcome::Failed);
 }
 
-void ModelCallers::retry(ModelRequestId id, bool mayRepeat, ModelOutcome otherwise)
+void ModelCallers::retry(ModelRequestId id, bool mayRepeat, ModelOutcome finalOutcome)
 {
     const Request& request = requestOf(id);
     if (request.isFinished)
@@ -245,7 +245,7 @@
     if (mayRepeat && request.attempts <= kindOf(request).retries)
         startAttempt(id, true);
     else
-        finish(id, otherwise);
+        finish(id, finalOutcome);
 }
 
 void ModelCallers::finish(ModelRequestId id, ModelOutcome outcome)
--- a/Source/Model/ModelCallers.h
+++ b/Source/Model/ModelCallers.h
@@ -80,7 +80,7 @@
     void sendRequest(const FlowEnds&, std::uint64_t requestNumber, Duration interval);
     void sendAcknowledgement(const FlowEnds&, const Flow&, bool finishes);
     // Starts another attempt if allowed; otherwise finishes the request with the given outcome.
-    void retry(ModelRequestId, bool mayRepeat, ModelOutcome otherwise);
+    void retry(ModelRequestId, bool mayRepeat, ModelOutcome finalOutcome);
     void finish(ModelRequestId, ModelOutcome);
     void close(const FlowEnds&);
     Flow* find(const FlowEnds&);
--- a/Source/Model/ModelRun.cpp
+++ b/Source/Model/ModelRun.cpp
@@ -196,10 +196,10 @@
         void probe(std::size_t index)
         {
             Node& node = nodes_[index];
-            const bool answers = node.forwarder->isUp() && !node.isStopping;
-            node.misses = answers ? 0 : node.misses + 1;
-            if (answers || node.misses >= missesUntilRemoval)
-                node.isInRotation = answers;
+            const bool isReady = node.forwarder->isUp() && !node.isStopping;
+            node.misses = isReady ? 0 : node.misses + 1;
+            if (isReady || node.misses >= missesUntilRemoval)
+                node.isInRotation = isReady;
             events_.after(probeInterval, [this, index] { probe(index); });
         }
 
