--- a/Source/Soak/SoakRun.h
+++ b/Source/Soak/SoakRun.h
@@ -34,7 +34,8 @@
 };
 
 // One run of a plan: forwarders as separate processes on loopback, and in this process the callers, routers, backend
-// servers and the store, all connected through the fault proxy. Concurrent runs use disjoint addresses.
+// servers and the store. Packets to the forwarders and their calls to the store pass through the fault proxy.
+// Concurrent runs use disjoint addresses. Used by the wisteriadock-soak program.
 class SoakRun {
 public:
     SoakRun(const SoakOptions&, const SoakPlan&, EventLoop&, const RunDirectory&);
@@ -68,7 +69,7 @@
         // Consecutive failed readiness checks; two remove it from rotation.
         int misses = 2;
         bool isCheckPending = false;
-        // Why its process may have ended or be paused, and when it is started or resumed.
+        // Whether its process is expected to end or is paused, and when it is started or resumed.
         bool isExitExpected = false;
         bool isStopping = false;
         bool isPaused = false;
