--- a/Source/Model/ModelRun.cpp
+++ b/Source/Model/ModelRun.cpp
@@ -24,14 +24,16 @@
 
     using namespace std::chrono_literals;
 
-    // The routers' habits on the users' platform.
+    // The health checks of the routers on the users' platform.
     constexpr std::chrono::milliseconds probeInterval { 500 };
-    constexpr std::uint32_t missesUntilOut = 2;
-    // A forwarder's tick, and how it stops as planned.
+    constexpr std::uint32_t missesUntilRemoval = 2;
     constexpr std::chrono::milliseconds tickInterval { 250 };
-    constexpr std::chrono::milliseconds stopTime { 1500 };
-    constexpr std::chrono::milliseconds betweenStops { 1200 };
+    // The time from a forwarder's stop signal to its exit, and from one planned stop to the next.
+    constexpr std::chrono::milliseconds stopDuration { 1500 };
+    constexpr std::chrono::milliseconds stopInterval { 1200 };
 
+    // One simulation run: injects the faults, models the routers' health checks and passes packets between callers,
+    // forwarders and backend servers.
     class Run {
     public:
         Run(const ModelScenario& scenario, const ModelPolicy& policy, std::uint64_t seed)
@@ -40,22 +42,22 @@
             , random_(seed)
             , callers_(events_, scenario, hashPair(seed, 1),
                   [this](std::uint32_t zone, const TokenPacket& packet, ModelRequestId request) {
-                      events_.after(scenario_.callerDelay, [=, this] { enter(zone, packet, request); });
+                      events_.after(scenario_.callerDelay, [=, this] { routePacket(zone, packet, request); });
                   })
             , backends_(events_, scenario, callers_, random_)
             , startedAt_(events_.now())
         {
             makeForwarders();
             for (const ModelFault& fault : scenario.faults)
-                events_.after(fault.at, [this, &fault] { strike(fault); });
-            events_.after(ModelResult::stepLength, [this] { sample(); });
+                events_.after(fault.at, [this, &fault] { injectFault(fault); });
+            events_.after(ModelResult::stepLength, [this] { sampleLoad(); });
         }
 
-        ModelResult play()
+        ModelResult run()
         {
             callers_.start();
             std::chrono::milliseconds longestBudget { 0 };
-            for (const ModelRequestKind& kind : scenario_.kinds)
+            for (const ModelRequestKind& kind : scenario_.requestKinds)
                 longestBudget = std::max(longestBudget, kind.budget);
             events_.runUntil(startedAt_ + scenario_.length + longestBudget + 1ms);
             ModelResult result = callers_.result();
@@ -68,18 +70,18 @@
         struct Node {
             std::unique_ptr<ModelForwarder> forwarder;
             bool isInRotation = true;
-            bool isLeaving = false;
+            bool isStopping = false;
             std::uint32_t misses = 0;
-            // Counts ends, so that a start that was planned before another end does not count.
-            std::uint64_t life = 0;
+            // Counts kills, so that a start scheduled before another kill is skipped.
+            std::uint64_t generation = 0;
         };
-        double draw() { return boost::random::uniform_01<>()(random_); }
+        double drawUniform() { return boost::random::uniform_01<>()(random_); }
 
         void makeForwarders()
         {
-            for (std::size_t kind = 0; kind < scenario_.kinds.size(); ++kind)
-                configuration_.routes.push_back({ scenario_.kinds[kind].name, modelRouteOf(kind),
-                    { { scenario_.kinds[kind].service, 1 } }, scenario_.kinds[kind].aim });
+            for (std::size_t kind = 0; kind < scenario_.requestKinds.size(); ++kind)
+                configuration_.routes.push_back({ scenario_.requestKinds[kind].name, modelRouteOf(kind),
+                    { { scenario_.requestKinds[kind].service, 1 } }, scenario_.requestKinds[kind].targetLatency });
             configuration_.version = 1;
             for (std::uint32_t zone = 0; zone < scenario_.zones; ++zone) {
                 for (std::uint32_t i = 0; i < scenario_.forwardersPerZone; ++i) {
@@ -89,35 +91,35 @@
                 }
             }
             for (std::size_t node = 0; node < nodes_.size(); ++node) {
-                start(node);
+                startForwarder(node);
                 events_.after(
-                    std::chrono::duration_cast<Duration>(probeInterval * draw()), [this, node] { probe(node); });
+                    std::chrono::duration_cast<Duration>(probeInterval * drawUniform()), [this, node] { probe(node); });
                 events_.after(
-                    std::chrono::duration_cast<Duration>(tickInterval * draw()), [this, node] { tick(node); });
+                    std::chrono::duration_cast<Duration>(tickInterval * drawUniform()), [this, node] { tick(node); });
             }
         }
 
-        void start(std::size_t index)
+        void startForwarder(std::size_t index)
         {
             Node& node = nodes_[index];
-            node.isLeaving = false;
+            node.isStopping = false;
             node.forwarder->start(configuration_);
-            backends_.listTo(*node.forwarder->router());
+            backends_.putListedServersInto(*node.forwarder->router());
         }
 
-        void end(std::size_t index, Duration down)
+        void killForwarder(std::size_t index, Duration down)
         {
             Node& node = nodes_[index];
-            node.forwarder->end();
-            const Duration whole = down + scenario_.startTime;
-            events_.after(whole, [this, index, life = ++node.life] {
-                if (nodes_[index].life == life)
-                    start(index);
+            node.forwarder->kill();
+            const Duration downtime = down + scenario_.startTime;
+            events_.after(downtime, [this, index, generation = ++node.generation] {
+                if (nodes_[index].generation == generation)
+                    startForwarder(index);
             });
         }
 
-        // Some of the numbers below `count`.
-        std::vector<std::size_t> pick(std::size_t count, double share)
+        // A random share of the numbers 0 to count - 1, without repetition.
+        std::vector<std::size_t> pickRandom(std::size_t count, double share)
         {
             std::vector<std::size_t> all(count);
             for (std::size_t i = 0; i < count; ++i)
@@ -131,23 +133,23 @@
             return all;
         }
 
-        void strike(const ModelFault& fault)
+        void injectFault(const ModelFault& fault)
         {
             switch (fault.kind) {
-            case ModelFaultKind::PowerOfAll:
-                return kill(pick(nodes_.size(), 1), fault.length);
+            case ModelFaultKind::PowerLossOfAll:
+                return killForwarders(pickRandom(nodes_.size(), 1), fault.length);
             case ModelFaultKind::Kill:
-                return kill(pick(nodes_.size(), fault.share), fault.length);
-            case ModelFaultKind::Stop:
-                return stop(pick(nodes_.size(), fault.share));
-            case ModelFaultKind::ServersDie:
-                for (const std::size_t server : pick(backends_.size(), fault.share))
-                    die(server);
+                return killForwarders(pickRandom(nodes_.size(), fault.share), fault.length);
+            case ModelFaultKind::PlannedStop:
+                return stopForwarders(pickRandom(nodes_.size(), fault.share));
+            case ModelFaultKind::ServersCrash:
+                for (const std::size_t server : pickRandom(backends_.size(), fault.share))
+                    crashServer(server);
                 return;
             case ModelFaultKind::ServersSlow:
-                for (const std::size_t server : pick(backends_.size(), fault.share)) {
-                    backends_.server(server).setSlowness(fault.factor);
-                    events_.after(fault.length, [this, server] { backends_.server(server).setSlowness(1); });
+                for (const std::size_t server : pickRandom(backends_.size(), fault.share)) {
+                    backends_.server(server).setSlowdown(fault.factor);
+                    events_.after(fault.length, [this, server] { backends_.server(server).setSlowdown(1); });
                 }
                 return;
             case ModelFaultKind::Overload:
@@ -155,35 +157,35 @@
                 events_.after(fault.length, [this] { callers_.setLoadFactor(1); });
                 return;
             case ModelFaultKind::Shift:
-                callers_.setShift(fault.share);
-                events_.after(fault.length, [this] { callers_.setShift(0); });
+                callers_.setZoneShift(fault.share);
+                events_.after(fault.length, [this] { callers_.setZoneShift(0); });
                 return;
             }
         }
 
-        void kill(const std::vector<std::size_t>& nodes, Duration down)
+        void killForwarders(const std::vector<std::size_t>& nodes, Duration down)
         {
             for (const std::size_t node : nodes)
-                end(node, down + std::chrono::duration_cast<Duration>(scenario_.startSpread * draw()));
+                killForwarder(node, down + std::chrono::duration_cast<Duration>(scenario_.startSpread * drawUniform()));
         }
 
-        void stop(const std::vector<std::size_t>& nodes)
+        void stopForwarders(const std::vector<std::size_t>& nodes)
         {
             Duration when {};
             for (const std::size_t node : nodes) {
                 events_.after(when, [this, node] {
-                    nodes_[node].isLeaving = true;
-                    events_.after(stopTime, [this, node] { end(node, {}); });
+                    nodes_[node].isStopping = true;
+                    events_.after(stopDuration, [this, node] { killForwarder(node, {}); });
                 });
-                when += betweenStops;
+                when += stopInterval;
             }
         }
 
-        void die(std::size_t index)
+        void crashServer(std::size_t index)
         {
-            backends_.die(index, [this, index] {
+            backends_.crash(index, [this, index] {
                 for (std::size_t node = 0; node < nodes_.size(); ++node) {
-                    events_.after(scenario_.newsDelay, [this, node, index] {
+                    events_.after(scenario_.propagationDelay, [this, node, index] {
                         if (TokenRouter* router = nodes_[node].forwarder->router())
                             router->removeServer(backends_.server(index).entry().id, false, events_.now());
                     });
@@ -194,10 +196,10 @@
         void probe(std::size_t index)
         {
             Node& node = nodes_[index];
-            const bool answers = node.forwarder->isUp() && !node.isLeaving;
-            node.misses = answers ? 0 : node.misses + 1;
-            if (answers || node.misses >= missesUntilOut)
-                node.isInRotation = answers;
+            const bool isReady = node.forwarder->isUp() && !node.isStopping;
+            node.misses = isReady ? 0 : node.misses + 1;
+            if (isReady || node.misses >= missesUntilRemoval)
+                node.isInRotation = isReady;
             events_.after(probeInterval, [this, index] { probe(index); });
         }
 
@@ -218,7 +220,8 @@
             return found;
         }
 
-        // The nodes that the zone's routers spread packets over.
+        // The forwarders that the zone's routers spread packets over: those in rotation, or all of the zone if less
+        // than half are; with none in rotation, those of the first other zone that has some, else all of the zone.
         std::vector<std::size_t> targetsOf(std::uint32_t zone) const
         {
             std::vector<std::size_t> targets = nodesOf(zone, true);
@@ -231,7 +234,7 @@
             return targets.empty() ? nodesOf(zone, false) : targets;
         }
 
-        void enter(std::uint32_t zone, const TokenPacket& packet, ModelRequestId request)
+        void routePacket(std::uint32_t zone, const TokenPacket& packet, ModelRequestId request)
         {
             const std::vector<std::size_t> targets = targetsOf(zone);
             const std::uint64_t hash = hashPair(
@@ -240,31 +243,31 @@
             forwarder.handle(
                 packet,
                 [this, &forwarder, opens = packet.opens] {
-                    if (policy_.knowsAll && opens)
-                        backends_.tellLoadsTo(*forwarder.router());
+                    if (policy_.knowsTrueLoads && opens)
+                        backends_.setTrueLoadsIn(*forwarder.router());
                 },
                 [this, &forwarder, packet, request](
-                    const PacketDecision& decision) { perform(forwarder, packet, request, decision); });
+                    const PacketDecision& decision) { applyDecision(forwarder, packet, request, decision); });
         }
 
-        void perform(const ModelForwarder& forwarder, const TokenPacket& packet, ModelRequestId request,
+        void applyDecision(const ModelForwarder& forwarder, const TokenPacket& packet, ModelRequestId request,
             const PacketDecision& decision)
         {
             if (decision.verdict == PacketVerdict::Reset)
                 events_.after(scenario_.callerDelay, [this, ends = packet.ends] { callers_.handleReset(ends); });
             if (decision.verdict != PacketVerdict::Forward)
                 return;
-            const bool isNear = decision.server->entry.availabilityZone == forwarder.zone();
+            const bool isSameZone = decision.server->entry.availabilityZone == forwarder.zone();
             const std::size_t index = backends_.indexOf(decision.server->entry.id);
-            events_.after(isNear ? scenario_.zoneDelay : scenario_.crossZoneDelay,
+            events_.after(isSameZone ? scenario_.zoneDelay : scenario_.crossZoneDelay,
                 [this, index, packet, request] { backends_.receive(index, packet, request); });
         }
 
-        void sample()
+        void sampleLoad()
         {
             serverLoad_.push_back(backends_.load());
             if (events_.now() - startedAt_ < scenario_.length)
-                events_.after(ModelResult::stepLength, [this] { sample(); });
+                events_.after(ModelResult::stepLength, [this] { sampleLoad(); });
         }
 
         const ModelScenario& scenario_;
@@ -283,13 +286,13 @@
 
 ModelResult runModel(const ModelScenario& scenario, const ModelPolicy& policy, std::uint64_t seed)
 {
-    return Run(scenario, policy, seed).play();
+    return Run(scenario, policy, seed).run();
 }
 
-std::vector<ModelRow> runModels(const ModelScenario& scenario, const std::vector<const ModelPolicy*>& policies,
-    std::uint64_t firstSeed, unsigned seeds, unsigned threads, const std::function<void(std::size_t done)>& told)
+std::vector<PolicyResults> runModels(const ModelScenario& scenario, const std::vector<const ModelPolicy*>& policies,
+    std::uint64_t firstSeed, unsigned seeds, unsigned threads, const std::function<void(std::size_t done)>& onProgress)
 {
-    std::vector<ModelRow> rows;
+    std::vector<PolicyResults> rows;
     rows.reserve(policies.size());
     for (const ModelPolicy* policy : policies)
         rows.push_back({ std::string(policy->name), std::vector<ModelResult>(seeds) });
@@ -302,7 +305,7 @@
             const std::size_t seed = i % seeds;
             rows[policy].results[seed] = runModel(scenario, *policies[policy], firstSeed + seed);
             const std::lock_guard guard(lock);
-            told(++done);
+            onProgress(++done);
         }
     };
     std::vector<std::thread> workers;
--- a/Source/Soak/SoakRun.cpp
+++ b/Source/Soak/SoakRun.cpp
@@ -18,7 +18,7 @@
 
     using namespace std::chrono_literals;
 
-    // All forwarders of a run use the same ports, each on an address of its own.
+    // All forwarders of a run use these ports, each on its own address.
     constexpr std::uint16_t flowPort = 18172;
     constexpr std::uint16_t readyPort = 18167;
     constexpr std::uint16_t peerPort = 17720;
@@ -26,8 +26,8 @@
 
     constexpr auto tickPeriod = 20ms;
     constexpr auto checkPeriod = 500ms;
-    constexpr int missesThatCount = 2;
-    constexpr auto startLimit = 20s;
+    constexpr int missesUntilRemoval = 2;
+    constexpr auto startTimeout = 20s;
     constexpr std::uint32_t firstServerHost = 20;
     constexpr std::uint32_t callerHost = 200;
 
@@ -43,32 +43,34 @@
     , proxy_(loop.context(), plan.seed)
     , random_(plan.seed ^ 0xF10F5)
 {
-    serverEvents_.onChangedPacket = [this](const RegisteredServer& server) { judge_.noteChangedPacket(server.id); };
+    serverEvents_.onCorruptedPacket
+        = [this](const RegisteredServer& server) { checker_.noteCorruptedPacket(server.id); };
     serverEvents_.onOpening = [this](const RegisteredServer& server, const FlowEnds& ends) {
         for (const auto& callers : callers_) {
             if (const SoakCallers::Opening* opening = callers->openingOf(ends);
                 opening && opening->sent != TimePoint()) {
-                judge_.noteOpening({ server.id, server.service, server.availabilityZone, ends.route, opening->balancer,
-                                       opening->sent },
+                checker_.noteOpening({ server.id, server.service, server.availabilityZone, ends.route,
+                                         opening->balancer, opening->sent },
                     Clock::now());
                 return;
             }
         }
     };
-    callerEvents_.onChangedPacket = [this] { judge_.noteChangedPacket("a caller"); };
+    callerEvents_.onCorruptedPacket = [this] { checker_.noteCorruptedPacket("a caller"); };
     callerEvents_.onRequest = [this](bool isServed, const std::string& balancer, Endpoint route, TimePoint sent) {
-        judge_.noteRequest(isServed, balancer, route, sent, Clock::now());
+        checker_.noteRequest(isServed, balancer, route, sent, Clock::now());
     };
     callerEvents_.onReset = [this](const FlowEnds& ends, const std::string& balancer, bool isOpen) {
-        const bool serverLives = std::ranges::any_of(servers_, [&](const auto& server) { return server->holds(ends); });
-        judge_.noteReset(fmt::format("{}>{}", ends.caller.toString(), ends.route.toString()), balancer, isOpen,
-            serverLives, Clock::now());
+        const bool isServerAlive
+            = std::ranges::any_of(servers_, [&](const auto& server) { return server->hasOpenFlow(ends); });
+        checker_.noteReset(fmt::format("{}>{}", ends.caller.toString(), ends.route.toString()), balancer, isOpen,
+            isServerAlive, Clock::now());
     };
     callerEvents_.routePacket = [this](const FlowEnds& ends) { return routePacket(ends); };
 }
 
-// Ending the clients of the readiness checks runs their callbacks, which use what else is here. Destroyed in the order
-// of the members, later_ would be gone by then: one run in fifty ended with a corrupted heap.
+// Destroying the clients of the readiness checks runs their callbacks, which use delayedActions_. Without this,
+// delayedActions_ would be destroyed first.
 SoakRun::~SoakRun() { balancers_.clear(); }
 
 Result<void> SoakRun::run()
@@ -81,14 +83,14 @@
         BOOST_OUTCOME_TRY(loop_.runUntil(Clock::now() + tickPeriod));
         tick(Clock::now());
     }
-    judge_.finish();
-    keepLogs();
+    checker_.finish();
+    saveLogs();
     return boost::outcome_v2::success();
 }
 
 Result<void> SoakRun::build()
 {
-    BOOST_OUTCOME_TRY(claimNetwork());
+    BOOST_OUTCOME_TRY(reserveNetwork());
     BOOST_OUTCOME_TRY(store, SoakStore::open(loop_.context(), { 0x7F000001, 0 }));
     store_ = std::move(store);
     for (std::uint32_t number = 1; number <= 4; ++number)
@@ -109,34 +111,35 @@
     return loop_.waitUntil(
         [this] {
             const TimePoint now = Clock::now();
-            performDue(now);
+            performDueActions(now);
             for (Balancer& balancer : balancers_)
                 checkReadiness(balancer);
             watchProcesses(now);
             return std::ranges::all_of(balancers_, [](const Balancer& balancer) { return balancer.misses == 0; });
         },
-        startLimit, "all forwarders are ready");
+        startTimeout, "all forwarders are ready");
 }
 
-// Runs beside each other must not meet: each takes a network of loopback addresses, and holds one address of it for as
-// long as it lasts, by which the others see that it is taken.
-Result<void> SoakRun::claimNetwork()
+// Reserves a /16 network of loopback addresses for this run by binding one address in it for the length of the run, so
+// that concurrent runs do not use the same addresses.
+Result<void> SoakRun::reserveNetwork()
 {
     constexpr std::uint32_t firstNetwork = 16;
     constexpr std::uint32_t networks = 200;
-    constexpr std::uint32_t claimHost = 250;
+    constexpr std::uint32_t reservationHost = 250;
     const auto begin = static_cast<std::uint32_t>(::getpid()) % networks;
     for (std::uint32_t i = 0; i < networks; ++i) {
         const std::uint32_t network = firstNetwork + (begin + i) % networks;
-        const Endpoint address { 0x7F000000U | (network << 16) | claimHost, flowPort };
-        auto claim = UdpSocket::bind(loop_.context(), address, [](const Endpoint&, std::span<const std::uint8_t>) {});
-        if (!claim)
+        const Endpoint address { 0x7F000000U | (network << 16) | reservationHost, flowPort };
+        auto reservation
+            = UdpSocket::bind(loop_.context(), address, [](const Endpoint&, std::span<const std::uint8_t>) {});
+        if (!reservation)
             continue;
-        claim_ = std::move(claim).value();
+        reservation_ = std::move(reservation).value();
         network_ = static_cast<std::uint8_t>(network);
         return boost::outcome_v2::success();
     }
-    return Error { ErrorCode::Unavailable, "all networks of loopback addresses are taken" };
+    return Error { ErrorCode::Unavailable, "all loopback networks are in use" };
 }
 
 Result<void> SoakRun::buildBalancers()
@@ -156,11 +159,11 @@
                 proxy_.putLink(
                     { balancer.packetLink, LinkProtocol::Udp, any, { balancer.address.address, flowPort } }));
             BOOST_OUTCOME_TRY(store, proxy_.putLink({ balancer.storeLink, LinkProtocol::Tcp, any, store_->address() }));
-            balancer.packetEntry = packets;
-            balancer.storeEntry = store;
+            balancer.packetProxyAddress = packets;
+            balancer.storeProxyAddress = store;
             balancer.readiness = std::make_unique<Http1Client>(
                 loop_.context(), Endpoint { balancer.address.address, readyPort }, Http1Limits {});
-            judge_.disturb(balancer.name, Clock::now());
+            checker_.disturb(balancer.name, Clock::now());
             balancers_.push_back(std::move(balancer));
         }
     }
@@ -180,7 +183,8 @@
                                          "{}\npeer = {}\n[store]\naddress = {}\n[peers]\nseed_vms = {}\n"
                                          "[limits]\ngrace_seconds = {}\n; written at start {}\n",
         balancer.name, balancer.availabilityZone, at(flowPort), at(readyPort), at(peerPort),
-        balancer.storeEntry.toString(), seeds, std::chrono::duration<double>(grace).count(), balancer.starts);
+        balancer.storeProxyAddress.toString(), seeds, std::chrono::duration<double>(stopGracePeriod).count(),
+        balancer.starts);
     BOOST_OUTCOME_TRY(directory_.write(balancer.name + ".ini", text));
     return boost::outcome_v2::success();
 }
@@ -192,13 +196,13 @@
     const auto settings = directory_.path() / (balancer.name + ".ini");
     BOOST_OUTCOME_TRY(process,
         ChildProcess::start(loop_.context(),
-            { fmt::format("{}-{}", balancer.name, balancer.starts), options_.program,
+            { fmt::format("{}-{}", balancer.name, balancer.starts), options_.forwarderProgram,
                 { "--settings=" + settings.string() }, directory_.path() }));
     balancer.process = std::move(process);
-    balancer.isEndExpected = false;
+    balancer.isExitExpected = false;
     balancer.isStopping = false;
-    balancer.startAt.reset();
-    judge_.disturb(balancer.name, Clock::now());
+    balancer.restartAt.reset();
+    checker_.disturb(balancer.name, Clock::now());
     return boost::outcome_v2::success();
 }
 
@@ -211,11 +215,11 @@
     entry.address = freeAddressFrom(address);
     entry.availabilityZone = zone;
     entry.slots = 4;
-    entry.startedAt = ++lastStart_;
+    entry.startedAt = ++lastStartNumber_;
     openServer(entry);
 }
 
-// Two servers may be replaced whose successors were to get the same address.
+// The replacements of two servers may be given the same address.
 Endpoint SoakRun::freeAddressFrom(Endpoint address) const
 {
     while (std::ranges::any_of(servers_, [&](const auto& server) { return server->entry().address == address; }))
@@ -227,7 +231,7 @@
 {
     auto server = SoakServer::open(loop_.context(), entry, flowPort, serverEvents_);
     if (!server)
-        return judge_.noteFailedStep(server.error());
+        return checker_.noteFailedStep(server.error());
     servers_.push_back(std::move(server).value());
     writeEntry(*servers_.back());
 }
@@ -240,13 +244,13 @@
 void SoakRun::writeConfiguration()
 {
     store_->put(std::string(platform::configurationKey), platform::encodeConfiguration(configuration_));
-    judge_.noteConfiguration(configuration_, Clock::now());
+    checker_.noteConfiguration(configuration_, Clock::now());
     std::vector<Endpoint> routes;
     for (const FlowRoute& route : configuration_.routes)
         routes.push_back(route.address);
-    everyRoute_.insert(routes.begin(), routes.end());
+    allRoutes_.insert(routes.begin(), routes.end());
     std::vector<Endpoint> removed;
-    std::ranges::copy_if(everyRoute_, std::back_inserter(removed),
+    std::ranges::copy_if(allRoutes_, std::back_inserter(removed),
         [&](const Endpoint& route) { return std::ranges::count(routes, route) == 0; });
     for (const auto& callers : callers_)
         callers->setRoutes(routes, removed);
@@ -255,8 +259,8 @@
 void SoakRun::tick(TimePoint now)
 {
     while (nextStep_ < plan_.steps.size() && now >= startedAt_ + plan_.steps[nextStep_].at)
-        perform(plan_.steps[nextStep_++], now);
-    performDue(now);
+        performStep(plan_.steps[nextStep_++], now);
+    performDueActions(now);
     watchProcesses(now);
     for (Balancer& balancer : balancers_)
         checkReadiness(balancer);
@@ -268,56 +272,56 @@
         callers->tick(now);
 }
 
-void SoakRun::performDue(TimePoint now)
+void SoakRun::performDueActions(TimePoint now)
 {
-    std::vector<Later> due;
-    std::erase_if(later_, [&](Later& later) {
-        const bool isDue = now >= later.at;
+    std::vector<DelayedAction> due;
+    std::erase_if(delayedActions_, [&](DelayedAction& delayed) {
+        const bool isDue = now >= delayed.at;
         if (isDue)
-            due.push_back(std::move(later));
+            due.push_back(std::move(delayed));
         return isDue;
     });
-    for (const Later& later : due)
-        later.action();
+    for (const DelayedAction& delayed : due)
+        delayed.action();
 }
 
 void SoakRun::checkReadiness(Balancer& balancer)
 {
-    if (balancer.isCheckOpen)
+    if (balancer.isCheckPending)
         return;
-    balancer.isCheckOpen = true;
+    balancer.isCheckPending = true;
     HttpRequest request;
     request.path = "/readiness";
     request.authority = "router";
     balancer.readiness->send(std::move(request), Clock::now() + checkPeriod, [this, &balancer](HttpOutcome outcome) {
         const bool isReady = outcome && outcome.value().status == 200;
-        balancer.misses = isReady ? 0 : std::min(balancer.misses + 1, missesThatCount);
-        after(checkPeriod, Clock::now(), [&balancer] { balancer.isCheckOpen = false; });
+        balancer.misses = isReady ? 0 : std::min(balancer.misses + 1, missesUntilRemoval);
+        scheduleAfter(checkPeriod, Clock::now(), [&balancer] { balancer.isCheckPending = false; });
     });
 }
 
 void SoakRun::watchProcesses(TimePoint now)
 {
     for (Balancer& balancer : balancers_) {
-        if (balancer.wakeAt && now >= *balancer.wakeAt) {
+        if (balancer.resumeAt && now >= *balancer.resumeAt) {
             balancer.process->signal(SIGCONT);
-            balancer.wakeAt.reset();
+            balancer.resumeAt.reset();
             balancer.isPaused = false;
-            judge_.disturb(balancer.name, now);
+            checker_.disturb(balancer.name, now);
         }
         const bool hasEnded = balancer.process && !balancer.process->running();
         if (hasEnded) {
             const int code = balancer.process->exitCode().value_or(-1);
-            // 128 and the signal: killed by this run.
-            if (!balancer.isEndExpected || balancer.isStopping)
-                judge_.noteExit(balancer.name, code, balancer.isEndExpected);
+            // The exit code of a process that this run killed is not checked.
+            if (!balancer.isExitExpected || balancer.isStopping)
+                checker_.noteExit(balancer.name, code, balancer.isExitExpected);
             std::ofstream(directory_.path() / (balancer.process->name() + ".log")) << balancer.process->output();
             balancer.process.reset();
-            judge_.disturb(balancer.name, now);
-            if (!balancer.startAt)
-                balancer.startAt = now + 200ms;
+            checker_.disturb(balancer.name, now);
+            if (!balancer.restartAt)
+                balancer.restartAt = now + 200ms;
         }
-        if (!balancer.process && balancer.startAt && now >= *balancer.startAt)
+        if (!balancer.process && balancer.restartAt && now >= *balancer.restartAt)
             (void)startBalancer(balancer);
     }
 }
@@ -331,21 +335,21 @@
         if (balancer.availabilityZone != zoneName(zone))
             continue;
         all.push_back(&balancer);
-        if (balancer.misses < missesThatCount)
+        if (balancer.misses < missesUntilRemoval)
             ready.push_back(&balancer);
     }
     const auto& chosen = 2 * ready.size() < all.size() ? all : ready;
     const Balancer& balancer
         = *chosen[hashPair(ends.caller.port, ends.route.address ^ ends.caller.address) % chosen.size()];
-    return { balancer.packetEntry, balancer.name };
+    return { balancer.packetProxyAddress, balancer.name };
 }
 
-void SoakRun::after(std::chrono::milliseconds time, TimePoint now, std::function<void()> action)
+void SoakRun::scheduleAfter(std::chrono::milliseconds time, TimePoint now, std::function<void()> action)
 {
-    later_.push_back({ now + time, std::move(action) });
+    delayedActions_.push_back({ now + time, std::move(action) });
 }
 
-void SoakRun::keepLogs() const
+void SoakRun::saveLogs() const
 {
     for (const Balancer& balancer : balancers_) {
         if (balancer.process)
@@ -354,7 +358,7 @@
     std::ofstream plan(directory_.path() / "plan.txt");
     for (const SoakStep& step : plan_.steps)
         plan << step.toString() << "\n";
-    for (const std::string& violation : judge_.violations())
+    for (const std::string& violation : checker_.violations())
         plan << violation << "\n";
 }
 
