--- a/Source/StandIns/FabricSpray.cpp
+++ b/Source/StandIns/FabricSprayer.cpp
@@ -1,15 +1,15 @@
-#include "StandIns/FabricSpray.h"
+#include "StandIns/FabricSprayer.h"
 
 #include <algorithm>
 
 namespace wisteriadock {
 
-FabricSpray::FabricSpray(std::uint64_t seed)
+FabricSprayer::FabricSprayer(std::uint64_t seed)
     : random_(seed)
 {
 }
 
-void FabricSpray::setTargets(const std::vector<FabricTarget>& wanted)
+void FabricSprayer::setTargets(const std::vector<FabricTarget>& wanted)
 {
     for (FabricTarget& target : targets_)
         target.weight = 0;
@@ -30,7 +30,7 @@
     }
 }
 
-Endpoint FabricSpray::next()
+Endpoint FabricSprayer::next()
 {
     if (cumulativeWeights_.empty() || cumulativeWeights_.back() <= 0) {
         ++unroutedPackets_;
--- a/Source/StandIns/FabricSpray.h
+++ b/Source/StandIns/FabricSprayer.h
@@ -18,9 +18,9 @@
 };
 
 // Chooses a balancer for each packet by seeded random, without regard to flows. Decides only; FabricStandIn sends.
-class FabricSpray {
+class FabricSprayer {
 public:
-    explicit FabricSpray(std::uint64_t seed);
+    explicit FabricSprayer(std::uint64_t seed);
 
     // Replaces the list. A balancer that was listed before goes on with its count.
     void setTargets(const std::vector<FabricTarget>&);
--- a/Source/StandIns/FabricStandIn.cpp
+++ b/Source/StandIns/FabricStandIn.cpp
@@ -42,7 +42,7 @@
 }
 
 FabricStandIn::FabricStandIn(std::uint64_t seed)
-    : spray_(seed)
+    : sprayer_(seed)
 {
 }
 
@@ -50,7 +50,7 @@
     boost::asio::io_context& context, const FabricStandInOptions& options)
 {
     std::unique_ptr<FabricStandIn> fabric(new FabricStandIn(options.seed));
-    fabric->spray_.setTargets(options.balancers);
+    fabric->sprayer_.setTargets(options.balancers);
     FabricStandIn* const self = fabric.get();
     BOOST_OUTCOME_TRY(socket, DatagramSocket::bind(context, options.listen));
     fabric->socket_ = std::move(socket);
@@ -72,10 +72,10 @@
 void FabricStandIn::printFinalRows() const
 {
     printRow("packets", packets_);
-    printRow("unrouted_packets", spray_.unroutedPackets());
+    printRow("unrouted_packets", sprayer_.unroutedPackets());
     printRow("malformed_datagrams", malformedDatagrams_);
     printRow("send_drops", socket_->sendDrops());
-    for (const FabricTarget& target : spray_.targets())
+    for (const FabricTarget& target : sprayer_.targets())
         printRow("packets_to " + target.address.toString(), target.packets);
 }
 
@@ -86,7 +86,7 @@
         ++malformedDatagrams_;
         return;
     }
-    const Endpoint balancer = spray_.next();
+    const Endpoint balancer = sprayer_.next();
     if (balancer.isSet())
         socket_->send(balancer, datagram);
 }
@@ -101,14 +101,14 @@
     const auto targets = parseFabricTargets(request.body);
     if (!targets)
         return answerTo(targets.error());
-    spray_.setTargets(targets.value());
+    sprayer_.setTargets(targets.value());
     return answerTo(boost::outcome_v2::success());
 }
 
 HttpResponse FabricStandIn::countsAnswer() const
 {
     Json balancers = Json::array();
-    for (const FabricTarget& target : spray_.targets())
+    for (const FabricTarget& target : sprayer_.targets())
         balancers.push_back({
             { "address", target.address.toString() },
             { "weight", target.weight },
@@ -116,7 +116,7 @@
         });
     return jsonAnswer({
         { "packets", packets_ },
-        { "unrouted_packets", spray_.unroutedPackets() },
+        { "unrouted_packets", sprayer_.unroutedPackets() },
         { "malformed_datagrams", malformedDatagrams_ },
         { "send_drops", socket_->sendDrops() },
         { "balancers", std::move(balancers) },
--- a/Source/StandIns/FabricStandIn.h
+++ b/Source/StandIns/FabricStandIn.h
@@ -4,7 +4,7 @@
 #include "Core/Error.h"
 #include "Net/Http2Server.h"
 #include "StandIns/DatagramSocket.h"
-#include "StandIns/FabricSpray.h"
+#include "StandIns/FabricSprayer.h"
 
 #include <boost/asio/io_context.hpp>
 
@@ -32,7 +32,7 @@
 
     Endpoint address() const { return socket_->address(); }
     Endpoint adminAddress() const { return admin_->address(); }
-    const FabricSpray& spray() const { return spray_; }
+    const FabricSprayer& sprayer() const { return sprayer_; }
 
     void printListeningLines() const;
     void printFinalRows() const;
@@ -44,7 +44,7 @@
     HttpResponse handleAdmin(const HttpRequest&);
     HttpResponse countsAnswer() const;
 
-    FabricSpray spray_;
+    FabricSprayer sprayer_;
     std::unique_ptr<DatagramSocket> socket_;
     std::unique_ptr<Http2Server> admin_;
     std::uint64_t packets_ = 0;
--- a/Tests/StandIns/FabricSprayTest.cpp
+++ b/Tests/StandIns/FabricSprayerTest.cpp
@@ -1,4 +1,4 @@
-#include "StandIns/FabricSpray.h"
+#include "StandIns/FabricSprayer.h"
 #include "StandIns/FabricStandIn.h"
 
 #include <gtest/gtest.h>
@@ -9,35 +9,35 @@
     constexpr Endpoint first { 0x7F000001, 1 };
     constexpr Endpoint second { 0x7F000001, 2 };
 
-    TEST(FabricSprayTest, spraysByWeightAndSeed)
+    TEST(FabricSprayerTest, spraysByWeightAndSeed)
     {
-        FabricSpray spray(1);
-        FabricSpray twin(1);
-        for (FabricSpray* one : { &spray, &twin })
+        FabricSprayer sprayer(1);
+        FabricSprayer twin(1);
+        for (FabricSprayer* one : { &sprayer, &twin })
             one->setTargets({ { first, 1, 0 }, { second, 3, 0 } });
         for (int i = 0; i < 40'000; ++i)
-            ASSERT_EQ(spray.next(), twin.next());
-        EXPECT_NEAR(static_cast<double>(spray.targets()[0].packets), 10'000, 500);
-        EXPECT_NEAR(static_cast<double>(spray.targets()[1].packets), 30'000, 500);
+            ASSERT_EQ(sprayer.next(), twin.next());
+        EXPECT_NEAR(static_cast<double>(sprayer.targets()[0].packets), 10'000, 500);
+        EXPECT_NEAR(static_cast<double>(sprayer.targets()[1].packets), 30'000, 500);
     }
 
-    TEST(FabricSprayTest, sendsNothingToABalancerThatWasTakenOut)
+    TEST(FabricSprayerTest, sendsNothingToABalancerThatWasTakenOut)
     {
-        FabricSpray spray(1);
-        EXPECT_FALSE(spray.next().isSet());
-        EXPECT_EQ(spray.unroutedPackets(), 1U);
+        FabricSprayer sprayer(1);
+        EXPECT_FALSE(sprayer.next().isSet());
+        EXPECT_EQ(sprayer.unroutedPackets(), 1U);
 
-        spray.setTargets({ { first, 1, 0 }, { second, 1, 0 } });
+        sprayer.setTargets({ { first, 1, 0 }, { second, 1, 0 } });
         for (int i = 0; i < 100; ++i)
-            EXPECT_TRUE(spray.next().isSet());
-        const auto before = spray.targets()[0].packets;
-        spray.setTargets({ { second, 1, 0 } });
+            EXPECT_TRUE(sprayer.next().isSet());
+        const auto before = sprayer.targets()[0].packets;
+        sprayer.setTargets({ { second, 1, 0 } });
         for (int i = 0; i < 100; ++i)
-            EXPECT_EQ(spray.next(), second);
-        EXPECT_EQ(spray.targets()[0].packets, before) << "its count is kept";
+            EXPECT_EQ(sprayer.next(), second);
+        EXPECT_EQ(sprayer.targets()[0].packets, before) << "its count is kept";
     }
 
-    TEST(FabricSprayTest, readsBalancerListsWholeOrNotAtAll)
+    TEST(FabricSprayerTest, readsBalancerListsWholeOrNotAtAll)
     {
         const auto targets = parseFabricTargets(R"(["127.0.0.1:1", {"address": "127.0.0.1:2", "weight": 0.5}])");
         ASSERT_TRUE(targets);
--- a/Tests/StandIns/LoopbackTest.cpp
+++ b/Tests/StandIns/LoopbackTest.cpp
@@ -79,7 +79,7 @@
         const BackendFlowBook& flows = backend_->servers()[0]->flows();
         EXPECT_EQ(flows.counts().newFlows, counts.flowsEstablished);
         EXPECT_EQ(flows.counts().unknownFlowPackets, 0U);
-        EXPECT_EQ(fabric_->spray().targets()[0].packets, counts.packetsSent);
+        EXPECT_EQ(fabric_->sprayer().targets()[0].packets, counts.packetsSent);
     }
 
     TEST_F(LoopbackTest, twoServersWithoutABalancerBreakFlows)
