--- a/Source/StandIns/BackendAdmin.cpp
+++ b/Source/StandIns/BackendAdmin.cpp
@@ -15,7 +15,7 @@
     using Json = nlohmann::json;
     using Change = std::function<void(BackendStandInServer&)>;
 
-    Json newFlowsOf(const BackendFlowBook& flows)
+    Json newFlowsOf(const BackendFlowTable& flows)
     {
         Json rows = Json::array();
         for (const NewFlowRecord& record : flows.newFlows())
@@ -23,7 +23,7 @@
         return rows;
     }
 
-    Json keysOf(const BackendRequestBook& requests)
+    Json keysOf(const BackendRequestTracker& requests)
     {
         Json keys = Json::object();
         for (const auto& [key, record] : requests.keys()) {
--- a/Source/StandIns/BackendFlowBook.cpp
+++ b/Source/StandIns/BackendFlowTable.cpp
@@ -1,4 +1,4 @@
-#include "StandIns/BackendFlowBook.h"
+#include "StandIns/BackendFlowTable.h"
 
 #include <algorithm>
 
@@ -11,14 +11,14 @@
 
 }
 
-BackendFlowBook::BackendFlowBook(BackendServerId self, ServiceId service, BackendFlowLimits limits)
+BackendFlowTable::BackendFlowTable(BackendServerId self, ServiceId service, BackendFlowLimits limits)
     : self_(self)
     , service_(service)
     , limits_(limits)
 {
 }
 
-std::optional<FlowPayload> BackendFlowBook::handle(const FlowPayload& packet, TimePoint now)
+std::optional<FlowPayload> BackendFlowTable::handle(const FlowPayload& packet, TimePoint now)
 {
     ++counts_.packets;
     if (packet.service != service_) {
@@ -47,7 +47,7 @@
     return replyTo(packet, FlowStatus::Ok);
 }
 
-void BackendFlowBook::expire(TimePoint now)
+void BackendFlowTable::expire(TimePoint now)
 {
     absl::erase_if(flows_, [&](const auto& entry) {
         const Flow& flow = entry.second;
@@ -60,7 +60,7 @@
     });
 }
 
-FlowPayload BackendFlowBook::replyTo(const FlowPayload& packet, FlowStatus status) const
+FlowPayload BackendFlowTable::replyTo(const FlowPayload& packet, FlowStatus status) const
 {
     FlowPayload reply = packet;
     reply.kind = FlowPayloadKind::Reply;
@@ -70,7 +70,7 @@
     return reply;
 }
 
-BackendFlowBook::Flows::iterator BackendFlowBook::openFlow(std::uint64_t id, TimePoint now)
+BackendFlowTable::Flows::iterator BackendFlowTable::openFlow(std::uint64_t id, TimePoint now)
 {
     if (liveFlows_ >= limits_.connections || flows_.size() >= limits_.connections * (1 + endedPerConnection)) {
         ++counts_.refusedFlows;
--- a/Source/StandIns/BackendFlowBook.h
+++ b/Source/StandIns/BackendFlowTable.h
@@ -42,9 +42,9 @@
 
 // The flows that one backend server holds and what it answers to each of their packets. Like a TCP stack it knows a
 // flow only by the packet that opened it, and resets all others. Decides only; BackendStandInServer moves the bytes.
-class BackendFlowBook {
+class BackendFlowTable {
 public:
-    BackendFlowBook(BackendServerId, ServiceId, BackendFlowLimits);
+    BackendFlowTable(BackendServerId, ServiceId, BackendFlowLimits);
 
     // The reply to a packet, or none when a server would stay silent.
     std::optional<FlowPayload> handle(const FlowPayload& packet, TimePoint now);
--- a/Source/StandIns/BackendRequestBook.cpp
+++ b/Source/StandIns/BackendRequestTracker.cpp
@@ -1,4 +1,4 @@
-#include "StandIns/BackendRequestBook.h"
+#include "StandIns/BackendRequestTracker.h"
 
 #include "Core/NameTable.h"
 
@@ -17,12 +17,12 @@
 
 std::string_view nameOf(RunOutcome outcome) { return runOutcomeNames.name(outcome); }
 
-BackendRequestBook::BackendRequestBook(std::size_t recordedKeyLimit)
+BackendRequestTracker::BackendRequestTracker(std::size_t recordedKeyLimit)
     : recordedKeyLimit_(recordedKeyLimit)
 {
 }
 
-BackendRequestBook::Admission BackendRequestBook::admit(
+BackendRequestTracker::Admission BackendRequestTracker::admit(
     std::string_view key, Duration work, Duration deadline, TimePoint now)
 {
     if (behaviour_.draining || behaviour_.shedding || running_.size() >= behaviour_.slots) {
@@ -46,7 +46,7 @@
     };
 }
 
-void BackendRequestBook::end(RunId id, RunOutcome outcome, TimePoint now)
+void BackendRequestTracker::end(RunId id, RunOutcome outcome, TimePoint now)
 {
     const auto found = running_.find(id);
     if (found == running_.end())
@@ -72,7 +72,7 @@
     running_.erase(found);
 }
 
-std::size_t BackendRequestBook::recordRun(std::string_view key, TimePoint now)
+std::size_t BackendRequestTracker::recordRun(std::string_view key, TimePoint now)
 {
     const std::string name(key);
     auto known = keys_.find(name);
--- a/Source/StandIns/BackendRequestBook.h
+++ b/Source/StandIns/BackendRequestTracker.h
@@ -60,7 +60,7 @@
 
 // Admits the requests of one backend server to its slots and records every run per key. Decides only;
 // BackendStandInServer runs the timers and answers.
-class BackendRequestBook {
+class BackendRequestTracker {
 public:
     using RunId = std::uint64_t;
 
@@ -74,7 +74,7 @@
         RunOutcome outcome = RunOutcome::Completed;
     };
 
-    explicit BackendRequestBook(std::size_t recordedKeyLimit);
+    explicit BackendRequestTracker(std::size_t recordedKeyLimit);
 
     // A deadline of zero means none.
     Admission admit(std::string_view key, Duration work, Duration deadline, TimePoint now);
--- a/Source/StandIns/BackendStandIn.h
+++ b/Source/StandIns/BackendStandIn.h
@@ -3,7 +3,7 @@
 #include "Core/Endpoint.h"
 #include "Core/Error.h"
 #include "Net/Http2Server.h"
-#include "StandIns/BackendFlowBook.h"
+#include "StandIns/BackendFlowTable.h"
 #include "StandIns/BackendStandInServer.h"
 
 #include <boost/asio/io_context.hpp>
--- a/Source/StandIns/BackendStandInServer.cpp
+++ b/Source/StandIns/BackendStandInServer.cpp
@@ -119,7 +119,7 @@
 }
 
 void BackendStandInServer::run(
-    const std::shared_ptr<Http2Exchange>& exchange, const BackendRequestBook::Admission& admission)
+    const std::shared_ptr<Http2Exchange>& exchange, const BackendRequestTracker::Admission& admission)
 {
     const auto timer = std::make_shared<boost::asio::steady_timer>(context_, admission.endsAt);
     const auto self = shared_from_this();
--- a/Source/StandIns/BackendStandInServer.h
+++ b/Source/StandIns/BackendStandInServer.h
@@ -3,8 +3,8 @@
 #include "Core/Endpoint.h"
 #include "Core/Error.h"
 #include "Net/Http2Server.h"
-#include "StandIns/BackendFlowBook.h"
-#include "StandIns/BackendRequestBook.h"
+#include "StandIns/BackendFlowTable.h"
+#include "StandIns/BackendRequestTracker.h"
 #include "StandIns/BackendSpec.h"
 #include "StandIns/BackendStatus.h"
 #include "StandIns/DatagramSocket.h"
@@ -36,9 +36,9 @@
     const BackendSpec& spec() const { return spec_; }
     Endpoint flowAddress() const { return flowSocket_->address(); }
     Endpoint requestAddress() const { return requestServer_->address(); }
-    const BackendFlowBook& flows() const { return flows_; }
-    BackendRequestBook& requests() { return requests_; }
-    const BackendRequestBook& requests() const { return requests_; }
+    const BackendFlowTable& flows() const { return flows_; }
+    BackendRequestTracker& requests() { return requests_; }
+    const BackendRequestTracker& requests() const { return requests_; }
     BackendStatus& status() { return status_; }
     std::uint64_t malformedDatagrams() const { return malformedDatagrams_; }
     void setReplyTo(Endpoint replyTo) { replyTo_ = replyTo; }
@@ -49,7 +49,7 @@
 
     void handleDatagram(std::span<const std::uint8_t>);
     void handleRequest(const std::shared_ptr<Http2Exchange>&);
-    void run(const std::shared_ptr<Http2Exchange>&, const BackendRequestBook::Admission&);
+    void run(const std::shared_ptr<Http2Exchange>&, const BackendRequestTracker::Admission&);
     void answer(Http2Exchange&, RunOutcome) const;
     void shed(Http2Exchange&) const;
     HttpResponse healthResponse() const;
@@ -58,8 +58,8 @@
 
     boost::asio::io_context& context_;
     BackendSpec spec_;
-    BackendFlowBook flows_;
-    BackendRequestBook requests_;
+    BackendFlowTable flows_;
+    BackendRequestTracker requests_;
     BackendStatus status_;
     std::unique_ptr<DatagramSocket> flowSocket_;
     std::unique_ptr<Http2Server> requestServer_;
--- a/Tests/StandIns/BackendFlowBookTest.cpp
+++ b/Tests/StandIns/BackendFlowTableTest.cpp
@@ -1,11 +1,11 @@
-#include "StandIns/BackendFlowBook.h"
+#include "StandIns/BackendFlowTable.h"
 
 #include <gtest/gtest.h>
 
 namespace wisteriadock {
 namespace {
 
-    class BackendFlowBookTest : public testing::Test {
+    class BackendFlowTableTest : public testing::Test {
     protected:
         FlowPayload packet(std::uint64_t flow, std::uint32_t sequence) const
         {
@@ -18,89 +18,89 @@
 
         std::optional<FlowStatus> statusFor(const FlowPayload& payload)
         {
-            const auto reply = book_.handle(payload, clock_.now());
+            const auto reply = table_.handle(payload, clock_.now());
             return reply ? std::optional(reply->status) : std::nullopt;
         }
 
         const BackendServerId self_ = backendServerIdOf("tryon-1");
         const ServiceId service_ = serviceIdOf("tryon");
         ManualClock clock_;
-        BackendFlowBook book_ { self_, service_, { .connections = 2, .newFlowRecords = 3 } };
+        BackendFlowTable table_ { self_, service_, { .connections = 2, .newFlowRecords = 3 } };
     };
 
-    TEST_F(BackendFlowBookTest, knowsAFlowOnlyByItsOpeningPacket)
+    TEST_F(BackendFlowTableTest, knowsAFlowOnlyByItsOpeningPacket)
     {
         EXPECT_EQ(statusFor(packet(7, 1)), FlowStatus::UnknownFlow);
         const TimePoint opened = clock_.now();
         EXPECT_EQ(statusFor(packet(7, 0)), FlowStatus::Ok);
         clock_.advance(std::chrono::seconds(1));
-        const auto reply = book_.handle(packet(7, 1), clock_.now());
+        const auto reply = table_.handle(packet(7, 1), clock_.now());
         ASSERT_TRUE(reply);
         EXPECT_EQ(reply->kind, FlowPayloadKind::Reply);
         EXPECT_EQ(reply->status, FlowStatus::Ok);
         EXPECT_EQ(reply->sequence, 1U);
         EXPECT_EQ(reply->backendServer, self_);
 
-        EXPECT_EQ(book_.counts().unknownFlowPackets, 1U);
-        ASSERT_EQ(book_.newFlows().size(), 1U);
-        EXPECT_EQ(book_.newFlows()[0].flow, 7U);
-        EXPECT_EQ(book_.newFlows()[0].firstSeen, opened);
+        EXPECT_EQ(table_.counts().unknownFlowPackets, 1U);
+        ASSERT_EQ(table_.newFlows().size(), 1U);
+        EXPECT_EQ(table_.newFlows()[0].flow, 7U);
+        EXPECT_EQ(table_.newFlows()[0].firstSeen, opened);
     }
 
-    TEST_F(BackendFlowBookTest, turnsPacketsOfOtherServicesAwayEvenForKnownFlows)
+    TEST_F(BackendFlowTableTest, turnsPacketsOfOtherServicesAwayEvenForKnownFlows)
     {
         EXPECT_EQ(statusFor(packet(7, 0)), FlowStatus::Ok);
         FlowPayload foreign = packet(7, 1);
         foreign.service = serviceIdOf("scanintake");
-        const auto reply = book_.handle(foreign, clock_.now());
+        const auto reply = table_.handle(foreign, clock_.now());
         ASSERT_TRUE(reply);
         EXPECT_EQ(reply->status, FlowStatus::WrongService);
         EXPECT_EQ(reply->service, service_);
-        EXPECT_EQ(book_.counts().wrongServicePackets, 1U);
+        EXPECT_EQ(table_.counts().wrongServicePackets, 1U);
     }
 
-    TEST_F(BackendFlowBookTest, staysSilentBeyondItsConnections)
+    TEST_F(BackendFlowTableTest, staysSilentBeyondItsConnections)
     {
         EXPECT_EQ(statusFor(packet(1, 0)), FlowStatus::Ok);
         EXPECT_EQ(statusFor(packet(2, 0)), FlowStatus::Ok);
         EXPECT_EQ(statusFor(packet(3, 0)), std::nullopt);
-        EXPECT_EQ(book_.counts().refusedFlows, 1U);
-        EXPECT_EQ(book_.liveFlows(), 2U);
+        EXPECT_EQ(table_.counts().refusedFlows, 1U);
+        EXPECT_EQ(table_.liveFlows(), 2U);
 
         SCOPED_TRACE("an ended flow makes room");
         FlowPayload last = packet(1, 1);
         last.end = true;
         EXPECT_EQ(statusFor(last), FlowStatus::Ok);
-        EXPECT_EQ(book_.liveFlows(), 1U);
+        EXPECT_EQ(table_.liveFlows(), 1U);
         EXPECT_EQ(statusFor(packet(3, 0)), FlowStatus::Ok);
-        EXPECT_EQ(book_.counts().peakFlows, 2U);
+        EXPECT_EQ(table_.counts().peakFlows, 2U);
     }
 
-    TEST_F(BackendFlowBookTest, remembersEndedFlowsForLatePackets)
+    TEST_F(BackendFlowTableTest, remembersEndedFlowsForLatePackets)
     {
         FlowPayload last = packet(1, 0);
         last.end = true;
         EXPECT_EQ(statusFor(last), FlowStatus::Ok);
         clock_.advance(std::chrono::seconds(4));
-        book_.expire(clock_.now());
+        table_.expire(clock_.now());
         EXPECT_EQ(statusFor(packet(1, 5)), FlowStatus::Ok);
         clock_.advance(std::chrono::seconds(6));
-        book_.expire(clock_.now());
+        table_.expire(clock_.now());
         EXPECT_EQ(statusFor(packet(1, 5)), FlowStatus::UnknownFlow);
-        EXPECT_EQ(book_.liveFlows(), 0U);
+        EXPECT_EQ(table_.liveFlows(), 0U);
     }
 
-    TEST_F(BackendFlowBookTest, forgetsIdleFlowsAndKeepsTheirRecordsBounded)
+    TEST_F(BackendFlowTableTest, forgetsIdleFlowsAndKeepsTheirRecordsBounded)
     {
         for (std::uint64_t flow = 1; flow <= 5; ++flow) {
             EXPECT_EQ(statusFor(packet(flow, 0)), FlowStatus::Ok);
             clock_.advance(std::chrono::seconds(301));
-            book_.expire(clock_.now());
-            EXPECT_EQ(book_.liveFlows(), 0U);
+            table_.expire(clock_.now());
+            EXPECT_EQ(table_.liveFlows(), 0U);
         }
-        EXPECT_EQ(book_.newFlows().size(), 3U);
-        EXPECT_EQ(book_.counts().newFlows, 5U);
-        EXPECT_EQ(book_.counts().droppedRecords, 2U);
+        EXPECT_EQ(table_.newFlows().size(), 3U);
+        EXPECT_EQ(table_.counts().newFlows, 5U);
+        EXPECT_EQ(table_.counts().droppedRecords, 2U);
     }
 
 }
--- a/Tests/StandIns/BackendRequestBookTest.cpp
+++ b/Tests/StandIns/BackendRequestTrackerTest.cpp
@@ -1,4 +1,4 @@
-#include "StandIns/BackendRequestBook.h"
+#include "StandIns/BackendRequestTracker.h"
 #include "StandIns/BackendStatus.h"
 
 #include <gtest/gtest.h>
@@ -8,76 +8,76 @@
 
     using std::chrono::milliseconds;
 
-    class BackendRequestBookTest : public testing::Test {
+    class BackendRequestTrackerTest : public testing::Test {
     protected:
-        BackendRequestBook::Admission admit(std::string_view key, milliseconds deadline = milliseconds(0))
+        BackendRequestTracker::Admission admit(std::string_view key, milliseconds deadline = milliseconds(0))
         {
-            return book_.admit(key, milliseconds(100), deadline, clock_.now());
+            return tracker_.admit(key, milliseconds(100), deadline, clock_.now());
         }
 
         ManualClock clock_;
-        BackendRequestBook book_ { 2 };
+        BackendRequestTracker tracker_ { 2 };
     };
 
-    TEST_F(BackendRequestBookTest, runsAsManyAsItHasSlots)
+    TEST_F(BackendRequestTrackerTest, runsAsManyAsItHasSlots)
     {
-        book_.behaviour().slots = 2;
+        tracker_.behaviour().slots = 2;
         const auto first = admit("a");
         EXPECT_FALSE(first.shed);
         EXPECT_EQ(first.endsAt, clock_.now() + milliseconds(100));
         EXPECT_FALSE(admit("b").shed);
         EXPECT_TRUE(admit("c").shed);
-        EXPECT_FALSE(book_.keys().contains("c")) << "a shed request never ran";
-        book_.end(first.run, RunOutcome::Completed, clock_.now());
+        EXPECT_FALSE(tracker_.keys().contains("c")) << "a shed request never ran";
+        tracker_.end(first.run, RunOutcome::Completed, clock_.now());
         EXPECT_FALSE(admit("c").shed);
 
         SCOPED_TRACE("a server that drains or sheds runs nothing new");
-        book_.behaviour().slots = 10;
-        book_.behaviour().draining = true;
+        tracker_.behaviour().slots = 10;
+        tracker_.behaviour().draining = true;
         EXPECT_TRUE(admit("d").shed);
-        book_.behaviour().draining = false;
-        book_.behaviour().shedding = true;
+        tracker_.behaviour().draining = false;
+        tracker_.behaviour().shedding = true;
         EXPECT_TRUE(admit("d").shed);
-        EXPECT_EQ(book_.counts().shed, 3U);
+        EXPECT_EQ(tracker_.counts().shed, 3U);
     }
 
-    TEST_F(BackendRequestBookTest, recordsEveryRunOfAKey)
+    TEST_F(BackendRequestTrackerTest, recordsEveryRunOfAKey)
     {
         const auto first = admit("a");
         clock_.advance(milliseconds(50));
-        book_.end(first.run, RunOutcome::Cancelled, clock_.now());
-        book_.end(first.run, RunOutcome::Completed, clock_.now());
+        tracker_.end(first.run, RunOutcome::Cancelled, clock_.now());
+        tracker_.end(first.run, RunOutcome::Completed, clock_.now());
         const auto second = admit("a");
-        book_.end(second.run, RunOutcome::Completed, clock_.now());
+        tracker_.end(second.run, RunOutcome::Completed, clock_.now());
 
-        const KeyRecord& record = book_.keys().at("a");
+        const KeyRecord& record = tracker_.keys().at("a");
         EXPECT_EQ(record.runs, 2U);
         ASSERT_EQ(record.records.size(), 2U);
         EXPECT_EQ(record.records[0].outcome, RunOutcome::Cancelled);
         EXPECT_EQ(record.records[0].endedAt - record.records[0].startedAt, milliseconds(50));
         EXPECT_EQ(record.records[1].outcome, RunOutcome::Completed);
-        EXPECT_EQ(book_.counts().cancelled, 1U);
-        EXPECT_EQ(book_.counts().completed, 1U);
+        EXPECT_EQ(tracker_.counts().cancelled, 1U);
+        EXPECT_EQ(tracker_.counts().completed, 1U);
     }
 
-    TEST_F(BackendRequestBookTest, keepsARecordOfSoManyKeys)
+    TEST_F(BackendRequestTrackerTest, keepsARecordOfSoManyKeys)
     {
-        book_.behaviour().slots = 10;
+        tracker_.behaviour().slots = 10;
         for (const char* key : { "a", "b", "c" })
             EXPECT_FALSE(admit(key).shed);
-        EXPECT_EQ(book_.keys().size(), 2U);
-        EXPECT_EQ(book_.counts().unrecordedRuns, 1U);
-        EXPECT_EQ(book_.counts().runs, 3U);
+        EXPECT_EQ(tracker_.keys().size(), 2U);
+        EXPECT_EQ(tracker_.counts().unrecordedRuns, 1U);
+        EXPECT_EQ(tracker_.counts().runs, 3U);
     }
 
-    TEST_F(BackendRequestBookTest, stopsWorkAtItsDeadlineAndStartsCold)
+    TEST_F(BackendRequestTrackerTest, stopsWorkAtItsDeadlineAndStartsCold)
     {
         const auto late = admit("a", milliseconds(40));
         EXPECT_EQ(late.outcome, RunOutcome::DeadlineExceeded);
         EXPECT_EQ(late.endsAt, clock_.now() + milliseconds(40));
-        book_.end(late.run, late.outcome, clock_.now());
+        tracker_.end(late.run, late.outcome, clock_.now());
 
-        book_.behaviour().coldRequests = 1;
+        tracker_.behaviour().coldRequests = 1;
         EXPECT_EQ(admit("b").endsAt, clock_.now() + milliseconds(500));
         EXPECT_EQ(admit("b").endsAt, clock_.now() + milliseconds(100));
     }
--- a/Tests/StandIns/LoopbackTest.cpp
+++ b/Tests/StandIns/LoopbackTest.cpp
@@ -76,7 +76,7 @@
         EXPECT_GT(counts.flowsEnded, 10U);
         EXPECT_EQ(counts.flowsBroken, 0U);
         EXPECT_EQ(counts.wrongServicePackets, 0U);
-        const BackendFlowBook& flows = backend_->servers()[0]->flows();
+        const BackendFlowTable& flows = backend_->servers()[0]->flows();
         EXPECT_EQ(flows.counts().newFlows, counts.flowsEstablished);
         EXPECT_EQ(flows.counts().unknownFlowPackets, 0U);
         EXPECT_EQ(fabric_->sprayer().targets()[0].packets, counts.packetsSent);
@@ -120,10 +120,10 @@
         EXPECT_EQ(
             counts.endedAs(RequestOutcome::Answered) + counts.endedAs(RequestOutcome::Refused), counts.requestsSent);
 
-        const BackendRequestBook& book = backend_->servers()[0]->requests();
+        const BackendRequestTracker& tracker = backend_->servers()[0]->requests();
         for (const RequestRecord& record : caller_->requests().records()) {
             const bool answered = record.tries.back().outcome == RequestOutcome::Answered;
-            EXPECT_EQ(book.keys().contains(record.key), answered) << record.key;
+            EXPECT_EQ(tracker.keys().contains(record.key), answered) << record.key;
         }
     }
 
