--- a/Source/StandIns/BackendAdmin.cpp
+++ b/Source/StandIns/BackendAdmin.cpp
@@ -83,7 +83,7 @@
     }
 
     // The optional values of a lie are switched off by null.
-    Result<std::optional<std::size_t>> lieFrom(const std::string& key, const Json& value)
+    Result<std::optional<std::size_t>> countOverrideFrom(const std::string& key, const Json& value)
     {
         if (value.is_null())
             return std::optional<std::size_t>();
@@ -91,7 +91,7 @@
         return std::optional(number);
     }
 
-    Result<std::optional<BackendHealth>> healthLieFrom(const std::string& key, const Json& value)
+    Result<std::optional<BackendHealth>> healthOverrideFrom(const std::string& key, const Json& value)
     {
         if (value.is_null())
             return std::optional<BackendHealth>();
@@ -142,19 +142,19 @@
     {
         if (key == "lag_milliseconds") {
             BOOST_OUTCOME_TRY(lag, numberFrom<std::int64_t>(key, value));
-            return Change([lag](auto& server) { server.status().deceit().lag = std::chrono::milliseconds(lag); });
+            return Change([lag](auto& server) { server.status().overrides().lag = std::chrono::milliseconds(lag); });
         }
         if (key == "health_lie") {
-            BOOST_OUTCOME_TRY(health, healthLieFrom(key, value));
-            return Change([health](auto& server) { server.status().deceit().health = health; });
+            BOOST_OUTCOME_TRY(health, healthOverrideFrom(key, value));
+            return Change([health](auto& server) { server.status().overrides().health = health; });
         }
         if (key == "running_requests_lie") {
-            BOOST_OUTCOME_TRY(running, lieFrom(key, value));
-            return Change([running](auto& server) { server.status().deceit().runningRequests = running; });
+            BOOST_OUTCOME_TRY(running, countOverrideFrom(key, value));
+            return Change([running](auto& server) { server.status().overrides().runningRequests = running; });
         }
         if (key == "live_flows_lie") {
-            BOOST_OUTCOME_TRY(live, lieFrom(key, value));
-            return Change([live](auto& server) { server.status().deceit().liveFlows = live; });
+            BOOST_OUTCOME_TRY(live, countOverrideFrom(key, value));
+            return Change([live](auto& server) { server.status().overrides().liveFlows = live; });
         }
         if (key == "reply_to") {
             BOOST_OUTCOME_TRY(replyTo, Endpoint::parse(value.is_string() ? value.get<std::string>() : value.dump()));
--- a/Source/StandIns/BackendStandInServer.cpp
+++ b/Source/StandIns/BackendStandInServer.cpp
@@ -171,7 +171,7 @@
 
 HttpResponse BackendStandInServer::healthResponse() const
 {
-    const BackendHealth health = status_.shown(Clock::now()).health;
+    const BackendHealth health = status_.reported(Clock::now()).health;
     HttpResponse response = jsonResponse({ { "server", spec_.name }, { "health", std::string(nameOf(health)) } });
     response.status = health == BackendHealth::Failing ? 503 : 200;
     return response;
@@ -179,12 +179,12 @@
 
 HttpResponse BackendStandInServer::loadResponse() const
 {
-    const BackendSample shown = status_.shown(Clock::now());
+    const BackendSample reported = status_.reported(Clock::now());
     return jsonResponse({
         { "server", spec_.name },
-        { "running_requests", shown.runningRequests },
+        { "running_requests", reported.runningRequests },
         { "slots", requests_.behaviour().slots },
-        { "live_flows", shown.liveFlows },
+        { "live_flows", reported.liveFlows },
         { "connections", spec_.connections },
     });
 }
--- a/Source/StandIns/BackendStatus.cpp
+++ b/Source/StandIns/BackendStatus.cpp
@@ -27,20 +27,20 @@
         samples_.pop_front();
 }
 
-BackendSample BackendStatus::shown(TimePoint now) const
+BackendSample BackendStatus::reported(TimePoint now) const
 {
     BackendSample sample;
     // The newest sample that is old enough, or else the oldest there is.
     const auto older = std::partition_point(samples_.begin(), samples_.end(),
-        [&](const BackendSample& candidate) { return candidate.at <= now - deceit_.lag; });
+        [&](const BackendSample& candidate) { return candidate.at <= now - overrides_.lag; });
     if (older != samples_.begin())
         sample = *std::prev(older);
     else if (!samples_.empty())
         sample = samples_.front();
 
-    sample.health = deceit_.health.value_or(sample.health);
-    sample.runningRequests = deceit_.runningRequests.value_or(sample.runningRequests);
-    sample.liveFlows = deceit_.liveFlows.value_or(sample.liveFlows);
+    sample.health = overrides_.health.value_or(sample.health);
+    sample.runningRequests = overrides_.runningRequests.value_or(sample.runningRequests);
+    sample.liveFlows = overrides_.liveFlows.value_or(sample.liveFlows);
     return sample;
 }
 
--- a/Source/StandIns/BackendStatus.h
+++ b/Source/StandIns/BackendStatus.h
@@ -29,7 +29,7 @@
 };
 
 // How /health and /load mislead; the experiment changes it while the server runs.
-struct BackendDeceit {
+struct BackendStatusOverrides {
     // The endpoints show the state of so long ago.
     Duration lag = Duration::zero();
     std::optional<BackendHealth> health;
@@ -44,15 +44,15 @@
     void add(const BackendSample&);
 
     // The state that the endpoints show: lagging and false as told.
-    BackendSample shown(TimePoint now) const;
+    BackendSample reported(TimePoint now) const;
 
-    BackendDeceit& deceit() { return deceit_; }
+    BackendStatusOverrides& overrides() { return overrides_; }
 
 private:
     static constexpr std::size_t sampleLimit = 4096;
 
     std::deque<BackendSample> samples_;
-    BackendDeceit deceit_;
+    BackendStatusOverrides overrides_;
 };
 
 }
--- a/Tests/StandIns/BackendRequestTrackerTest.cpp
+++ b/Tests/StandIns/BackendRequestTrackerTest.cpp
@@ -90,16 +90,16 @@
             clock.advance(milliseconds(100));
             status.add({ clock.now(), BackendHealth::Healthy, load, 10 * load });
         }
-        EXPECT_EQ(status.shown(clock.now()).runningRequests, 5U);
-        status.deceit().lag = milliseconds(200);
-        EXPECT_EQ(status.shown(clock.now()).runningRequests, 3U);
-        EXPECT_EQ(status.shown(clock.now()).liveFlows, 30U);
-        status.deceit().lag = std::chrono::hours(1);
-        EXPECT_EQ(status.shown(clock.now()).runningRequests, 1U);
-        status.deceit().runningRequests = 0;
-        status.deceit().health = BackendHealth::Failing;
-        EXPECT_EQ(status.shown(clock.now()).runningRequests, 0U);
-        EXPECT_EQ(status.shown(clock.now()).health, BackendHealth::Failing);
+        EXPECT_EQ(status.reported(clock.now()).runningRequests, 5U);
+        status.overrides().lag = milliseconds(200);
+        EXPECT_EQ(status.reported(clock.now()).runningRequests, 3U);
+        EXPECT_EQ(status.reported(clock.now()).liveFlows, 30U);
+        status.overrides().lag = std::chrono::hours(1);
+        EXPECT_EQ(status.reported(clock.now()).runningRequests, 1U);
+        status.overrides().runningRequests = 0;
+        status.overrides().health = BackendHealth::Failing;
+        EXPECT_EQ(status.reported(clock.now()).runningRequests, 0U);
+        EXPECT_EQ(status.reported(clock.now()).health, BackendHealth::Failing);
     }
 
 }
--- a/Tests/StandIns/LoopbackTest.cpp
+++ b/Tests/StandIns/LoopbackTest.cpp
@@ -154,7 +154,7 @@
         ASSERT_TRUE(changeBackends(servers, R"({"server": "tryon-2", "drain": true, "lag_milliseconds": 500})"));
         EXPECT_FALSE(servers[0]->requests().behaviour().draining);
         EXPECT_TRUE(servers[1]->requests().behaviour().draining);
-        EXPECT_EQ(servers[1]->status().deceit().lag, std::chrono::milliseconds(500));
+        EXPECT_EQ(servers[1]->status().overrides().lag, std::chrono::milliseconds(500));
 
         for (const char* body :
             { "", "[]", R"({"server": "x", "slots": 9})", R"({"slots": 9, "slot": 9})", R"({"slots": 9, "drain": 1})",
