--- a/Source/StandIns/CallerRecords.cpp
+++ b/Source/StandIns/CallerRecords.cpp
@@ -24,7 +24,7 @@
         };
     }
 
-    Json rowOf(const RequestTry& attempt)
+    Json rowOf(const RequestAttempt& attempt)
     {
         return {
             { "outcome", std::string(nameOf(attempt.outcome)) },
@@ -39,9 +39,9 @@
 
     Json rowOf(const RequestRecord& record)
     {
-        Json tries = Json::array();
-        for (const RequestTry& attempt : record.tries)
-            tries.push_back(rowOf(attempt));
+        Json attempts = Json::array();
+        for (const RequestAttempt& attempt : record.tries)
+            attempts.push_back(rowOf(attempt));
         return { { "key", record.key }, { "service", record.service }, { "tries", std::move(tries) } };
     }
 
--- a/Source/StandIns/CallerRequests.cpp
+++ b/Source/StandIns/CallerRequests.cpp
@@ -16,7 +16,7 @@
 namespace {
 
     // An answer that leaves at the deadline still needs its way back.
-    constexpr Duration answerTravelTime = std::chrono::milliseconds(500);
+    constexpr Duration answerGracePeriod = std::chrono::milliseconds(500);
     constexpr int okStatus = 200;
 
     constexpr auto outcomeNames = makeNameTable<RequestOutcome>({
@@ -87,7 +87,7 @@
     while (!retries_.empty() && retries_.top().at <= now) {
         const std::uint64_t id = retries_.top().id;
         retries_.pop();
-        due.push_back(planTry(id, open_.find(id)->second, now));
+        due.push_back(planAttempt(id, open_.find(id)->second, now));
     }
 }
 
@@ -96,18 +96,18 @@
     const auto found = open_.find(id);
     if (found == open_.end())
         return;
-    Open& open = found->second;
-    RequestTry result = judge(open, outcome);
+    OpenRequest& open = found->second;
+    RequestAttempt result = classify(open, outcome);
     result.balancer = open.balancer;
     result.sentAt = open.sentAt;
     result.endedAt = now;
-    const RequestOutcome judged = result.outcome;
-    open.record.tries.push_back(std::move(result));
+    const RequestOutcome classified = result.outcome;
+    open.record.attempts.push_back(std::move(result));
 
-    const bool settled = judged == RequestOutcome::Answered || judged == RequestOutcome::WrongAnswer
-        || judged == RequestOutcome::Cancelled;
-    if (settled || open.record.tries.size() > options_.retries)
-        finish(id, judged);
+    const bool isFinal = classified == RequestOutcome::Answered || classified == RequestOutcome::WrongAnswer
+        || classified == RequestOutcome::Cancelled;
+    if (isFinal || open.record.attempts.size() > options_.retries)
+        finish(id, classified);
     else
         retries_.push({ now + options_.retryPause, id });
 }
@@ -125,7 +125,7 @@
 void CallerRequests::openRequest(TimePoint now, std::vector<PlannedRequest>& due)
 {
     const std::uint64_t id = nextId_++;
-    Open open;
+    OpenRequest open;
     open.service = random_.next() % options_.services.size();
     open.answerBytes = 1 + random_.next() % options_.largestAnswerBytes;
     const double workSpread = static_cast<double>((options_.longestWork - options_.shortestWork).count());
@@ -138,21 +138,21 @@
         return;
     }
     ++counts_.requestsSent;
-    due.push_back(planTry(id, open_.emplace(id, std::move(open)).first->second, now));
+    due.push_back(planAttempt(id, open_.emplace(id, std::move(open)).first->second, now));
 }
 
-PlannedRequest CallerRequests::planTry(std::uint64_t id, Open& open, TimePoint now)
+PlannedRequest CallerRequests::planAttempt(std::uint64_t id, OpenRequest& open, TimePoint now)
 {
     // A retry goes to any other balancer.
-    if (!open.record.tries.empty() && options_.balancers > 1)
+    if (!open.record.attempts.empty() && options_.balancers > 1)
         open.balancer = (open.balancer + 1 + random_.next() % (options_.balancers - 1)) % options_.balancers;
     open.sentAt = now;
-    ++counts_.triesSent;
+    ++counts_.attemptsSent;
 
     PlannedRequest planned;
     planned.id = id;
     planned.balancer = open.balancer;
-    planned.deadline = now + options_.deadline + answerTravelTime;
+    planned.deadline = now + options_.deadline + answerGracePeriod;
     if (random_.nextUniform() < options_.cancelShare)
         planned.cancelAt = now + open.work / 2;
     planned.request.method = "POST";
@@ -167,30 +167,30 @@
     return planned;
 }
 
-RequestTry CallerRequests::judge(const Open& open, const HttpOutcome& outcome)
+RequestAttempt CallerRequests::classify(const OpenRequest& open, const HttpOutcome& outcome)
 {
     if (outcome)
-        return judgeResponse(open, outcome.value());
-    RequestTry result;
+        return classifyResponse(open, outcome.value());
+    RequestAttempt result;
     result.outcome = outcomeOf(outcome.error().kind);
     result.detail = fmt::format("{}: {}", nameOf(outcome.error().kind), outcome.error().detail);
     return result;
 }
 
-RequestTry CallerRequests::judgeResponse(const Open& open, const HttpResponse& response)
+RequestAttempt CallerRequests::classifyResponse(const OpenRequest& open, const HttpResponse& response)
 {
-    RequestTry result;
+    RequestAttempt result;
     result.status = response.status;
     if (response.status != okStatus) {
         result.outcome = saysNotExecuted(response) ? RequestOutcome::Refused : RequestOutcome::Unknown;
         return result;
     }
-    findFault(open, response, result);
+    checkAnswer(open, response, result);
     result.outcome = result.fault == AnswerFault::None ? RequestOutcome::Answered : RequestOutcome::WrongAnswer;
     return result;
 }
 
-void CallerRequests::findFault(const Open& open, const HttpResponse& response, RequestTry& result)
+void CallerRequests::checkAnswer(const OpenRequest& open, const HttpResponse& response, RequestAttempt& result)
 {
     const std::string_view server = response.header(stand_in_headers::backendServer);
     const std::string_view service = response.header(stand_in_headers::service);
--- a/Source/StandIns/CallerRequests.h
+++ b/Source/StandIns/CallerRequests.h
@@ -63,7 +63,7 @@
 
 std::string_view nameOf(AnswerFault);
 
-struct RequestTry {
+struct RequestAttempt {
     RequestOutcome outcome = RequestOutcome::Lost;
     AnswerFault fault = AnswerFault::None;
     int status = 0;
@@ -78,12 +78,12 @@
 struct RequestRecord {
     std::string key;
     std::string service;
-    std::vector<RequestTry> tries;
+    std::vector<RequestAttempt> attempts;
 };
 
 struct CallerRequestCounts {
     std::uint64_t requestsSent = 0;
-    std::uint64_t triesSent = 0;
+    std::uint64_t attemptsSent = 0;
     // Requests that ended, by the outcome of their last try.
     std::array<std::uint64_t, requestOutcomeCount> ended {};
     // Those of the wrong answers that came from another service.
@@ -123,7 +123,7 @@
     const std::vector<RequestRecord>& records() const { return records_; }
 
 private:
-    struct Open {
+    struct OpenRequest {
         RequestRecord record;
         std::size_t service = 0;
         std::size_t balancer = 0;
@@ -140,10 +140,10 @@
     };
 
     void openRequest(TimePoint now, std::vector<PlannedRequest>& due);
-    PlannedRequest planTry(std::uint64_t id, Open&, TimePoint now);
-    RequestTry judge(const Open&, const HttpOutcome&);
-    RequestTry judgeResponse(const Open&, const HttpResponse&);
-    void findFault(const Open&, const HttpResponse&, RequestTry&);
+    PlannedRequest planAttempt(std::uint64_t id, OpenRequest&, TimePoint now);
+    RequestAttempt classify(const OpenRequest&, const HttpOutcome&);
+    RequestAttempt classifyResponse(const OpenRequest&, const HttpResponse&);
+    void checkAnswer(const OpenRequest&, const HttpResponse&, RequestAttempt&);
     void finish(std::uint64_t id, RequestOutcome);
 
     CallerRequestOptions options_;
@@ -151,7 +151,7 @@
     SeededRandom random_;
     TimePoint nextOpening_;
     std::uint64_t nextId_ = 0;
-    absl::flat_hash_map<std::uint64_t, Open> open_;
+    absl::flat_hash_map<std::uint64_t, OpenRequest> open_;
     std::priority_queue<Retry> retries_;
     CallerRequestCounts counts_;
     std::vector<RequestRecord> records_;
--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -93,7 +93,7 @@
 
     const CallerRequestCounts& requests = requests_.counts();
     printRow("requests_sent", requests.requestsSent);
-    printRow("request_tries_sent", requests.triesSent);
+    printRow("request_tries_sent", requests.attemptsSent);
     printRow("requests_answered", requests.endedAs(RequestOutcome::Answered));
     printRow("requests_refused", requests.endedAs(RequestOutcome::Refused));
     printRow("requests_unknown", requests.endedAs(RequestOutcome::Unknown));
--- a/Tests/StandIns/CallerRequestsTest.cpp
+++ b/Tests/StandIns/CallerRequestsTest.cpp
@@ -41,7 +41,7 @@
             CallerRequests requests(options(), clock_.now());
             requests.handle(onlyPlanned(requests).id, outcome, clock_.now());
             EXPECT_EQ(requests.records().size(), 1U);
-            return requests.records().at(0).tries.at(0).outcome;
+            return requests.records().at(0).attempts.at(0).outcome;
         }
 
         ManualClock clock_;
@@ -85,7 +85,7 @@
             HttpResponse answer = goodAnswer(planned.request);
             spoil(answer);
             requests.handle(planned.id, answer, clock_.now());
-            return requests.records().at(0).tries.at(0).fault;
+            return requests.records().at(0).attempts.at(0).fault;
         };
         EXPECT_EQ(faultOf([](HttpResponse&) {}), AnswerFault::None);
         EXPECT_EQ(faultOf([](HttpResponse& answer) { answer.body.pop_back(); }), AnswerFault::Incomplete);
@@ -123,7 +123,7 @@
         EXPECT_NE(second.balancer, first.balancer);
         requests.handle(second.id, HttpFailure { HttpFailureKind::Lost, "" }, clock_.now());
         EXPECT_EQ(requests.counts().endedAs(RequestOutcome::Lost), 1U);
-        EXPECT_EQ(requests.records().at(0).tries.size(), 2U);
+        EXPECT_EQ(requests.records().at(0).attempts.size(), 2U);
     }
 
 }
--- a/Tests/StandIns/LoopbackTest.cpp
+++ b/Tests/StandIns/LoopbackTest.cpp
@@ -122,7 +122,7 @@
 
         const BackendRequestTracker& tracker = backend_->servers()[0]->requests();
         for (const RequestRecord& record : caller_->requests().records()) {
-            const bool answered = record.tries.back().outcome == RequestOutcome::Answered;
+            const bool answered = record.attempts.back().outcome == RequestOutcome::Answered;
             EXPECT_EQ(tracker.keys().contains(record.key), answered) << record.key;
         }
     }
