--- a/Source/StandIns/Platform/PlatformStandIn.cpp
+++ b/Source/StandIns/Platform/PlatformStandIn.cpp
@@ -38,7 +38,7 @@
 
 void PlatformStandIn::handle(const Exchange& exchange)
 {
-    if (PlatformStandInAdmin::owns(exchange->request().path))
+    if (PlatformStandInAdmin::handles(exchange->request().path))
         handleAdmin(exchange);
     else
         handleCall(exchange);
@@ -48,11 +48,11 @@
 void PlatformStandIn::handleAdmin(const Exchange& exchange)
 {
     exchange->respond(admin_.handle(exchange->request(), Clock::now()));
-    if (faults_.down == DownMode::Up)
+    if (faults_.outage == OutageMode::Up)
         return;
     for (const auto& [id, watcher] : std::exchange(watchers_, {})) {
         store_.cancelWatch(id);
-        failByFault(watcher);
+        failWithOutage(watcher);
     }
 }
 
@@ -65,22 +65,22 @@
             fmt::format("{} {}: expected POST and the path of a call", request.method, request.path) }));
         return;
     }
-    if (faults_.down == DownMode::Up && faults_.slow.count() > 0)
-        handleLater(*call, exchange);
+    if (faults_.outage == OutageMode::Up && faults_.callDelay.count() > 0)
+        handleDelayed(*call, exchange);
     else
         perform(*call, exchange);
 }
 
 // A read whose caller has given up is let go: a watch begun then would wait for nobody, and be counted as waiting,
 // until its time is up. Writes go on, as a platform that is slow acts on what it has received.
-void PlatformStandIn::handleLater(PlatformCall call, const Exchange& exchange)
+void PlatformStandIn::handleDelayed(PlatformCall call, const Exchange& exchange)
 {
-    const auto givenUp = std::make_shared<bool>(false);
-    exchange->onCancelled([givenUp] { *givenUp = true; });
-    const auto delay = std::make_shared<boost::asio::steady_timer>(context_, faults_.slow);
-    delay->async_wait([delay, givenUp, call, exchange, weak = weak_from_this()](const boost::system::error_code&) {
+    const auto cancelled = std::make_shared<bool>(false);
+    exchange->onCancelled([cancelled] { *cancelled = true; });
+    const auto delay = std::make_shared<boost::asio::steady_timer>(context_, faults_.callDelay);
+    delay->async_wait([delay, cancelled, call, exchange, weak = weak_from_this()](const boost::system::error_code&) {
         const auto self = weak.lock();
-        if (!self || (*givenUp && !isWrite(call)))
+        if (!self || (*cancelled && !isWrite(call)))
             return;
         self->perform(call, exchange);
         self->answerEndedWatches();
@@ -89,8 +89,8 @@
 
 void PlatformStandIn::perform(PlatformCall call, const Exchange& exchange)
 {
-    if (faults_.down != DownMode::Up) {
-        failByFault(exchange);
+    if (faults_.outage != OutageMode::Up) {
+        failWithOutage(exchange);
         return;
     }
     const TimePoint now = Clock::now();
@@ -105,14 +105,14 @@
     }
 }
 
-void PlatformStandIn::failByFault(const Exchange& exchange)
+void PlatformStandIn::failWithOutage(const Exchange& exchange)
 {
     ++faults_.callsFailed;
-    if (faults_.down == DownMode::Unavailable)
+    if (faults_.outage == OutageMode::Unavailable)
         exchange->respond(refusalOf({ ErrorCode::Unavailable, "the stand-in plays an outage" }));
-    else if (faults_.down == DownMode::Refuse)
+    else if (faults_.outage == OutageMode::Refuse)
         exchange->refuse();
-    // DownMode::Reset: letting the exchange go unanswered resets its stream.
+    // OutageMode::Reset: letting the exchange go unanswered resets its stream.
 }
 
 Result<Json> PlatformStandIn::execute(PlatformCall call, const Json& arguments, TimePoint now)
@@ -172,7 +172,7 @@
 {
     if (!result)
         exchange->respond(refusalOf(result.error()));
-    else if (!faults_.takeLostAnswer(call))
+    else if (!faults_.consumeLostAnswer(call))
         exchange->respond({ 200, { { "content-type", "application/json" } }, result.value().dump() });
 }
 
--- a/Source/StandIns/Platform/PlatformStandIn.h
+++ b/Source/StandIns/Platform/PlatformStandIn.h
@@ -26,9 +26,9 @@
     void handle(const Exchange&);
     void handleAdmin(const Exchange&);
     void handleCall(const Exchange&);
-    void handleLater(PlatformCall, const Exchange&);
+    void handleDelayed(PlatformCall, const Exchange&);
     void perform(PlatformCall, const Exchange&);
-    void failByFault(const Exchange&);
+    void failWithOutage(const Exchange&);
     Result<Json> execute(PlatformCall, const Json& arguments, TimePoint now);
     Result<Json> executeCompareAndSwap(const Json& arguments, TimePoint now);
     Result<void> startWatch(const Json& arguments, TimePoint now, const Exchange&);
--- a/Source/StandIns/Platform/PlatformStandInAdmin.h
+++ b/Source/StandIns/Platform/PlatformStandInAdmin.h
@@ -12,7 +12,7 @@
 public:
     PlatformStandInAdmin(PlatformStore&, PlatformFaults&);
 
-    static bool owns(std::string_view path) { return path.starts_with("/admin/"); }
+    static bool handles(std::string_view path) { return path.starts_with("/admin/"); }
 
     HttpResponse handle(const HttpRequest&, TimePoint now);
 
--- a/Source/StandIns/Platform/PlatformStandInFaults.cpp
+++ b/Source/StandIns/Platform/PlatformStandInFaults.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-    constexpr auto downModeNames = makeNameTable<DownMode>({
-        { DownMode::Up, "up" },
-        { DownMode::Unavailable, "unavailable" },
-        { DownMode::Refuse, "refuse" },
-        { DownMode::Reset, "reset" },
+    constexpr auto outageModeNames = makeNameTable<OutageMode>({
+        { OutageMode::Up, "up" },
+        { OutageMode::Unavailable, "unavailable" },
+        { OutageMode::Refuse, "refuse" },
+        { OutageMode::Reset, "reset" },
     });
 
-    Result<DownMode> downModeField(const Json& object)
+    Result<OutageMode> outageModeField(const Json& object)
     {
         BOOST_OUTCOME_TRY(name, textField(object, "down"));
-        if (const auto mode = downModeNames.value(name))
+        if (const auto mode = outageModeNames.value(name))
             return *mode;
         return Error { ErrorCode::InvalidArgument,
             fmt::format("field 'down': expected up, unavailable, refuse or reset, not '{}'", name) };
@@ -46,14 +46,14 @@
 
 }
 
-std::string_view nameOf(DownMode mode) { return downModeNames.name(mode); }
+std::string_view nameOf(OutageMode mode) { return outageModeNames.name(mode); }
 
-bool PlatformFaults::takeLostAnswer(PlatformCall call)
+bool PlatformFaults::consumeLostAnswer(PlatformCall call)
 {
-    std::uint64_t& left = loseAnswers.at(static_cast<std::size_t>(call));
-    if (left == 0)
+    std::uint64_t& remaining = loseAnswers.at(static_cast<std::size_t>(call));
+    if (remaining == 0)
         return false;
-    --left;
+    --remaining;
     ++answersLost;
     return true;
 }
@@ -63,7 +63,7 @@
     Json counts = Json::object();
     for (std::size_t i = 0; i < platformCallKinds; ++i)
         counts[std::string(nameOf(static_cast<PlatformCall>(i)))] = loseAnswers.at(i);
-    return { { "down", nameOf(down) }, { "slow_ms", slow.count() }, { "lose_answers", std::move(counts) } };
+    return { { "down", nameOf(outage) }, { "slow_ms", callDelay.count() }, { "lose_answers", std::move(counts) } };
 }
 
 Result<void> PlatformFaults::change(const Json& object)
@@ -71,11 +71,11 @@
     PlatformFaults changed = *this;
     for (const auto& [name, value] : object.items()) {
         if (name == "down") {
-            BOOST_OUTCOME_TRY(mode, downModeField(object));
-            changed.down = mode;
+            BOOST_OUTCOME_TRY(mode, outageModeField(object));
+            changed.outage = mode;
         } else if (name == "slow_ms") {
             BOOST_OUTCOME_TRY(time, millisecondsField(object, "slow_ms"));
-            changed.slow = time;
+            changed.callDelay = time;
         } else if (name == "lose_answers") {
             BOOST_OUTCOME_TRYV(changeLoseAnswers(value, changed));
         } else {
--- a/Source/StandIns/Platform/PlatformStore.h
+++ b/Source/StandIns/Platform/PlatformStore.h
@@ -60,7 +60,7 @@
 
     Snapshot takeSnapshot(TimePoint now);
     // Revisions go back with the copy, so that numbers already seen come again for other values. Leases go on with the
-    // time that they had left; numbers of leases never come again. Waiting watches end with Unavailable.
+    // time that they had remaining; numbers of leases never come again. Waiting watches end with Unavailable.
     void restore(const Snapshot&, TimePoint now);
 
     std::uint64_t revision() const { return revision_; }
