--- a/Source/StandIns/CallerRecords.cpp
+++ b/Source/StandIns/CallerRecords.cpp
@@ -40,7 +40,7 @@
     Json rowOf(const RequestRecord& record)
     {
         Json attempts = Json::array();
-        for (const RequestAttempt& attempt : record.tries)
+        for (const RequestAttempt& attempt : record.attempts)
             attempts.push_back(rowOf(attempt));
         return { { "key", record.key }, { "service", record.service }, { "tries", std::move(tries) } };
     }
