--- a/Source/StandIns/Platform/PlatformStore.cpp
+++ b/Source/StandIns/Platform/PlatformStore.cpp
@@ -8,14 +8,17 @@
 
 namespace {
 
-    Error noKey(std::string_view key) { return { ErrorCode::NotFound, fmt::format("key '{}' does not exist", key) }; }
+    Error keyNotFound(std::string_view key)
+    {
+        return { ErrorCode::NotFound, fmt::format("key '{}' does not exist", key) };
+    }
 
-    Error noLease(std::uint64_t lease)
+    Error leaseNotFound(std::uint64_t lease)
     {
         return { ErrorCode::NotFound, fmt::format("lease {} does not exist or has lapsed", lease) };
     }
 
-    Error nothingNewer(std::string_view key, std::uint64_t afterRevision)
+    Error noNewerRevision(std::string_view key, std::uint64_t afterRevision)
     {
         return { ErrorCode::NotFound, fmt::format("key '{}' has no revision above {}", key, afterRevision) };
     }
@@ -28,7 +31,7 @@
     advance(now);
     const auto entry = entries_.find(key);
     if (entry == entries_.end())
-        return noKey(key);
+        return keyNotFound(key);
     return PlatformEntry { key, entry->second.value, entry->second.revision };
 }
 
@@ -42,12 +45,12 @@
                 platformValueLimit) };
     }
     if (write.lease && !leases_.contains(*write.lease))
-        return noLease(*write.lease);
+        return leaseNotFound(*write.lease);
     const std::uint64_t current = revisionOf(write.key);
     if (current != write.expectedRevision)
         return conflictError(write.key, write.expectedRevision, current);
     entries_.insert_or_assign(write.key, StoredValue { write.value, ++revision_, write.lease });
-    wakeWatches(write.key);
+    completeWatches(write.key);
     return revision_;
 }
 
@@ -71,7 +74,7 @@
     advance(now);
     const auto lease = leases_.find(id);
     if (lease == leases_.end())
-        return noLease(id);
+        return leaseNotFound(id);
     deadlines_.erase({ lease->second.expiry, id });
     lease->second.expiry = now + lease->second.timeToLive;
     setDeadline(id, lease->second.expiry);
@@ -82,9 +85,9 @@
 {
     count(PlatformCall::ListVms);
     advance(now);
-    while (vmLists_.size() > 1 && vmLists_[1].visible <= now)
+    while (vmLists_.size() > 1 && vmLists_[1].visibleFrom <= now)
         vmLists_.erase(vmLists_.begin());
-    if (vmLists_.empty() || vmLists_.front().visible > now)
+    if (vmLists_.empty() || vmLists_.front().visibleFrom > now)
         return {};
     return vmLists_.front().vms;
 }
@@ -98,7 +101,7 @@
     watches_.emplace(id, Watch { key, afterRevision, until });
     setDeadline(id, until);
     if (revisionOf(key) > afterRevision)
-        wakeWatches(key);
+        completeWatches(key);
     else
         advance(now);
     return id;
@@ -125,9 +128,9 @@
         const std::uint64_t id = deadlines_.begin()->second;
         const auto watch = watches_.find(id);
         if (watch == watches_.end())
-            lapse(id);
+            expireLease(id);
         else
-            endWatch(id, nothingNewer(watch->second.key, watch->second.afterRevision));
+            endWatch(id, noNewerRevision(watch->second.key, watch->second.afterRevision));
     }
 }
 
@@ -141,9 +144,9 @@
 void PlatformStore::setVms(std::vector<Vm> vms, TimePoint now)
 {
     // A shorter lag may let a newer list be seen first; the older one is then never seen.
-    const TimePoint visible = now + vmLag_;
-    std::erase_if(vmLists_, [&](const VmList& list) { return list.visible > visible; });
-    vmLists_.push_back({ visible, std::move(vms) });
+    const TimePoint visibleFrom = now + vmLag_;
+    std::erase_if(vmLists_, [&](const VmList& list) { return list.visibleFrom > visibleFrom; });
+    vmLists_.push_back({ visibleFrom, std::move(vms) });
 }
 
 PlatformStore::Snapshot PlatformStore::takeSnapshot(TimePoint now)
@@ -163,8 +166,8 @@
     revision_ = snapshot.revision;
     entries_ = snapshot.entries;
     for (const auto& [id, copy] : snapshot.leases) {
-        leases_.emplace(id, Lease { copy.timeToLive, now + copy.left });
-        setDeadline(id, now + copy.left);
+        leases_.emplace(id, Lease { copy.timeToLive, now + copy.remaining });
+        setDeadline(id, now + copy.remaining);
     }
 }
 
@@ -175,17 +178,17 @@
 }
 
 // Ends the key's watches whose revision is passed; if the key is gone, all of them.
-void PlatformStore::wakeWatches(const std::string& key)
+void PlatformStore::completeWatches(const std::string& key)
 {
     const auto entry = entries_.find(key);
-    std::vector<WatchId> woken;
+    std::vector<WatchId> completed;
     for (const auto& [id, watch] : watches_) {
         if (watch.key == key && (entry == entries_.end() || entry->second.revision > watch.afterRevision))
-            woken.push_back(id);
+            completed.push_back(id);
     }
-    for (const WatchId id : woken) {
+    for (const WatchId id : completed) {
         if (entry == entries_.end())
-            endWatch(id, noKey(key));
+            endWatch(id, keyNotFound(key));
         else
             endWatch(id, PlatformEntry { key, entry->second.value, entry->second.revision });
     }
@@ -197,7 +200,7 @@
     endedWatches_.push_back({ id, std::move(result) });
 }
 
-void PlatformStore::lapse(std::uint64_t id)
+void PlatformStore::expireLease(std::uint64_t id)
 {
     const auto lease = leases_.find(id);
     deadlines_.erase({ lease->second.expiry, id });
@@ -210,7 +213,7 @@
     for (const std::string& key : deleted) {
         entries_.erase(key);
         ++revision_;
-        wakeWatches(key);
+        completeWatches(key);
     }
 }
 
--- a/Source/StandIns/Platform/PlatformStore.h
+++ b/Source/StandIns/Platform/PlatformStore.h
@@ -87,15 +87,15 @@
     };
 
     struct VmList {
-        TimePoint visible;
+        TimePoint visibleFrom;
         std::vector<Vm> vms;
     };
 
     void count(PlatformCall call) { ++calls_.at(static_cast<std::size_t>(call)); }
     std::uint64_t revisionOf(const std::string& key) const;
-    void wakeWatches(const std::string& key);
+    void completeWatches(const std::string& key);
     void endWatch(WatchId, Result<PlatformEntry>);
-    void lapse(std::uint64_t lease);
+    void expireLease(std::uint64_t lease);
     void setDeadline(std::uint64_t id, TimePoint deadline) { deadlines_.emplace(deadline, id); }
 
     std::uint64_t revision_ = 0;
@@ -115,7 +115,7 @@
 struct PlatformStore::Snapshot {
     struct LeaseCopy {
         std::chrono::milliseconds timeToLive { 0 };
-        Duration left { 0 };
+        Duration remaining { 0 };
     };
 
     std::uint64_t revision = 0;
