--- a/Source/StandIns/CallerFlowTypes.h
+++ b/Source/StandIns/CallerFlowTypes.h
@@ -36,10 +36,10 @@
     Duration runTime = std::chrono::seconds(10);
 
     // Lifetimes follow a Pareto distribution; a smaller exponent makes the tail heavier.
-    Duration shortestLifetime = std::chrono::seconds(1);
+    Duration minLifetime = std::chrono::seconds(1);
     double lifetimeExponent = 1.2;
     // The share of flows that last the whole run.
-    double lastingShare = 0.05;
+    double longLivedShare = 0.05;
 
     Duration packetInterval = std::chrono::milliseconds(100);
     // Each interval is drawn between (1 - jitter) and (1 + jitter) of packetInterval.
@@ -49,12 +49,12 @@
     Duration idleTime = std::chrono::seconds(2);
 
     // The share of flows whose format shows their first packet.
-    double startMarks = 0;
+    double startMarkShare = 0;
     Duration openingRetryInterval = std::chrono::milliseconds(200);
     // A flow that was never answered is given up after so many opening packets.
     std::uint16_t openingAttempts = 50;
     // An established flow with so many packets unanswered in a row is stalled.
-    std::uint16_t stalledAfter = 8;
+    std::uint16_t maxUnansweredPackets = 8;
 
     std::size_t openFlowLimit = 400'000;
     std::size_t breakLimit = 10'000;
@@ -82,8 +82,8 @@
     std::uint32_t sequence = 0;
     ServiceId service;
     // The server that held the flow, and the one that answered instead.
-    BackendServerId holder;
-    BackendServerId answerer;
+    BackendServerId expectedServer;
+    BackendServerId answeringServer;
 };
 
 struct CallerFlowCounts {
@@ -99,7 +99,7 @@
     std::uint64_t flowsSkipped = 0;
     std::uint64_t wrongServicePackets = 0;
     // Opening packets that reached a second server; the flow stays with the one that answered first.
-    std::uint64_t openingsElsewhere = 0;
+    std::uint64_t openingsAtOtherServers = 0;
     std::uint64_t packetsSent = 0;
     std::uint64_t replies = 0;
     // Replies to flows that had ended, broken or never been.
--- a/Source/StandIns/CallerFlows.cpp
+++ b/Source/StandIns/CallerFlows.cpp
@@ -11,8 +11,8 @@
 namespace {
 
     // How long the reply to a last packet is waited for.
-    constexpr Duration endingTime = std::chrono::seconds(1);
-    // A flow that idles does so after one packet in so many.
+    constexpr Duration finalReplyTimeout = std::chrono::seconds(1);
+    // A flow that hasIdlePeriods does so after one packet in so many.
     constexpr double packetsPerBurst = 10;
 
     constexpr std::uint32_t clientNetwork = 10U << 24;
@@ -29,8 +29,8 @@
 // Flows of one run differ in their low 24 bits and thus in their host; an odd factor scatters neighbours.
 Endpoint clientEndpointOf(std::uint64_t flow)
 {
-    constexpr std::uint32_t scatter = 0x9E3779B1U;
-    const std::uint32_t host = (static_cast<std::uint32_t>(flow) * scatter) & clientHostMask;
+    constexpr std::uint32_t multiplier = 0x9E3779B1U;
+    const std::uint32_t host = (static_cast<std::uint32_t>(flow) * multiplier) & clientHostMask;
     const std::uint64_t port = firstClientPort + hashPair(flow, 0) % (65536U - firstClientPort);
     return { clientNetwork | host, static_cast<std::uint16_t>(port) };
 }
@@ -57,7 +57,7 @@
     while (!stopped_ && !events_.empty() && events_.top().at <= now) {
         const std::uint64_t flow = events_.top().flow;
         events_.pop();
-        serve(flow, now, due);
+        processEvent(flow, now, due);
     }
 }
 
@@ -73,8 +73,8 @@
     }
 
     Flow& flow = found->second;
-    const ServiceId meant = options_.services[flow.service].id;
-    if (reply.status == FlowStatus::WrongService || reply.service != meant) {
+    const ServiceId expectedService = options_.services[flow.service].id;
+    if (reply.status == FlowStatus::WrongService || reply.service != expectedService) {
         ++counts_.wrongServicePackets;
         // A flow that is not established yet has nothing to lose; the packet is counted all the same.
         if (flow.phase != Phase::Opening)
@@ -86,14 +86,14 @@
             establish(flow, reply);
         return;
     }
-    if (const auto kind = breakShownBy(flow, reply)) {
+    if (const auto kind = detectBreak(flow, reply)) {
         breakFlow(reply.flow, *kind, &reply, now);
         return;
     }
     if (reply.backendServer == flow.backendServer)
         flow.unanswered = 0;
     else
-        ++counts_.openingsElsewhere;
+        ++counts_.openingsAtOtherServers;
 }
 
 TimePoint CallerFlows::nextEvent() const
@@ -115,8 +115,8 @@
     // Drawn in any case, so that the later flows of a seed do not depend on how many are open.
     Flow flow;
     flow.service = drawService();
-    flow.startMark = random_.nextUniform() < options_.startMarks;
-    flow.idles = random_.nextUniform() < options_.idleShare;
+    flow.startMark = random_.nextUniform() < options_.startMarkShare;
+    flow.hasIdlePeriods = random_.nextUniform() < options_.idleShare;
     flow.end = now + drawLifetime();
     if (flows_.size() >= options_.openFlowLimit) {
         ++counts_.flowsSkipped;
@@ -129,7 +129,7 @@
 }
 
 // Does what is due for one flow: repeats its opening packet, sends the next one, or forgets it.
-void CallerFlows::serve(std::uint64_t id, TimePoint now, std::vector<CallerPacket>& due)
+void CallerFlows::processEvent(std::uint64_t id, TimePoint now, std::vector<CallerPacket>& due)
 {
     const auto found = flows_.find(id);
     if (found == flows_.end())
@@ -151,7 +151,7 @@
         events_.push({ now + options_.openingRetryInterval, id });
         return;
     }
-    if (flow.unanswered >= options_.stalledAfter) {
+    if (flow.unanswered >= options_.maxUnansweredPackets) {
         breakFlow(id, FlowBreakKind::Stalled, nullptr, now);
         return;
     }
@@ -160,7 +160,7 @@
     sendPacket(id, flow, last, due);
     if (last)
         flow.phase = Phase::Ending;
-    events_.push({ now + (last ? endingTime : pauseAfterPacket(flow, now)), id });
+    events_.push({ now + (last ? finalReplyTimeout : pauseAfterPacket(flow, now)), id });
 }
 
 void CallerFlows::sendPacket(std::uint64_t id, Flow& flow, bool end, std::vector<CallerPacket>& due)
@@ -197,8 +197,8 @@
             .kind = kind,
             .sequence = reply ? reply->sequence : flow.nextSequence,
             .service = options_.services[flow.service].id,
-            .holder = flow.backendServer,
-            .answerer = reply ? reply->backendServer : BackendServerId {},
+            .expectedServer = flow.backendServer,
+            .answeringServer = reply ? reply->backendServer : BackendServerId {},
         });
     }
     flows_.erase(found);
@@ -214,7 +214,7 @@
     ++counts_.flowsEstablished;
 }
 
-std::optional<FlowBreakKind> CallerFlows::breakShownBy(const Flow& flow, const FlowPayload& reply) const
+std::optional<FlowBreakKind> CallerFlows::detectBreak(const Flow& flow, const FlowPayload& reply) const
 {
     if (reply.status == FlowStatus::UnknownFlow)
         return FlowBreakKind::UnknownFlow;
@@ -228,8 +228,8 @@
 Duration CallerFlows::pauseAfterPacket(const Flow& flow, TimePoint now)
 {
     const double factor = random_.nextBetween(1 - options_.jitter, 1 + options_.jitter);
-    const bool rests = flow.idles && random_.nextUniform() * packetsPerBurst < 1;
-    const Duration pause = scaled(rests ? options_.idleTime : options_.packetInterval, factor);
+    const bool goesIdle = flow.hasIdlePeriods && random_.nextUniform() * packetsPerBurst < 1;
+    const Duration pause = scaled(goesIdle ? options_.idleTime : options_.packetInterval, factor);
     // The end comes in time, but never at once.
     const Duration untilEnd = std::max(flow.end - now, scaled(options_.packetInterval, 1 - options_.jitter));
     return std::min(pause, untilEnd);
@@ -237,11 +237,11 @@
 
 Duration CallerFlows::drawLifetime()
 {
-    const bool lasts = random_.nextUniform() < options_.lastingShare;
+    const bool isLongLived = random_.nextUniform() < options_.longLivedShare;
     const double factor = std::pow(1 - random_.nextUniform(), -1 / options_.lifetimeExponent);
-    const double longest = std::chrono::duration<double>(options_.runTime) / options_.shortestLifetime + 1;
+    const double maxFactor = std::chrono::duration<double>(options_.runTime) / options_.minLifetime + 1;
     // One run time from any start is past the end of the run.
-    return lasts ? options_.runTime : scaled(options_.shortestLifetime, std::min(factor, longest));
+    return isLongLived ? options_.runTime : scaled(options_.minLifetime, std::min(factor, maxFactor));
 }
 
 std::uint16_t CallerFlows::drawService()
--- a/Source/StandIns/CallerFlows.h
+++ b/Source/StandIns/CallerFlows.h
@@ -56,7 +56,7 @@
         std::uint16_t unanswered = 0;
         Phase phase = Phase::Opening;
         bool startMark = false;
-        bool idles = false;
+        bool hasIdlePeriods = false;
     };
     using Flows = absl::flat_hash_map<std::uint64_t, Flow>;
 
@@ -69,11 +69,11 @@
     };
 
     void openFlow(TimePoint now, std::vector<CallerPacket>& due);
-    void serve(std::uint64_t id, TimePoint now, std::vector<CallerPacket>& due);
+    void processEvent(std::uint64_t id, TimePoint now, std::vector<CallerPacket>& due);
     void sendPacket(std::uint64_t id, Flow&, bool end, std::vector<CallerPacket>& due);
     void breakFlow(std::uint64_t id, FlowBreakKind, const FlowPayload* reply, TimePoint now);
     void establish(Flow&, const FlowPayload& reply);
-    std::optional<FlowBreakKind> breakShownBy(const Flow&, const FlowPayload& reply) const;
+    std::optional<FlowBreakKind> detectBreak(const Flow&, const FlowPayload& reply) const;
     Duration pauseAfterPacket(const Flow&, TimePoint now);
     Duration drawLifetime();
     std::uint16_t drawService();
--- a/Source/StandIns/CallerMain.cpp
+++ b/Source/StandIns/CallerMain.cpp
@@ -55,15 +55,15 @@
     options.services = services;
     options.flowsPerSecond = absl::GetFlag(FLAGS_fabric).empty() ? 0 : absl::GetFlag(FLAGS_flows_per_second);
     options.runTime = secondsOf(absl::GetFlag(FLAGS_seconds));
-    options.shortestLifetime = secondsOf(absl::GetFlag(FLAGS_shortest_flow_seconds));
+    options.minLifetime = secondsOf(absl::GetFlag(FLAGS_shortest_flow_seconds));
     options.lifetimeExponent = absl::GetFlag(FLAGS_lifetime_exponent);
-    options.lastingShare = absl::GetFlag(FLAGS_lasting_share);
+    options.longLivedShare = absl::GetFlag(FLAGS_lasting_share);
     options.packetInterval = millisecondsOf(absl::GetFlag(FLAGS_packet_interval_milliseconds));
     options.jitter = absl::GetFlag(FLAGS_jitter);
     options.idleShare = absl::GetFlag(FLAGS_idle_share);
     options.idleTime = secondsOf(absl::GetFlag(FLAGS_idle_seconds));
-    options.startMarks = absl::GetFlag(FLAGS_start_marks);
-    options.stalledAfter = static_cast<std::uint16_t>(absl::GetFlag(FLAGS_stalled_after));
+    options.startMarkShare = absl::GetFlag(FLAGS_start_marks);
+    options.maxUnansweredPackets = static_cast<std::uint16_t>(absl::GetFlag(FLAGS_stalled_after));
     return options;
 }
 
--- a/Source/StandIns/CallerRecords.cpp
+++ b/Source/StandIns/CallerRecords.cpp
@@ -19,8 +19,8 @@
             { "sequence", broken.sequence },
             { "client", clientEndpointOf(broken.flow).toString() },
             { "service_id", broken.service.value },
-            { "holder_id", broken.holder.value },
-            { "answerer_id", broken.answerer.value },
+            { "holder_id", broken.expectedServer.value },
+            { "answerer_id", broken.answeringServer.value },
         };
     }
 
--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -35,7 +35,7 @@
             return refused("jitter", "0 to 1");
         if (flows.lifetimeExponent <= 0)
             return refused("lifetime_exponent", "a number above 0");
-        if (flows.packetInterval <= Duration::zero() || flows.shortestLifetime <= Duration::zero())
+        if (flows.packetInterval <= Duration::zero() || flows.minLifetime <= Duration::zero())
             return refused("packet_interval_milliseconds, shortest_flow_seconds", "numbers above 0");
         if (options.requests.shortestWork > options.requests.longestWork)
             return refused("shortest_work_milliseconds", "not above longest_work_milliseconds");
@@ -84,7 +84,7 @@
     printRow("flows_stalled", flows.flowsStalled);
     printRow("flows_skipped", flows.flowsSkipped);
     printRow("wrong_service_packets", flows.wrongServicePackets);
-    printRow("openings_elsewhere", flows.openingsElsewhere);
+    printRow("openings_elsewhere", flows.openingsAtOtherServers);
     printRow("packets_sent", flows.packetsSent);
     printRow("replies", flows.replies);
     printRow("late_replies", flows.lateReplies);
--- a/Tests/StandIns/CallerFlowsTest.cpp
+++ b/Tests/StandIns/CallerFlowsTest.cpp
@@ -62,11 +62,11 @@
         }
 
         // One flow that lasts, so that each test tells the story of one customer.
-        CallerFlowOptions oneLastingFlow() const
+        CallerFlowOptions oneLongLivedFlow() const
         {
             CallerFlowOptions one = options();
             one.flowsPerSecond = 0.000'001;
-            one.lastingShare = 1;
+            one.longLivedShare = 1;
             one.idleShare = 0;
             return one;
         }
@@ -125,7 +125,7 @@
     TEST_F(CallerFlowsTest, marksTheStartsThatItIsToldTo)
     {
         CallerFlowOptions marked = options();
-        marked.startMarks = 1;
+        marked.startMarkShare = 1;
         CallerFlows flows(marked, clock_.now());
         run(flows, seconds(2), good);
         for (const CallerPacket& packet : sent_)
@@ -134,7 +134,7 @@
 
     TEST_F(CallerFlowsTest, aResetBreaksAnEstablishedFlowOnce)
     {
-        CallerFlows flows(oneLastingFlow(), clock_.now());
+        CallerFlows flows(oneLongLivedFlow(), clock_.now());
         run(flows, seconds(3), goodUntil(3, [](FlowPayload& reply) {
             reply.status = FlowStatus::UnknownFlow;
             reply.backendServer = { 2 };
@@ -142,14 +142,14 @@
         const FlowBreak broken = onlyBreak(flows);
         EXPECT_EQ(broken.kind, FlowBreakKind::UnknownFlow);
         EXPECT_EQ(broken.sequence, 3U);
-        EXPECT_EQ(broken.holder.value, 1U);
-        EXPECT_EQ(broken.answerer.value, 2U);
+        EXPECT_EQ(broken.expectedServer.value, 1U);
+        EXPECT_EQ(broken.answeringServer.value, 2U);
         EXPECT_EQ(flows.openFlows(), 0U);
     }
 
     TEST_F(CallerFlowsTest, anotherServerBreaksAnEstablishedFlow)
     {
-        CallerFlows flows(oneLastingFlow(), clock_.now());
+        CallerFlows flows(oneLongLivedFlow(), clock_.now());
         run(flows, seconds(3), goodUntil(2, [](FlowPayload& reply) { reply.backendServer = { 2 }; }));
         EXPECT_EQ(onlyBreak(flows).kind, FlowBreakKind::ChangedServer);
     }
@@ -158,7 +158,7 @@
     {
         for (const bool admits : { false, true }) {
             SCOPED_TRACE(admits ? "it says so" : "it takes the packet for its own");
-            CallerFlows flows(oneLastingFlow(), clock_.now());
+            CallerFlows flows(oneLongLivedFlow(), clock_.now());
             run(flows, seconds(3), goodUntil(2, [&](FlowPayload& reply) {
                 reply.status = admits ? FlowStatus::WrongService : FlowStatus::Ok;
                 reply.service = { 99 };
@@ -177,13 +177,13 @@
         };
         {
             SCOPED_TRACE("seven of eight are lost");
-            CallerFlows flows(oneLastingFlow(), clock_.now());
+            CallerFlows flows(oneLongLivedFlow(), clock_.now());
             run(flows, seconds(9), answeringEvery(8));
             EXPECT_EQ(flows.counts().flowsBroken, 0U);
         }
         {
             SCOPED_TRACE("eight in a row are lost");
-            CallerFlows flows(oneLastingFlow(), clock_.now());
+            CallerFlows flows(oneLongLivedFlow(), clock_.now());
             run(flows, seconds(9), answeringEvery(9));
             EXPECT_EQ(onlyBreak(flows).kind, FlowBreakKind::Stalled);
             EXPECT_EQ(flows.counts().flowsStalled, 1U);
@@ -196,7 +196,7 @@
     // Cause: the second answer was taken for a packet of the established flow.
     TEST_F(CallerFlowsTest, aRepeatedOpeningAtASecondServerIsNoBreak)
     {
-        CallerFlows flows(oneLastingFlow(), clock_.now());
+        CallerFlows flows(oneLongLivedFlow(), clock_.now());
         FlowPayload opening;
         run(flows, milliseconds(500), [&](const FlowPayload& packet) {
             opening = packet;
@@ -213,12 +213,12 @@
         run(flows, seconds(3), good);
         EXPECT_EQ(flows.counts().flowsEstablished, 1U);
         EXPECT_EQ(flows.counts().flowsBroken, 0U);
-        EXPECT_EQ(flows.counts().openingsElsewhere, 1U);
+        EXPECT_EQ(flows.counts().openingsAtOtherServers, 1U);
     }
 
     TEST_F(CallerFlowsTest, aFlowThatNobodyAnswersIsNeverEstablished)
     {
-        CallerFlows flows(oneLastingFlow(), clock_.now());
+        CallerFlows flows(oneLongLivedFlow(), clock_.now());
         run(flows, seconds(12), [](const FlowPayload&) { return std::nullopt; });
         EXPECT_EQ(flows.counts().flowsNotEstablished, 1U);
         EXPECT_EQ(flows.counts().flowsBroken, 0U);
--- a/Tests/StandIns/LoopbackTest.cpp
+++ b/Tests/StandIns/LoopbackTest.cpp
@@ -48,7 +48,7 @@
             options.replyListen = loopback;
             options.flows.services = { { "tryon", serviceIdOf("tryon"), { 0xC0000201, 443 }, 1 } };
             options.flows.runTime = std::chrono::milliseconds(1500);
-            options.flows.shortestLifetime = std::chrono::milliseconds(200);
+            options.flows.minLifetime = std::chrono::milliseconds(200);
             options.flows.packetInterval = std::chrono::milliseconds(20);
             options.flows.flowsPerSecond = 200;
             options.requests.services = options.flows.services;
