--- a/Source/StandIns/BackendAdmin.cpp
+++ b/Source/StandIns/BackendAdmin.cpp
@@ -76,8 +76,8 @@
 
     template <typename Number> Result<Number> numberFrom(const std::string& key, const Json& value)
     {
-        constexpr double largest = 1e12;
-        if (!value.is_number() || value.get<double>() < 0 || value.get<double>() > largest)
+        constexpr double max = 1e12;
+        if (!value.is_number() || value.get<double>() < 0 || value.get<double>() > max)
             return refused(key, "a number from 0");
         return static_cast<Number>(value.get<double>());
     }
--- a/Source/StandIns/BackendFlowTable.cpp
+++ b/Source/StandIns/BackendFlowTable.cpp
@@ -51,7 +51,7 @@
 {
     absl::erase_if(flows_, [&](const auto& entry) {
         const Flow& flow = entry.second;
-        const Duration limit = flow.ended ? limits_.endedTime : limits_.idleTime;
+        const Duration limit = flow.ended ? limits_.endedFlowRetention : limits_.idleTimeout;
         if (now - flow.lastSeen < limit)
             return false;
         if (!flow.ended)
@@ -76,7 +76,7 @@
         ++counts_.refusedFlows;
         return flows_.end();
     }
-    if (newFlows_.size() < limits_.newFlowRecords)
+    if (newFlows_.size() < limits_.maxNewFlowRecords)
         newFlows_.push_back({ id, now });
     else
         ++counts_.droppedRecords;
--- a/Source/StandIns/BackendFlowTable.h
+++ b/Source/StandIns/BackendFlowTable.h
@@ -18,10 +18,10 @@
     // Flows that the server carries at once; packets that would open more stay unanswered.
     std::size_t connections = 2000;
     // First-seen times that are kept for the experiment.
-    std::size_t newFlowRecords = 500'000;
-    Duration idleTime = std::chrono::seconds(300);
+    std::size_t maxNewFlowRecords = 500'000;
+    Duration idleTimeout = std::chrono::seconds(300);
     // How long an ended flow is remembered, so that its late packets are not taken for a broken flow's.
-    Duration endedTime = std::chrono::seconds(5);
+    Duration endedFlowRetention = std::chrono::seconds(5);
 };
 
 struct BackendFlowCounts {
--- a/Source/StandIns/BackendMain.cpp
+++ b/Source/StandIns/BackendMain.cpp
@@ -31,7 +31,7 @@
         BOOST_OUTCOME_TRY(replyTo, Endpoint::parse(text));
         options.replyTo = replyTo;
     }
-    options.flowLimits.idleTime = std::chrono::milliseconds(int64_t(absl::GetFlag(FLAGS_flow_idle_seconds) * 1000));
+    options.flowLimits.idleTimeout = std::chrono::milliseconds(int64_t(absl::GetFlag(FLAGS_flow_idle_seconds) * 1000));
     return options;
 }
 
--- a/Source/StandIns/BackendRequestTracker.cpp
+++ b/Source/StandIns/BackendRequestTracker.cpp
@@ -17,8 +17,8 @@
 
 std::string_view nameOf(RunOutcome outcome) { return runOutcomeNames.name(outcome); }
 
-BackendRequestTracker::BackendRequestTracker(std::size_t recordedKeyLimit)
-    : recordedKeyLimit_(recordedKeyLimit)
+BackendRequestTracker::BackendRequestTracker(std::size_t maxRecordedKeys)
+    : maxRecordedKeys_(maxRecordedKeys)
 {
 }
 
@@ -77,7 +77,7 @@
     const std::string name(key);
     auto known = keys_.find(name);
     if (known == keys_.end()) {
-        if (keys_.size() >= recordedKeyLimit_) {
+        if (keys_.size() >= maxRecordedKeys_) {
             ++counts_.unrecordedRuns;
             return noRecord;
         }
@@ -85,7 +85,7 @@
     }
     KeyRecord& keyRecord = known->second;
     ++keyRecord.runs;
-    if (keyRecord.records.size() >= recordsPerKey)
+    if (keyRecord.records.size() >= maxRecordsPerKey)
         return noRecord;
     keyRecord.records.push_back({ .startedAt = now, .endedAt = now });
     return keyRecord.records.size() - 1;
--- a/Source/StandIns/BackendRequestTracker.h
+++ b/Source/StandIns/BackendRequestTracker.h
@@ -74,7 +74,7 @@
         RunOutcome outcome = RunOutcome::Completed;
     };
 
-    explicit BackendRequestTracker(std::size_t recordedKeyLimit);
+    explicit BackendRequestTracker(std::size_t maxRecordedKeys);
 
     // A deadline of zero means none.
     Admission admit(std::string_view key, Duration work, Duration deadline, TimePoint now);
@@ -96,13 +96,13 @@
     };
 
     static constexpr std::size_t noRecord = static_cast<std::size_t>(-1);
-    static constexpr std::size_t recordsPerKey = 8;
+    static constexpr std::size_t maxRecordsPerKey = 8;
 
     std::size_t recordRun(std::string_view key, TimePoint now);
 
     BackendRequestBehaviour behaviour_;
     BackendRequestCounts counts_;
-    std::size_t recordedKeyLimit_;
+    std::size_t maxRecordedKeys_;
     RunId nextRun_ = 1;
     absl::flat_hash_map<RunId, Run> running_;
     absl::flat_hash_map<std::string, KeyRecord> keys_;
--- a/Source/StandIns/BackendStandInServer.cpp
+++ b/Source/StandIns/BackendStandInServer.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-    constexpr std::size_t recordedKeyLimit = 200'000;
-    constexpr std::uint64_t largestAnswerBytes = 16ULL * 1024 * 1024;
-    constexpr std::uint64_t largestMilliseconds = 3'600'000;
+    constexpr std::size_t maxRecordedKeys = 200'000;
+    constexpr std::uint64_t maxAnswerBytes = 16ULL * 1024 * 1024;
+    constexpr std::uint64_t maxMilliseconds = 3'600'000;
 
     // A number from a header; absent and malformed ones count as 0, larger ones as the limit.
     std::uint64_t numberIn(std::string_view text, std::uint64_t limit)
@@ -33,7 +33,7 @@
 
     Duration millisecondsIn(std::string_view text)
     {
-        return std::chrono::milliseconds(numberIn(text, largestMilliseconds));
+        return std::chrono::milliseconds(numberIn(text, maxMilliseconds));
     }
 
     HttpResponse jsonResponse(const nlohmann::json& body)
@@ -48,7 +48,7 @@
     : context_(context)
     , spec_(spec)
     , flows_(spec.id, spec.service, limits)
-    , requests_(recordedKeyLimit)
+    , requests_(maxRecordedKeys)
 {
     requests_.behaviour().slots = spec.slots;
 }
@@ -148,7 +148,7 @@
         response.status = 504;
         response.headers.push_back({ std::string(stand_in_headers::executed), "unknown" });
     } else {
-        const std::size_t size = numberIn(request.header(stand_in_headers::answerBytes), largestAnswerBytes);
+        const std::size_t size = numberIn(request.header(stand_in_headers::answerBytes), maxAnswerBytes);
         response.headers.push_back({ std::string(stand_in_headers::executed), "yes" });
         response.body = answerBodyOf(request.header(stand_in_headers::idempotencyKey), spec_.name, size);
     }
--- a/Source/StandIns/BackendStatus.cpp
+++ b/Source/StandIns/BackendStatus.cpp
@@ -23,7 +23,7 @@
 void BackendStatus::add(const BackendSample& sample)
 {
     samples_.push_back(sample);
-    if (samples_.size() > sampleLimit)
+    if (samples_.size() > maxSamples)
         samples_.pop_front();
 }
 
--- a/Source/StandIns/BackendStatus.h
+++ b/Source/StandIns/BackendStatus.h
@@ -49,7 +49,7 @@
     BackendStatusOverrides& overrides() { return overrides_; }
 
 private:
-    static constexpr std::size_t sampleLimit = 4096;
+    static constexpr std::size_t maxSamples = 4096;
 
     std::deque<BackendSample> samples_;
     BackendStatusOverrides overrides_;
--- a/Source/StandIns/CallerFlowTypes.h
+++ b/Source/StandIns/CallerFlowTypes.h
@@ -56,8 +56,8 @@
     // An established flow with so many packets unanswered in a row is stalled.
     std::uint16_t maxUnansweredPackets = 8;
 
-    std::size_t openFlowLimit = 400'000;
-    std::size_t breakLimit = 10'000;
+    std::size_t maxOpenFlows = 400'000;
+    std::size_t maxBreaks = 10'000;
 };
 
 struct CallerPacket {
--- a/Source/StandIns/CallerFlows.cpp
+++ b/Source/StandIns/CallerFlows.cpp
@@ -118,7 +118,7 @@
     flow.startMark = random_.nextUniform() < options_.startMarkShare;
     flow.hasIdlePeriods = random_.nextUniform() < options_.idleShare;
     flow.end = now + drawLifetime();
-    if (flows_.size() >= options_.openFlowLimit) {
+    if (flows_.size() >= options_.maxOpenFlows) {
         ++counts_.flowsSkipped;
         return;
     }
@@ -190,7 +190,7 @@
     ++counts_.flowsBroken;
     if (kind == FlowBreakKind::Stalled)
         ++counts_.flowsStalled;
-    if (breaks_.size() < options_.breakLimit) {
+    if (breaks_.size() < options_.maxBreaks) {
         breaks_.push_back({
             .at = now,
             .flow = id,
--- a/Source/StandIns/CallerMain.cpp
+++ b/Source/StandIns/CallerMain.cpp
@@ -75,10 +75,10 @@
     options.balancers = balancers;
     options.requestsPerSecond = balancers == 0 ? 0 : absl::GetFlag(FLAGS_requests_per_second);
     options.runTime = secondsOf(absl::GetFlag(FLAGS_seconds));
-    options.shortestWork = millisecondsOf(absl::GetFlag(FLAGS_shortest_work_milliseconds));
-    options.longestWork = millisecondsOf(absl::GetFlag(FLAGS_longest_work_milliseconds));
+    options.minWork = millisecondsOf(absl::GetFlag(FLAGS_shortest_work_milliseconds));
+    options.maxWork = millisecondsOf(absl::GetFlag(FLAGS_longest_work_milliseconds));
     options.deadline = millisecondsOf(absl::GetFlag(FLAGS_deadline_milliseconds));
-    options.largestAnswerBytes = absl::GetFlag(FLAGS_answer_bytes);
+    options.maxAnswerBytes = absl::GetFlag(FLAGS_answer_bytes);
     options.retries = absl::GetFlag(FLAGS_request_retries);
     options.cancelShare = absl::GetFlag(FLAGS_cancel_share);
     return options;
--- a/Source/StandIns/CallerRequests.cpp
+++ b/Source/StandIns/CallerRequests.cpp
@@ -127,13 +127,13 @@
     const std::uint64_t id = nextId_++;
     OpenRequest open;
     open.service = random_.next() % options_.services.size();
-    open.answerBytes = 1 + random_.next() % options_.largestAnswerBytes;
-    const double workSpread = static_cast<double>((options_.longestWork - options_.shortestWork).count());
-    open.work = options_.shortestWork + Duration(static_cast<Duration::rep>(workSpread * random_.nextUniform()));
+    open.answerBytes = 1 + random_.next() % options_.maxAnswerBytes;
+    const double workSpread = static_cast<double>((options_.maxWork - options_.minWork).count());
+    open.work = options_.minWork + Duration(static_cast<Duration::rep>(workSpread * random_.nextUniform()));
     open.balancer = random_.next() % options_.balancers;
     open.record.key = fmt::format("{:x}-{}", options_.seed, id);
     open.record.service = options_.services[open.service].name;
-    if (open_.size() >= options_.openRequestLimit) {
+    if (open_.size() >= options_.maxOpenRequests) {
         ++counts_.skipped;
         return;
     }
@@ -212,7 +212,7 @@
 {
     ++counts_.ended[static_cast<std::size_t>(outcome)];
     const auto found = open_.find(id);
-    if (records_.size() < options_.recordLimit)
+    if (records_.size() < options_.maxRecords)
         records_.push_back(std::move(found->second.record));
     open_.erase(found);
 }
--- a/Source/StandIns/CallerRequests.h
+++ b/Source/StandIns/CallerRequests.h
@@ -27,17 +27,17 @@
     double requestsPerSecond = 0;
     Duration runTime = std::chrono::seconds(10);
     // Simulated work is drawn evenly between the two.
-    Duration shortestWork = std::chrono::milliseconds(5);
-    Duration longestWork = std::chrono::milliseconds(50);
+    Duration minWork = std::chrono::milliseconds(5);
+    Duration maxWork = std::chrono::milliseconds(50);
     Duration deadline = std::chrono::seconds(2);
-    std::size_t largestAnswerBytes = 4096;
+    std::size_t maxAnswerBytes = 4096;
     // Further tries of one key, each at another balancer, after a try that was not answered.
     unsigned retries = 0;
     Duration retryPause = std::chrono::milliseconds(100);
     // The share of tries that the caller gives up after half their work time.
     double cancelShare = 0;
-    std::size_t openRequestLimit = 10'000;
-    std::size_t recordLimit = 200'000;
+    std::size_t maxOpenRequests = 10'000;
+    std::size_t maxRecords = 200'000;
 };
 
 // How one try of a request ended for its caller.
--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -16,10 +16,10 @@
 namespace {
 
     // How long replies to the last packets are waited for.
-    constexpr Duration replyTravelTime = std::chrono::milliseconds(500);
+    constexpr Duration replyGracePeriod = std::chrono::milliseconds(500);
     // Packets that fall due within one step leave together.
-    constexpr Duration shortestStep = std::chrono::milliseconds(1);
-    constexpr Duration longestStep = std::chrono::milliseconds(100);
+    constexpr Duration minTimerDelay = std::chrono::milliseconds(1);
+    constexpr Duration maxTimerDelay = std::chrono::milliseconds(100);
 
     Error refused(std::string_view option, std::string_view expected)
     {
@@ -37,9 +37,9 @@
             return refused("lifetime_exponent", "a number above 0");
         if (flows.packetInterval <= Duration::zero() || flows.minLifetime <= Duration::zero())
             return refused("packet_interval_milliseconds, shortest_flow_seconds", "numbers above 0");
-        if (options.requests.shortestWork > options.requests.longestWork)
+        if (options.requests.minWork > options.requests.maxWork)
             return refused("shortest_work_milliseconds", "not above longest_work_milliseconds");
-        if (options.requests.largestAnswerBytes == 0)
+        if (options.requests.maxAnswerBytes == 0)
             return refused("answer_bytes", "a number above 0");
         return boost::outcome_v2::success();
     }
@@ -152,7 +152,7 @@
 {
     const TimePoint now = Clock::now();
     const TimePoint wanted = std::min(flows_.nextEvent(), requests_.nextEvent());
-    timer_.expires_at(std::clamp(wanted, now + shortestStep, now + longestStep));
+    timer_.expires_at(std::clamp(wanted, now + minTimerDelay, now + maxTimerDelay));
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (!error)
             work();
@@ -196,7 +196,7 @@
 // Requests end by their deadlines at the latest.
 bool CallerStandIn::isOver(TimePoint now) const
 {
-    return now >= end_ + replyTravelTime && requests_.openRequests() == 0;
+    return now >= end_ + replyGracePeriod && requests_.openRequests() == 0;
 }
 
 }
--- a/Source/StandIns/DatagramSocket.cpp
+++ b/Source/StandIns/DatagramSocket.cpp
@@ -85,7 +85,7 @@
     std::array<iovec, batchSize> vectors;
     std::array<mmsghdr, batchSize> messages {};
     for (std::size_t i = 0; i < batchSize; ++i) {
-        vectors[i] = { incoming_[i].data(), datagramSize };
+        vectors[i] = { incoming_[i].data(), maxDatagramBytes };
         messages[i].msg_hdr.msg_iov = &vectors[i];
         messages[i].msg_hdr.msg_iovlen = 1;
     }
@@ -101,7 +101,7 @@
 
 void DatagramSocket::send(Endpoint destination, std::span<const std::uint8_t> head, std::span<const std::uint8_t> body)
 {
-    if (head.size() + body.size() > datagramSize) {
+    if (head.size() + body.size() > maxDatagramBytes) {
         ++sendDrops_;
         return;
     }
--- a/Source/StandIns/DatagramSocket.h
+++ b/Source/StandIns/DatagramSocket.h
@@ -44,9 +44,9 @@
 private:
     static constexpr std::size_t batchSize = 64;
     // Longer datagrams are cut to this and then fail to decode.
-    static constexpr std::size_t datagramSize = 512;
+    static constexpr std::size_t maxDatagramBytes = 512;
 
-    using Buffer = std::array<std::uint8_t, datagramSize>;
+    using Buffer = std::array<std::uint8_t, maxDatagramBytes>;
 
     struct Outgoing {
         Endpoint destination;
--- a/Source/StandIns/FabricSprayer.cpp
+++ b/Source/StandIns/FabricSprayer.cpp
@@ -18,7 +18,7 @@
             [&](const FabricTarget& candidate) { return candidate.address == target.address; });
         if (known != targets_.end())
             known->weight = target.weight;
-        else if (targets_.size() < largestTargetCount)
+        else if (targets_.size() < maxTargetCount)
             targets_.push_back({ target.address, target.weight, 0 });
     }
 
--- a/Source/StandIns/FabricSprayer.h
+++ b/Source/StandIns/FabricSprayer.h
@@ -34,7 +34,7 @@
 
 private:
     // Balancers that left are remembered up to this many rows in all.
-    static constexpr std::size_t largestTargetCount = 4096;
+    static constexpr std::size_t maxTargetCount = 4096;
 
     std::vector<FabricTarget> targets_;
     // Running sums of the weights, in the order of targets_.
--- a/Tests/StandIns/BackendFlowTableTest.cpp
+++ b/Tests/StandIns/BackendFlowTableTest.cpp
@@ -25,7 +25,7 @@
         const BackendServerId self_ = backendServerIdOf("tryon-1");
         const ServiceId service_ = serviceIdOf("tryon");
         ManualClock clock_;
-        BackendFlowTable table_ { self_, service_, { .connections = 2, .newFlowRecords = 3 } };
+        BackendFlowTable table_ { self_, service_, { .connections = 2, .maxNewFlowRecords = 3 } };
     };
 
     TEST_F(BackendFlowTableTest, knowsAFlowOnlyByItsOpeningPacket)
--- a/Tests/StandIns/CallerFlowsTest.cpp
+++ b/Tests/StandIns/CallerFlowsTest.cpp
@@ -228,8 +228,8 @@
     TEST_F(CallerFlowsTest, staysWithinItsLimits)
     {
         CallerFlowOptions limited = options();
-        limited.openFlowLimit = 10;
-        limited.breakLimit = 5;
+        limited.maxOpenFlows = 10;
+        limited.maxBreaks = 5;
         CallerFlows flows(limited, clock_.now());
         run(flows, seconds(5), goodUntil(2, [](FlowPayload& reply) { reply.status = FlowStatus::UnknownFlow; }));
         EXPECT_LE(flows.openFlows(), 10U);
--- a/Tests/StandIns/LoopbackTest.cpp
+++ b/Tests/StandIns/LoopbackTest.cpp
@@ -137,8 +137,8 @@
             options.requests.balancers = 1;
             options.requests.requestsPerSecond = 50;
             options.requests.cancelShare = 1;
-            options.requests.shortestWork = std::chrono::milliseconds(400);
-            options.requests.longestWork = std::chrono::milliseconds(400);
+            options.requests.minWork = std::chrono::milliseconds(400);
+            options.requests.maxWork = std::chrono::milliseconds(400);
         });
         const BackendRequestCounts& counts = backend_->servers()[0]->requests().counts();
         EXPECT_GT(counts.runs, 20U);
