--- a/Source/FaultProxy/FaultProxy.cpp
+++ b/Source/FaultProxy/FaultProxy.cpp
@@ -20,8 +20,8 @@
         found->second->setTarget(options.target);
         return found->second->address();
     }
-    if (links_.size() >= largestLinkCount)
-        return Error { ErrorCode::ResourceExhausted, fmt::format("there are {} links already", largestLinkCount) };
+    if (links_.size() >= maxLinkCount)
+        return Error { ErrorCode::ResourceExhausted, fmt::format("there are {} links already", maxLinkCount) };
 
     BOOST_OUTCOME_TRY(link, open(options));
     const Endpoint address = link->address();
--- a/Source/FaultProxy/FaultProxy.h
+++ b/Source/FaultProxy/FaultProxy.h
@@ -24,7 +24,7 @@
 
     const std::map<std::string, std::unique_ptr<Link>>& links() const { return links_; }
 
-    static constexpr std::size_t largestLinkCount = 4096;
+    static constexpr std::size_t maxLinkCount = 4096;
 
 private:
     Result<std::unique_ptr<Link>> open(const LinkOptions&);
--- a/Source/FaultProxy/FaultProxyAdmin.cpp
+++ b/Source/FaultProxy/FaultProxyAdmin.cpp
@@ -41,13 +41,13 @@
             return member && member->is_boolean() && member->get<bool>();
         }
 
-        double number(const char* name, double largest)
+        double number(const char* name, double max)
         {
             const Json* member = find(name);
             if (!member)
                 return 0;
-            if (!member->is_number() || member->get<double>() < 0 || member->get<double>() > largest) {
-                fail(name, fmt::format("a number from 0 to {}", largest));
+            if (!member->is_number() || member->get<double>() < 0 || member->get<double>() > max) {
+                fail(name, fmt::format("a number from 0 to {}", max));
                 return 0;
             }
             return member->get<double>();
@@ -55,8 +55,8 @@
 
         std::chrono::milliseconds milliseconds(const char* name)
         {
-            constexpr double longestMilliseconds = 600'000;
-            return std::chrono::milliseconds(static_cast<std::int64_t>(number(name, longestMilliseconds)));
+            constexpr double maxMilliseconds = 600'000;
+            return std::chrono::milliseconds(static_cast<std::int64_t>(number(name, maxMilliseconds)));
         }
 
         // Call it last: a member that nobody asked for is an error too.
--- a/Source/FaultProxy/TcpPipe.cpp
+++ b/Source/FaultProxy/TcpPipe.cpp
@@ -37,7 +37,7 @@
 
 void TcpPipe::read()
 {
-    if (reading_ || sourceEnded_ || closed_ || channel_->bytesWaiting() + outboxBytes_ > largestBacklog)
+    if (reading_ || sourceEnded_ || closed_ || channel_->bytesWaiting() + outboxBytes_ > maxBacklogBytes)
         return;
     reading_ = true;
     from_.async_read_some(asio::buffer(buffer_),
--- a/Source/FaultProxy/TcpPipe.h
+++ b/Source/FaultProxy/TcpPipe.h
@@ -41,7 +41,7 @@
     void fail();
 
     static constexpr std::size_t readSize = 64 << 10;
-    static constexpr std::size_t largestBacklog = Channel::capacityBytes - readSize;
+    static constexpr std::size_t maxBacklogBytes = Channel::capacityBytes - readSize;
 
     std::weak_ptr<void> owner_;
     Socket& from_;
--- a/Source/FaultProxy/UdpLink.cpp
+++ b/Source/FaultProxy/UdpLink.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    constexpr std::size_t largestDatagram = 65536;
+    constexpr std::size_t maxDatagramBytes = 65536;
     // Bursts of one caller must not be lost here: loss is a fault of its own.
     constexpr int socketBufferBytes = 4 * 1024 * 1024;
 
@@ -44,7 +44,7 @@
     // Hands over all datagrams that wait in the socket.
     template <typename OnDatagram> void receiveAll(udp::socket& socket, OnDatagram onDatagram)
     {
-        static thread_local std::array<std::uint8_t, largestDatagram> buffer;
+        static thread_local std::array<std::uint8_t, maxDatagramBytes> buffer;
         while (true) {
             udp::endpoint sender;
             boost::system::error_code error;
@@ -163,7 +163,7 @@
     if (found != sessions_.end())
         return found->second.get();
 
-    if (sessions_.size() >= largestSessionCount)
+    if (sessions_.size() >= maxSessionCount)
         forgetIdlestSession();
     auto socket = bindSocket(context_, { options().listen.address, 0 });
     if (!socket)
--- a/Source/FaultProxy/UdpLink.h
+++ b/Source/FaultProxy/UdpLink.h
@@ -21,7 +21,7 @@
     void rulesChanged() override;
 
     // A further source takes the place of the one that was silent for longest.
-    static constexpr std::size_t largestSessionCount = 1024;
+    static constexpr std::size_t maxSessionCount = 1024;
 
 private:
     class Session;
