--- a/Source/FaultProxy/Channel.cpp
+++ b/Source/FaultProxy/Channel.cpp
@@ -23,8 +23,8 @@
 void Channel::push(Bytes bytes)
 {
     const FaultDecision decision = faults_.decide(bytes.size(), Clock::now(), random_);
-    if (decision.repeatAt)
-        enqueue(*decision.repeatAt, bytes);
+    if (decision.duplicateAt)
+        enqueue(*decision.duplicateAt, bytes);
     if (decision.deliverAt)
         enqueue(*decision.deliverAt, std::move(bytes));
     deliverDue();
--- a/Source/FaultProxy/FaultProxy.cpp
+++ b/Source/FaultProxy/FaultProxy.cpp
@@ -33,7 +33,7 @@
 {
     rules_.set(scope, direction, settings);
     for (const auto& [name, link] : links_)
-        link->rulesChanged();
+        link->applyRules();
 }
 
 Result<std::unique_ptr<Link>> FaultProxy::open(const LinkOptions& options)
--- a/Source/FaultProxy/FaultProxyAdmin.cpp
+++ b/Source/FaultProxy/FaultProxyAdmin.cpp
@@ -16,9 +16,9 @@
     Error malformed(std::string detail) { return { ErrorCode::InvalidArgument, std::move(detail) }; }
 
     // Reads the members of one JSON object and remembers the first that does not fit.
-    class Members {
+    class JsonObjectReader {
     public:
-        explicit Members(const std::string& body)
+        explicit JsonObjectReader(const std::string& body)
             : object_(Json::parse(body, nullptr, false))
         {
             if (!object_.is_object())
@@ -63,7 +63,7 @@
         Result<void> check()
         {
             for (const auto& [name, value] : object_.items()) {
-                if (error_.empty() && !known_.contains(name))
+                if (error_.empty() && !requestedNames_.contains(name))
                     error_ = fmt::format("'{}' is not known here", name);
             }
             if (!error_.empty())
@@ -80,18 +80,18 @@
     private:
         const Json* find(const char* name)
         {
-            known_.insert(name);
+            requestedNames_.insert(name);
             if (!object_.is_object() || !object_.contains(name))
                 return nullptr;
             return &object_[name];
         }
 
         Json object_;
-        std::set<std::string> known_;
+        std::set<std::string> requestedNames_;
         std::string error_;
     };
 
-    FaultSettings readFaultSettings(Members& members)
+    FaultSettings readFaultSettings(JsonObjectReader& members)
     {
         FaultSettings settings;
         settings.delay = members.milliseconds("delay_ms");
@@ -151,7 +151,7 @@
 
 Result<std::string> FaultProxyAdmin::postLink(const std::string& body)
 {
-    Members members(body);
+    JsonObjectReader members(body);
     LinkOptions options;
     options.name = members.text("name", "");
     const std::string protocol = members.text("protocol", "tcp");
@@ -176,7 +176,7 @@
 
 Result<std::string> FaultProxyAdmin::postFaults(const std::string& body)
 {
-    Members members(body);
+    JsonObjectReader members(body);
     FaultScope scope;
     scope.link = members.text("link", "*");
     scope.source = members.text("source", "*");
--- a/Source/FaultProxy/FaultSettings.cpp
+++ b/Source/FaultProxy/FaultSettings.cpp
@@ -26,16 +26,16 @@
 
 FaultSettings combine(const FaultSettings& first, const FaultSettings& second)
 {
-    FaultSettings both;
-    both.delay = first.delay + second.delay;
-    both.jitter = first.jitter + second.jitter;
-    both.loss = std::max(first.loss, second.loss);
-    both.duplicate = std::max(first.duplicate, second.duplicate);
-    both.reorder = std::max(first.reorder, second.reorder);
-    both.cut = first.cut || second.cut;
-    both.reset = first.reset || second.reset;
-    both.freeze = first.freeze || second.freeze;
-    return both;
+    FaultSettings combined;
+    combined.delay = first.delay + second.delay;
+    combined.jitter = first.jitter + second.jitter;
+    combined.loss = std::max(first.loss, second.loss);
+    combined.duplicate = std::max(first.duplicate, second.duplicate);
+    combined.reorder = std::max(first.reorder, second.reorder);
+    combined.cut = first.cut || second.cut;
+    combined.reset = first.reset || second.reset;
+    combined.freeze = first.freeze || second.freeze;
+    return combined;
 }
 
 }
--- a/Source/FaultProxy/Link.h
+++ b/Source/FaultProxy/Link.h
@@ -36,7 +36,7 @@
 
     virtual Endpoint address() const = 0;
     // Applies the rules to the sessions that are open.
-    virtual void rulesChanged() = 0;
+    virtual void applyRules() = 0;
 
     const LinkOptions& options() const { return options_; }
     // Holds for new sessions and, on a UDP link, for all that follows in open ones.
--- a/Source/FaultProxy/LinkFaults.cpp
+++ b/Source/FaultProxy/LinkFaults.cpp
@@ -54,7 +54,7 @@
     }
     if (happens(settings_.duplicate, random)) {
         ++counters_.duplicated;
-        decision.repeatAt = deliveryTime(now, random);
+        decision.duplicateAt = deliveryTime(now, random);
     }
     return decision;
 }
--- a/Source/FaultProxy/LinkFaults.h
+++ b/Source/FaultProxy/LinkFaults.h
@@ -34,7 +34,7 @@
 struct FaultDecision {
     std::optional<TimePoint> deliverAt;
     // A duplicate's own time.
-    std::optional<TimePoint> repeatAt;
+    std::optional<TimePoint> duplicateAt;
 };
 
 // Decides what becomes of each unit (a datagram, or some bytes of a stream) of one direction of one session.
--- a/Source/FaultProxy/TcpLink.cpp
+++ b/Source/FaultProxy/TcpLink.cpp
@@ -136,7 +136,7 @@
 
 Endpoint TcpLink::address() const { return fromAsio(acceptor_.local_endpoint()); }
 
-void TcpLink::rulesChanged()
+void TcpLink::applyRules()
 {
     const std::vector<std::shared_ptr<Connection>> connections(connections_.begin(), connections_.end());
     for (const auto& connection : connections)
@@ -149,12 +149,12 @@
         if (error == asio::error::operation_aborted)
             return;
         if (!error)
-            takeIn(std::move(socket));
+            handleConnection(std::move(socket));
         accept();
     });
 }
 
-void TcpLink::takeIn(tcp::socket socket)
+void TcpLink::handleConnection(tcp::socket socket)
 {
     boost::system::error_code error;
     const auto source = socket.remote_endpoint(error);
--- a/Source/FaultProxy/TcpLink.h
+++ b/Source/FaultProxy/TcpLink.h
@@ -18,7 +18,7 @@
     ~TcpLink() override;
 
     Endpoint address() const override;
-    void rulesChanged() override;
+    void applyRules() override;
 
 private:
     class Connection;
@@ -26,7 +26,7 @@
     TcpLink(boost::asio::io_context&, LinkOptions, const FaultRules&, Random&);
 
     void accept();
-    void takeIn(boost::asio::ip::tcp::socket);
+    void handleConnection(boost::asio::ip::tcp::socket);
 
     boost::asio::io_context& context_;
     boost::asio::ip::tcp::acceptor acceptor_;
--- a/Source/FaultProxy/TcpPipe.cpp
+++ b/Source/FaultProxy/TcpPipe.cpp
@@ -37,7 +37,7 @@
 
 void TcpPipe::read()
 {
-    if (reading_ || sourceEnded_ || closed_ || channel_->bytesWaiting() + outboxBytes_ > maxBacklogBytes)
+    if (reading_ || sourceEnded_ || closed_ || channel_->bytesWaiting() + writeQueueBytes_ > maxBacklogBytes)
         return;
     reading_ = true;
     from_.async_read_some(asio::buffer(buffer_),
@@ -58,9 +58,9 @@
 
 void TcpPipe::deliver(Bytes bytes)
 {
-    outboxBytes_ += bytes.size();
-    outbox_.push_back(std::move(bytes));
-    if (outbox_.size() == 1)
+    writeQueueBytes_ += bytes.size();
+    writeQueue_.push_back(std::move(bytes));
+    if (writeQueue_.size() == 1)
         write();
 }
 
@@ -68,14 +68,14 @@
 {
     if (closed_)
         return;
-    if (outbox_.front().empty()) {
+    if (writeQueue_.front().empty()) {
         boost::system::error_code ignored;
         to_.shutdown(asio::socket_base::shutdown_send, ignored);
         finished_ = true;
         onEnd_();
         return;
     }
-    asio::async_write(to_, asio::buffer(outbox_.front()),
+    asio::async_write(to_, asio::buffer(writeQueue_.front()),
         [self = shared_from_this(), owner = owner_.lock()](
             const boost::system::error_code& error, std::size_t) { self->written(error); });
 }
@@ -88,9 +88,9 @@
         fail();
         return;
     }
-    outboxBytes_ -= outbox_.front().size();
-    outbox_.pop_front();
-    if (!outbox_.empty())
+    writeQueueBytes_ -= writeQueue_.front().size();
+    writeQueue_.pop_front();
+    if (!writeQueue_.empty())
         write();
     read();
 }
--- a/Source/FaultProxy/TcpPipe.h
+++ b/Source/FaultProxy/TcpPipe.h
@@ -50,8 +50,8 @@
     std::shared_ptr<Channel> channel_;
     std::array<std::uint8_t, readSize> buffer_ {};
     // Due, and waiting for the socket. An empty unit stands for the end of the stream.
-    std::deque<Bytes> outbox_;
-    std::size_t outboxBytes_ = 0;
+    std::deque<Bytes> writeQueue_;
+    std::size_t writeQueueBytes_ = 0;
     bool reading_ = false;
     bool sourceEnded_ = false;
     bool finished_ = false;
--- a/Source/FaultProxy/UdpLink.cpp
+++ b/Source/FaultProxy/UdpLink.cpp
@@ -131,7 +131,7 @@
 
 Endpoint UdpLink::address() const { return fromAsio(socket_.local_endpoint()); }
 
-void UdpLink::rulesChanged()
+void UdpLink::applyRules()
 {
     for (auto& [source, session] : sessions_)
         session->applyRules(*this);
@@ -164,7 +164,7 @@
         return found->second.get();
 
     if (sessions_.size() >= maxSessionCount)
-        forgetIdlestSession();
+        evictLeastRecentSession();
     auto socket = bindSocket(context_, { options().listen.address, 0 });
     if (!socket)
         return nullptr;
@@ -175,11 +175,11 @@
     return session.get();
 }
 
-void UdpLink::forgetIdlestSession()
+void UdpLink::evictLeastRecentSession()
 {
-    const auto idlest = std::min_element(sessions_.begin(), sessions_.end(),
+    const auto leastRecent = std::min_element(sessions_.begin(), sessions_.end(),
         [](const auto& first, const auto& second) { return first.second->lastUse < second.second->lastUse; });
-    sessions_.erase(idlest);
+    sessions_.erase(leastRecent);
 }
 
 }
--- a/Source/FaultProxy/UdpLink.h
+++ b/Source/FaultProxy/UdpLink.h
@@ -18,7 +18,7 @@
     ~UdpLink() override;
 
     Endpoint address() const override;
-    void rulesChanged() override;
+    void applyRules() override;
 
     // A further source takes the place of the one that was silent for longest.
     static constexpr std::size_t maxSessionCount = 1024;
@@ -31,7 +31,7 @@
     void receive();
     void drainSocket();
     Session* sessionOf(const Endpoint& source);
-    void forgetIdlestSession();
+    void evictLeastRecentSession();
 
     boost::asio::io_context& context_;
     boost::asio::ip::udp::socket socket_;
--- a/Tests/FaultProxy/LinkFaultsTest.cpp
+++ b/Tests/FaultProxy/LinkFaultsTest.cpp
@@ -23,7 +23,7 @@
     {
         const FaultDecision decision = decide();
         EXPECT_EQ(decision.deliverAt, clock_.now());
-        EXPECT_FALSE(decision.repeatAt);
+        EXPECT_FALSE(decision.duplicateAt);
         EXPECT_EQ(counters_.bytes, unitSize);
         EXPECT_EQ(counters_.faultsInjected(), 0u);
     }
@@ -49,7 +49,7 @@
         for (int i = 0; i < 10'000; ++i) {
             const FaultDecision decision = decide();
             delivered += decision.deliverAt.has_value();
-            repeated += decision.repeatAt.has_value();
+            repeated += decision.duplicateAt.has_value();
             late += decision.deliverAt.has_value() && *decision.deliverAt > clock_.now();
         }
         EXPECT_NEAR(delivered, 8000, 200);
@@ -72,7 +72,7 @@
             const FaultDecision first = decide();
             const FaultDecision second = other.decide(unitSize, clock_.now(), otherRandom);
             ASSERT_EQ(first.deliverAt, second.deliverAt);
-            ASSERT_EQ(first.repeatAt, second.repeatAt);
+            ASSERT_EQ(first.duplicateAt, second.duplicateAt);
         }
     }
 
@@ -112,7 +112,7 @@
         for (int i = 0; i < 100; ++i) {
             const FaultDecision decision = streamFaults_.decide(unitSize, clock_.now(), random_);
             ASSERT_TRUE(decision.deliverAt);
-            EXPECT_FALSE(decision.repeatAt);
+            EXPECT_FALSE(decision.duplicateAt);
             EXPECT_GE(*decision.deliverAt, last);
             last = *decision.deliverAt;
             clock_.advance(1ms);
