--- a/Source/StandIns/BackendAdmin.cpp
+++ b/Source/StandIns/BackendAdmin.cpp
@@ -69,7 +69,7 @@
         return record;
     }
 
-    Error refused(const std::string& key, std::string_view expected)
+    Error invalidValue(const std::string& key, std::string_view expected)
     {
         return { ErrorCode::InvalidArgument, fmt::format("'{}'; expected {}", key, expected) };
     }
@@ -78,7 +78,7 @@
     {
         constexpr double max = 1e12;
         if (!value.is_number() || value.get<double>() < 0 || value.get<double>() > max)
-            return refused(key, "a number from 0");
+            return invalidValue(key, "a number from 0");
         return static_cast<Number>(value.get<double>());
     }
 
@@ -97,14 +97,14 @@
             return std::optional<BackendHealth>();
         const auto health = value.is_string() ? parseBackendHealth(value.get<std::string>()) : std::nullopt;
         if (!health)
-            return refused(key, "healthy, draining, failing or null");
+            return invalidValue(key, "healthy, draining, failing or null");
         return health;
     }
 
     Result<bool> flagFrom(const std::string& key, const Json& value)
     {
         if (!value.is_boolean())
-            return refused(key, "true or false");
+            return invalidValue(key, "true or false");
         return value.get<bool>();
     }
 
@@ -120,8 +120,8 @@
         }
         if (key == "refuse_streams") {
             BOOST_OUTCOME_TRY(on, flagFrom(key, value));
-            const ShedAnswer answer = on ? ShedAnswer::RefuseStream : ShedAnswer::Status;
-            return Change([answer](auto& server) { server.setShedAnswer(answer); });
+            const RejectionMode mode = on ? RejectionMode::RefuseStream : RejectionMode::Status;
+            return Change([mode](auto& server) { server.setRejectionMode(mode); });
         }
         if (key == "slots") {
             BOOST_OUTCOME_TRY(slots, numberFrom<std::size_t>(key, value));
@@ -135,7 +135,7 @@
             BOOST_OUTCOME_TRY(factor, numberFrom<double>(key, value));
             return Change([factor](auto& server) { server.requests().behaviour().coldFactor = factor; });
         }
-        return refused(key, "a known key");
+        return invalidValue(key, "a known key");
     }
 
     Result<Change> changeOf(const std::string& key, const Json& value)
@@ -163,7 +163,7 @@
         return requestChange(key, value);
     }
 
-    Result<BackendServers> serversMeant(const BackendServers& servers, const Json& body)
+    Result<BackendServers> selectServers(const BackendServers& servers, const Json& body)
     {
         if (!body.contains("server"))
             return servers;
@@ -191,7 +191,7 @@
     BOOST_OUTCOME_TRY(body, parseJson(text));
     if (!body.is_object())
         return Error { ErrorCode::InvalidArgument, "the body is no JSON object" };
-    BOOST_OUTCOME_TRY(meant, serversMeant(servers, body));
+    BOOST_OUTCOME_TRY(selectedServers, selectServers(servers, body));
     std::vector<Change> changes;
     for (const auto& [key, value] : body.items()) {
         if (key == "server")
@@ -199,7 +199,7 @@
         BOOST_OUTCOME_TRY(change, changeOf(key, value));
         changes.push_back(std::move(change));
     }
-    for (const auto& server : meant) {
+    for (const auto& server : selectedServers) {
         for (const Change& change : changes)
             change(*server);
     }
--- a/Source/StandIns/BackendFlowTable.cpp
+++ b/Source/StandIns/BackendFlowTable.cpp
@@ -12,7 +12,7 @@
 }
 
 BackendFlowTable::BackendFlowTable(BackendServerId self, ServiceId service, BackendFlowLimits limits)
-    : self_(self)
+    : serverId_(self)
     , service_(service)
     , limits_(limits)
 {
@@ -66,7 +66,7 @@
     reply.kind = FlowPayloadKind::Reply;
     reply.status = status;
     reply.service = service_;
-    reply.backendServer = self_;
+    reply.backendServer = serverId_;
     return reply;
 }
 
--- a/Source/StandIns/BackendFlowTable.h
+++ b/Source/StandIns/BackendFlowTable.h
@@ -68,7 +68,7 @@
     FlowPayload replyTo(const FlowPayload& packet, FlowStatus) const;
     Flows::iterator openFlow(std::uint64_t id, TimePoint now);
 
-    BackendServerId self_;
+    BackendServerId serverId_;
     ServiceId service_;
     BackendFlowLimits limits_;
     BackendFlowCounts counts_;
--- a/Source/StandIns/BackendStandInServer.cpp
+++ b/Source/StandIns/BackendStandInServer.cpp
@@ -92,10 +92,10 @@
         return;
 
     // Back the way it came: from the service's address to the client's.
-    const ProxyHeader back { packet.value().header.service, packet.value().header.client, std::nullopt };
-    std::array<std::uint8_t, maxProxyHeaderBytes> head;
-    const std::size_t headSize = encodeProxyHeader(back, head);
-    flowSocket_->send(*replyTo_, std::span(head).first(headSize), encodeFlowPayload(*reply));
+    const ProxyHeader replyHeader { packet.value().header.service, packet.value().header.client, std::nullopt };
+    std::array<std::uint8_t, maxProxyHeaderBytes> header;
+    const std::size_t headerSize = encodeProxyHeader(replyHeader, header);
+    flowSocket_->send(*replyTo_, std::span(header).first(headerSize), encodeFlowPayload(*reply));
 }
 
 void BackendStandInServer::handleRequest(const std::shared_ptr<Http2Exchange>& exchange)
@@ -158,7 +158,7 @@
 
 void BackendStandInServer::shed(Http2Exchange& exchange) const
 {
-    if (shedAnswer_ == ShedAnswer::RefuseStream) {
+    if (rejectionMode_ == RejectionMode::RefuseStream) {
         exchange.refuse();
         return;
     }
--- a/Source/StandIns/BackendStandInServer.h
+++ b/Source/StandIns/BackendStandInServer.h
@@ -18,7 +18,7 @@
 namespace wisteriadock {
 
 // How a server answers a request that it does not run.
-enum class ShedAnswer {
+enum class RejectionMode {
     Status, // 503 with x-executed: no
     RefuseStream, // REFUSED_STREAM
 };
@@ -42,7 +42,7 @@
     BackendStatus& status() { return status_; }
     std::uint64_t malformedDatagrams() const { return malformedDatagrams_; }
     void setReplyTo(Endpoint replyTo) { replyTo_ = replyTo; }
-    void setShedAnswer(ShedAnswer answer) { shedAnswer_ = answer; }
+    void setRejectionMode(RejectionMode mode) { rejectionMode_ = answer; }
 
 private:
     BackendStandInServer(boost::asio::io_context&, const BackendSpec&, const BackendFlowLimits&);
@@ -64,7 +64,7 @@
     std::unique_ptr<DatagramSocket> flowSocket_;
     std::unique_ptr<Http2Server> requestServer_;
     std::optional<Endpoint> replyTo_;
-    ShedAnswer shedAnswer_ = ShedAnswer::Status;
+    RejectionMode rejectionMode_ = RejectionMode::Status;
     std::uint64_t malformedDatagrams_ = 0;
 };
 
--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -21,7 +21,7 @@
     constexpr Duration minTimerDelay = std::chrono::milliseconds(1);
     constexpr Duration maxTimerDelay = std::chrono::milliseconds(100);
 
-    Error refused(std::string_view option, std::string_view expected)
+    Error invalidOption(std::string_view option, std::string_view expected)
     {
         return { ErrorCode::InvalidArgument, fmt::format("{}; expected {}", option, expected) };
     }
@@ -30,17 +30,17 @@
     {
         const CallerFlowOptions& flows = options.flows;
         if (flows.services.empty() && (flows.flowsPerSecond > 0 || options.requests.requestsPerSecond > 0))
-            return refused("services", "one service or more");
+            return invalidOption("services", "one service or more");
         if (flows.jitter < 0 || flows.jitter > 1)
-            return refused("jitter", "0 to 1");
+            return invalidOption("jitter", "0 to 1");
         if (flows.lifetimeExponent <= 0)
-            return refused("lifetime_exponent", "a number above 0");
+            return invalidOption("lifetime_exponent", "a number above 0");
         if (flows.packetInterval <= Duration::zero() || flows.minLifetime <= Duration::zero())
-            return refused("packet_interval_milliseconds, shortest_flow_seconds", "numbers above 0");
+            return invalidOption("packet_interval_milliseconds, shortest_flow_seconds", "numbers above 0");
         if (options.requests.minWork > options.requests.maxWork)
-            return refused("shortest_work_milliseconds", "not above longest_work_milliseconds");
+            return invalidOption("shortest_work_milliseconds", "not above longest_work_milliseconds");
         if (options.requests.maxAnswerBytes == 0)
-            return refused("answer_bytes", "a number above 0");
+            return invalidOption("answer_bytes", "a number above 0");
         return boost::outcome_v2::success();
     }
 
@@ -164,9 +164,9 @@
     packets_.clear();
     flows_.poll(now, packets_);
     for (const CallerPacket& packet : packets_) {
-        std::array<std::uint8_t, maxProxyHeaderBytes> head;
-        const std::size_t headSize = encodeProxyHeader(packet.header, head);
-        socket_->send(options_.fabric, std::span(head).first(headSize), encodeFlowPayload(packet.payload));
+        std::array<std::uint8_t, maxProxyHeaderBytes> header;
+        const std::size_t headerSize = encodeProxyHeader(packet.header, header);
+        socket_->send(options_.fabric, std::span(header).first(headerSize), encodeFlowPayload(packet.payload));
     }
     socket_->flush();
 }
--- a/Source/StandIns/DatagramSocket.cpp
+++ b/Source/StandIns/DatagramSocket.cpp
@@ -62,7 +62,7 @@
     return std::unique_ptr<DatagramSocket>(new DatagramSocket(std::move(socket), address));
 }
 
-void DatagramSocket::receive(Handler handler, BatchEnd batchEnd)
+void DatagramSocket::receive(Handler handler, BatchEndHandler batchEnd)
 {
     handler_ = std::move(handler);
     batchEnd_ = std::move(batchEnd);
@@ -99,17 +99,18 @@
     return received == batchSize;
 }
 
-void DatagramSocket::send(Endpoint destination, std::span<const std::uint8_t> head, std::span<const std::uint8_t> body)
+void DatagramSocket::send(
+    Endpoint destination, std::span<const std::uint8_t> header, std::span<const std::uint8_t> payload)
 {
-    if (head.size() + body.size() > maxDatagramBytes) {
+    if (header.size() + payload.size() > maxDatagramBytes) {
         ++sendDrops_;
         return;
     }
     Outgoing& slot = outgoing_[outgoingCount_];
     slot.destination = destination;
-    slot.size = head.size() + body.size();
-    const auto rest = std::copy(head.begin(), head.end(), slot.bytes.begin());
-    std::copy(body.begin(), body.end(), rest);
+    slot.size = header.size() + payload.size();
+    const auto rest = std::copy(header.begin(), header.end(), slot.bytes.begin());
+    std::copy(payload.begin(), payload.end(), rest);
     if (++outgoingCount_ == batchSize)
         flush();
 }
--- a/Source/StandIns/DatagramSocket.h
+++ b/Source/StandIns/DatagramSocket.h
@@ -24,7 +24,7 @@
     // The datagram's bytes are valid during the call only.
     using Handler = std::function<void(std::span<const std::uint8_t>)>;
     // Runs after each batch of received datagrams.
-    using BatchEnd = std::function<void()>;
+    using BatchEndHandler = std::function<void()>;
 
     // Fails with Unavailable when the address can't be bound; a port of 0 takes an ephemeral one.
     static Result<std::unique_ptr<DatagramSocket>> bind(boost::asio::io_context&, Endpoint);
@@ -33,10 +33,10 @@
 
     // Starts receiving; to be called once. The callbacks may send, but not destroy the socket.
     void receive(
-        Handler, BatchEnd = [] {});
+        Handler, BatchEndHandler = [] {});
 
     // Puts a datagram into the batch, which leaves when it is full or at flush().
-    void send(Endpoint destination, std::span<const std::uint8_t> head, std::span<const std::uint8_t> body = {});
+    void send(Endpoint destination, std::span<const std::uint8_t> header, std::span<const std::uint8_t> payload = {});
     void flush();
 
     std::uint64_t sendDrops() const { return sendDrops_; }
@@ -61,7 +61,7 @@
     boost::asio::ip::udp::socket socket_;
     Endpoint address_;
     Handler handler_;
-    BatchEnd batchEnd_;
+    BatchEndHandler batchEnd_;
     std::vector<Buffer> incoming_;
     std::vector<Outgoing> outgoing_;
     std::size_t outgoingCount_ = 0;
--- a/Tests/StandIns/BackendFlowTableTest.cpp
+++ b/Tests/StandIns/BackendFlowTableTest.cpp
@@ -22,10 +22,10 @@
             return reply ? std::optional(reply->status) : std::nullopt;
         }
 
-        const BackendServerId self_ = backendServerIdOf("tryon-1");
+        const BackendServerId serverId_ = backendServerIdOf("tryon-1");
         const ServiceId service_ = serviceIdOf("tryon");
         ManualClock clock_;
-        BackendFlowTable table_ { self_, service_, { .connections = 2, .maxNewFlowRecords = 3 } };
+        BackendFlowTable table_ { serverId_, service_, { .connections = 2, .maxNewFlowRecords = 3 } };
     };
 
     TEST_F(BackendFlowTableTest, knowsAFlowOnlyByItsOpeningPacket)
@@ -39,7 +39,7 @@
         EXPECT_EQ(reply->kind, FlowPayloadKind::Reply);
         EXPECT_EQ(reply->status, FlowStatus::Ok);
         EXPECT_EQ(reply->sequence, 1U);
-        EXPECT_EQ(reply->backendServer, self_);
+        EXPECT_EQ(reply->backendServer, serverId_);
 
         EXPECT_EQ(table_.counts().unknownFlowPackets, 1U);
         ASSERT_EQ(table_.newFlows().size(), 1U);
