--- a/Source/StandIns/BackendStandInServer.h
+++ b/Source/StandIns/BackendStandInServer.h
@@ -42,7 +42,7 @@
     BackendStatus& status() { return status_; }
     std::uint64_t malformedDatagrams() const { return malformedDatagrams_; }
     void setReplyTo(Endpoint replyTo) { replyTo_ = replyTo; }
-    void setRejectionMode(RejectionMode mode) { rejectionMode_ = answer; }
+    void setRejectionMode(RejectionMode mode) { rejectionMode_ = mode; }
 
 private:
     BackendStandInServer(boost::asio::io_context&, const BackendSpec&, const BackendFlowLimits&);
