--- a/Source/FaultProxy/FaultProxyAdmin.cpp
+++ b/Source/FaultProxy/FaultProxyAdmin.cpp
@@ -91,17 +91,17 @@
         std::string error_;
     };
 
-    FaultSettings readFaultSettings(JsonObjectReader& members)
+    FaultSettings readFaultSettings(JsonObjectReader& reader)
     {
         FaultSettings settings;
-        settings.delay = members.milliseconds("delay_ms");
-        settings.jitter = members.milliseconds("jitter_ms");
-        settings.loss = members.number("loss", 1);
-        settings.duplicate = members.number("duplicate", 1);
-        settings.reorder = members.number("reorder", 1);
-        settings.cut = members.flag("cut");
-        settings.reset = members.flag("reset");
-        settings.freeze = members.flag("freeze");
+        settings.delay = reader.milliseconds("delay_ms");
+        settings.jitter = reader.milliseconds("jitter_ms");
+        settings.loss = reader.number("loss", 1);
+        settings.duplicate = reader.number("duplicate", 1);
+        settings.reorder = reader.number("reorder", 1);
+        settings.cut = reader.flag("cut");
+        settings.reset = reader.flag("reset");
+        settings.freeze = reader.flag("freeze");
         return settings;
     }
 
@@ -151,17 +151,17 @@
 
 Result<std::string> FaultProxyAdmin::postLink(const std::string& body)
 {
-    JsonObjectReader members(body);
+    JsonObjectReader reader(body);
     LinkOptions options;
-    options.name = members.text("name", "");
-    const std::string protocol = members.text("protocol", "tcp");
-    const std::string listen = members.text("listen", "127.0.0.1:0");
-    const std::string target = members.text("target", "");
+    options.name = reader.text("name", "");
+    const std::string protocol = reader.text("protocol", "tcp");
+    const std::string listen = reader.text("listen", "127.0.0.1:0");
+    const std::string target = reader.text("target", "");
     if (options.name.empty())
-        members.fail("name", "the name of a link");
+        reader.fail("name", "the name of a link");
     if (protocol != "tcp" && protocol != "udp")
-        members.fail("protocol", "tcp or udp");
-    BOOST_OUTCOME_TRYV(members.check());
+        reader.fail("protocol", "tcp or udp");
+    BOOST_OUTCOME_TRYV(reader.check());
 
     options.protocol = protocol == "udp" ? LinkProtocol::Udp : LinkProtocol::Tcp;
     BOOST_OUTCOME_TRY(listenAddress, parseListenAddress(listen));
@@ -176,16 +176,16 @@
 
 Result<std::string> FaultProxyAdmin::postFaults(const std::string& body)
 {
-    JsonObjectReader members(body);
+    JsonObjectReader reader(body);
     FaultScope scope;
-    scope.link = members.text("link", "*");
-    scope.source = members.text("source", "*");
-    const std::string direction = members.text("direction", "both");
-    const FaultSettings settings = readFaultSettings(members);
+    scope.link = reader.text("link", "*");
+    scope.source = reader.text("source", "*");
+    const std::string direction = reader.text("direction", "both");
+    const FaultSettings settings = readFaultSettings(reader);
     const bool both = direction == "both";
     if (!both && direction != nameOf(Direction::ToTarget) && direction != nameOf(Direction::ToSource))
-        members.fail("direction", "to_target, to_source or both");
-    BOOST_OUTCOME_TRYV(members.check());
+        reader.fail("direction", "to_target, to_source or both");
+    BOOST_OUTCOME_TRYV(reader.check());
 
     for (const Direction each : { Direction::ToTarget, Direction::ToSource }) {
         if (both || direction == nameOf(each))
