--- a/Source/FaultProxy/Channel.h
+++ b/Source/FaultProxy/Channel.h
@@ -15,17 +15,18 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-// One direction of one session: takes what one side sent and hands it to the other when it is due.
+// One direction of one session of a link. Takes the units that one side sent, applies the faults to them and hands
+// them to the other side when they are due. Used by TcpPipe and the sessions of UdpLink.
 class Channel : public std::enable_shared_from_this<Channel> {
 public:
     using Deliver = std::function<void(Bytes)>;
 
-    // The counters and the random source outlive the channel.
+    // The counters and the random source must outlive the channel.
     Channel(boost::asio::io_context&, LinkProtocol, FaultCounters&, Random&, Deliver);
 
     void setSettings(const FaultSettings&);
     void push(Bytes);
-    // Drops what waits and delivers nothing more.
+    // Delivers nothing from now on; units that still wait are lost.
     void close();
 
     bool isResetting() const { return faults_.isResetting(); }
--- a/Source/FaultProxy/DelayLine.h
+++ b/Source/FaultProxy/DelayLine.h
@@ -9,8 +9,8 @@
 
 namespace wisteriadock {
 
-// Keeps units until they are due. Units that are due at the same time leave in the order in which they came.
-// Unit is a container of bytes.
+// A queue of units ordered by the time at which they are due. Units due at the same time leave in the order in which
+// they were pushed. Unit is a container of bytes.
 template <typename Unit> class DelayLine {
 public:
     explicit DelayLine(std::size_t capacityBytes)
@@ -18,7 +18,7 @@
     {
     }
 
-    // Returns false, and forgets the unit, when the line is full.
+    // Returns false and drops the unit when it does not fit into the capacity.
     bool push(TimePoint due, Unit unit)
     {
         if (bytes_ + unit.size() > capacity_)
--- a/Source/FaultProxy/FaultProxy.h
+++ b/Source/FaultProxy/FaultProxy.h
@@ -12,13 +12,14 @@
 
 namespace wisteriadock {
 
-// The links of one process and the faults on them. Not thread-safe: everything happens on the thread that runs the
-// io_context, which must not run any more once this object is gone.
+// The links of one fault proxy process and the fault rules that apply to them. Not thread-safe: all calls and callbacks
+// happen on the thread that runs the io_context. The io_context must not run after this object is destroyed.
 class FaultProxy {
 public:
     FaultProxy(boost::asio::io_context&, std::uint64_t seed);
 
-    // Opens a link, or gives the open link of that name another target. Returns where it listens.
+    // Opens a link, or changes the target of the open link with that name. Returns the address on which it listens.
+    // Fails with Unavailable when the address can't be bound, with ResourceExhausted above maxLinkCount.
     Result<Endpoint> putLink(const LinkOptions&);
     void setFaults(const FaultScope&, Direction, const FaultSettings&);
 
--- a/Source/FaultProxy/FaultProxyAdmin.cpp
+++ b/Source/FaultProxy/FaultProxyAdmin.cpp
@@ -15,7 +15,7 @@
 
     Error malformed(std::string detail) { return { ErrorCode::InvalidArgument, std::move(detail) }; }
 
-    // Reads the members of one JSON object and remembers the first that does not fit.
+    // Reads the members of a JSON object and keeps the error of the first invalid one.
     class JsonObjectReader {
     public:
         explicit JsonObjectReader(const std::string& body)
@@ -59,12 +59,12 @@
             return std::chrono::milliseconds(static_cast<std::int64_t>(number(name, maxMilliseconds)));
         }
 
-        // Call it last: a member that nobody asked for is an error too.
+        // To be called last: a member that was not read is an error too.
         Result<void> check()
         {
             for (const auto& [name, value] : object_.items()) {
                 if (error_.empty() && !requestedNames_.contains(name))
-                    error_ = fmt::format("'{}' is not known here", name);
+                    error_ = fmt::format("unknown member '{}'", name);
             }
             if (!error_.empty())
                 return malformed(error_);
--- a/Source/FaultProxy/FaultProxyAdmin.h
+++ b/Source/FaultProxy/FaultProxyAdmin.h
@@ -5,11 +5,11 @@
 
 namespace wisteriadock {
 
-// The HTTP interface by which an experiment steers a fault proxy (docs/operators/experiments.md).
+// The HTTP interface through which an experiment controls a fault proxy (docs/operators/experiments.md).
 //   POST /links    {"name", "protocol", "listen", "target"}: opens a link, or changes the target of an open one.
 //   POST /faults   {"link", "source", "direction", "delay_ms", …}: replaces the faults of that scope and direction.
-//   GET  /counters what each link carried and what was done to it.
-// Anything malformed is answered 400 and changes nothing.
+//   GET  /counters the FaultCounters of each link and direction.
+// A malformed request gets status 400 and changes nothing.
 class FaultProxyAdmin {
 public:
     explicit FaultProxyAdmin(FaultProxy& proxy)
--- a/Source/FaultProxy/FaultRules.h
+++ b/Source/FaultProxy/FaultRules.h
@@ -7,22 +7,24 @@
 
 namespace wisteriadock {
 
-// Which units a rule is for. The patterns are shell globs.
+// Selects the units to which a rule applies. Both patterns are shell globs.
 struct FaultScope {
+    // Matched against the name of the link.
     std::string link;
-    // Matched against the "ADDRESS:PORT" of whoever opened the session, so that one link that several processes share
-    // can be cut for some of them.
+    // Matched against the "ADDRESS:PORT" of the client that opened the session, so that a link that several processes
+    // share can have faults for some of them only.
     std::string source = "*";
 
     bool operator==(const FaultScope&) const = default;
 };
 
-// The faults in force. A scope has one rule for each direction; the rules that match a unit add up.
+// The fault rules of a proxy: at most one for each scope and direction. The rules that match a unit are combined.
 class FaultRules {
 public:
-    // Replaces the rule of this very scope and direction. Settings without any fault remove it.
+    // Replaces the rule that has exactly this scope and direction. Settings without any fault remove it.
     void set(const FaultScope&, Direction, const FaultSettings&);
 
+    // The combined settings of all rules that match the link, the source and the direction.
     FaultSettings settingsFor(const std::string& link, const std::string& source, Direction) const;
 
 private:
--- a/Source/FaultProxy/FaultSettings.h
+++ b/Source/FaultProxy/FaultSettings.h
@@ -5,7 +5,7 @@
 
 namespace wisteriadock {
 
-// What a link carries.
+// The transport protocol of a link.
 enum class LinkProtocol {
     Tcp,
     Udp,
@@ -13,7 +13,7 @@
 
 std::string_view nameOf(LinkProtocol);
 
-// The way a unit takes through a link: from whoever opened it to the target, or back.
+// The direction of a unit on a link: from the client that opened the session to the target, or back.
 enum class Direction {
     ToTarget,
     ToSource,
@@ -23,27 +23,28 @@
 
 inline constexpr std::size_t directionCount = 2;
 
-// What is done to the units of one direction. Loss, duplication and reordering apply to datagrams only; on a TCP link
-// they would corrupt a stream that a real network delivers whole.
+// The faults that are applied to the units of one direction. Loss, duplication and reordering apply to datagrams only,
+// since they would corrupt a stream.
 struct FaultSettings {
     std::chrono::milliseconds delay { 0 };
-    // Up to this much is added to the delay, evenly drawn for each unit.
+    // The upper bound of an additional delay that is drawn uniformly for each unit.
     std::chrono::milliseconds jitter { 0 };
     // Probabilities between 0 and 1.
     double loss = 0;
     double duplicate = 0;
     double reorder = 0;
-    // Lets nothing pass: datagrams are dropped, bytes of a stream wait as they would for a retransmission.
+    // Nothing is delivered: datagrams are dropped, bytes of a stream wait until the cut ends.
     bool cut = false;
-    // With cut: connections are reset instead of left waiting.
+    // With cut: TCP connections are reset instead of waiting.
     bool reset = false;
-    // Holds everything and delivers it when the freeze ends.
+    // All units wait and are delivered when the freeze ends.
     bool freeze = false;
 
     bool operator==(const FaultSettings&) const = default;
 };
 
-// What both settings do together: delays add up, the higher probability holds, and either cut or freeze is enough.
+// Combines two settings: delays and jitters are added, the higher probability applies, and a flag is set when either
+// of the two has it.
 FaultSettings combine(const FaultSettings&, const FaultSettings&);
 
 }
--- a/Source/FaultProxy/Link.h
+++ b/Source/FaultProxy/Link.h
@@ -10,20 +10,21 @@
 
 namespace wisteriadock {
 
-// What the admin says about a link.
+// The options of a link, as FaultProxyAdmin reads them.
 struct LinkOptions {
     std::string name;
     LinkProtocol protocol = LinkProtocol::Tcp;
-    // A port of 0 takes an ephemeral one.
+    // Port 0 selects an ephemeral port.
     Endpoint listen;
-    // Unset until the target is known: what arrives before is dropped.
+    // While it is unset, datagrams are dropped and TCP connections are closed.
     Endpoint target;
 };
 
-// Carries everything that arrives at its own address to the target, and answers back.
+// Forwards the traffic that arrives at its own address to a target, and the target's replies back to the source.
+// FaultProxy owns the links.
 class Link {
 public:
-    // The rules and the random source outlive the link.
+    // The rules and the random source must outlive the link.
     Link(LinkOptions options, const FaultRules& rules, Random& random)
         : options_(std::move(options))
         , rules_(rules)
@@ -35,11 +36,11 @@
     Link& operator=(const Link&) = delete;
 
     virtual Endpoint address() const = 0;
-    // Applies the rules to the sessions that are open.
+    // Applies changed rules to the open sessions.
     virtual void applyRules() = 0;
 
     const LinkOptions& options() const { return options_; }
-    // Holds for new sessions and, on a UDP link, for all that follows in open ones.
+    // Applies to new sessions and, on a UDP link, also to later datagrams of open sessions.
     void setTarget(Endpoint target) { options_.target = target; }
 
     const FaultCounters& counters(Direction direction) const { return counters_[static_cast<std::size_t>(direction)]; }
--- a/Source/FaultProxy/LinkFaults.cpp
+++ b/Source/FaultProxy/LinkFaults.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Evenly drawn from [0, 1).
+    // Uniformly distributed in [0, 1).
     double draw(Random& random)
     {
         constexpr double unit = 0x1p-53;
--- a/Source/FaultProxy/LinkFaults.h
+++ b/Source/FaultProxy/LinkFaults.h
@@ -10,10 +10,11 @@
 
 namespace wisteriadock {
 
-// Seeded by the proxy's --seed; the same seed, units and times give the same faults.
+// Seeded by the proxy's --seed. The same seed, units and times give the same faults.
 using Random = std::mt19937_64;
 
-// What happened to the units of one direction of a link.
+// Counters of the units of one direction of a link and of the faults applied to them. A unit is a datagram, or the
+// bytes of one read from a stream.
 struct FaultCounters {
     std::uint64_t units = 0;
     std::uint64_t bytes = 0;
@@ -21,39 +22,42 @@
     std::uint64_t lost = 0;
     std::uint64_t duplicated = 0;
     std::uint64_t reordered = 0;
-    // Dropped, held or reset by a cut.
+    // Units that arrived during a cut.
     std::uint64_t cut = 0;
+    // Units that arrived during a freeze without a cut.
     std::uint64_t frozen = 0;
-    // Dropped because the link already held as much as it may.
+    // Units dropped because the channel's delay line was full.
     std::uint64_t overflowed = 0;
 
     std::uint64_t faultsInjected() const { return delayed + lost + duplicated + reordered + cut + frozen; }
 };
 
-// When a unit is delivered. No time at all: it is dropped.
+// The times at which a unit is delivered.
 struct FaultDecision {
+    // Unset when the unit is dropped.
     std::optional<TimePoint> deliverAt;
-    // A duplicate's own time.
+    // Set when the unit is duplicated.
     std::optional<TimePoint> duplicateAt;
 };
 
-// Decides what becomes of each unit (a datagram, or some bytes of a stream) of one direction of one session.
+// Draws the faults of each unit of one direction of one session. Does no I/O; Channel delivers the units.
 class LinkFaults {
 public:
-    // The counters are the link's own and shared by its sessions; they outlive this object.
+    // The counters belong to the link, are shared by its sessions and must outlive this object.
     LinkFaults(LinkProtocol, FaultCounters&);
 
     void setSettings(const FaultSettings& settings) { settings_ = settings; }
     const FaultSettings& settings() const { return settings_; }
 
+    // The size is in bytes.
     FaultDecision decide(std::size_t size, TimePoint now, Random&);
 
-    // True while nothing may be delivered, whatever its time: a freeze, or a stream waiting for the end of a cut.
+    // Whether delivery is suspended: during a freeze and, for a stream, during a cut.
     bool isHolding() const;
-    // True when connections are to be reset.
+    // Whether connections are reset.
     bool isResetting() const { return settings_.cut && settings_.reset; }
 
-    // How much later than planned a reordered datagram arrives, so that its followers overtake it.
+    // The additional delay of a reordered datagram, during which later datagrams overtake it.
     static constexpr std::chrono::milliseconds reorderDelay { 5 };
 
 private:
@@ -64,7 +68,7 @@
     LinkProtocol protocol_;
     FaultCounters& counters_;
     FaultSettings settings_;
-    // Bytes of a stream never overtake each other.
+    // Bytes of a stream are never delivered before earlier ones.
     TimePoint lastDelivery_;
 };
 
--- a/Source/FaultProxy/TcpLink.cpp
+++ b/Source/FaultProxy/TcpLink.cpp
@@ -10,7 +10,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// A connection from a source, and the one to the target that belongs to it.
+// A connection accepted from a source and its connection to the target.
 class TcpLink::Connection : public std::enable_shared_from_this<Connection> {
 public:
     Connection(TcpLink& link, tcp::socket socket, const Endpoint& source)
@@ -56,7 +56,7 @@
         asio::post(link_.context_, [self = shared_from_this()] { self->link_.connections_.erase(self); });
     }
 
-    // Ends both connections with RST: what waited is lost.
+    // Ends both connections with RST; data that still waits is lost.
     void close()
     {
         ended_ = true;
@@ -70,7 +70,7 @@
     }
 
 private:
-    // Not before a hold is over: across a cut network no connection is made.
+    // Called only when delivery is not suspended, since no connection can be established during a cut.
     void connect()
     {
         connecting_ = true;
--- a/Source/FaultProxy/TcpLink.h
+++ b/Source/FaultProxy/TcpLink.h
@@ -10,7 +10,7 @@
 
 namespace wisteriadock {
 
-// A link for TCP connections.
+// A link for TCP connections. It opens one connection to the target for each connection that it accepts.
 class TcpLink : public Link {
 public:
     // Fails with Unavailable when the address can't be bound.
--- a/Source/FaultProxy/TcpPipe.h
+++ b/Source/FaultProxy/TcpPipe.h
@@ -11,23 +11,23 @@
 
 namespace wisteriadock {
 
-// Copies one direction of a TCP connection through a channel. It stops reading while too much waits, so that a hold
-// pushes back on the sender as a real network would.
+// Copies one direction of a TCP connection through a channel. It stops reading while maxBacklogBytes wait, so that flow
+// control slows the sender down. TcpLink has two for each connection.
 class TcpPipe : public std::enable_shared_from_this<TcpPipe> {
 public:
     using Socket = boost::asio::ip::tcp::socket;
 
-    // The owner holds the sockets; operations that are under way keep it alive. The callback runs when the pipe
-    // finished or failed.
+    // The owner holds the sockets and is kept alive by pending operations. The callback runs when the pipe has finished
+    // or failed.
     static std::shared_ptr<TcpPipe> create(
         std::weak_ptr<void> owner, Socket& from, Socket& to, FaultCounters&, Random&, std::function<void()> onEnd);
 
     void start();
-    // No socket is touched after this.
+    // The sockets are not used after this call.
     void close();
 
     Channel& channel() { return *channel_; }
-    // The sender closed its side and all it sent was written.
+    // Whether the sender closed its side and everything it sent was written.
     bool finished() const { return finished_; }
     bool failed() const { return failed_; }
 
@@ -49,7 +49,7 @@
     std::function<void()> onEnd_;
     std::shared_ptr<Channel> channel_;
     std::array<std::uint8_t, readSize> buffer_ {};
-    // Due, and waiting for the socket. An empty unit stands for the end of the stream.
+    // Units that are due and wait to be written. An empty unit marks the end of the stream.
     std::deque<Bytes> writeQueue_;
     std::size_t writeQueueBytes_ = 0;
     bool reading_ = false;
--- a/Source/FaultProxy/UdpLink.cpp
+++ b/Source/FaultProxy/UdpLink.cpp
@@ -13,7 +13,7 @@
 namespace {
 
     constexpr std::size_t maxDatagramBytes = 65536;
-    // Bursts of one caller must not be lost here: loss is a fault of its own.
+    // Large enough for bursts, so that only the configured faults drop datagrams.
     constexpr int socketBufferBytes = 4 * 1024 * 1024;
 
     Result<udp::socket> bindSocket(asio::io_context& context, const Endpoint& address)
@@ -35,13 +35,13 @@
 
     void sendTo(udp::socket& socket, const Bytes& bytes, const Endpoint& receiver)
     {
-        // A datagram that the kernel refuses is lost, as on any network.
+        // A datagram that the kernel rejects is dropped.
         boost::system::error_code ignored;
         if (receiver.isSet())
             socket.send_to(asio::buffer(bytes), toUdp(receiver), 0, ignored);
     }
 
-    // Hands over all datagrams that wait in the socket.
+    // Calls onDatagram for each datagram that waits in the socket.
     template <typename OnDatagram> void receiveAll(udp::socket& socket, OnDatagram onDatagram)
     {
         static thread_local std::array<std::uint8_t, maxDatagramBytes> buffer;
--- a/Source/FaultProxy/UdpLink.h
+++ b/Source/FaultProxy/UdpLink.h
@@ -10,7 +10,8 @@
 
 namespace wisteriadock {
 
-// A link for datagrams. Each source gets a socket of its own towards the target, so that answers find their way back.
+// A link for UDP datagrams. Each source has a session with its own socket to the target, so that replies can be
+// returned to that source.
 class UdpLink : public Link {
 public:
     // Fails with Unavailable when the address can't be bound.
@@ -20,7 +21,7 @@
     Endpoint address() const override;
     void applyRules() override;
 
-    // A further source takes the place of the one that was silent for longest.
+    // Above this number of sessions, a new source replaces the least recently used one.
     static constexpr std::size_t maxSessionCount = 1024;
 
 private:
--- a/Source/FaultProxy/main.cpp
+++ b/Source/FaultProxy/main.cpp
@@ -13,8 +13,9 @@
 #include <csignal>
 #include <cstdio>
 
-ABSL_FLAG(std::string, admin, "127.0.0.1:0", "Address of the HTTP/2 admin; port 0 takes an ephemeral one.");
-ABSL_FLAG(std::uint64_t, seed, 1, "Seed of all random faults.");
+ABSL_FLAG(
+    std::string, admin, "127.0.0.1:0", "Address of the HTTP/2 admin interface; port 0 selects an ephemeral port.");
+ABSL_FLAG(std::uint64_t, seed, 1, "Seed of the random faults.");
 
 namespace wisteriadock {
 namespace {
@@ -54,7 +55,7 @@
 
 int main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage("Carries TCP and UDP links between processes and injects faults on them.");
+    absl::SetProgramUsageMessage("Forwards TCP and UDP links between processes and injects faults into them.");
     absl::FlagsUsageConfig config;
     config.version_string = [] { return std::string("wisteriadock-fault-proxy " WISTERIADOCK_VERSION "\n"); };
     config.contains_help_flags = [](auto file) { return file.find("FaultProxy/main.cpp") != file.npos; };
