--- a/Source/StandIns/BackendAdmin.h
+++ b/Source/StandIns/BackendAdmin.h
@@ -14,12 +14,12 @@
 
 using BackendServers = std::vector<std::shared_ptr<BackendStandInServer>>;
 
-// The records of all servers as GET /records shows them. The path may end in "?new_flows=no", "?keys=no" or both joined
-// by "&" to leave the long lists out.
+// The response to GET /records: counters and records of all servers. "?new_flows=no", "?keys=no", or both joined by
+// "&", at the end of the path omit the long lists.
 nlohmann::json recordsOf(const BackendServers&, std::string_view path, TimePoint now);
 
-// Carries a POST /set out on the server that the body names, or on all of them. The body is checked whole first;
-// InvalidArgument names the key or value that was refused, and then nothing changed.
+// Applies a POST /set to the server that the body names, or to all servers. The whole body is validated first. Fails
+// with InvalidArgument, which names the invalid key or value; then nothing is changed.
 Result<void> changeBackends(const BackendServers&, std::string_view body);
 
 }
--- a/Source/StandIns/BackendFlowTable.h
+++ b/Source/StandIns/BackendFlowTable.h
@@ -15,12 +15,13 @@
 namespace wisteriadock {
 
 struct BackendFlowLimits {
-    // Flows that the server carries at once; packets that would open more stay unanswered.
+    // The maximum number of concurrent flows; packets that would open more are not answered.
     std::size_t connections = 2000;
-    // First-seen times that are kept for the experiment.
+    // The maximum number of NewFlowRecords.
     std::size_t maxNewFlowRecords = 500'000;
+    // A flow without packets is removed after this time.
     Duration idleTimeout = std::chrono::seconds(300);
-    // How long an ended flow is remembered, so that its late packets are not taken for a broken flow's.
+    // How long an ended flow is kept, so that its late packets are not reported as those of an unknown flow.
     Duration endedFlowRetention = std::chrono::seconds(5);
 };
 
@@ -29,9 +30,11 @@
     std::uint64_t newFlows = 0;
     std::uint64_t unknownFlowPackets = 0;
     std::uint64_t wrongServicePackets = 0;
-    // Openings beyond the connection limit.
+    // Opening packets that were not answered because of a limit on flows.
     std::uint64_t refusedFlows = 0;
+    // New flows without a NewFlowRecord because of maxNewFlowRecords.
     std::uint64_t droppedRecords = 0;
+    // The highest number of flows that were open at the same time.
     std::size_t peakFlows = 0;
 };
 
@@ -40,19 +43,19 @@
     TimePoint firstSeen;
 };
 
-// The flows that one backend server holds and what it answers to each of their packets. Like a TCP stack it knows a
-// flow only by the packet that opened it, and resets all others. Decides only; BackendStandInServer moves the bytes.
+// The flow table of one simulated backend server. Like a TCP stack, it creates a flow only for an opening packet and
+// rejects packets of unknown flows. Does no I/O; BackendStandInServer receives the packets and sends the replies.
 class BackendFlowTable {
 public:
     BackendFlowTable(BackendServerId, ServiceId, BackendFlowLimits);
 
-    // The reply to a packet, or none when a server would stay silent.
+    // Returns the reply to a packet, or none when a limit on flows is reached.
     std::optional<FlowPayload> handle(const FlowPayload& packet, TimePoint now);
 
-    // Forgets flows that were idle or ended for long; to be called about once a second.
+    // Removes flows after idleTimeout and ended flows after endedFlowRetention. To be called at least once a second.
     void expire(TimePoint now);
 
-    // Flows that were opened and have not ended.
+    // The number of flows that are open.
     std::size_t liveFlows() const { return liveFlows_; }
     const BackendFlowCounts& counts() const { return counts_; }
     const std::vector<NewFlowRecord>& newFlows() const { return newFlows_; }
--- a/Source/StandIns/BackendRequestTracker.h
+++ b/Source/StandIns/BackendRequestTracker.h
@@ -13,37 +13,39 @@
 
 namespace wisteriadock {
 
-// How a run of a request ended.
+// The state of a run, which is one execution of a request, or how it ended.
 enum class RunOutcome {
     Running,
     Completed,
-    Cancelled, // The caller reset the stream before the work was done.
-    DeadlineExceeded, // The work was stopped at its deadline.
+    Cancelled, // The caller reset the stream before the end of the work.
+    DeadlineExceeded, // The work was stopped at the deadline.
 };
 
 std::string_view nameOf(RunOutcome);
 
-// One time that a server began the work of a key.
+// One run of an idempotency key on a server.
 struct RunRecord {
     TimePoint startedAt;
     TimePoint endedAt;
     RunOutcome outcome = RunOutcome::Running;
 };
 
-// All runs of one key.
+// All runs of one idempotency key.
 struct KeyRecord {
     std::uint64_t runs = 0;
-    // The first runs, up to a small limit.
+    // The first runs, up to maxRecordsPerKey.
     std::vector<RunRecord> records;
 };
 
-// How a server behaves towards new requests; the experiment changes it while the server runs.
+// How a server handles new requests. An experiment can change it while the server runs.
 struct BackendRequestBehaviour {
+    // The maximum number of concurrent runs.
     std::size_t slots = 2;
-    // Refuses all new requests.
+    // Refuses all new requests; /health reports draining.
     bool draining = false;
+    // Refuses all new requests.
     bool shedding = false;
-    // The next requests so many times run slower by the factor.
+    // The next coldRequests runs take coldFactor times as long.
     std::uint64_t coldRequests = 0;
     double coldFactor = 5;
 };
@@ -54,32 +56,32 @@
     std::uint64_t cancelled = 0;
     std::uint64_t deadlineExceeded = 0;
     std::uint64_t shed = 0;
-    // Runs that are not in the records because of their limit.
+    // Runs of keys that are not recorded because of the limit on recorded keys.
     std::uint64_t unrecordedRuns = 0;
 };
 
-// Admits the requests of one backend server to its slots and records every run per key. Decides only;
-// BackendStandInServer runs the timers and answers.
+// Admits the requests of one backend server to its slots and records the runs of each idempotency key. Does no I/O;
+// BackendStandInServer runs the timers and sends the answers.
 class BackendRequestTracker {
 public:
     using RunId = std::uint64_t;
 
-    // What becomes of a request.
+    // The decision on a new request.
     struct Admission {
-        // Refused as not executed; nothing was recorded.
+        // The request is refused and not recorded.
         bool shed = true;
         RunId run = 0;
-        // When the work ends, and how.
+        // When and how the work ends.
         TimePoint endsAt;
         RunOutcome outcome = RunOutcome::Completed;
     };
 
     explicit BackendRequestTracker(std::size_t maxRecordedKeys);
 
-    // A deadline of zero means none.
+    // Decides on a request. A deadline of zero means that there is none.
     Admission admit(std::string_view key, Duration work, Duration deadline, TimePoint now);
 
-    // Ends a run; an id that has ended already is ignored.
+    // Ends a run. The id of a run that has already ended is ignored.
     void end(RunId, RunOutcome, TimePoint now);
 
     BackendRequestBehaviour& behaviour() { return behaviour_; }
@@ -91,7 +93,7 @@
 private:
     struct Run {
         std::string key;
-        // Its place in the key's records, or noRecord.
+        // Its index in the key's records, or noRecord.
         std::size_t record = 0;
     };
 
--- a/Source/StandIns/BackendSpec.h
+++ b/Source/StandIns/BackendSpec.h
@@ -10,7 +10,7 @@
 
 namespace wisteriadock {
 
-// One backend server that a stand-in process hosts, as its flag declares it.
+// A backend server of a stand-in process, as specified by the --servers flag.
 struct BackendSpec {
     std::string name;
     BackendServerId id;
@@ -18,13 +18,13 @@
     ServiceId service;
     Endpoint flowAddress;
     Endpoint requestAddress;
-    // Requests that it runs at once.
+    // The maximum number of concurrent requests.
     std::uint32_t slots = 0;
-    // Flows that it carries at once.
+    // The maximum number of concurrent flows.
     std::uint32_t connections = 0;
 
-    // Reads "NAME@SERVICE@FLOWADDRESS@REQUESTADDRESS@SLOTS@CONNECTIONS"; a port of 0 asks for an ephemeral one.
-    // Fails with InvalidArgument; the detail names the text, the field and what was expected.
+    // Parses "NAME@SERVICE@FLOWADDRESS@REQUESTADDRESS@SLOTS@CONNECTIONS". Port 0 selects an ephemeral port.
+    // Fails with InvalidArgument; the detail names the text or the field and what was expected.
     static Result<BackendSpec> parse(std::string_view text);
 };
 
--- a/Source/StandIns/CallerRequests.h
+++ b/Source/StandIns/CallerRequests.h
@@ -22,43 +22,44 @@
 struct CallerRequestOptions {
     std::uint64_t seed = 1;
     std::vector<CallerService> services;
-    // How many balancers there are to choose from.
+    // The number of balancers.
     std::size_t balancers = 0;
     double requestsPerSecond = 0;
     Duration runTime = std::chrono::seconds(10);
-    // Simulated work is drawn evenly between the two.
+    // The simulated work of a request is uniformly distributed between minWork and maxWork.
     Duration minWork = std::chrono::milliseconds(5);
     Duration maxWork = std::chrono::milliseconds(50);
     Duration deadline = std::chrono::seconds(2);
     std::size_t maxAnswerBytes = 4096;
-    // Further tries of one key, each at another balancer, after a try that was not answered.
+    // The maximum number of retries of a key, each sent to another balancer than the previous attempt. An attempt is
+    // retried when it was refused, lost or answered without a result.
     unsigned retries = 0;
     Duration retryPause = std::chrono::milliseconds(100);
-    // The share of tries that the caller gives up after half their work time.
+    // The share of attempts (0 to 1) that the caller cancels after half their work time.
     double cancelShare = 0;
     std::size_t maxOpenRequests = 10'000;
     std::size_t maxRecords = 200'000;
 };
 
-// How one try of a request ended for its caller.
+// How an attempt of a request ended for the caller.
 enum class RequestOutcome {
-    Answered, // Whole, its own, from a server of its service.
-    Refused, // Said to be not executed.
-    Unknown, // Answered without a result; it may have been executed.
-    Lost, // No answer.
-    Cancelled, // Given up by the caller.
-    WrongAnswer, // A success that is cut short, another request's, or another service's.
+    Answered, // The complete expected answer from a server of the right service.
+    Refused, // Reported as not executed.
+    Unknown, // Answered without a result; the request may have been executed.
+    Lost, // No answer; the request may have been executed.
+    Cancelled, // Cancelled by the caller.
+    WrongAnswer, // A success whose body is truncated or belongs to another request or service.
 };
 
 inline constexpr std::size_t requestOutcomeCount = 6;
 
 std::string_view nameOf(RequestOutcome);
 
-// What is wrong with a success that its caller could not take.
+// What is wrong with a successful answer.
 enum class AnswerFault {
     None,
-    Incomplete, // The beginning of the caller's own answer, cut short.
-    Foreign, // Anything else: the answer of another key, server or service.
+    Incomplete, // The expected body, truncated.
+    Foreign, // Any other body, such as that of another key, server or service.
 };
 
 std::string_view nameOf(AnswerFault);
@@ -66,15 +67,17 @@
 struct RequestAttempt {
     RequestOutcome outcome = RequestOutcome::Lost;
     AnswerFault fault = AnswerFault::None;
+    // The HTTP status; 0 without an answer.
     int status = 0;
+    // The index of the balancer.
     std::size_t balancer = 0;
     TimePoint sentAt;
     TimePoint endedAt;
-    // Why a try was lost or its answer wrong.
+    // Why the attempt failed or its answer was wrong.
     std::string detail;
 };
 
-// All that happened to one key.
+// All attempts of one request. The key is its idempotency key.
 struct RequestRecord {
     std::string key;
     std::string service;
@@ -84,47 +87,48 @@
 struct CallerRequestCounts {
     std::uint64_t requestsSent = 0;
     std::uint64_t attemptsSent = 0;
-    // Requests that ended, by the outcome of their last try.
+    // Ended requests by the outcome of their last attempt.
     std::array<std::uint64_t, requestOutcomeCount> ended {};
-    // Those of the wrong answers that came from another service.
+    // Successes from a server of another service, part of the wrong answers.
     std::uint64_t wrongServiceAnswers = 0;
-    // Requests left out because of the limit on open ones.
+    // Requests not sent because of maxOpenRequests.
     std::uint64_t skipped = 0;
 
     std::uint64_t endedAs(RequestOutcome outcome) const { return ended[static_cast<std::size_t>(outcome)]; }
 };
 
-// A try that is to be sent now.
+// An attempt that is to be sent now.
 struct PlannedRequest {
     std::uint64_t id = 0;
     std::size_t balancer = 0;
     HttpRequest request;
     TimePoint deadline;
-    // When to give it up; TimePoint::max() for never.
+    // When to cancel the attempt; TimePoint::max() for never.
     TimePoint cancelAt = TimePoint::max();
 };
 
-// Decides when synthetic callers send requests, and to which balancer, and checks every answer whole. Decides only;
-// CallerStandIn moves the bytes.
+// Generates the requests of simulated callers: decides when each is sent and to which balancer, and checks every answer
+// byte by byte. Does no I/O; CallerStandIn sends the requests and passes the outcomes in.
 class CallerRequests {
 public:
     CallerRequests(CallerRequestOptions, TimePoint start);
 
-    // Appends the tries that are due. To be called at nextEvent() or as soon after it as can be.
+    // Appends the attempts that are due. To be called at nextEvent() or as soon as possible after it.
     void poll(TimePoint now, std::vector<PlannedRequest>& due);
 
-    // The end of a try; to be called once for each planned one.
+    // Handles the outcome of an attempt. To be called once for each planned attempt.
     void handle(std::uint64_t id, const HttpOutcome&, TimePoint now);
 
     TimePoint nextEvent() const;
     std::size_t openRequests() const { return open_.size(); }
     const CallerRequestCounts& counts() const { return counts_; }
-    // Of requests that ended, up to the limit of the options.
+    // The first ended requests, up to maxRecords of the options.
     const std::vector<RequestRecord>& records() const { return records_; }
 
 private:
     struct OpenRequest {
         RequestRecord record;
+        // Index into the options' services.
         std::size_t service = 0;
         std::size_t balancer = 0;
         std::size_t answerBytes = 0;
@@ -136,6 +140,7 @@
         TimePoint at;
         std::uint64_t id = 0;
 
+        // Orders the queue: earliest first, then by id.
         bool operator<(const Retry& other) const { return at != other.at ? at > other.at : id > other.id; }
     };
 
--- a/Source/StandIns/CallerStandIn.h
+++ b/Source/StandIns/CallerStandIn.h
@@ -21,18 +21,18 @@
 struct CallerStandInOptions {
     CallerFlowOptions flows;
     CallerRequestOptions requests;
-    // Where flow packets go; unset for none.
+    // The address to which flow packets are sent; unset when there are no flows.
     Endpoint fabric;
-    // Where the backend servers' replies come in.
+    // The address that receives the replies of the backend servers.
     Endpoint replyListen;
-    // Request addresses of the balancers.
+    // Addresses of the balancers for requests.
     std::vector<Endpoint> balancers;
-    // Where the breaks and the requests' ends are written as JSON; empty for nowhere.
+    // The JSON file for the broken flows and the ended requests; empty for none.
     std::string recordFile;
 };
 
-// Stands in for the customers: drives flows through the fabric and requests at the balancers, and checks what comes
-// back. Stops the context when its run is over.
+// Simulates the customers: sends flows through the fabric and requests to the balancers, and checks the replies and
+// answers. Stops the context when the run is over. Started by the main program and by tests.
 class CallerStandIn {
 public:
     static Result<std::unique_ptr<CallerStandIn>> start(boost::asio::io_context&, const CallerStandInOptions&);
@@ -68,7 +68,7 @@
     std::unique_ptr<DatagramSocket> socket_;
     std::vector<CallerPacket> packets_;
     std::uint64_t malformedDatagrams_ = 0;
-    // Last, so that its callbacks still find the members above when it goes.
+    // Declared last: its callbacks use the members above until it is destroyed.
     std::vector<std::unique_ptr<Http2Client>> clients_;
 };
 
--- a/Source/StandIns/FabricStandIn.h
+++ b/Source/StandIns/FabricStandIn.h
@@ -17,13 +17,16 @@
 namespace wisteriadock {
 
 struct FabricStandInOptions {
+    // UDP address that receives the callers' datagrams.
     Endpoint listen;
+    // Address of the HTTP/2 admin interface.
     Endpoint admin;
     std::uint64_t seed = 1;
     std::vector<FabricTarget> balancers;
 };
 
-// Stands in for the fabric: hands each datagram to a balancer chosen by chance.
+// Simulates the network fabric in front of the balancers: forwards each datagram to a randomly chosen balancer. Started
+// by the main program and by tests.
 class FabricStandIn {
 public:
     static Result<std::unique_ptr<FabricStandIn>> start(boost::asio::io_context&, const FabricStandInOptions&);
@@ -51,7 +54,7 @@
     std::uint64_t malformedDatagrams_ = 0;
 };
 
-// Reads a list such as ["192.0.2.1:4000", {"address": "192.0.2.2:4000", "weight": 0.5}].
+// Parses a list such as ["192.0.2.1:4000", {"address": "192.0.2.2:4000", "weight": 0.5}].
 Result<std::vector<FabricTarget>> parseFabricTargets(std::string_view json);
 
 }
--- a/Source/StandIns/FlowPayload.h
+++ b/Source/StandIns/FlowPayload.h
@@ -11,34 +11,34 @@
 
 namespace wisteriadock {
 
-// Whether a payload goes to a backend server or comes back from one.
+// Whether a payload is sent to a backend server or returned by one.
 enum class FlowPayloadKind : std::uint8_t {
     Packet = 1,
     Reply = 2,
 };
 
-// What a backend server says about a packet.
+// The result that a backend server reports for a packet.
 enum class FlowStatus : std::uint8_t {
     Ok = 0,
-    UnknownFlow = 1, // The server does not hold the flow, which breaks it as a TCP RST would.
-    WrongService = 2, // The packet was meant for another service.
+    UnknownFlow = 1, // The server does not have the flow; the flow is broken as by a TCP RST.
+    WrongService = 2, // The packet is for another service.
 };
 
 std::string_view nameOf(FlowStatus);
 
-// What stands after the PROXY header in the packets of the stand-ins' flows and in the replies to them.
+// The payload after the PROXY header in the packets of the stand-ins' flows and in the replies to them.
 struct FlowPayload {
     FlowPayloadKind kind = FlowPayloadKind::Packet;
-    // A format that shows its first packets, as TCP and QUIC do, sets this on sequence number 0.
+    // Set on the packet with sequence number 0 by protocols whose first packet is recognisable, as in TCP and QUIC.
     bool startMark = false;
     // The last packet of the flow.
     bool end = false;
     // Replies only.
     FlowStatus status = FlowStatus::Ok;
     std::uint64_t flow = 0;
-    // 0 opens the flow; a reply repeats the number of its packet.
+    // 0 opens the flow. A reply has the number of the packet that it answers.
     std::uint32_t sequence = 0;
-    // The service that the caller meant.
+    // In packets: the service that the caller addresses. In replies: the service of the backend server.
     ServiceId service;
     // Replies only.
     BackendServerId backendServer;
@@ -46,13 +46,14 @@
     bool operator==(const FlowPayload&) const = default;
 };
 
+// In bytes.
 inline constexpr std::size_t flowPayloadSize = 24;
 
 using FlowPayloadBytes = std::array<std::uint8_t, flowPayloadSize>;
 
 FlowPayloadBytes encodeFlowPayload(const FlowPayload&);
 
-// Anything that is not exactly one payload gives InvalidArgument.
+// Fails with InvalidArgument unless the bytes are exactly one valid payload.
 Result<FlowPayload> decodeFlowPayload(std::span<const std::uint8_t>);
 
 }
--- a/Source/StandIns/Platform/PlatformStandIn.h
+++ b/Source/StandIns/Platform/PlatformStandIn.h
@@ -7,15 +7,16 @@
 
 namespace wisteriadock {
 
-// The platform's stand-in as an HTTP/2 server (docs/design/platform.md): turns requests into calls of a PlatformStore,
-// plays the faults and answers waiting watches. Everything runs on the one thread of the io_context.
+// An HTTP/2 server that simulates the platform (docs/design/platform.md): translates requests into calls of a
+// PlatformStore, simulates the configured faults and answers waiting watches. Everything runs on the one thread of the
+// io_context.
 class PlatformStandIn : public std::enable_shared_from_this<PlatformStandIn> {
 public:
-    // Fails with Unavailable when the address cannot be bound.
+    // Fails with Unavailable when the address can't be bound.
     static Result<std::shared_ptr<PlatformStandIn>> listen(boost::asio::io_context&, Endpoint);
 
     Endpoint address() const { return server_->address(); }
-    // The stand-in's own record, for tests in the same process.
+    // Gives tests in the same process access to the stored state and the call counts.
     const PlatformStore& store() const { return store_; }
 
 private:
--- a/Source/StandIns/Platform/PlatformStandInAdmin.h
+++ b/Source/StandIns/Platform/PlatformStandInAdmin.h
@@ -6,8 +6,9 @@
 
 namespace wisteriadock {
 
-// The paths under /admin/ by which experiments and tests steer the stand-in: faults, copies of the store, the list of
-// VMs and counters (docs/design/platform.md). They work during a played outage too and count as no call.
+// The admin interface of PlatformStandIn: the paths under /admin/ through which experiments and tests control faults,
+// snapshots of the store and the list of VMs, and read counters (docs/design/platform.md). These paths also work during
+// a simulated outage and are not counted as calls.
 class PlatformStandInAdmin {
 public:
     PlatformStandInAdmin(PlatformStore&, PlatformFaults&);
--- a/Source/StandIns/Platform/PlatformStandInFaults.h
+++ b/Source/StandIns/Platform/PlatformStandInFaults.h
@@ -8,32 +8,32 @@
 
 namespace wisteriadock {
 
-// How the stand-in treats calls while it plays an outage. It acts on none of them.
+// How the stand-in fails calls during a simulated outage. None of these calls is executed.
 enum class OutageMode {
     Up, // No outage.
-    Unavailable, // Answered 503 with "executed": "no".
-    Refuse, // Stream reset with REFUSED_STREAM: the caller knows that nothing was done.
-    Reset, // Stream reset with INTERNAL_ERROR: the caller cannot know.
+    Unavailable, // Response 503 with "executed": "no".
+    Refuse, // Stream reset with REFUSED_STREAM: the caller knows that the call was not executed.
+    Reset, // Stream reset with INTERNAL_ERROR: the caller can't know whether the call was executed.
 };
 
 std::string_view nameOf(OutageMode);
 
-// The faults that the stand-in plays now, and how often they struck.
+// The faults that PlatformStandIn simulates now, and counters of the affected calls.
 struct PlatformFaults {
     OutageMode outage = OutageMode::Up;
-    // A call waits this long before it is acted on. A write is acted on even when its caller has given up by then.
+    // Delay before each call is executed. A write is executed even when its caller has cancelled it by then.
     std::chrono::milliseconds callDelay { 0 };
-    // How many of the next successful calls of each kind lose their answer after they took effect (stream reset).
+    // The number of next successful calls of each kind that are executed but whose stream is reset instead of answered.
     std::array<std::uint64_t, platformCallKinds> loseAnswers {};
 
     std::uint64_t callsFailed = 0;
     std::uint64_t answersLost = 0;
 
-    // Whether the answer to this call is one to lose; counts it if so.
+    // Whether the answer to this call is to be lost. If so, decrements loseAnswers and increments answersLost.
     bool consumeLostAnswer(PlatformCall);
 
     Json toJson() const;
-    // Changes the faults that the object names and leaves the others. On an error it changes none.
+    // Changes only the faults that are members of the object. Changes none on an error.
     Result<void> change(const Json&);
 };
 
--- a/Source/StandIns/Platform/PlatformStore.h
+++ b/Source/StandIns/Platform/PlatformStore.h
@@ -10,19 +10,19 @@
 
 namespace wisteriadock {
 
-// What the users' platform keeps: keys with revisions, leases, waiting watches and a lagging list of VMs. It stands in
-// for the platform in tests and experiments, and does no I/O: its shell passes the time in and hands the answers out.
-// Each of the six calls counts once under its kind; a waiting watch counts as one call however long it waits.
+// The state of the simulated platform: keys with revisions, leases, waiting watches and a list of VMs that is updated
+// after a lag. Does no I/O: its callers, PlatformStandIn and FakePlatform, pass the time in and deliver the results.
+// Each of the six calls is counted by kind; a watch is counted once, however long it waits.
 class PlatformStore {
 public:
     using WatchId = std::uint64_t;
 
     struct CompareAndSwap {
         std::string key;
-        // The revision that the key must have; 0 means that it must not exist.
+        // The revision that the key must have; 0 requires that the key does not exist.
         std::uint64_t expectedRevision = 0;
         std::string value;
-        // The key is deleted when this lease lapses.
+        // The key is deleted when this lease expires.
         std::optional<std::uint64_t> lease;
     };
 
@@ -31,7 +31,7 @@
         Result<PlatformEntry> result;
     };
 
-    // An older copy of keys, leases and the revision counter.
+    // A copy of the keys, the leases and the revision counter.
     struct Snapshot;
 
     Result<PlatformEntry> get(const std::string& key, TimePoint now);
@@ -40,27 +40,28 @@
     Result<PlatformLease> keepAlive(std::uint64_t lease, TimePoint now);
     std::vector<Vm> listVms(TimePoint now);
 
-    // Waits for a revision of the key above the given one. The watch ends with that entry, with NotFound when the time
-    // is up or the key is deleted, or with Unavailable when an older copy is restored. All watches that ended, this one
-    // perhaps among them, come from takeEndedWatches.
+    // Waits for a revision of the key above the given one. The watch ends with that entry, with NotFound when `until`
+    // is reached or the key is deleted, or with Unavailable when a snapshot is restored. Ended watches, including those
+    // that end at once, are returned by takeEndedWatches.
     WatchId watch(const std::string& key, std::uint64_t afterRevision, TimePoint until, TimePoint now);
     void cancelWatch(WatchId);
     void failWatches(const Error&);
     std::vector<EndedWatch> takeEndedWatches() { return std::exchange(endedWatches_, {}); }
 
-    // Lapses leases and ends watches whose time is up. Every call does this first.
+    // Expires leases and ends watches whose deadline has passed. Every call does this first.
     void advance(TimePoint now);
-    // When advance has something to do next.
+    // The time of the next expiry of a lease or a watch.
     std::optional<TimePoint> nextDeadline() const;
 
-    // A list set now is seen once the lag has passed.
+    // The list becomes visible to listVms after the lag.
     void setVms(std::vector<Vm>, TimePoint now);
-    // Counts for the lists that are set from now on.
+    // Applies to lists that are set after this call.
     void setVmLag(Duration lag) { vmLag_ = lag; }
 
     Snapshot takeSnapshot(TimePoint now);
-    // Revisions go back with the copy, so that numbers already seen come again for other values. Leases go on with the
-    // time that they had remaining; numbers of leases never come again. Waiting watches end with Unavailable.
+    // The revision counter goes back to that of the snapshot, so that the same revision can later have another value.
+    // Leases keep the time that remained at the snapshot; ids of leases are never reused. Waiting watches end with
+    // Unavailable.
     void restore(const Snapshot&, TimePoint now);
 
     std::uint64_t revision() const { return revision_; }
@@ -99,7 +100,7 @@
     void setDeadline(std::uint64_t id, TimePoint deadline) { deadlines_.emplace(deadline, id); }
 
     std::uint64_t revision_ = 0;
-    // Leases and watches share one row of numbers.
+    // Leases and watches share one sequence of ids.
     std::uint64_t lastId_ = 0;
     Entries entries_;
     std::map<std::uint64_t, Lease> leases_;
@@ -107,7 +108,7 @@
     std::set<std::pair<TimePoint, std::uint64_t>> deadlines_;
     std::vector<EndedWatch> endedWatches_;
     Duration vmLag_ { 0 };
-    // The oldest is the one seen now.
+    // Ordered by visibleFrom; the first one is visible now.
     std::vector<VmList> vmLists_;
     std::array<std::uint64_t, platformCallKinds> calls_ {};
 };
--- a/Source/StandIns/Program.h
+++ b/Source/StandIns/Program.h
@@ -12,19 +12,19 @@
 
 namespace wisteriadock {
 
-// What the programs of the stand-ins share: flags, lines on standard output, and the way they end.
+// Functions shared by the main programs of the stand-ins: flags, lines on standard output, start and stop.
 
-// Reads the Abseil flags, with --help and --version. Exits on a flag that is unknown or malformed.
+// Parses the Abseil flags, including --help and --version. Exits when a flag is unknown or malformed.
 void parseProgramFlags(int argc, char** argv, const std::string& usage);
 
-// "listening WHAT ADDRESS": tells whoever started the program that it is ready.
+// Prints "listening WHAT ADDRESS", which tells the process that started the program that it is ready.
 void printListening(std::string_view what, const Endpoint&);
 
-// "NAME VALUE", as the final rows stand.
+// Prints a line "NAME VALUE" with one of the final counts.
 void printRow(std::string_view name, std::integral auto value);
 void printRowText(std::string_view name, const std::string& value);
 
-// Prints the error on standard error and returns the exit code of a program that could not start.
+// Prints the error to standard error and returns the exit code for a failed start.
 int reportStartFailure(const Error&);
 
 // Runs the context until SIGTERM, SIGINT or context.stop().
