--- a/Source/StandIns/CallerRecords.cpp
+++ b/Source/StandIns/CallerRecords.cpp
@@ -42,7 +42,7 @@
         Json attempts = Json::array();
         for (const RequestAttempt& attempt : record.attempts)
             attempts.push_back(rowOf(attempt));
-        return { { "key", record.key }, { "service", record.service }, { "tries", std::move(tries) } };
+        return { { "key", record.key }, { "service", record.service }, { "tries", std::move(attempts) } };
     }
 
 }
