--- a/Source/StandIns/BackendAdmin.cpp
+++ b/Source/StandIns/BackendAdmin.cpp
@@ -82,7 +82,7 @@
         return static_cast<Number>(value.get<double>());
     }
 
-    // The optional values of a lie are switched off by null.
+    // null removes an override.
     Result<std::optional<std::size_t>> countOverrideFrom(const std::string& key, const Json& value)
     {
         if (value.is_null())
@@ -171,7 +171,7 @@
             if (body["server"] == server->spec().name)
                 return BackendServers { server };
         }
-        return Error { ErrorCode::InvalidArgument, fmt::format("no backend server {}", body["server"].dump()) };
+        return Error { ErrorCode::InvalidArgument, fmt::format("unknown backend server {}", body["server"].dump()) };
     }
 
 }
@@ -190,7 +190,7 @@
 {
     BOOST_OUTCOME_TRY(body, parseJson(text));
     if (!body.is_object())
-        return Error { ErrorCode::InvalidArgument, "the body is no JSON object" };
+        return Error { ErrorCode::InvalidArgument, "the body is not a JSON object" };
     BOOST_OUTCOME_TRY(selectedServers, selectServers(servers, body));
     std::vector<Change> changes;
     for (const auto& [key, value] : body.items()) {
--- a/Source/StandIns/BackendFlowTable.cpp
+++ b/Source/StandIns/BackendFlowTable.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Ended flows are kept beside the live ones, up to this many times the connection limit.
+    // The maximum number of ended flows is this multiple of the connection limit.
     constexpr std::size_t endedPerConnection = 4;
 
 }
--- a/Source/StandIns/BackendMain.cpp
+++ b/Source/StandIns/BackendMain.cpp
@@ -9,10 +9,10 @@
 #include <vector>
 
 ABSL_FLAG(std::vector<std::string>, servers, {},
-    "Backend servers to stand in for: NAME@SERVICE@FLOWADDRESS@REQUESTADDRESS@SLOTS@CONNECTIONS,...");
-ABSL_FLAG(std::string, admin, "127.0.0.1:0", "Address of the admin door (HTTP/2)");
-ABSL_FLAG(std::string, reply_to, "", "Address that replies to flow packets go to; POST /set can change it");
-ABSL_FLAG(double, flow_idle_seconds, 300, "Idle time after which a server forgets a flow");
+    "Backend servers to simulate: NAME@SERVICE@FLOWADDRESS@REQUESTADDRESS@SLOTS@CONNECTIONS,...");
+ABSL_FLAG(std::string, admin, "127.0.0.1:0", "Address of the admin interface (HTTP/2)");
+ABSL_FLAG(std::string, reply_to, "", "Address to which replies to flow packets are sent; POST /set can change it");
+ABSL_FLAG(double, flow_idle_seconds, 300, "Idle time after which a server removes a flow");
 
 namespace {
 
@@ -39,7 +39,7 @@
 
 int main(int argc, char** argv)
 {
-    parseProgramFlags(argc, argv, "Stands in for backend servers: answers flow packets and HTTP/2 requests.");
+    parseProgramFlags(argc, argv, "Simulates backend servers: answers flow packets and HTTP/2 requests.");
     const auto options = readOptions();
     if (!options)
         return reportStartFailure(options.error());
--- a/Source/StandIns/BackendStandIn.cpp
+++ b/Source/StandIns/BackendStandIn.cpp
@@ -24,7 +24,7 @@
     boost::asio::io_context& context, const BackendStandInOptions& options)
 {
     if (options.servers.empty())
-        return Error { ErrorCode::InvalidArgument, "no backend server is given" };
+        return Error { ErrorCode::InvalidArgument, "no backend server is specified" };
     std::unique_ptr<BackendStandIn> standIn(new BackendStandIn(context));
     for (const BackendSpec& spec : options.servers) {
         BackendFlowLimits limits = options.flowLimits;
--- a/Source/StandIns/BackendStandIn.h
+++ b/Source/StandIns/BackendStandIn.h
@@ -19,14 +19,16 @@
 
 struct BackendStandInOptions {
     std::vector<BackendSpec> servers;
+    // The address to which replies to flow packets are sent; no replies while it is unset.
     std::optional<Endpoint> replyTo;
+    // Address of the HTTP/2 admin interface.
     Endpoint admin;
-    // Its connections are set per server.
+    // Its connections are replaced by those of each BackendSpec.
     BackendFlowLimits flowLimits;
 };
 
-// A process that stands in for one or more backend servers, with one admin door for the experiment.
-// docs/design/stand-ins.md lists the door's paths.
+// Simulates one or more backend servers in one process, with one admin interface for experiments
+// (docs/design/stand-ins.md). Started by the main program and by tests.
 class BackendStandIn {
 public:
     static Result<std::unique_ptr<BackendStandIn>> start(boost::asio::io_context&, const BackendStandInOptions&);
--- a/Source/StandIns/BackendStandInServer.cpp
+++ b/Source/StandIns/BackendStandInServer.cpp
@@ -19,7 +19,7 @@
     constexpr std::uint64_t maxAnswerBytes = 16ULL * 1024 * 1024;
     constexpr std::uint64_t maxMilliseconds = 3'600'000;
 
-    // A number from a header; absent and malformed ones count as 0, larger ones as the limit.
+    // Parses the number of a header. An absent or malformed number is 0; a number above the limit is the limit.
     std::uint64_t numberIn(std::string_view text, std::uint64_t limit)
     {
         std::uint64_t value = 0;
@@ -91,7 +91,7 @@
     if (!reply || !replyTo_)
         return;
 
-    // Back the way it came: from the service's address to the client's.
+    // The reply goes from the service's address to the client's.
     const ProxyHeader replyHeader { packet.value().header.service, packet.value().header.client, std::nullopt };
     std::array<std::uint8_t, maxProxyHeaderBytes> header;
     const std::size_t headerSize = encodeProxyHeader(replyHeader, header);
@@ -123,7 +123,7 @@
 {
     const auto timer = std::make_shared<boost::asio::steady_timer>(context_, admission.endsAt);
     const auto self = shared_from_this();
-    // The exchange holds this callback, which therefore must not hold the exchange.
+    // The exchange owns this callback, so the callback must not own the exchange.
     exchange->onCancelled([self, timer, run = admission.run] {
         self->requests_.end(run, RunOutcome::Cancelled, Clock::now());
         timer->cancel();
--- a/Source/StandIns/BackendStandInServer.h
+++ b/Source/StandIns/BackendStandInServer.h
@@ -17,20 +17,21 @@
 
 namespace wisteriadock {
 
-// How a server answers a request that it does not run.
+// How a server rejects a request that it does not run.
 enum class RejectionMode {
     Status, // 503 with x-executed: no
     RefuseStream, // REFUSED_STREAM
 };
 
-// One backend server of the stand-in process: its flow socket, its HTTP/2 server and its books.
+// One simulated backend server of a BackendStandIn: its flow socket, its HTTP/2 server, its flow table and its
+// requests.
 class BackendStandInServer : public std::enable_shared_from_this<BackendStandInServer> {
 public:
-    // Listens at once. Replies to flow packets go to replyTo, if it is set.
+    // Starts listening. Replies to flow packets are sent to replyTo if it is set.
     static Result<std::shared_ptr<BackendStandInServer>> start(
         boost::asio::io_context&, const BackendSpec&, const BackendFlowLimits&, std::optional<Endpoint> replyTo);
 
-    // Samples the load and forgets old flows; to be called a few times a second.
+    // Adds a status sample and removes expired flows. To be called several times a second.
     void tick(TimePoint now);
 
     const BackendSpec& spec() const { return spec_; }
@@ -40,6 +41,7 @@
     BackendRequestTracker& requests() { return requests_; }
     const BackendRequestTracker& requests() const { return requests_; }
     BackendStatus& status() { return status_; }
+    // Received datagrams that are not valid flow packets.
     std::uint64_t malformedDatagrams() const { return malformedDatagrams_; }
     void setReplyTo(Endpoint replyTo) { replyTo_ = replyTo; }
     void setRejectionMode(RejectionMode mode) { rejectionMode_ = mode; }
--- a/Source/StandIns/BackendStatus.cpp
+++ b/Source/StandIns/BackendStatus.cpp
@@ -30,7 +30,7 @@
 BackendSample BackendStatus::reported(TimePoint now) const
 {
     BackendSample sample;
-    // The newest sample that is old enough, or else the oldest there is.
+    // The newest sample that is at least `lag` old, or the oldest sample if there is none.
     const auto older = std::partition_point(samples_.begin(), samples_.end(),
         [&](const BackendSample& candidate) { return candidate.at <= now - overrides_.lag; });
     if (older != samples_.begin())
--- a/Source/StandIns/BackendStatus.h
+++ b/Source/StandIns/BackendStatus.h
@@ -10,7 +10,7 @@
 
 namespace wisteriadock {
 
-// What the /health endpoint says about a server.
+// The health of a server in the response of /health.
 enum class BackendHealth {
     Healthy,
     Draining,
@@ -28,22 +28,24 @@
     std::size_t liveFlows = 0;
 };
 
-// How /health and /load mislead; the experiment changes it while the server runs.
+// Simulated faults of /health and /load. An experiment can change them while the server runs.
 struct BackendStatusOverrides {
-    // The endpoints show the state of so long ago.
+    // The endpoints report the state of this long ago.
     Duration lag = Duration::zero();
+    // Values reported instead of the real ones; unset for the real ones.
     std::optional<BackendHealth> health;
     std::optional<std::size_t> runningRequests;
     std::optional<std::size_t> liveFlows;
 };
 
-// Keeps the recent states of one server and tells which of them its endpoints show.
+// Keeps the recent samples of one server's state and selects the one that its /health and /load endpoints report.
+// BackendStandInServer adds the samples.
 class BackendStatus {
 public:
-    // Samples are to be given in order, a few a second.
+    // Samples must be added in the order of their times.
     void add(const BackendSample&);
 
-    // The state that the endpoints show: lagging and false as told.
+    // The state that the endpoints report, with the lag and the overrides applied.
     BackendSample reported(TimePoint now) const;
 
     BackendStatusOverrides& overrides() { return overrides_; }
--- a/Source/StandIns/CallerFlowTypes.h
+++ b/Source/StandIns/CallerFlowTypes.h
@@ -15,62 +15,63 @@
 
 namespace wisteriadock {
 
-// A service that callers use.
+// A service that the simulated callers use.
 struct CallerService {
     std::string name;
     ServiceId id;
     Endpoint address;
-    // Its share of the flows and requests relative to the other services.
+    // Its share of the flows relative to the other services.
     double share = 1;
 
-    // Reads "NAME@ADDRESS@SHARE". Fails with InvalidArgument; the detail names the text and what was expected.
+    // Parses "NAME@ADDRESS@SHARE". Fails with InvalidArgument; the detail names the text and what was expected.
     static Result<CallerService> parse(std::string_view text);
 };
 
-// How the synthetic customers behave.
+// The flows that CallerFlows generates. Shares are from 0 to 1.
 struct CallerFlowOptions {
     std::uint64_t seed = 1;
     std::vector<CallerService> services;
     double flowsPerSecond = 100;
-    // After this long no flow is opened and those still open go on until the run stops.
+    // No flow is opened after this time. Flows that are still open continue until CallerFlows::stop().
     Duration runTime = std::chrono::seconds(10);
 
-    // Lifetimes follow a Pareto distribution; a smaller exponent makes the tail heavier.
+    // Lifetimes follow a Pareto distribution from minLifetime up; a smaller exponent makes the tail heavier.
     Duration minLifetime = std::chrono::seconds(1);
     double lifetimeExponent = 1.2;
-    // The share of flows that last the whole run.
+    // The share of flows that last until the end of the run.
     double longLivedShare = 0.05;
 
     Duration packetInterval = std::chrono::milliseconds(100);
-    // Each interval is drawn between (1 - jitter) and (1 + jitter) of packetInterval.
+    // Each interval is uniformly distributed between (1 - jitter) and (1 + jitter) times its mean.
     double jitter = 0.5;
-    // The share of flows that fall silent for idleTime between bursts.
+    // The share of flows that pause for idleTime between bursts.
     double idleShare = 0.1;
     Duration idleTime = std::chrono::seconds(2);
 
-    // The share of flows whose format shows their first packet.
+    // The share of flows whose first packet has the start mark (see FlowPayload).
     double startMarkShare = 0;
     Duration openingRetryInterval = std::chrono::milliseconds(200);
-    // A flow that was never answered is given up after so many opening packets.
+    // A flow ends as not established after this number of unanswered opening packets.
     std::uint16_t openingAttempts = 50;
-    // An established flow with so many packets unanswered in a row is stalled.
+    // An established flow with this number of consecutive unanswered packets counts as stalled.
     std::uint16_t maxUnansweredPackets = 8;
 
     std::size_t maxOpenFlows = 400'000;
     std::size_t maxBreaks = 10'000;
 };
 
+// A packet that is to be sent now.
 struct CallerPacket {
     ProxyHeader header;
     FlowPayload payload;
 };
 
-// What showed that a flow is broken.
+// How a flow was detected as broken.
 enum class FlowBreakKind {
-    UnknownFlow, // A server that does not hold the flow reset it.
-    ChangedServer, // Another server answered as if the flow were its own.
-    WrongService, // A server of another service got a packet.
-    Stalled, // Nobody answered any more.
+    UnknownFlow, // The answering server does not have the flow.
+    ChangedServer, // Another server accepted a packet of the flow.
+    WrongService, // A server of another service received a packet.
+    Stalled, // No server answers any more.
 };
 
 std::string_view nameOf(FlowBreakKind);
@@ -81,7 +82,7 @@
     FlowBreakKind kind = FlowBreakKind::UnknownFlow;
     std::uint32_t sequence = 0;
     ServiceId service;
-    // The server that held the flow, and the one that answered instead.
+    // The server on which the flow was established, and the one that answered; the latter is unset for a stalled flow.
     BackendServerId expectedServer;
     BackendServerId answeringServer;
 };
@@ -89,20 +90,20 @@
 struct CallerFlowCounts {
     std::uint64_t flowsOpened = 0;
     std::uint64_t flowsEstablished = 0;
-    // Never answered, and given up.
+    // Never answered until openingAttempts was reached.
     std::uint64_t flowsNotEstablished = 0;
     std::uint64_t flowsEnded = 0;
-    // Stalled ones included.
+    // Broken flows, including stalled ones.
     std::uint64_t flowsBroken = 0;
     std::uint64_t flowsStalled = 0;
-    // Openings left out because of the limit on open flows.
+    // Flows not opened because of maxOpenFlows.
     std::uint64_t flowsSkipped = 0;
     std::uint64_t wrongServicePackets = 0;
-    // Opening packets that reached a second server; the flow stays with the one that answered first.
+    // Opening packets answered by a second server; the flow stays with the server that answered first.
     std::uint64_t openingsAtOtherServers = 0;
     std::uint64_t packetsSent = 0;
     std::uint64_t replies = 0;
-    // Replies to flows that had ended, broken or never been.
+    // Replies to flows that have ended or are unknown.
     std::uint64_t lateReplies = 0;
 };
 
--- a/Source/StandIns/CallerFlows.cpp
+++ b/Source/StandIns/CallerFlows.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-    // How long the reply to a last packet is waited for.
+    // How long a flow waits for the reply to its last packet.
     constexpr Duration finalReplyTimeout = std::chrono::seconds(1);
-    // A flow that hasIdlePeriods does so after one packet in so many.
+    // The mean number of packets between two idle periods of a flow.
     constexpr double packetsPerBurst = 10;
 
     constexpr std::uint32_t clientNetwork = 10U << 24;
@@ -26,7 +26,7 @@
 
 }
 
-// Flows of one run differ in their low 24 bits and thus in their host; an odd factor scatters neighbours.
+// Flows of one run differ in their low 24 bits. Multiplication by an odd number maps these bits one-to-one to hosts.
 Endpoint clientEndpointOf(std::uint64_t flow)
 {
     constexpr std::uint32_t multiplier = 0x9E3779B1U;
@@ -40,7 +40,7 @@
     , start_(start)
     , random_(hashPair(options_.seed, 1))
     , nextOpening_(start)
-    // Two callers with different seeds use different ids.
+    // Callers with different seeds use different flow ids.
     , flowIdBase_(hashPair(options_.seed, 2) << 32)
 {
 }
@@ -76,7 +76,7 @@
     const ServiceId expectedService = options_.services[flow.service].id;
     if (reply.status == FlowStatus::WrongService || reply.service != expectedService) {
         ++counts_.wrongServicePackets;
-        // A flow that is not established yet has nothing to lose; the packet is counted all the same.
+        // Only an established flow can be broken; the packet is counted in both cases.
         if (flow.phase != Phase::Opening)
             breakFlow(reply.flow, FlowBreakKind::WrongService, &reply, now);
         return;
@@ -112,7 +112,7 @@
 {
     const std::uint64_t id = flowIdBase_ | flowCount_;
     ++flowCount_;
-    // Drawn in any case, so that the later flows of a seed do not depend on how many are open.
+    // Drawn before the limit is checked, so that later flows do not depend on the number of open flows.
     Flow flow;
     flow.service = drawService();
     flow.startMark = random_.nextUniform() < options_.startMarkShare;
@@ -128,7 +128,7 @@
     events_.push({ now + options_.openingRetryInterval, id });
 }
 
-// Does what is due for one flow: repeats its opening packet, sends the next one, or forgets it.
+// Performs the next action of a flow: repeats its opening packet, sends the next packet, or removes the flow.
 void CallerFlows::processEvent(std::uint64_t id, TimePoint now, std::vector<CallerPacket>& due)
 {
     const auto found = flows_.find(id);
@@ -204,7 +204,7 @@
     flows_.erase(found);
 }
 
-// The event that would have repeated the opening packet sends the first packet after it instead.
+// Schedules no event: the pending one, which would repeat the opening packet, sends the next packet instead.
 void CallerFlows::establish(Flow& flow, const FlowPayload& reply)
 {
     flow.phase = Phase::Established;
@@ -218,8 +218,8 @@
 {
     if (reply.status == FlowStatus::UnknownFlow)
         return FlowBreakKind::UnknownFlow;
-    // Copies of the opening packet were sent before the flow was established, so a second server may answer them. Were
-    // the flow to move there, the packets after it would show it.
+    // A second server may answer a repeated opening packet. If the flow really moved to it, replies to later packets
+    // show this.
     if (reply.backendServer != flow.backendServer && reply.sequence > 0)
         return FlowBreakKind::ChangedServer;
     return std::nullopt;
@@ -230,7 +230,7 @@
     const double factor = random_.nextBetween(1 - options_.jitter, 1 + options_.jitter);
     const bool goesIdle = flow.hasIdlePeriods && random_.nextUniform() * packetsPerBurst < 1;
     const Duration pause = scaled(goesIdle ? options_.idleTime : options_.packetInterval, factor);
-    // The end comes in time, but never at once.
+    // The last packet is sent at the flow's end, but not before a minimum interval has passed.
     const Duration untilEnd = std::max(flow.end - now, scaled(options_.packetInterval, 1 - options_.jitter));
     return std::min(pause, untilEnd);
 }
@@ -240,7 +240,7 @@
     const bool isLongLived = random_.nextUniform() < options_.longLivedShare;
     const double factor = std::pow(1 - random_.nextUniform(), -1 / options_.lifetimeExponent);
     const double maxFactor = std::chrono::duration<double>(options_.runTime) / options_.minLifetime + 1;
-    // One run time from any start is past the end of the run.
+    // A lifetime of one run time always ends after the run.
     return isLongLived ? options_.runTime : scaled(options_.minLifetime, std::min(factor, maxFactor));
 }
 
--- a/Source/StandIns/CallerFlows.h
+++ b/Source/StandIns/CallerFlows.h
@@ -14,43 +14,44 @@
 
 namespace wisteriadock {
 
-// Decides when synthetic customers open flows, send packets and end them, and checks every reply. The same options,
-// times and replies give the same packets. Decides only; CallerStandIn moves the bytes.
+// Generates the flows of simulated callers: decides when each flow is opened, sends a packet and ends, and checks every
+// reply. The same options, times and replies give the same packets. Does no I/O; CallerStandIn sends the packets and
+// passes the replies in.
 class CallerFlows {
 public:
-    // The run starts at the given time; flows that last the whole run end with it.
+    // `start` is the start of the run.
     CallerFlows(CallerFlowOptions, TimePoint start);
 
-    // Appends the packets that are due. To be called at nextEvent() or as soon after it as can be.
+    // Appends the packets that are due. To be called at nextEvent() or as soon as possible after it.
     void poll(TimePoint now, std::vector<CallerPacket>& due);
 
-    // Opens no more flows and sends no more packets; replies still count.
+    // Opens no more flows and sends no more packets. Replies are still checked.
     void stop() { stopped_ = true; }
 
     // Checks one reply.
     void handle(const FlowPayload& reply, TimePoint now);
 
-    // When poll() next has something to do.
+    // The time of the next action of poll(); TimePoint::max() for none.
     TimePoint nextEvent() const;
 
     const CallerFlowCounts& counts() const { return counts_; }
-    // In the order in which they were found, up to the limit of the options.
+    // Broken flows in the order of their detection, up to maxBreaks of the options.
     const std::vector<FlowBreak>& breaks() const { return breaks_; }
     std::size_t openFlows() const { return flows_.size(); }
 
 private:
     enum class Phase : std::uint8_t {
-        Opening, // The first packet is repeated until it is answered.
+        Opening, // The opening packet is repeated until it is answered.
         Established,
-        Ending, // The last packet is out; its reply is still checked.
+        Ending, // The last packet was sent; its reply is still checked.
     };
 
     struct Flow {
         TimePoint end;
-        // The server that answered first, once established.
+        // The server that answered first; unset before the flow is established.
         BackendServerId backendServer;
         std::uint32_t nextSequence = 0;
-        // Its place in the options.
+        // Index into the options' services.
         std::uint16_t service = 0;
         // Packets since the last reply.
         std::uint16_t unanswered = 0;
@@ -91,7 +92,7 @@
     std::vector<FlowBreak> breaks_;
 };
 
-// The synthetic client endpoint of a flow, in 10.0.0.0/8.
+// The simulated client endpoint of a flow, in 10.0.0.0/8.
 Endpoint clientEndpointOf(std::uint64_t flow);
 
 }
--- a/Source/StandIns/CallerMain.cpp
+++ b/Source/StandIns/CallerMain.cpp
@@ -12,27 +12,28 @@
 ABSL_FLAG(std::string, fabric, "", "Address of the fabric; without it there are no flows");
 ABSL_FLAG(std::string, reply_listen, "127.0.0.1:0", "Address that takes the backend servers' replies");
 ABSL_FLAG(std::vector<std::string>, services, {}, "Services to call: NAME@ADDRESS@SHARE,...");
-ABSL_FLAG(std::vector<std::string>, balancers, {}, "Request addresses of the balancers; without any no requests");
-ABSL_FLAG(std::uint64_t, seed, 1, "Seed of all that is drawn");
-ABSL_FLAG(double, seconds, 10, "How long the run lasts");
-ABSL_FLAG(double, flows_per_second, 100, "Flows opened a second");
+ABSL_FLAG(
+    std::vector<std::string>, balancers, {}, "Request addresses of the balancers; without them there are no requests");
+ABSL_FLAG(std::uint64_t, seed, 1, "Seed of the random numbers");
+ABSL_FLAG(double, seconds, 10, "Duration of the run");
+ABSL_FLAG(double, flows_per_second, 100, "Flows opened per second");
 ABSL_FLAG(double, shortest_flow_seconds, 1, "Shortest lifetime of a flow");
 ABSL_FLAG(double, lifetime_exponent, 1.2, "Pareto exponent of the lifetimes; smaller makes the tail heavier");
 ABSL_FLAG(double, lasting_share, 0.05, "Share of the flows that last the whole run");
 ABSL_FLAG(double, packet_interval_milliseconds, 100, "Mean time between two packets of a flow");
-ABSL_FLAG(double, jitter, 0.5, "Spread of that time, 0 to 1");
-ABSL_FLAG(double, idle_share, 0.1, "Share of the flows that fall silent between bursts");
-ABSL_FLAG(double, idle_seconds, 2, "How long those fall silent");
+ABSL_FLAG(double, jitter, 0.5, "Relative variation of the packet interval, 0 to 1");
+ABSL_FLAG(double, idle_share, 0.1, "Share of the flows that pause between bursts");
+ABSL_FLAG(double, idle_seconds, 2, "Duration of these pauses");
 ABSL_FLAG(double, start_marks, 0, "Share of the flows whose first packet is marked");
-ABSL_FLAG(std::uint32_t, stalled_after, 8, "Packets unanswered in a row after which a flow is stalled");
-ABSL_FLAG(double, requests_per_second, 0, "Requests sent a second");
+ABSL_FLAG(std::uint32_t, stalled_after, 8, "Consecutive unanswered packets after which a flow counts as stalled");
+ABSL_FLAG(double, requests_per_second, 0, "Requests sent per second");
 ABSL_FLAG(double, shortest_work_milliseconds, 5, "Shortest simulated work of a request");
 ABSL_FLAG(double, longest_work_milliseconds, 50, "Longest simulated work of a request");
 ABSL_FLAG(double, deadline_milliseconds, 2000, "Deadline of a request");
-ABSL_FLAG(std::uint32_t, answer_bytes, 4096, "Largest answer to ask for");
-ABSL_FLAG(std::uint32_t, request_retries, 0, "Further tries of a key, each at another balancer");
-ABSL_FLAG(double, cancel_share, 0, "Share of the tries that are given up half-way");
-ABSL_FLAG(std::string, record_file, "", "File for the breaks and the requests' ends, as JSON");
+ABSL_FLAG(std::uint32_t, answer_bytes, 4096, "Largest answer that is requested");
+ABSL_FLAG(std::uint32_t, request_retries, 0, "Retries of a request, each at another balancer");
+ABSL_FLAG(double, cancel_share, 0, "Share of the attempts that are cancelled after half their work time");
+ABSL_FLAG(std::string, record_file, "", "JSON file for the broken flows and the ended requests");
 
 namespace {
 
@@ -113,7 +114,7 @@
 int main(int argc, char** argv)
 {
     parseProgramFlags(
-        argc, argv, "Stands in for the customers: drives flows and requests, and checks what comes back.");
+        argc, argv, "Simulates the customers: sends flow packets and requests, and checks the replies and answers.");
     const auto options = readOptions();
     if (!options)
         return reportStartFailure(options.error());
--- a/Source/StandIns/CallerRecords.h
+++ b/Source/StandIns/CallerRecords.h
@@ -7,8 +7,8 @@
 
 namespace wisteriadock {
 
-// What a caller's record file holds: every break, and the tries of every request. Times are milliseconds of
-// CLOCK_MONOTONIC.
+// The JSON content of the caller's record file: the broken flows, and the ended requests with their attempts. Times are
+// milliseconds of CLOCK_MONOTONIC.
 nlohmann::json callerRecordsOf(const CallerFlows&, const CallerRequests&);
 
 }
--- a/Source/StandIns/CallerRequests.cpp
+++ b/Source/StandIns/CallerRequests.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-    // An answer that leaves at the deadline still needs its way back.
+    // Allows an answer that is sent at the deadline to arrive.
     constexpr Duration answerGracePeriod = std::chrono::milliseconds(500);
     constexpr int okStatus = 200;
 
@@ -39,7 +39,7 @@
         return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
     }
 
-    // Refusals say in a problem+json body, or in a header, whether the request was executed.
+    // Whether a refusal states, in a problem+json body or in a header, that the request was not executed.
     bool saysNotExecuted(const HttpResponse& response)
     {
         const auto body = nlohmann::json::parse(response.body, nullptr, false);
@@ -48,15 +48,15 @@
         return response.header(stand_in_headers::executed) == "no";
     }
 
-    // Whether a try without an answer is known not to have been executed.
-    bool neverActedOn(HttpFailureKind kind)
+    // Whether an attempt without an answer is known not to have been executed.
+    bool isKnownNotExecuted(HttpFailureKind kind)
     {
         return kind == HttpFailureKind::NotSent || kind == HttpFailureKind::Refused;
     }
 
     RequestOutcome outcomeOf(HttpFailureKind kind)
     {
-        if (neverActedOn(kind))
+        if (isKnownNotExecuted(kind))
             return RequestOutcome::Refused;
         return kind == HttpFailureKind::Cancelled ? RequestOutcome::Cancelled : RequestOutcome::Lost;
     }
@@ -143,7 +143,7 @@
 
 PlannedRequest CallerRequests::planAttempt(std::uint64_t id, OpenRequest& open, TimePoint now)
 {
-    // A retry goes to any other balancer.
+    // A retry is sent to another balancer than the previous attempt.
     if (!open.record.attempts.empty() && options_.balancers > 1)
         open.balancer = (open.balancer + 1 + random_.next() % (options_.balancers - 1)) % options_.balancers;
     open.sentAt = now;
--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-    // How long replies to the last packets are waited for.
+    // How long the run waits for the replies to the last packets.
     constexpr Duration replyGracePeriod = std::chrono::milliseconds(500);
-    // Packets that fall due within one step leave together.
+    // Packets that are due within one delay are sent together.
     constexpr Duration minTimerDelay = std::chrono::milliseconds(1);
     constexpr Duration maxTimerDelay = std::chrono::milliseconds(100);
 
@@ -98,7 +98,7 @@
     printRow("requests_refused", requests.endedAs(RequestOutcome::Refused));
     printRow("requests_unknown", requests.endedAs(RequestOutcome::Unknown));
     printRow("requests_lost", requests.endedAs(RequestOutcome::Lost));
-    // Only a run that was ended early leaves some.
+    // Above 0 only after a run that was stopped early.
     printRow("requests_open", requests_.openRequests());
     printRow("requests_cancelled", requests.endedAs(RequestOutcome::Cancelled));
     printRow("requests_wrong_answer", requests.endedAs(RequestOutcome::WrongAnswer));
@@ -126,7 +126,7 @@
         return;
     }
     const auto payload = decodeFlowPayload(packet.value().payload);
-    // The header's destination must be the client that the flow belongs to.
+    // The destination in the header must be the flow's client.
     if (!payload || packet.value().header.service != clientEndpointOf(payload.value().flow)) {
         ++malformedDatagrams_;
         return;
@@ -193,7 +193,7 @@
     });
 }
 
-// Requests end by their deadlines at the latest.
+// Every request ends, since each attempt has a deadline.
 bool CallerStandIn::isOver(TimePoint now) const
 {
     return now >= end_ + replyGracePeriod && requests_.openRequests() == 0;
--- a/Source/StandIns/DatagramSocket.cpp
+++ b/Source/StandIns/DatagramSocket.cpp
@@ -16,7 +16,7 @@
     using boost::asio::ip::udp;
 
     constexpr int kernelBufferBytes = 4 * 1024 * 1024;
-    // After so many batches in a row, timers and other sockets get their turn.
+    // After this number of consecutive batches, other handlers of the io_context run first.
     constexpr int batchesPerTurn = 4;
 
     sockaddr_in socketAddressOf(const Endpoint& endpoint)
@@ -50,7 +50,7 @@
     if (error)
         return Error { ErrorCode::Unavailable, fmt::format("UDP {}: {}", wanted.toString(), error.message()) };
 
-    // Larger kernel buffers only soften bursts; a kernel that grants less is no failure.
+    // Larger kernel buffers absorb bursts; smaller ones are acceptable, so errors are ignored.
     boost::system::error_code ignored;
     socket.set_option(boost::asio::socket_base::receive_buffer_size(kernelBufferBytes), ignored);
     socket.set_option(boost::asio::socket_base::send_buffer_size(kernelBufferBytes), ignored);
@@ -79,7 +79,7 @@
     });
 }
 
-// Returns whether more datagrams are likely to wait.
+// Returns whether more datagrams probably wait.
 bool DatagramSocket::receiveBatch()
 {
     std::array<iovec, batchSize> vectors;
@@ -136,7 +136,8 @@
             done += static_cast<std::size_t>(sent);
             continue;
         }
-        // An error concerns the first datagram left: a full buffer, or a destination that refuses. The rest still goes.
+        // The error concerns the first unsent datagram: the buffer is full or the destination refuses it. Drop it and
+        // send the rest.
         if (errno != EINTR) {
             ++sendDrops_;
             ++done;
--- a/Source/StandIns/FabricMain.cpp
+++ b/Source/StandIns/FabricMain.cpp
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address that takes the callers' datagrams");
-ABSL_FLAG(std::string, admin, "127.0.0.1:0", "Address of the admin door (HTTP/2)");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address that receives the callers' datagrams");
+ABSL_FLAG(std::string, admin, "127.0.0.1:0", "Address of the admin interface (HTTP/2)");
 ABSL_FLAG(std::vector<std::string>, balancers, {}, "Flow addresses of the balancers; POST /balancers replaces them");
-ABSL_FLAG(std::uint64_t, seed, 1, "Seed of the choice per packet");
+ABSL_FLAG(std::uint64_t, seed, 1, "Seed of the random choice of balancers");
 
 namespace {
 
@@ -37,7 +37,8 @@
 
 int main(int argc, char** argv)
 {
-    parseProgramFlags(argc, argv, "Stands in for the fabric: sprays datagrams over the balancers, each by chance.");
+    parseProgramFlags(
+        argc, argv, "Simulates the network fabric: forwards each datagram to a randomly chosen balancer.");
     const auto options = readOptions();
     if (!options)
         return reportStartFailure(options.error());
--- a/Source/StandIns/FabricSprayer.cpp
+++ b/Source/StandIns/FabricSprayer.cpp
@@ -37,7 +37,7 @@
         return {};
     }
     const double drawn = random_.nextUniform() * cumulativeWeights_.back();
-    // The first sum above the drawn number; a target without weight adds nothing and is never it.
+    // The first cumulative weight above the drawn number, so that a target with weight 0 is never chosen.
     const auto chosen = std::upper_bound(cumulativeWeights_.begin(), cumulativeWeights_.end(), drawn);
     FabricTarget& target = targets_[static_cast<std::size_t>(chosen - cumulativeWeights_.begin())];
     ++target.packets;
--- a/Source/StandIns/FabricStandIn.cpp
+++ b/Source/StandIns/FabricStandIn.cpp
@@ -21,7 +21,7 @@
         if (!address.is_string() || !weight.is_number() || weight.get<double>() < 0)
             return Error { ErrorCode::InvalidArgument,
                 fmt::format(
-                    "'{}' is no balancer; expected an address, or an object of address and weight", row.dump()) };
+                    "'{}' is not a balancer; expected an address, or an object of address and weight", row.dump()) };
         BOOST_OUTCOME_TRY(endpoint, Endpoint::parse(address.get<std::string>()));
         return FabricTarget { endpoint, weight.get<double>(), 0 };
     }
@@ -32,7 +32,7 @@
 {
     BOOST_OUTCOME_TRY(body, parseJson(text));
     if (!body.is_array())
-        return Error { ErrorCode::InvalidArgument, "the body is no JSON array" };
+        return Error { ErrorCode::InvalidArgument, "the body is not a JSON array" };
     std::vector<FabricTarget> targets;
     for (const Json& row : body) {
         BOOST_OUTCOME_TRY(target, targetFrom(row));
--- a/Source/StandIns/FlagText.h
+++ b/Source/StandIns/FlagText.h
@@ -7,10 +7,10 @@
 
 namespace wisteriadock {
 
-// The parts of a text between separators, empty ones included.
+// Splits a text at each separator; empty parts are kept.
 std::vector<std::string_view> splitText(std::string_view text, char separator);
 
-// Reads a whole text as a number; fails with InvalidArgument when anything else stands in it.
+// Parses a finite number. Fails with InvalidArgument when the text contains anything else.
 Result<double> parseNumber(std::string_view text);
 
 }
--- a/Source/StandIns/FlowPayload.cpp
+++ b/Source/StandIns/FlowPayload.cpp
@@ -14,7 +14,7 @@
     using boost::endian::store_big_u32;
     using boost::endian::store_big_u64;
 
-    // Where the fields stand, in bytes.
+    // Offsets of the fields in bytes.
     constexpr std::size_t versionOffset = 0;
     constexpr std::size_t kindOffset = 1;
     constexpr std::size_t flagsOffset = 2;
--- a/Source/StandIns/JsonText.cpp
+++ b/Source/StandIns/JsonText.cpp
@@ -13,7 +13,7 @@
 {
     nlohmann::json parsed = nlohmann::json::parse(text, nullptr, false);
     if (parsed.is_discarded() || !parsed.is_structured())
-        return Error { ErrorCode::InvalidArgument, "the body is no JSON object or array" };
+        return Error { ErrorCode::InvalidArgument, "the body is not a JSON object or array" };
     return parsed;
 }
 
--- a/Source/StandIns/JsonText.h
+++ b/Source/StandIns/JsonText.h
@@ -11,16 +11,16 @@
 
 namespace wisteriadock {
 
-// What the admin doors of the stand-ins share.
+// JSON functions shared by the admin interfaces of the stand-ins.
 
-// Milliseconds of CLOCK_MONOTONIC, so that processes of one machine can compare their times.
+// Converts to milliseconds of CLOCK_MONOTONIC, which all processes of a machine share.
 std::int64_t monotonicMilliseconds(TimePoint);
 
-// Reads a JSON object or array; fails with InvalidArgument, never by an exception.
+// Parses a JSON object or array. Fails with InvalidArgument and throws no exception.
 Result<nlohmann::json> parseJson(std::string_view text);
 
 HttpResponse jsonAnswer(const nlohmann::json&);
-// An empty 200, or a 400 that says what was wrong.
+// Status 200 with an empty object, or status 400 with the error.
 HttpResponse answerTo(const Result<void>&);
 HttpResponse notFoundAnswer();
 
--- a/Source/StandIns/Platform/PlatformStandIn.cpp
+++ b/Source/StandIns/Platform/PlatformStandIn.cpp
@@ -71,8 +71,8 @@
         perform(*call, exchange);
 }
 
-// A read whose caller has given up is let go: a watch begun then would wait for nobody, and be counted as waiting,
-// until its time is up. Writes go on, as a platform that is slow acts on what it has received.
+// Drops a read whose caller has cancelled it: a watch started then would wait, and be counted, without a caller until
+// its timeout. A cancelled write is still executed, as by a slow platform that has already received it.
 void PlatformStandIn::handleDelayed(PlatformCall call, const Exchange& exchange)
 {
     const auto cancelled = std::make_shared<bool>(false);
@@ -109,10 +109,10 @@
 {
     ++faults_.callsFailed;
     if (faults_.outage == OutageMode::Unavailable)
-        exchange->respond(refusalOf({ ErrorCode::Unavailable, "the stand-in plays an outage" }));
+        exchange->respond(refusalOf({ ErrorCode::Unavailable, "the stand-in simulates an outage" }));
     else if (faults_.outage == OutageMode::Refuse)
         exchange->refuse();
-    // OutageMode::Reset: letting the exchange go unanswered resets its stream.
+    // OutageMode::Reset: releasing the exchange without an answer resets its stream.
 }
 
 Result<Json> PlatformStandIn::execute(PlatformCall call, const Json& arguments, TimePoint now)
--- a/Source/StandIns/Platform/PlatformStandInAdmin.cpp
+++ b/Source/StandIns/Platform/PlatformStandInAdmin.cpp
@@ -62,7 +62,7 @@
     return revisionToJson(store_.revision());
 }
 
-// The lag comes first, so that one request can set a list and the lag after which it is seen.
+// Sets the lag before the list, so that it applies to a list in the same request.
 Result<Json> PlatformStandInAdmin::changeVms(const Json& body, TimePoint now)
 {
     std::optional<std::chrono::milliseconds> lag;
--- a/Source/StandIns/Platform/PlatformStandInMain.cpp
+++ b/Source/StandIns/Platform/PlatformStandInMain.cpp
@@ -11,7 +11,7 @@
 #include <csignal>
 #include <cstdio>
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IPv4 address and port to listen on; port 0 takes an ephemeral one");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IPv4 address and port to listen on; port 0 selects an ephemeral port");
 
 namespace {
 
@@ -21,7 +21,7 @@
 
 void configureFlags()
 {
-    absl::SetProgramUsageMessage("Stands in for the platform's key-value service in tests and experiments.");
+    absl::SetProgramUsageMessage("Simulates the platform's key-value service in tests and experiments.");
     absl::FlagsUsageConfig config;
     config.version_string = [] { return std::string("wisteriadock-standin-platform " WISTERIADOCK_VERSION "\n"); };
     config.contains_help_flags = [](auto file) { return file.find("PlatformStandInMain") != file.npos; };
--- a/Source/StandIns/Platform/PlatformStore.cpp
+++ b/Source/StandIns/Platform/PlatformStore.cpp
@@ -15,7 +15,7 @@
 
     Error leaseNotFound(std::uint64_t lease)
     {
-        return { ErrorCode::NotFound, fmt::format("lease {} does not exist or has lapsed", lease) };
+        return { ErrorCode::NotFound, fmt::format("lease {} does not exist or has expired", lease) };
     }
 
     Error noNewerRevision(std::string_view key, std::uint64_t afterRevision)
@@ -143,7 +143,7 @@
 
 void PlatformStore::setVms(std::vector<Vm> vms, TimePoint now)
 {
-    // A shorter lag may let a newer list be seen first; the older one is then never seen.
+    // After a reduction of the lag, a newer list may become visible before an older one, which is then dropped.
     const TimePoint visibleFrom = now + vmLag_;
     std::erase_if(vmLists_, [&](const VmList& list) { return list.visibleFrom > visibleFrom; });
     vmLists_.push_back({ visibleFrom, std::move(vms) });
@@ -160,7 +160,7 @@
 
 void PlatformStore::restore(const Snapshot& snapshot, TimePoint now)
 {
-    failWatches({ ErrorCode::Unavailable, "an older copy of the store is being restored" });
+    failWatches({ ErrorCode::Unavailable, "an older snapshot of the store is being restored" });
     deadlines_.clear();
     leases_.clear();
     revision_ = snapshot.revision;
@@ -177,7 +177,7 @@
     return entry == entries_.end() ? 0 : entry->second.revision;
 }
 
-// Ends the key's watches whose revision is passed; if the key is gone, all of them.
+// Ends the watches of a key that wait for a revision below the current one, or all of them if the key was deleted.
 void PlatformStore::completeWatches(const std::string& key)
 {
     const auto entry = entries_.find(key);
--- a/Source/StandIns/SeededRandom.h
+++ b/Source/StandIns/SeededRandom.h
@@ -4,7 +4,7 @@
 
 namespace wisteriadock {
 
-// A small seeded generator (SplitMix64) whose numbers are the same with every standard library.
+// A seeded random number generator (SplitMix64) with the same sequence under every standard library.
 class SeededRandom {
 public:
     explicit SeededRandom(std::uint64_t seed)
@@ -21,10 +21,10 @@
         return mixed ^ (mixed >> 31);
     }
 
-    // From 0 to below 1.
+    // Uniformly distributed in [0, 1).
     double nextUniform() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 
-    // From low to below high.
+    // Uniformly distributed in [low, high).
     double nextBetween(double low, double high) { return low + (high - low) * nextUniform(); }
 
 private:
