--- a/Tests/FaultProxy/DelayLineTest.cpp
+++ b/Tests/FaultProxy/DelayLineTest.cpp
@@ -9,7 +9,7 @@
 
     using namespace std::chrono_literals;
 
-    TEST(DelayLineTest, deliversByTimeAndThenByArrival)
+    TEST(DelayLineTest, UnitsLeaveByTimeAndThenByArrival)
     {
         ManualClock clock;
         DelayLine<std::string> line(100);
@@ -25,7 +25,7 @@
         EXPECT_EQ(line.nextDue(), clock.now() + 1ms);
     }
 
-    TEST(DelayLineTest, takesNoMoreThanItsCapacity)
+    TEST(DelayLineTest, UnitsAboveTheCapacityAreDropped)
     {
         ManualClock clock;
         DelayLine<std::string> line(8);
--- a/Tests/FaultProxy/FaultProxyAdminTest.cpp
+++ b/Tests/FaultProxy/FaultProxyAdminTest.cpp
@@ -23,7 +23,7 @@
         FaultProxyAdmin admin_ { proxy_ };
     };
 
-    TEST_F(FaultProxyAdminTest, opensLinksAndChangesTheirTargets)
+    TEST_F(FaultProxyAdminTest, LinksAreOpenedAndTheirTargetsChanged)
     {
         const auto opened = post("/links", R"({"name": "a", "protocol": "udp", "listen": "127.0.0.1:0"})");
         ASSERT_EQ(opened.status, 200) << opened.body;
@@ -34,7 +34,7 @@
         EXPECT_EQ(counters()["faults_injected"], 0);
     }
 
-    TEST_F(FaultProxyAdminTest, refusesWhatIsMalformed)
+    TEST_F(FaultProxyAdminTest, MalformedRequestsAreRejected)
     {
         EXPECT_EQ(post("/links", "{").status, 400);
         EXPECT_EQ(post("/links", "[]").status, 400);
@@ -50,7 +50,7 @@
         EXPECT_TRUE(proxy_.links().empty());
     }
 
-    TEST_F(FaultProxyAdminTest, takesFaultsByPatternForLinksOpenedLaterToo)
+    TEST_F(FaultProxyAdminTest, FaultPatternsMayPrecedeTheirLinks)
     {
         EXPECT_EQ(post("/faults", R"({"link": "peer/*", "direction": "to_target", "cut": true})").status, 200);
         EXPECT_EQ(post("/links", R"({"name": "peer/b1", "protocol": "udp"})").status, 200);
@@ -58,7 +58,7 @@
 
 }
 
-TEST(FaultRulesTest, rulesThatMatchAddUpAndEmptyOnesVanish)
+TEST(FaultRulesTest, MatchingRulesAreCombinedAndEmptyOnesRemoved)
 {
     using namespace std::chrono_literals;
     FaultRules rules;
--- a/Tests/FaultProxy/FaultProxyTest.cpp
+++ b/Tests/FaultProxy/FaultProxyTest.cpp
@@ -19,14 +19,14 @@
     using asio::ip::udp;
     using namespace std::chrono_literals;
 
-    // Real sockets on loopback: a sender, the proxy, and a receiver behind it, all in one event loop.
+    // A sender, the proxy and a receiver with real loopback sockets on one io_context.
     class FaultProxyTest : public testing::Test {
     protected:
         void waitFor(const std::function<bool()>& condition)
         {
             const TimePoint deadline = Clock::now() + 10s;
             while (!condition()) {
-                ASSERT_LT(Clock::now(), deadline) << "the condition never came true";
+                ASSERT_LT(Clock::now(), deadline) << "timeout waiting for the condition";
                 context_.run_for(1ms);
                 context_.restart();
             }
@@ -80,7 +80,7 @@
         Endpoint linkAddress_;
     };
 
-    TEST_F(UdpLinkTest, carriesDatagramsAndAnswers)
+    TEST_F(UdpLinkTest, DatagramsAndRepliesAreForwarded)
     {
         send("question");
         EXPECT_EQ(waitForDatagram(receiver_), "question");
@@ -89,18 +89,18 @@
         EXPECT_EQ(fromAsio(lastSender_), linkAddress_);
     }
 
-    TEST_F(UdpLinkTest, deliversAfterAFreezeAndDropsDuringACut)
+    TEST_F(UdpLinkTest, FreezeHoldsAndCutDropsDatagrams)
     {
         const FaultCounters& counters = proxy_.links().at("link")->counters(Direction::ToTarget);
 
-        SCOPED_TRACE("What comes during a cut never arrives");
+        SCOPED_TRACE("a datagram during a cut is dropped");
         send("before");
         EXPECT_EQ(waitForDatagram(receiver_), "before");
         setFaults({ .cut = true });
         send("lost");
         waitFor([&] { return counters.cut == 1; });
 
-        SCOPED_TRACE("What comes during a freeze arrives after it");
+        SCOPED_TRACE("a datagram during a freeze is delivered after it");
         setFaults({ .freeze = true });
         send("held");
         waitFor([&] { return counters.frozen == 1; });
@@ -109,7 +109,7 @@
         EXPECT_EQ(waitForDatagram(receiver_), "held");
     }
 
-    TEST_F(UdpLinkTest, duplicatesAndDelays)
+    TEST_F(UdpLinkTest, DatagramsAreDuplicatedAndDelayed)
     {
         setFaults({ .delay = 20ms, .duplicate = 1 });
         const TimePoint sent = Clock::now();
@@ -128,7 +128,7 @@
             source_.connect(toTcp(address));
         }
 
-        // Starts to read until the other side closes or resets.
+        // Starts reading until the other side closes or resets the connection.
         void readAll()
         {
             asio::async_read(target_, asio::dynamic_buffer(received_),
@@ -143,7 +143,7 @@
         bool accepted_ = false;
     };
 
-    TEST_F(TcpLinkTest, carriesAStreamToItsEnd)
+    TEST_F(TcpLinkTest, AStreamIsForwardedToItsEnd)
     {
         connect();
         waitFor([&] { return accepted_; });
@@ -156,7 +156,7 @@
         EXPECT_EQ(received_, text);
     }
 
-    TEST_F(TcpLinkTest, holdsBytesDuringACutAndDeliversThemAfterIt)
+    TEST_F(TcpLinkTest, BytesWaitDuringACutAndArriveAfterIt)
     {
         setFaults({ .cut = true });
         connect();
@@ -173,7 +173,7 @@
         EXPECT_EQ(received_, "held");
     }
 
-    TEST_F(TcpLinkTest, resetsConnectionsWhenAskedTo)
+    TEST_F(TcpLinkTest, ACutWithResetResetsConnections)
     {
         connect();
         waitFor([&] { return accepted_; });
--- a/Tests/FaultProxy/LinkFaultsTest.cpp
+++ b/Tests/FaultProxy/LinkFaultsTest.cpp
@@ -19,7 +19,7 @@
         LinkFaults streamFaults_ { LinkProtocol::Tcp, counters_ };
     };
 
-    TEST_F(LinkFaultsTest, deliversAtOnceWithoutFaults)
+    TEST_F(LinkFaultsTest, NoDelayWithoutFaults)
     {
         const FaultDecision decision = decide();
         EXPECT_EQ(decision.deliverAt, clock_.now());
@@ -28,7 +28,7 @@
         EXPECT_EQ(counters_.faultsInjected(), 0u);
     }
 
-    TEST_F(LinkFaultsTest, delayAndJitterBoundTheDelivery)
+    TEST_F(LinkFaultsTest, DelayAndJitterBoundTheDeliveryTime)
     {
         faults_.setSettings({ .delay = 10ms, .jitter = 4ms });
         for (int i = 0; i < 100; ++i) {
@@ -40,7 +40,7 @@
         EXPECT_EQ(counters_.delayed, 100u);
     }
 
-    TEST_F(LinkFaultsTest, injectsAboutTheAskedShareOfEachFault)
+    TEST_F(LinkFaultsTest, FaultSharesMatchTheProbabilities)
     {
         faults_.setSettings({ .loss = 0.2, .duplicate = 0.1, .reorder = 0.05 });
         int delivered = 0;
@@ -60,7 +60,7 @@
         EXPECT_EQ(counters_.reordered, static_cast<unsigned>(late));
     }
 
-    TEST_F(LinkFaultsTest, theSameSeedGivesTheSameFaults)
+    TEST_F(LinkFaultsTest, TheSameSeedGivesTheSameFaults)
     {
         const FaultSettings settings { .jitter = 20ms, .loss = 0.3, .duplicate = 0.3, .reorder = 0.3 };
         FaultCounters otherCounters;
@@ -76,7 +76,7 @@
         }
     }
 
-    TEST_F(LinkFaultsTest, aCutDropsDatagramsAndKeepsBytes)
+    TEST_F(LinkFaultsTest, ACutDropsDatagramsAndHoldsBytes)
     {
         faults_.setSettings({ .cut = true });
         EXPECT_FALSE(decide().deliverAt);
@@ -86,14 +86,14 @@
         EXPECT_TRUE(streamFaults_.decide(unitSize, clock_.now(), random_).deliverAt);
         EXPECT_TRUE(streamFaults_.isHolding());
 
-        SCOPED_TRACE("A cut that resets keeps nothing");
+        SCOPED_TRACE("a cut with reset drops bytes");
         streamFaults_.setSettings({ .cut = true, .reset = true });
         EXPECT_FALSE(streamFaults_.decide(unitSize, clock_.now(), random_).deliverAt);
         EXPECT_TRUE(streamFaults_.isResetting());
         EXPECT_EQ(counters_.cut, 3u);
     }
 
-    TEST_F(LinkFaultsTest, aFreezeHoldsWhatItTakes)
+    TEST_F(LinkFaultsTest, AFreezeHoldsUnits)
     {
         faults_.setSettings({ .freeze = true });
         EXPECT_TRUE(decide().deliverAt);
@@ -104,8 +104,8 @@
         EXPECT_FALSE(faults_.isHolding());
     }
 
-    // Bytes that overtook each other would corrupt the stream; a link that injects that tests nothing real.
-    TEST_F(LinkFaultsTest, bytesOfAStreamKeepTheirOrderAndAreNeverLost)
+    // Guards against losing or reordering bytes of a stream, which TCP never does.
+    TEST_F(LinkFaultsTest, BytesOfAStreamKeepTheirOrderAndAreNotLost)
     {
         streamFaults_.setSettings({ .delay = 1ms, .jitter = 50ms, .loss = 1, .duplicate = 1, .reorder = 1 });
         TimePoint last;
--- a/Tests/StandIns/BackendFlowTableTest.cpp
+++ b/Tests/StandIns/BackendFlowTableTest.cpp
@@ -28,7 +28,7 @@
         BackendFlowTable table_ { serverId_, service_, { .connections = 2, .maxNewFlowRecords = 3 } };
     };
 
-    TEST_F(BackendFlowTableTest, knowsAFlowOnlyByItsOpeningPacket)
+    TEST_F(BackendFlowTableTest, OnlyAnOpeningPacketCreatesAFlow)
     {
         EXPECT_EQ(statusFor(packet(7, 1)), FlowStatus::UnknownFlow);
         const TimePoint opened = clock_.now();
@@ -47,7 +47,7 @@
         EXPECT_EQ(table_.newFlows()[0].firstSeen, opened);
     }
 
-    TEST_F(BackendFlowTableTest, turnsPacketsOfOtherServicesAwayEvenForKnownFlows)
+    TEST_F(BackendFlowTableTest, PacketsForOtherServicesAreRejected)
     {
         EXPECT_EQ(statusFor(packet(7, 0)), FlowStatus::Ok);
         FlowPayload foreign = packet(7, 1);
@@ -59,7 +59,7 @@
         EXPECT_EQ(table_.counts().wrongServicePackets, 1U);
     }
 
-    TEST_F(BackendFlowTableTest, staysSilentBeyondItsConnections)
+    TEST_F(BackendFlowTableTest, OpeningsAboveTheConnectionLimitAreNotAnswered)
     {
         EXPECT_EQ(statusFor(packet(1, 0)), FlowStatus::Ok);
         EXPECT_EQ(statusFor(packet(2, 0)), FlowStatus::Ok);
@@ -67,7 +67,7 @@
         EXPECT_EQ(table_.counts().refusedFlows, 1U);
         EXPECT_EQ(table_.liveFlows(), 2U);
 
-        SCOPED_TRACE("an ended flow makes room");
+        SCOPED_TRACE("the end of a flow allows a new one");
         FlowPayload last = packet(1, 1);
         last.end = true;
         EXPECT_EQ(statusFor(last), FlowStatus::Ok);
@@ -76,7 +76,7 @@
         EXPECT_EQ(table_.counts().peakFlows, 2U);
     }
 
-    TEST_F(BackendFlowTableTest, remembersEndedFlowsForLatePackets)
+    TEST_F(BackendFlowTableTest, EndedFlowsAcceptLatePackets)
     {
         FlowPayload last = packet(1, 0);
         last.end = true;
@@ -90,7 +90,7 @@
         EXPECT_EQ(table_.liveFlows(), 0U);
     }
 
-    TEST_F(BackendFlowTableTest, forgetsIdleFlowsAndKeepsTheirRecordsBounded)
+    TEST_F(BackendFlowTableTest, IdleFlowsExpireAndTheirRecordsAreLimited)
     {
         for (std::uint64_t flow = 1; flow <= 5; ++flow) {
             EXPECT_EQ(statusFor(packet(flow, 0)), FlowStatus::Ok);
--- a/Tests/StandIns/BackendRequestTrackerTest.cpp
+++ b/Tests/StandIns/BackendRequestTrackerTest.cpp
@@ -19,7 +19,7 @@
         BackendRequestTracker tracker_ { 2 };
     };
 
-    TEST_F(BackendRequestTrackerTest, runsAsManyAsItHasSlots)
+    TEST_F(BackendRequestTrackerTest, ConcurrentRunsAreLimitedToTheSlots)
     {
         tracker_.behaviour().slots = 2;
         const auto first = admit("a");
@@ -27,11 +27,11 @@
         EXPECT_EQ(first.endsAt, clock_.now() + milliseconds(100));
         EXPECT_FALSE(admit("b").shed);
         EXPECT_TRUE(admit("c").shed);
-        EXPECT_FALSE(tracker_.keys().contains("c")) << "a shed request never ran";
+        EXPECT_FALSE(tracker_.keys().contains("c")) << "a refused request does not run";
         tracker_.end(first.run, RunOutcome::Completed, clock_.now());
         EXPECT_FALSE(admit("c").shed);
 
-        SCOPED_TRACE("a server that drains or sheds runs nothing new");
+        SCOPED_TRACE("a server that is draining or shedding refuses all requests");
         tracker_.behaviour().slots = 10;
         tracker_.behaviour().draining = true;
         EXPECT_TRUE(admit("d").shed);
@@ -41,7 +41,7 @@
         EXPECT_EQ(tracker_.counts().shed, 3U);
     }
 
-    TEST_F(BackendRequestTrackerTest, recordsEveryRunOfAKey)
+    TEST_F(BackendRequestTrackerTest, AllRunsOfAKeyAreRecorded)
     {
         const auto first = admit("a");
         clock_.advance(milliseconds(50));
@@ -60,7 +60,7 @@
         EXPECT_EQ(tracker_.counts().completed, 1U);
     }
 
-    TEST_F(BackendRequestTrackerTest, keepsARecordOfSoManyKeys)
+    TEST_F(BackendRequestTrackerTest, RecordedKeysAreLimited)
     {
         tracker_.behaviour().slots = 10;
         for (const char* key : { "a", "b", "c" })
@@ -70,7 +70,7 @@
         EXPECT_EQ(tracker_.counts().runs, 3U);
     }
 
-    TEST_F(BackendRequestTrackerTest, stopsWorkAtItsDeadlineAndStartsCold)
+    TEST_F(BackendRequestTrackerTest, DeadlinesAndColdRequests)
     {
         const auto late = admit("a", milliseconds(40));
         EXPECT_EQ(late.outcome, RunOutcome::DeadlineExceeded);
@@ -82,7 +82,7 @@
         EXPECT_EQ(admit("b").endsAt, clock_.now() + milliseconds(100));
     }
 
-    TEST(BackendStatusTest, showsThePastOrALieAsTold)
+    TEST(BackendStatusTest, LagAndOverridesOfTheReportedStatus)
     {
         ManualClock clock;
         BackendStatus status;
--- a/Tests/StandIns/CallerFlowsTest.cpp
+++ b/Tests/StandIns/CallerFlowsTest.cpp
@@ -14,7 +14,7 @@
 
     class CallerFlowsTest : public testing::Test {
     protected:
-        // Answers a packet, or not.
+        // Returns the reply to a packet, or none.
         using Responder = std::function<std::optional<FlowPayload>(const FlowPayload&)>;
 
         static CallerFlowOptions options()
@@ -35,17 +35,17 @@
             return reply;
         }
 
-        static Responder goodUntil(std::uint32_t sequence, const std::function<void(FlowPayload&)>& spoil)
+        static Responder goodUntil(std::uint32_t sequence, const std::function<void(FlowPayload&)>& alter)
         {
             return [=](const FlowPayload& packet) {
                 auto reply = good(packet);
                 if (packet.sequence >= sequence)
-                    spoil(*reply);
+                    alter(*reply);
                 return reply;
             };
         }
 
-        // Runs the time given, answering every packet one millisecond after it was sent.
+        // Runs the flows for the given time. Replies arrive one millisecond after their packets.
         void run(CallerFlows& flows, Duration time, const Responder& respond)
         {
             const TimePoint end = clock_.now() + time;
@@ -61,7 +61,7 @@
             }
         }
 
-        // One flow that lasts, so that each test tells the story of one customer.
+        // A single flow that lasts for the whole run.
         CallerFlowOptions oneLongLivedFlow() const
         {
             CallerFlowOptions one = options();
@@ -82,7 +82,7 @@
         std::vector<CallerPacket> sent_;
     };
 
-    TEST_F(CallerFlowsTest, aRunWithoutFaultsBreaksNothing)
+    TEST_F(CallerFlowsTest, NoFlowBreaksWithoutFaults)
     {
         CallerFlows flows(options(), clock_.now());
         run(flows, seconds(10), good);
@@ -95,7 +95,7 @@
         EXPECT_EQ(flows.counts().packetsSent, sent_.size());
         EXPECT_EQ(flows.counts().replies, sent_.size());
 
-        SCOPED_TRACE("every flow has its own client, which uses one service");
+        SCOPED_TRACE("each flow has its own client endpoint");
         std::set<std::pair<std::uint64_t, Endpoint>> clients;
         std::set<Endpoint> endpoints;
         for (const CallerPacket& packet : sent_) {
@@ -107,7 +107,7 @@
         EXPECT_EQ(endpoints.size(), flows.counts().flowsOpened);
     }
 
-    TEST_F(CallerFlowsTest, theSameSeedGivesTheSamePackets)
+    TEST_F(CallerFlowsTest, TheSameSeedGivesTheSamePackets)
     {
         const TimePoint start = clock_.now();
         CallerFlows first(options(), start);
@@ -122,7 +122,7 @@
             EXPECT_EQ(packets[i].payload, sent_[i].payload);
     }
 
-    TEST_F(CallerFlowsTest, marksTheStartsThatItIsToldTo)
+    TEST_F(CallerFlowsTest, StartMarksOnFirstPackets)
     {
         CallerFlowOptions marked = options();
         marked.startMarkShare = 1;
@@ -132,7 +132,7 @@
             EXPECT_EQ(packet.payload.startMark, packet.payload.sequence == 0);
     }
 
-    TEST_F(CallerFlowsTest, aResetBreaksAnEstablishedFlowOnce)
+    TEST_F(CallerFlowsTest, AnUnknownFlowReplyBreaksAnEstablishedFlowOnce)
     {
         CallerFlows flows(oneLongLivedFlow(), clock_.now());
         run(flows, seconds(3), goodUntil(3, [](FlowPayload& reply) {
@@ -147,20 +147,20 @@
         EXPECT_EQ(flows.openFlows(), 0U);
     }
 
-    TEST_F(CallerFlowsTest, anotherServerBreaksAnEstablishedFlow)
+    TEST_F(CallerFlowsTest, AReplyFromAnotherServerBreaksAnEstablishedFlow)
     {
         CallerFlows flows(oneLongLivedFlow(), clock_.now());
         run(flows, seconds(3), goodUntil(2, [](FlowPayload& reply) { reply.backendServer = { 2 }; }));
         EXPECT_EQ(onlyBreak(flows).kind, FlowBreakKind::ChangedServer);
     }
 
-    TEST_F(CallerFlowsTest, aServerOfAnotherServiceIsCountedHoweverItAnswers)
+    TEST_F(CallerFlowsTest, RepliesFromAnotherServiceAreCountedWithAnyStatus)
     {
-        for (const bool admits : { false, true }) {
-            SCOPED_TRACE(admits ? "it says so" : "it takes the packet for its own");
+        for (const bool reportsWrongService : { false, true }) {
+            SCOPED_TRACE(reportsWrongService ? "status WrongService" : "status Ok");
             CallerFlows flows(oneLongLivedFlow(), clock_.now());
             run(flows, seconds(3), goodUntil(2, [&](FlowPayload& reply) {
-                reply.status = admits ? FlowStatus::WrongService : FlowStatus::Ok;
+                reply.status = reportsWrongService ? FlowStatus::WrongService : FlowStatus::Ok;
                 reply.service = { 99 };
             }));
             EXPECT_EQ(flows.counts().wrongServicePackets, 1U);
@@ -168,7 +168,7 @@
         }
     }
 
-    TEST_F(CallerFlowsTest, lostPacketsAreNoBreakUntilManyInARowAreLost)
+    TEST_F(CallerFlowsTest, ConsecutiveLostPacketsStallAFlow)
     {
         const auto answeringEvery = [](std::uint32_t n) {
             return [n](const FlowPayload& packet) {
@@ -176,13 +176,13 @@
             };
         };
         {
-            SCOPED_TRACE("seven of eight are lost");
+            SCOPED_TRACE("seven packets in a row are lost");
             CallerFlows flows(oneLongLivedFlow(), clock_.now());
             run(flows, seconds(9), answeringEvery(8));
             EXPECT_EQ(flows.counts().flowsBroken, 0U);
         }
         {
-            SCOPED_TRACE("eight in a row are lost");
+            SCOPED_TRACE("eight packets in a row are lost");
             CallerFlows flows(oneLongLivedFlow(), clock_.now());
             run(flows, seconds(9), answeringEvery(9));
             EXPECT_EQ(onlyBreak(flows).kind, FlowBreakKind::Stalled);
@@ -190,11 +190,8 @@
         }
     }
 
-    // Symptom: a flow counts as broken although its server never changed.
-    // Sequence: the reply to the opening packet is lost; the caller repeats the packet, which reaches a second server;
-    // both answer, and only the first one's answer establishes the flow.
-    // Cause: the second answer was taken for a packet of the established flow.
-    TEST_F(CallerFlowsTest, aRepeatedOpeningAtASecondServerIsNoBreak)
+    // Guards against counting a flow as broken because a second server answers its repeated opening packet.
+    TEST_F(CallerFlowsTest, ARepeatedOpeningAtASecondServerBreaksNoFlow)
     {
         CallerFlows flows(oneLongLivedFlow(), clock_.now());
         FlowPayload opening;
@@ -216,7 +213,7 @@
         EXPECT_EQ(flows.counts().openingsAtOtherServers, 1U);
     }
 
-    TEST_F(CallerFlowsTest, aFlowThatNobodyAnswersIsNeverEstablished)
+    TEST_F(CallerFlowsTest, AnUnansweredFlowIsNotEstablished)
     {
         CallerFlows flows(oneLongLivedFlow(), clock_.now());
         run(flows, seconds(12), [](const FlowPayload&) { return std::nullopt; });
@@ -225,7 +222,7 @@
         EXPECT_EQ(flows.openFlows(), 0U);
     }
 
-    TEST_F(CallerFlowsTest, staysWithinItsLimits)
+    TEST_F(CallerFlowsTest, LimitsOnOpenFlowsAndRecordedBreaks)
     {
         CallerFlowOptions limited = options();
         limited.maxOpenFlows = 10;
--- a/Tests/StandIns/CallerRequestsTest.cpp
+++ b/Tests/StandIns/CallerRequestsTest.cpp
@@ -47,7 +47,7 @@
         ManualClock clock_;
     };
 
-    TEST_F(CallerRequestsTest, takesOnlyTheWholeAnswerToItsOwnRequest)
+    TEST_F(CallerRequestsTest, OnlyTheCompleteExpectedAnswerIsAccepted)
     {
         CallerRequests requests(options(), clock_.now());
         const PlannedRequest planned = onlyPlanned(requests);
@@ -56,34 +56,35 @@
         requests.handle(planned.id, goodAnswer(planned.request), clock_.now());
         EXPECT_EQ(requests.counts().endedAs(RequestOutcome::Answered), 1U);
 
-        const auto spoiled = [&](const std::function<void(HttpResponse&)>& spoil) {
+        const auto countsAfter = [&](const std::function<void(HttpResponse&)>& alter) {
             CallerRequests others(options(), clock_.now());
             const PlannedRequest other = onlyPlanned(others);
             HttpResponse answer = goodAnswer(other.request);
-            spoil(answer);
+            alter(answer);
             others.handle(other.id, answer, clock_.now());
             return others.counts();
         };
         EXPECT_EQ(
-            spoiled([](HttpResponse& answer) { answer.body.pop_back(); }).endedAs(RequestOutcome::WrongAnswer), 1U);
+            countsAfter([](HttpResponse& answer) { answer.body.pop_back(); }).endedAs(RequestOutcome::WrongAnswer), 1U);
         EXPECT_EQ(
-            spoiled([](HttpResponse& answer) { answer.body.back() ^= 1; }).endedAs(RequestOutcome::WrongAnswer), 1U);
-        EXPECT_EQ(spoiled([](HttpResponse& answer) {
+            countsAfter([](HttpResponse& answer) { answer.body.back() ^= 1; }).endedAs(RequestOutcome::WrongAnswer),
+            1U);
+        EXPECT_EQ(countsAfter([](HttpResponse& answer) {
             answer.headers[0].value = "tryon-2";
         }).endedAs(RequestOutcome::WrongAnswer),
             1U);
-        const auto foreign = spoiled([](HttpResponse& answer) { answer.headers[1].value = "scanintake"; });
+        const auto foreign = countsAfter([](HttpResponse& answer) { answer.headers[1].value = "scanintake"; });
         EXPECT_EQ(foreign.endedAs(RequestOutcome::WrongAnswer), 1U);
         EXPECT_EQ(foreign.wrongServiceAnswers, 1U);
     }
 
-    TEST_F(CallerRequestsTest, tellsACutAnswerFromAForeignOne)
+    TEST_F(CallerRequestsTest, TruncatedAndForeignAnswersAreDistinguished)
     {
-        const auto faultOf = [&](const std::function<void(HttpResponse&)>& spoil) {
+        const auto faultOf = [&](const std::function<void(HttpResponse&)>& alter) {
             CallerRequests requests(options(), clock_.now());
             const PlannedRequest planned = onlyPlanned(requests);
             HttpResponse answer = goodAnswer(planned.request);
-            spoil(answer);
+            alter(answer);
             requests.handle(planned.id, answer, clock_.now());
             return requests.records().at(0).attempts.at(0).fault;
         };
@@ -95,7 +96,7 @@
         EXPECT_EQ(faultOf([](HttpResponse& answer) { answer.headers[1].value = "scanintake"; }), AnswerFault::Foreign);
     }
 
-    TEST_F(CallerRequestsTest, tellsRefusedFromUnknownAndLost)
+    TEST_F(CallerRequestsTest, OutcomesOfResponsesAndFailures)
     {
         EXPECT_EQ(outcomeOf(HttpResponse { 503, {}, R"({"executed": "no"})" }), RequestOutcome::Refused);
         EXPECT_EQ(outcomeOf(HttpResponse { 429, { { "x-executed", "no" } }, "" }), RequestOutcome::Refused);
@@ -108,7 +109,7 @@
         EXPECT_EQ(outcomeOf(HttpFailure { HttpFailureKind::Cancelled, "" }), RequestOutcome::Cancelled);
     }
 
-    TEST_F(CallerRequestsTest, triesTheSameKeyAtAnotherBalancer)
+    TEST_F(CallerRequestsTest, RetriesUseTheSameKeyAtAnotherBalancer)
     {
         CallerRequestOptions retrying = options();
         retrying.retries = 1;
--- a/Tests/StandIns/FabricSprayerTest.cpp
+++ b/Tests/StandIns/FabricSprayerTest.cpp
@@ -9,19 +9,19 @@
     constexpr Endpoint first { 0x7F000001, 1 };
     constexpr Endpoint second { 0x7F000001, 2 };
 
-    TEST(FabricSprayerTest, spraysByWeightAndSeed)
+    TEST(FabricSprayerTest, PacketsFollowWeightsAndSeed)
     {
         FabricSprayer sprayer(1);
-        FabricSprayer twin(1);
-        for (FabricSprayer* one : { &sprayer, &twin })
-            one->setTargets({ { first, 1, 0 }, { second, 3, 0 } });
+        FabricSprayer other(1);
+        for (FabricSprayer* each : { &sprayer, &other })
+            each->setTargets({ { first, 1, 0 }, { second, 3, 0 } });
         for (int i = 0; i < 40'000; ++i)
-            ASSERT_EQ(sprayer.next(), twin.next());
+            ASSERT_EQ(sprayer.next(), other.next());
         EXPECT_NEAR(static_cast<double>(sprayer.targets()[0].packets), 10'000, 500);
         EXPECT_NEAR(static_cast<double>(sprayer.targets()[1].packets), 30'000, 500);
     }
 
-    TEST(FabricSprayerTest, sendsNothingToABalancerThatWasTakenOut)
+    TEST(FabricSprayerTest, ARemovedBalancerGetsNoPackets)
     {
         FabricSprayer sprayer(1);
         EXPECT_FALSE(sprayer.next().isSet());
@@ -34,10 +34,10 @@
         sprayer.setTargets({ { second, 1, 0 } });
         for (int i = 0; i < 100; ++i)
             EXPECT_EQ(sprayer.next(), second);
-        EXPECT_EQ(sprayer.targets()[0].packets, before) << "its count is kept";
+        EXPECT_EQ(sprayer.targets()[0].packets, before) << "its packet count is kept";
     }
 
-    TEST(FabricSprayerTest, readsBalancerListsWholeOrNotAtAll)
+    TEST(FabricSprayerTest, InvalidBalancerListsAreRejected)
     {
         const auto targets = parseFabricTargets(R"(["127.0.0.1:1", {"address": "127.0.0.1:2", "weight": 0.5}])");
         ASSERT_TRUE(targets);
--- a/Tests/StandIns/FlagTextTest.cpp
+++ b/Tests/StandIns/FlagTextTest.cpp
@@ -7,7 +7,7 @@
 namespace wisteriadock {
 namespace {
 
-    TEST(FlagTextTest, readsABackendServer)
+    TEST(FlagTextTest, BackendServerFlag)
     {
         const auto spec = BackendSpec::parse("tryon-1@tryon@127.0.0.1:4000@127.0.0.1:0@2@2000");
         ASSERT_TRUE(spec);
@@ -19,7 +19,7 @@
         EXPECT_EQ(spec.value().connections, 2000U);
     }
 
-    TEST(FlagTextTest, refusesMalformedBackendServers)
+    TEST(FlagTextTest, MalformedBackendServerFlagsAreRejected)
     {
         for (const char* text : { "", "a@b", "@s@127.0.0.1:1@127.0.0.1:2@2@3", "a@s@127.0.0.1@127.0.0.1:2@2@3",
                  "a@s@127.0.0.1:1@127.0.0.1:2@0@3", "a@s@127.0.0.1:1@127.0.0.1:2@2@3x",
@@ -29,7 +29,7 @@
         }
     }
 
-    TEST(FlagTextTest, readsAService)
+    TEST(FlagTextTest, ServiceFlag)
     {
         const auto service = CallerService::parse("tryon@192.0.2.1:443@0.8");
         ASSERT_TRUE(service);
--- a/Tests/StandIns/FlowPayloadTest.cpp
+++ b/Tests/StandIns/FlowPayloadTest.cpp
@@ -22,7 +22,7 @@
         };
     }
 
-    TEST(FlowPayloadTest, readsWhatItWrote)
+    TEST(FlowPayloadTest, EncodedPayloadsAreDecoded)
     {
         for (const FlowPayload& payload : { fullReply(), FlowPayload {} }) {
             const auto read = decodeFlowPayload(encodeFlowPayload(payload));
@@ -31,7 +31,7 @@
         }
     }
 
-    TEST(FlowPayloadTest, refusesAllOtherSizes)
+    TEST(FlowPayloadTest, OtherSizesAreRejected)
     {
         std::vector<std::uint8_t> bytes(64);
         const FlowPayloadBytes whole = encodeFlowPayload(fullReply());
@@ -42,7 +42,7 @@
         }
     }
 
-    TEST(FlowPayloadTest, readsGarbageOnlyAsWhatItWouldWrite)
+    TEST(FlowPayloadTest, RandomBytesThatDecodeEncodeToTheSameBytes)
     {
         std::mt19937 random(20240301);
         for (int round = 0; round < 100'000; ++round) {
--- a/Tests/StandIns/LoopbackTest.cpp
+++ b/Tests/StandIns/LoopbackTest.cpp
@@ -12,13 +12,14 @@
 
     constexpr Endpoint loopback { 0x7F000001, 0 };
 
-    template <typename T> T must(Result<T> result)
+    template <typename T> T valueOf(Result<T> result)
     {
         EXPECT_TRUE(result) << (result ? "" : result.error().toString());
         return std::move(result).value();
     }
 
-    // Caller, fabric and backend servers on one context, without balancers: the fabric sprays to the servers.
+    // Caller, fabric and backend stand-ins on one io_context without balancers: the fabric sends to the backend
+    // servers.
     class LoopbackTest : public testing::Test {
     protected:
         void startBackend(const std::vector<std::string>& specs)
@@ -26,8 +27,8 @@
             BackendStandInOptions options;
             options.admin = loopback;
             for (const std::string& spec : specs)
-                options.servers.push_back(must(BackendSpec::parse(spec)));
-            backend_ = must(BackendStandIn::start(context_, options));
+                options.servers.push_back(valueOf(BackendSpec::parse(spec)));
+            backend_ = valueOf(BackendStandIn::start(context_, options));
         }
 
         void startFabric()
@@ -37,10 +38,10 @@
             options.admin = loopback;
             for (const auto& server : backend_->servers())
                 options.balancers.push_back({ server->flowAddress(), 1, 0 });
-            fabric_ = must(FabricStandIn::start(context_, options));
+            fabric_ = valueOf(FabricStandIn::start(context_, options));
         }
 
-        // Runs the caller to its end and tells the backend servers where its replies go.
+        // Runs the caller to its end. The backend servers send their replies to it.
         void runCaller(const std::function<void(CallerStandInOptions&)>& change = [](auto&) {})
         {
             CallerStandInOptions options;
@@ -54,7 +55,7 @@
             options.requests.services = options.flows.services;
             options.requests.runTime = options.flows.runTime;
             change(options);
-            caller_ = must(CallerStandIn::start(context_, options));
+            caller_ = valueOf(CallerStandIn::start(context_, options));
             for (const auto& server : backend_->servers())
                 server->setReplyTo(caller_->replyAddress());
             context_.run();
@@ -66,7 +67,7 @@
         std::unique_ptr<CallerStandIn> caller_;
     };
 
-    TEST_F(LoopbackTest, oneServerKeepsAllItsFlows)
+    TEST_F(LoopbackTest, NoFlowBreaksWithOneServer)
     {
         startBackend({ "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000" });
         startFabric();
@@ -82,7 +83,7 @@
         EXPECT_EQ(fabric_->sprayer().targets()[0].packets, counts.packetsSent);
     }
 
-    TEST_F(LoopbackTest, twoServersWithoutABalancerBreakFlows)
+    TEST_F(LoopbackTest, FlowsBreakWithTwoServersAndNoBalancer)
     {
         startBackend(
             { "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000", "tryon-2@tryon@127.0.0.1:0@127.0.0.1:0@2@2000" });
@@ -93,7 +94,7 @@
         EXPECT_EQ(caller_->flows().counts().wrongServicePackets, 0U);
     }
 
-    TEST_F(LoopbackTest, aServerOfAnotherServiceIsNoticedAtBothEnds)
+    TEST_F(LoopbackTest, CallerAndServerCountPacketsForAnotherService)
     {
         startBackend(
             { "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000", "scan-1@scanintake@127.0.0.1:0@127.0.0.1:0@2@2000" });
@@ -104,7 +105,7 @@
             caller_->flows().counts().wrongServicePackets);
     }
 
-    TEST_F(LoopbackTest, requestsAreAnsweredWholeOrRefusedAsNotRun)
+    TEST_F(LoopbackTest, RequestsAreAnsweredOrRefusedAsNotExecuted)
     {
         startBackend({ "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000" });
         startFabric();
@@ -116,7 +117,7 @@
         });
         const CallerRequestCounts& counts = caller_->requests().counts();
         EXPECT_GT(counts.endedAs(RequestOutcome::Answered), 20U);
-        EXPECT_GT(counts.endedAs(RequestOutcome::Refused), 20U) << "two slots can't run them all";
+        EXPECT_GT(counts.endedAs(RequestOutcome::Refused), 20U) << "two slots are too few for all requests";
         EXPECT_EQ(
             counts.endedAs(RequestOutcome::Answered) + counts.endedAs(RequestOutcome::Refused), counts.requestsSent);
 
@@ -127,7 +128,7 @@
         }
     }
 
-    TEST_F(LoopbackTest, cancelledRequestsStopTheirWork)
+    TEST_F(LoopbackTest, CancelledRequestsStopTheirWork)
     {
         startBackend({ "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@100@2000" });
         startFabric();
@@ -146,7 +147,7 @@
         EXPECT_EQ(caller_->requests().counts().endedAs(RequestOutcome::Cancelled), counts.runs);
     }
 
-    TEST_F(LoopbackTest, theAdminDoorChangesAllOrNothing)
+    TEST_F(LoopbackTest, AnInvalidAdminChangeChangesNothing)
     {
         startBackend(
             { "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000", "tryon-2@tryon@127.0.0.1:0@127.0.0.1:0@2@2000" });
