--- a/Source/StandIns/BackendMain.cpp
+++ b/Source/StandIns/BackendMain.cpp
@@ -49,6 +49,6 @@
         return reportStartFailure(standIn.error());
     standIn.value()->printListeningLines();
     runUntilStopped(context);
-    standIn.value()->printFinalRows();
+    standIn.value()->printFinalCounts();
     return 0;
 }
--- a/Source/StandIns/BackendStandIn.cpp
+++ b/Source/StandIns/BackendStandIn.cpp
@@ -51,7 +51,7 @@
     printListening("admin", adminAddress());
 }
 
-void BackendStandIn::printFinalRows() const
+void BackendStandIn::printFinalCounts() const
 {
     BackendFlowCounts flows;
     BackendRequestCounts requests;
@@ -68,16 +68,16 @@
         requests.shed += server->requests().counts().shed;
         malformed += server->malformedDatagrams();
     }
-    printRow("packets", flows.packets);
-    printRow("new_flows", flows.newFlows);
-    printRow("unknown_flow_packets", flows.unknownFlowPackets);
-    printRow("wrong_service_packets", flows.wrongServicePackets);
-    printRow("refused_flows", flows.refusedFlows);
-    printRow("malformed_datagrams", malformed);
-    printRow("runs", requests.runs);
-    printRow("runs_completed", requests.completed);
-    printRow("runs_cancelled", requests.cancelled);
-    printRow("requests_shed", requests.shed);
+    printCount("packets", flows.packets);
+    printCount("new_flows", flows.newFlows);
+    printCount("unknown_flow_packets", flows.unknownFlowPackets);
+    printCount("wrong_service_packets", flows.wrongServicePackets);
+    printCount("refused_flows", flows.refusedFlows);
+    printCount("malformed_datagrams", malformed);
+    printCount("runs", requests.runs);
+    printCount("runs_completed", requests.completed);
+    printCount("runs_cancelled", requests.cancelled);
+    printCount("requests_shed", requests.shed);
 }
 
 void BackendStandIn::tick()
--- a/Source/StandIns/BackendStandIn.h
+++ b/Source/StandIns/BackendStandIn.h
@@ -40,7 +40,7 @@
     const std::vector<std::shared_ptr<BackendStandInServer>>& servers() const { return servers_; }
 
     void printListeningLines() const;
-    void printFinalRows() const;
+    void printFinalCounts() const;
 
 private:
     explicit BackendStandIn(boost::asio::io_context&);
--- a/Source/StandIns/CallerMain.cpp
+++ b/Source/StandIns/CallerMain.cpp
@@ -124,7 +124,7 @@
         return reportStartFailure(caller.error());
     caller.value()->printListeningLines();
     runUntilStopped(context);
-    caller.value()->printFinalRows();
+    caller.value()->printFinalCounts();
     const auto written = caller.value()->writeRecords();
     return written ? 0 : reportStartFailure(written.error());
 }
--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -73,37 +73,37 @@
 
 void CallerStandIn::printListeningLines() const { printListening("replies", replyAddress()); }
 
-void CallerStandIn::printFinalRows() const
+void CallerStandIn::printFinalCounts() const
 {
     const CallerFlowCounts& flows = flows_.counts();
-    printRow("flows_opened", flows.flowsOpened);
-    printRow("flows_established", flows.flowsEstablished);
-    printRow("flows_not_established", flows.flowsNotEstablished);
-    printRow("flows_ended", flows.flowsEnded);
-    printRow("flows_broken", flows.flowsBroken);
-    printRow("flows_stalled", flows.flowsStalled);
-    printRow("flows_skipped", flows.flowsSkipped);
-    printRow("wrong_service_packets", flows.wrongServicePackets);
-    printRow("openings_elsewhere", flows.openingsAtOtherServers);
-    printRow("packets_sent", flows.packetsSent);
-    printRow("replies", flows.replies);
-    printRow("late_replies", flows.lateReplies);
-    printRow("malformed_datagrams", malformedDatagrams_);
-    printRow("send_drops", socket_->sendDrops());
+    printCount("flows_opened", flows.flowsOpened);
+    printCount("flows_established", flows.flowsEstablished);
+    printCount("flows_not_established", flows.flowsNotEstablished);
+    printCount("flows_ended", flows.flowsEnded);
+    printCount("flows_broken", flows.flowsBroken);
+    printCount("flows_stalled", flows.flowsStalled);
+    printCount("flows_skipped", flows.flowsSkipped);
+    printCount("wrong_service_packets", flows.wrongServicePackets);
+    printCount("openings_elsewhere", flows.openingsAtOtherServers);
+    printCount("packets_sent", flows.packetsSent);
+    printCount("replies", flows.replies);
+    printCount("late_replies", flows.lateReplies);
+    printCount("malformed_datagrams", malformedDatagrams_);
+    printCount("send_drops", socket_->sendDrops());
 
     const CallerRequestCounts& requests = requests_.counts();
-    printRow("requests_sent", requests.requestsSent);
-    printRow("request_tries_sent", requests.attemptsSent);
-    printRow("requests_answered", requests.endedAs(RequestOutcome::Answered));
-    printRow("requests_refused", requests.endedAs(RequestOutcome::Refused));
-    printRow("requests_unknown", requests.endedAs(RequestOutcome::Unknown));
-    printRow("requests_lost", requests.endedAs(RequestOutcome::Lost));
+    printCount("requests_sent", requests.requestsSent);
+    printCount("request_tries_sent", requests.attemptsSent);
+    printCount("requests_answered", requests.endedAs(RequestOutcome::Answered));
+    printCount("requests_refused", requests.endedAs(RequestOutcome::Refused));
+    printCount("requests_unknown", requests.endedAs(RequestOutcome::Unknown));
+    printCount("requests_lost", requests.endedAs(RequestOutcome::Lost));
     // Above 0 only after a run that was stopped early.
-    printRow("requests_open", requests_.openRequests());
-    printRow("requests_cancelled", requests.endedAs(RequestOutcome::Cancelled));
-    printRow("requests_wrong_answer", requests.endedAs(RequestOutcome::WrongAnswer));
-    printRow("requests_wrong_service", requests.wrongServiceAnswers);
-    printRow("requests_skipped", requests.skipped);
+    printCount("requests_open", requests_.openRequests());
+    printCount("requests_cancelled", requests.endedAs(RequestOutcome::Cancelled));
+    printCount("requests_wrong_answer", requests.endedAs(RequestOutcome::WrongAnswer));
+    printCount("requests_wrong_service", requests.wrongServiceAnswers);
+    printCount("requests_skipped", requests.skipped);
 }
 
 Result<void> CallerStandIn::writeRecords() const
--- a/Source/StandIns/CallerStandIn.h
+++ b/Source/StandIns/CallerStandIn.h
@@ -44,7 +44,7 @@
     const CallerRequests& requests() const { return requests_; }
 
     void printListeningLines() const;
-    void printFinalRows() const;
+    void printFinalCounts() const;
     // Fails with Unavailable when the record file can't be written.
     Result<void> writeRecords() const;
 
--- a/Source/StandIns/FabricMain.cpp
+++ b/Source/StandIns/FabricMain.cpp
@@ -48,6 +48,6 @@
         return reportStartFailure(fabric.error());
     fabric.value()->printListeningLines();
     runUntilStopped(context);
-    fabric.value()->printFinalRows();
+    fabric.value()->printFinalCounts();
     return 0;
 }
--- a/Source/StandIns/FabricStandIn.cpp
+++ b/Source/StandIns/FabricStandIn.cpp
@@ -69,14 +69,14 @@
     printListening("admin", adminAddress());
 }
 
-void FabricStandIn::printFinalRows() const
+void FabricStandIn::printFinalCounts() const
 {
-    printRow("packets", packets_);
-    printRow("unrouted_packets", sprayer_.unroutedPackets());
-    printRow("malformed_datagrams", malformedDatagrams_);
-    printRow("send_drops", socket_->sendDrops());
+    printCount("packets", packets_);
+    printCount("unrouted_packets", sprayer_.unroutedPackets());
+    printCount("malformed_datagrams", malformedDatagrams_);
+    printCount("send_drops", socket_->sendDrops());
     for (const FabricTarget& target : sprayer_.targets())
-        printRow("packets_to " + target.address.toString(), target.packets);
+        printCount("packets_to " + target.address.toString(), target.packets);
 }
 
 void FabricStandIn::handleDatagram(std::span<const std::uint8_t> datagram)
--- a/Source/StandIns/FabricStandIn.h
+++ b/Source/StandIns/FabricStandIn.h
@@ -38,7 +38,7 @@
     const FabricSprayer& sprayer() const { return sprayer_; }
 
     void printListeningLines() const;
-    void printFinalRows() const;
+    void printFinalCounts() const;
 
 private:
     explicit FabricStandIn(std::uint64_t seed);
--- a/Source/StandIns/Program.cpp
+++ b/Source/StandIns/Program.cpp
@@ -36,7 +36,7 @@
     std::fflush(stdout);
 }
 
-void printRowText(std::string_view name, const std::string& value) { fmt::print("{} {}\n", name, value); }
+void printNameAndValue(std::string_view name, const std::string& value) { fmt::print("{} {}\n", name, value); }
 
 int reportStartFailure(const Error& error)
 {
--- a/Source/StandIns/Program.h
+++ b/Source/StandIns/Program.h
@@ -21,8 +21,8 @@
 void printListening(std::string_view what, const Endpoint&);
 
 // Prints a line "NAME VALUE" with one of the final counts.
-void printRow(std::string_view name, std::integral auto value);
-void printRowText(std::string_view name, const std::string& value);
+void printCount(std::string_view name, std::integral auto value);
+void printNameAndValue(std::string_view name, const std::string& value);
 
 // Prints the error to standard error and returns the exit code for a failed start.
 int reportStartFailure(const Error&);
@@ -30,6 +30,6 @@
 // Runs the context until SIGTERM, SIGINT or context.stop().
 void runUntilStopped(boost::asio::io_context&);
 
-void printRow(std::string_view name, std::integral auto value) { printRowText(name, std::to_string(value)); }
+void printCount(std::string_view name, std::integral auto value) { printNameAndValue(name, std::to_string(value)); }
 
 }
