--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -67,7 +67,7 @@
     caller->socket_ = std::move(socket);
     CallerStandIn* const self = caller.get();
     caller->socket_->receive([self](std::span<const std::uint8_t> datagram) { self->handleDatagram(datagram); });
-    caller->scheduleWork();
+    caller->scheduleNextEvent();
     return caller;
 }
 
@@ -134,7 +134,7 @@
     flows_.handle(payload.value(), Clock::now());
 }
 
-void CallerStandIn::work()
+void CallerStandIn::processDueEvents()
 {
     const TimePoint now = Clock::now();
     if (now < end_)
@@ -145,17 +145,17 @@
     if (isOver(now))
         context_.stop();
     else
-        scheduleWork();
+        scheduleNextEvent();
 }
 
-void CallerStandIn::scheduleWork()
+void CallerStandIn::scheduleNextEvent()
 {
     const TimePoint now = Clock::now();
     const TimePoint wanted = std::min(flows_.nextEvent(), requests_.nextEvent());
     timer_.expires_at(std::clamp(wanted, now + minTimerDelay, now + maxTimerDelay));
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (!error)
-            work();
+            processDueEvents();
     });
 }
 
--- a/Source/StandIns/CallerStandIn.h
+++ b/Source/StandIns/CallerStandIn.h
@@ -52,8 +52,8 @@
     CallerStandIn(boost::asio::io_context&, const CallerStandInOptions&, TimePoint start);
 
     void handleDatagram(std::span<const std::uint8_t>);
-    void work();
-    void scheduleWork();
+    void processDueEvents();
+    void scheduleNextEvent();
     void sendPackets(TimePoint now);
     void sendRequests(TimePoint now);
     void sendRequest(const PlannedRequest&);
