--- a/Source/FaultProxy/TcpPipe.cpp
+++ b/Source/FaultProxy/TcpPipe.cpp
@@ -77,10 +77,10 @@
     }
     asio::async_write(to_, asio::buffer(writeQueue_.front()),
         [self = shared_from_this(), owner = owner_.lock()](
-            const boost::system::error_code& error, std::size_t) { self->written(error); });
+            const boost::system::error_code& error, std::size_t) { self->handleWrite(error); });
 }
 
-void TcpPipe::written(const boost::system::error_code& error)
+void TcpPipe::handleWrite(const boost::system::error_code& error)
 {
     if (closed_)
         return;
--- a/Source/FaultProxy/TcpPipe.h
+++ b/Source/FaultProxy/TcpPipe.h
@@ -37,7 +37,7 @@
     void read();
     void deliver(Bytes);
     void write();
-    void written(const boost::system::error_code&);
+    void handleWrite(const boost::system::error_code&);
     void fail();
 
     static constexpr std::size_t readSize = 64 << 10;
--- a/Source/FaultProxy/UdpLink.cpp
+++ b/Source/FaultProxy/UdpLink.cpp
@@ -150,14 +150,14 @@
 void UdpLink::drainSocket()
 {
     receiveAll(socket_, [this](const Endpoint& source, Bytes bytes) {
-        if (Session* session = sessionOf(source)) {
+        if (Session* session = findOrOpenSession(source)) {
             session->lastUse = ++useCount_;
             session->toTarget().push(std::move(bytes));
         }
     });
 }
 
-UdpLink::Session* UdpLink::sessionOf(const Endpoint& source)
+UdpLink::Session* UdpLink::findOrOpenSession(const Endpoint& source)
 {
     const auto found = sessions_.find(source);
     if (found != sessions_.end())
--- a/Source/FaultProxy/UdpLink.h
+++ b/Source/FaultProxy/UdpLink.h
@@ -31,7 +31,7 @@
 
     void receive();
     void drainSocket();
-    Session* sessionOf(const Endpoint& source);
+    Session* findOrOpenSession(const Endpoint& source);
     void evictLeastRecentSession();
 
     boost::asio::io_context& context_;
