--- a/Tests/StandIns/CallerFlowsTest.cpp
+++ b/Tests/StandIns/CallerFlowsTest.cpp
@@ -27,7 +27,7 @@
             return options;
         }
 
-        static std::optional<FlowPayload> good(const FlowPayload& packet)
+        static std::optional<FlowPayload> okReply(const FlowPayload& packet)
         {
             FlowPayload reply = packet;
             reply.kind = FlowPayloadKind::Reply;
@@ -35,10 +35,10 @@
             return reply;
         }
 
-        static Responder goodUntil(std::uint32_t sequence, const std::function<void(FlowPayload&)>& alter)
+        static Responder alteredFrom(std::uint32_t sequence, const std::function<void(FlowPayload&)>& alter)
         {
             return [=](const FlowPayload& packet) {
-                auto reply = good(packet);
+                auto reply = okReply(packet);
                 if (packet.sequence >= sequence)
                     alter(*reply);
                 return reply;
@@ -85,7 +85,7 @@
     TEST_F(CallerFlowsTest, NoFlowBreaksWithoutFaults)
     {
         CallerFlows flows(options(), clock_.now());
-        run(flows, seconds(10), good);
+        run(flows, seconds(10), okReply);
         EXPECT_GT(flows.counts().flowsEstablished, 400U);
         EXPECT_EQ(flows.counts().flowsEstablished, flows.counts().flowsOpened);
         EXPECT_GT(flows.counts().flowsEnded, 100U);
@@ -111,12 +111,12 @@
     {
         const TimePoint start = clock_.now();
         CallerFlows first(options(), start);
-        run(first, seconds(3), good);
+        run(first, seconds(3), okReply);
         const auto packets = std::exchange(sent_, {});
         clock_ = ManualClock();
         ASSERT_EQ(clock_.now(), start);
         CallerFlows second(options(), start);
-        run(second, seconds(3), good);
+        run(second, seconds(3), okReply);
         ASSERT_EQ(packets.size(), sent_.size());
         for (std::size_t i = 0; i < packets.size(); ++i)
             EXPECT_EQ(packets[i].payload, sent_[i].payload);
@@ -127,7 +127,7 @@
         CallerFlowOptions marked = options();
         marked.startMarkShare = 1;
         CallerFlows flows(marked, clock_.now());
-        run(flows, seconds(2), good);
+        run(flows, seconds(2), okReply);
         for (const CallerPacket& packet : sent_)
             EXPECT_EQ(packet.payload.startMark, packet.payload.sequence == 0);
     }
@@ -135,7 +135,7 @@
     TEST_F(CallerFlowsTest, AnUnknownFlowReplyBreaksAnEstablishedFlowOnce)
     {
         CallerFlows flows(oneLongLivedFlow(), clock_.now());
-        run(flows, seconds(3), goodUntil(3, [](FlowPayload& reply) {
+        run(flows, seconds(3), alteredFrom(3, [](FlowPayload& reply) {
             reply.status = FlowStatus::UnknownFlow;
             reply.backendServer = { 2 };
         }));
@@ -150,7 +150,7 @@
     TEST_F(CallerFlowsTest, AReplyFromAnotherServerBreaksAnEstablishedFlow)
     {
         CallerFlows flows(oneLongLivedFlow(), clock_.now());
-        run(flows, seconds(3), goodUntil(2, [](FlowPayload& reply) { reply.backendServer = { 2 }; }));
+        run(flows, seconds(3), alteredFrom(2, [](FlowPayload& reply) { reply.backendServer = { 2 }; }));
         EXPECT_EQ(onlyBreak(flows).kind, FlowBreakKind::ChangedServer);
     }
 
@@ -159,7 +159,7 @@
         for (const bool reportsWrongService : { false, true }) {
             SCOPED_TRACE(reportsWrongService ? "status WrongService" : "status Ok");
             CallerFlows flows(oneLongLivedFlow(), clock_.now());
-            run(flows, seconds(3), goodUntil(2, [&](FlowPayload& reply) {
+            run(flows, seconds(3), alteredFrom(2, [&](FlowPayload& reply) {
                 reply.status = reportsWrongService ? FlowStatus::WrongService : FlowStatus::Ok;
                 reply.service = { 99 };
             }));
@@ -172,7 +172,7 @@
     {
         const auto answeringEvery = [](std::uint32_t n) {
             return [n](const FlowPayload& packet) {
-                return packet.sequence == 0 || packet.sequence % n == 0 ? good(packet) : std::nullopt;
+                return packet.sequence == 0 || packet.sequence % n == 0 ? okReply(packet) : std::nullopt;
             };
         };
         {
@@ -203,11 +203,11 @@
         EXPECT_GT(sent_.size(), 1U) << "the opening is repeated";
         EXPECT_EQ(opening.sequence, 0U);
 
-        FlowPayload reply = *good(opening);
+        FlowPayload reply = *okReply(opening);
         flows.handle(reply, clock_.now());
         reply.backendServer = { 2 };
         flows.handle(reply, clock_.now());
-        run(flows, seconds(3), good);
+        run(flows, seconds(3), okReply);
         EXPECT_EQ(flows.counts().flowsEstablished, 1U);
         EXPECT_EQ(flows.counts().flowsBroken, 0U);
         EXPECT_EQ(flows.counts().openingsAtOtherServers, 1U);
@@ -228,7 +228,7 @@
         limited.maxOpenFlows = 10;
         limited.maxBreaks = 5;
         CallerFlows flows(limited, clock_.now());
-        run(flows, seconds(5), goodUntil(2, [](FlowPayload& reply) { reply.status = FlowStatus::UnknownFlow; }));
+        run(flows, seconds(5), alteredFrom(2, [](FlowPayload& reply) { reply.status = FlowStatus::UnknownFlow; }));
         EXPECT_LE(flows.openFlows(), 10U);
         EXPECT_GT(flows.counts().flowsSkipped, 0U);
         EXPECT_GT(flows.counts().flowsBroken, 5U);
