--- a/Source/FaultProxy/FaultSettings.h
+++ b/Source/FaultProxy/FaultSettings.h
@@ -24,7 +24,7 @@
 inline constexpr std::size_t directionCount = 2;
 
 // The faults that are applied to the units of one direction. Loss, duplication and reordering apply to datagrams only,
-// since they would corrupt a stream.
+// since applying them to TCP would corrupt the stream.
 struct FaultSettings {
     std::chrono::milliseconds delay { 0 };
     // The upper bound of an additional delay that is drawn uniformly for each unit.
--- a/Source/StandIns/BackendFlowTable.cpp
+++ b/Source/StandIns/BackendFlowTable.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // The maximum number of ended flows is this multiple of the connection limit.
+    // The table holds at most connections * (1 + endedPerConnection) flows, including ended ones.
     constexpr std::size_t endedPerConnection = 4;
 
 }
--- a/Source/StandIns/CallerFlows.h
+++ b/Source/StandIns/CallerFlows.h
@@ -19,7 +19,7 @@
 // passes the replies in.
 class CallerFlows {
 public:
-    // `start` is the start of the run.
+    // `start` is the time at which the run starts.
     CallerFlows(CallerFlowOptions, TimePoint start);
 
     // Appends the packets that are due. To be called at nextEvent() or as soon as possible after it.
--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -17,7 +17,7 @@
 
     // How long the run waits for the replies to the last packets.
     constexpr Duration replyGracePeriod = std::chrono::milliseconds(500);
-    // Packets that are due within one delay are sent together.
+    // Packets that are due within minTimerDelay are sent together.
     constexpr Duration minTimerDelay = std::chrono::milliseconds(1);
     constexpr Duration maxTimerDelay = std::chrono::milliseconds(100);
 
--- a/Source/StandIns/Platform/PlatformStore.h
+++ b/Source/StandIns/Platform/PlatformStore.h
@@ -108,7 +108,7 @@
     std::set<std::pair<TimePoint, std::uint64_t>> deadlines_;
     std::vector<EndedWatch> endedWatches_;
     Duration vmLag_ { 0 };
-    // Ordered by visibleFrom; the first one is visible now.
+    // Ordered by visibleFrom. listVms drops lists that a newer visible list replaces.
     std::vector<VmList> vmLists_;
     std::array<std::uint64_t, platformCallKinds> calls_ {};
 };
