--- a/Source/FaultProxy/FaultProxyAdmin.cpp
+++ b/Source/FaultProxy/FaultProxyAdmin.cpp
@@ -15,10 +15,10 @@
 
     Error malformed(std::string detail) { return { ErrorCode::InvalidArgument, std::move(detail) }; }
 
-    // Reads the members of one JSON object and remembers the first that does not fit.
-    class Members {
+    // Reads the members of a JSON object and keeps the error of the first invalid one.
+    class JsonObjectReader {
     public:
-        explicit Members(const std::string& body)
+        explicit JsonObjectReader(const std::string& body)
             : object_(Json::parse(body, nullptr, false))
         {
             if (!object_.is_object())
@@ -41,13 +41,13 @@
             return member && member->is_boolean() && member->get<bool>();
         }
 
-        double number(const char* name, double largest)
+        double number(const char* name, double max)
         {
             const Json* member = find(name);
             if (!member)
                 return 0;
-            if (!member->is_number() || member->get<double>() < 0 || member->get<double>() > largest) {
-                fail(name, fmt::format("a number from 0 to {}", largest));
+            if (!member->is_number() || member->get<double>() < 0 || member->get<double>() > max) {
+                fail(name, fmt::format("a number from 0 to {}", max));
                 return 0;
             }
             return member->get<double>();
@@ -55,16 +55,16 @@
 
         std::chrono::milliseconds milliseconds(const char* name)
         {
-            constexpr double longestMilliseconds = 600'000;
-            return std::chrono::milliseconds(static_cast<std::int64_t>(number(name, longestMilliseconds)));
+            constexpr double maxMilliseconds = 600'000;
+            return std::chrono::milliseconds(static_cast<std::int64_t>(number(name, maxMilliseconds)));
         }
 
-        // Call it last: a member that nobody asked for is an error too.
+        // To be called last: a member that was not read is an error too.
         Result<void> check()
         {
             for (const auto& [name, value] : object_.items()) {
-                if (error_.empty() && !known_.contains(name))
-                    error_ = fmt::format("'{}' is not known here", name);
+                if (error_.empty() && !requestedNames_.contains(name))
+                    error_ = fmt::format("unknown member '{}'", name);
             }
             if (!error_.empty())
                 return malformed(error_);
@@ -80,28 +80,28 @@
     private:
         const Json* find(const char* name)
         {
-            known_.insert(name);
+            requestedNames_.insert(name);
             if (!object_.is_object() || !object_.contains(name))
                 return nullptr;
             return &object_[name];
         }
 
         Json object_;
-        std::set<std::string> known_;
+        std::set<std::string> requestedNames_;
         std::string error_;
     };
 
-    FaultSettings readFaultSettings(Members& members)
+    FaultSettings readFaultSettings(JsonObjectReader& reader)
     {
         FaultSettings settings;
-        settings.delay = members.milliseconds("delay_ms");
-        settings.jitter = members.milliseconds("jitter_ms");
-        settings.loss = members.number("loss", 1);
-        settings.duplicate = members.number("duplicate", 1);
-        settings.reorder = members.number("reorder", 1);
-        settings.cut = members.flag("cut");
-        settings.reset = members.flag("reset");
-        settings.freeze = members.flag("freeze");
+        settings.delay = reader.milliseconds("delay_ms");
+        settings.jitter = reader.milliseconds("jitter_ms");
+        settings.loss = reader.number("loss", 1);
+        settings.duplicate = reader.number("duplicate", 1);
+        settings.reorder = reader.number("reorder", 1);
+        settings.cut = reader.flag("cut");
+        settings.reset = reader.flag("reset");
+        settings.freeze = reader.flag("freeze");
         return settings;
     }
 
@@ -151,17 +151,17 @@
 
 Result<std::string> FaultProxyAdmin::postLink(const std::string& body)
 {
-    Members members(body);
+    JsonObjectReader reader(body);
     LinkOptions options;
-    options.name = members.text("name", "");
-    const std::string protocol = members.text("protocol", "tcp");
-    const std::string listen = members.text("listen", "127.0.0.1:0");
-    const std::string target = members.text("target", "");
+    options.name = reader.text("name", "");
+    const std::string protocol = reader.text("protocol", "tcp");
+    const std::string listen = reader.text("listen", "127.0.0.1:0");
+    const std::string target = reader.text("target", "");
     if (options.name.empty())
-        members.fail("name", "the name of a link");
+        reader.fail("name", "the name of a link");
     if (protocol != "tcp" && protocol != "udp")
-        members.fail("protocol", "tcp or udp");
-    BOOST_OUTCOME_TRYV(members.check());
+        reader.fail("protocol", "tcp or udp");
+    BOOST_OUTCOME_TRYV(reader.check());
 
     options.protocol = protocol == "udp" ? LinkProtocol::Udp : LinkProtocol::Tcp;
     BOOST_OUTCOME_TRY(listenAddress, parseListenAddress(listen));
@@ -176,16 +176,16 @@
 
 Result<std::string> FaultProxyAdmin::postFaults(const std::string& body)
 {
-    Members members(body);
+    JsonObjectReader reader(body);
     FaultScope scope;
-    scope.link = members.text("link", "*");
-    scope.source = members.text("source", "*");
-    const std::string direction = members.text("direction", "both");
-    const FaultSettings settings = readFaultSettings(members);
+    scope.link = reader.text("link", "*");
+    scope.source = reader.text("source", "*");
+    const std::string direction = reader.text("direction", "both");
+    const FaultSettings settings = readFaultSettings(reader);
     const bool both = direction == "both";
     if (!both && direction != nameOf(Direction::ToTarget) && direction != nameOf(Direction::ToSource))
-        members.fail("direction", "to_target, to_source or both");
-    BOOST_OUTCOME_TRYV(members.check());
+        reader.fail("direction", "to_target, to_source or both");
+    BOOST_OUTCOME_TRYV(reader.check());
 
     for (const Direction each : { Direction::ToTarget, Direction::ToSource }) {
         if (both || direction == nameOf(each))
--- a/Source/FaultProxy/LinkFaults.cpp
+++ b/Source/FaultProxy/LinkFaults.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Evenly drawn from [0, 1).
+    // Uniformly distributed in [0, 1).
     double draw(Random& random)
     {
         constexpr double unit = 0x1p-53;
@@ -54,7 +54,7 @@
     }
     if (happens(settings_.duplicate, random)) {
         ++counters_.duplicated;
-        decision.repeatAt = deliveryTime(now, random);
+        decision.duplicateAt = deliveryTime(now, random);
     }
     return decision;
 }
--- a/Source/FaultProxy/TcpLink.h
+++ b/Source/FaultProxy/TcpLink.h
@@ -10,7 +10,7 @@
 
 namespace wisteriadock {
 
-// A link for TCP connections.
+// A link for TCP connections. It opens one connection to the target for each connection that it accepts.
 class TcpLink : public Link {
 public:
     // Fails with Unavailable when the address can't be bound.
@@ -18,7 +18,7 @@
     ~TcpLink() override;
 
     Endpoint address() const override;
-    void rulesChanged() override;
+    void applyRules() override;
 
 private:
     class Connection;
@@ -26,7 +26,7 @@
     TcpLink(boost::asio::io_context&, LinkOptions, const FaultRules&, Random&);
 
     void accept();
-    void takeIn(boost::asio::ip::tcp::socket);
+    void handleConnection(boost::asio::ip::tcp::socket);
 
     boost::asio::io_context& context_;
     boost::asio::ip::tcp::acceptor acceptor_;
--- a/Source/FaultProxy/UdpLink.cpp
+++ b/Source/FaultProxy/UdpLink.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-    constexpr std::size_t largestDatagram = 65536;
-    // Bursts of one caller must not be lost here: loss is a fault of its own.
+    constexpr std::size_t maxDatagramBytes = 65536;
+    // Large enough for bursts, so that only the configured faults drop datagrams.
     constexpr int socketBufferBytes = 4 * 1024 * 1024;
 
     Result<udp::socket> bindSocket(asio::io_context& context, const Endpoint& address)
@@ -35,16 +35,16 @@
 
     void sendTo(udp::socket& socket, const Bytes& bytes, const Endpoint& receiver)
     {
-        // A datagram that the kernel refuses is lost, as on any network.
+        // A datagram that the kernel rejects is dropped.
         boost::system::error_code ignored;
         if (receiver.isSet())
             socket.send_to(asio::buffer(bytes), toUdp(receiver), 0, ignored);
     }
 
-    // Hands over all datagrams that wait in the socket.
+    // Calls onDatagram for each datagram that waits in the socket.
     template <typename OnDatagram> void receiveAll(udp::socket& socket, OnDatagram onDatagram)
     {
-        static thread_local std::array<std::uint8_t, largestDatagram> buffer;
+        static thread_local std::array<std::uint8_t, maxDatagramBytes> buffer;
         while (true) {
             udp::endpoint sender;
             boost::system::error_code error;
@@ -131,7 +131,7 @@
 
 Endpoint UdpLink::address() const { return fromAsio(socket_.local_endpoint()); }
 
-void UdpLink::rulesChanged()
+void UdpLink::applyRules()
 {
     for (auto& [source, session] : sessions_)
         session->applyRules(*this);
@@ -150,21 +150,21 @@
 void UdpLink::drainSocket()
 {
     receiveAll(socket_, [this](const Endpoint& source, Bytes bytes) {
-        if (Session* session = sessionOf(source)) {
+        if (Session* session = findOrOpenSession(source)) {
             session->lastUse = ++useCount_;
             session->toTarget().push(std::move(bytes));
         }
     });
 }
 
-UdpLink::Session* UdpLink::sessionOf(const Endpoint& source)
+UdpLink::Session* UdpLink::findOrOpenSession(const Endpoint& source)
 {
     const auto found = sessions_.find(source);
     if (found != sessions_.end())
         return found->second.get();
 
-    if (sessions_.size() >= largestSessionCount)
-        forgetIdlestSession();
+    if (sessions_.size() >= maxSessionCount)
+        evictLeastRecentSession();
     auto socket = bindSocket(context_, { options().listen.address, 0 });
     if (!socket)
         return nullptr;
@@ -175,11 +175,11 @@
     return session.get();
 }
 
-void UdpLink::forgetIdlestSession()
+void UdpLink::evictLeastRecentSession()
 {
-    const auto idlest = std::min_element(sessions_.begin(), sessions_.end(),
+    const auto leastRecent = std::min_element(sessions_.begin(), sessions_.end(),
         [](const auto& first, const auto& second) { return first.second->lastUse < second.second->lastUse; });
-    sessions_.erase(idlest);
+    sessions_.erase(leastRecent);
 }
 
 }
--- a/Source/StandIns/BackendFlowBook.cpp
+++ b/Source/StandIns/BackendFlowTable.cpp
@@ -1,4 +1,4 @@
-#include "StandIns/BackendFlowBook.h"
+#include "StandIns/BackendFlowTable.h"
 
 #include <algorithm>
 
@@ -6,19 +6,19 @@
 
 namespace {
 
-    // Ended flows are kept beside the live ones, up to this many times the connection limit.
+    // The table holds at most connections * (1 + endedPerConnection) flows, including ended ones.
     constexpr std::size_t endedPerConnection = 4;
 
 }
 
-BackendFlowBook::BackendFlowBook(BackendServerId self, ServiceId service, BackendFlowLimits limits)
-    : self_(self)
+BackendFlowTable::BackendFlowTable(BackendServerId self, ServiceId service, BackendFlowLimits limits)
+    : serverId_(self)
     , service_(service)
     , limits_(limits)
 {
 }
 
-std::optional<FlowPayload> BackendFlowBook::handle(const FlowPayload& packet, TimePoint now)
+std::optional<FlowPayload> BackendFlowTable::handle(const FlowPayload& packet, TimePoint now)
 {
     ++counts_.packets;
     if (packet.service != service_) {
@@ -47,11 +47,11 @@
     return replyTo(packet, FlowStatus::Ok);
 }
 
-void BackendFlowBook::expire(TimePoint now)
+void BackendFlowTable::expire(TimePoint now)
 {
     absl::erase_if(flows_, [&](const auto& entry) {
         const Flow& flow = entry.second;
-        const Duration limit = flow.ended ? limits_.endedTime : limits_.idleTime;
+        const Duration limit = flow.ended ? limits_.endedFlowRetention : limits_.idleTimeout;
         if (now - flow.lastSeen < limit)
             return false;
         if (!flow.ended)
@@ -60,23 +60,23 @@
     });
 }
 
-FlowPayload BackendFlowBook::replyTo(const FlowPayload& packet, FlowStatus status) const
+FlowPayload BackendFlowTable::replyTo(const FlowPayload& packet, FlowStatus status) const
 {
     FlowPayload reply = packet;
     reply.kind = FlowPayloadKind::Reply;
     reply.status = status;
     reply.service = service_;
-    reply.backendServer = self_;
+    reply.backendServer = serverId_;
     return reply;
 }
 
-BackendFlowBook::Flows::iterator BackendFlowBook::openFlow(std::uint64_t id, TimePoint now)
+BackendFlowTable::Flows::iterator BackendFlowTable::openFlow(std::uint64_t id, TimePoint now)
 {
     if (liveFlows_ >= limits_.connections || flows_.size() >= limits_.connections * (1 + endedPerConnection)) {
         ++counts_.refusedFlows;
         return flows_.end();
     }
-    if (newFlows_.size() < limits_.newFlowRecords)
+    if (newFlows_.size() < limits_.maxNewFlowRecords)
         newFlows_.push_back({ id, now });
     else
         ++counts_.droppedRecords;
--- a/Source/StandIns/FabricSpray.cpp
+++ b/Source/StandIns/FabricSprayer.cpp
@@ -1,15 +1,15 @@
-#include "StandIns/FabricSpray.h"
+#include "StandIns/FabricSprayer.h"
 
 #include <algorithm>
 
 namespace wisteriadock {
 
-FabricSpray::FabricSpray(std::uint64_t seed)
+FabricSprayer::FabricSprayer(std::uint64_t seed)
     : random_(seed)
 {
 }
 
-void FabricSpray::setTargets(const std::vector<FabricTarget>& wanted)
+void FabricSprayer::setTargets(const std::vector<FabricTarget>& wanted)
 {
     for (FabricTarget& target : targets_)
         target.weight = 0;
@@ -18,7 +18,7 @@
             [&](const FabricTarget& candidate) { return candidate.address == target.address; });
         if (known != targets_.end())
             known->weight = target.weight;
-        else if (targets_.size() < largestTargetCount)
+        else if (targets_.size() < maxTargetCount)
             targets_.push_back({ target.address, target.weight, 0 });
     }
 
@@ -30,14 +30,14 @@
     }
 }
 
-Endpoint FabricSpray::next()
+Endpoint FabricSprayer::next()
 {
     if (cumulativeWeights_.empty() || cumulativeWeights_.back() <= 0) {
         ++unroutedPackets_;
         return {};
     }
     const double drawn = random_.nextUniform() * cumulativeWeights_.back();
-    // The first sum above the drawn number; a target without weight adds nothing and is never it.
+    // The first cumulative weight above the drawn number, so that a target with weight 0 is never chosen.
     const auto chosen = std::upper_bound(cumulativeWeights_.begin(), cumulativeWeights_.end(), drawn);
     FabricTarget& target = targets_[static_cast<std::size_t>(chosen - cumulativeWeights_.begin())];
     ++target.packets;
--- a/Source/StandIns/FabricStandIn.h
+++ b/Source/StandIns/FabricStandIn.h
@@ -4,7 +4,7 @@
 #include "Core/Error.h"
 #include "Net/Http2Server.h"
 #include "StandIns/DatagramSocket.h"
-#include "StandIns/FabricSpray.h"
+#include "StandIns/FabricSprayer.h"
 
 #include <boost/asio/io_context.hpp>
 
@@ -17,13 +17,16 @@
 namespace wisteriadock {
 
 struct FabricStandInOptions {
+    // UDP address that receives the callers' datagrams.
     Endpoint listen;
+    // Address of the HTTP/2 admin interface.
     Endpoint admin;
     std::uint64_t seed = 1;
     std::vector<FabricTarget> balancers;
 };
 
-// Stands in for the fabric: hands each datagram to a balancer chosen by chance.
+// Simulates the network fabric in front of the balancers: forwards each datagram to a randomly chosen balancer. Started
+// by the main program and by tests.
 class FabricStandIn {
 public:
     static Result<std::unique_ptr<FabricStandIn>> start(boost::asio::io_context&, const FabricStandInOptions&);
@@ -32,10 +35,10 @@
 
     Endpoint address() const { return socket_->address(); }
     Endpoint adminAddress() const { return admin_->address(); }
-    const FabricSpray& spray() const { return spray_; }
+    const FabricSprayer& sprayer() const { return sprayer_; }
 
     void printListeningLines() const;
-    void printFinalRows() const;
+    void printFinalCounts() const;
 
 private:
     explicit FabricStandIn(std::uint64_t seed);
@@ -44,14 +47,14 @@
     HttpResponse handleAdmin(const HttpRequest&);
     HttpResponse countsAnswer() const;
 
-    FabricSpray spray_;
+    FabricSprayer sprayer_;
     std::unique_ptr<DatagramSocket> socket_;
     std::unique_ptr<Http2Server> admin_;
     std::uint64_t packets_ = 0;
     std::uint64_t malformedDatagrams_ = 0;
 };
 
-// Reads a list such as ["192.0.2.1:4000", {"address": "192.0.2.2:4000", "weight": 0.5}].
+// Parses a list such as ["192.0.2.1:4000", {"address": "192.0.2.2:4000", "weight": 0.5}].
 Result<std::vector<FabricTarget>> parseFabricTargets(std::string_view json);
 
 }
--- a/Tests/StandIns/LoopbackTest.cpp
+++ b/Tests/StandIns/LoopbackTest.cpp
@@ -12,13 +12,14 @@
 
     constexpr Endpoint loopback { 0x7F000001, 0 };
 
-    template <typename T> T must(Result<T> result)
+    template <typename T> T valueOf(Result<T> result)
     {
         EXPECT_TRUE(result) << (result ? "" : result.error().toString());
         return std::move(result).value();
     }
 
-    // Caller, fabric and backend servers on one context, without balancers: the fabric sprays to the servers.
+    // Caller, fabric and backend stand-ins on one io_context without balancers: the fabric sends to the backend
+    // servers.
     class LoopbackTest : public testing::Test {
     protected:
         void startBackend(const std::vector<std::string>& specs)
@@ -26,8 +27,8 @@
             BackendStandInOptions options;
             options.admin = loopback;
             for (const std::string& spec : specs)
-                options.servers.push_back(must(BackendSpec::parse(spec)));
-            backend_ = must(BackendStandIn::start(context_, options));
+                options.servers.push_back(valueOf(BackendSpec::parse(spec)));
+            backend_ = valueOf(BackendStandIn::start(context_, options));
         }
 
         void startFabric()
@@ -37,10 +38,10 @@
             options.admin = loopback;
             for (const auto& server : backend_->servers())
                 options.balancers.push_back({ server->flowAddress(), 1, 0 });
-            fabric_ = must(FabricStandIn::start(context_, options));
+            fabric_ = valueOf(FabricStandIn::start(context_, options));
         }
 
-        // Runs the caller to its end and tells the backend servers where its replies go.
+        // Runs the caller to its end. The backend servers send their replies to it.
         void runCaller(const std::function<void(CallerStandInOptions&)>& change = [](auto&) {})
         {
             CallerStandInOptions options;
@@ -48,13 +49,13 @@
             options.replyListen = loopback;
             options.flows.services = { { "tryon", serviceIdOf("tryon"), { 0xC0000201, 443 }, 1 } };
             options.flows.runTime = std::chrono::milliseconds(1500);
-            options.flows.shortestLifetime = std::chrono::milliseconds(200);
+            options.flows.minLifetime = std::chrono::milliseconds(200);
             options.flows.packetInterval = std::chrono::milliseconds(20);
             options.flows.flowsPerSecond = 200;
             options.requests.services = options.flows.services;
             options.requests.runTime = options.flows.runTime;
             change(options);
-            caller_ = must(CallerStandIn::start(context_, options));
+            caller_ = valueOf(CallerStandIn::start(context_, options));
             for (const auto& server : backend_->servers())
                 server->setReplyTo(caller_->replyAddress());
             context_.run();
@@ -66,7 +67,7 @@
         std::unique_ptr<CallerStandIn> caller_;
     };
 
-    TEST_F(LoopbackTest, oneServerKeepsAllItsFlows)
+    TEST_F(LoopbackTest, NoFlowBreaksWithOneServer)
     {
         startBackend({ "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000" });
         startFabric();
@@ -76,13 +77,13 @@
         EXPECT_GT(counts.flowsEnded, 10U);
         EXPECT_EQ(counts.flowsBroken, 0U);
         EXPECT_EQ(counts.wrongServicePackets, 0U);
-        const BackendFlowBook& flows = backend_->servers()[0]->flows();
+        const BackendFlowTable& flows = backend_->servers()[0]->flows();
         EXPECT_EQ(flows.counts().newFlows, counts.flowsEstablished);
         EXPECT_EQ(flows.counts().unknownFlowPackets, 0U);
-        EXPECT_EQ(fabric_->spray().targets()[0].packets, counts.packetsSent);
+        EXPECT_EQ(fabric_->sprayer().targets()[0].packets, counts.packetsSent);
     }
 
-    TEST_F(LoopbackTest, twoServersWithoutABalancerBreakFlows)
+    TEST_F(LoopbackTest, FlowsBreakWithTwoServersAndNoBalancer)
     {
         startBackend(
             { "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000", "tryon-2@tryon@127.0.0.1:0@127.0.0.1:0@2@2000" });
@@ -93,7 +94,7 @@
         EXPECT_EQ(caller_->flows().counts().wrongServicePackets, 0U);
     }
 
-    TEST_F(LoopbackTest, aServerOfAnotherServiceIsNoticedAtBothEnds)
+    TEST_F(LoopbackTest, CallerAndServerCountPacketsForAnotherService)
     {
         startBackend(
             { "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000", "scan-1@scanintake@127.0.0.1:0@127.0.0.1:0@2@2000" });
@@ -104,7 +105,7 @@
             caller_->flows().counts().wrongServicePackets);
     }
 
-    TEST_F(LoopbackTest, requestsAreAnsweredWholeOrRefusedAsNotRun)
+    TEST_F(LoopbackTest, RequestsAreAnsweredOrRefusedAsNotExecuted)
     {
         startBackend({ "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000" });
         startFabric();
@@ -116,18 +117,18 @@
         });
         const CallerRequestCounts& counts = caller_->requests().counts();
         EXPECT_GT(counts.endedAs(RequestOutcome::Answered), 20U);
-        EXPECT_GT(counts.endedAs(RequestOutcome::Refused), 20U) << "two slots can't run them all";
+        EXPECT_GT(counts.endedAs(RequestOutcome::Refused), 20U) << "two slots are too few for all requests";
         EXPECT_EQ(
             counts.endedAs(RequestOutcome::Answered) + counts.endedAs(RequestOutcome::Refused), counts.requestsSent);
 
-        const BackendRequestBook& book = backend_->servers()[0]->requests();
+        const BackendRequestTracker& tracker = backend_->servers()[0]->requests();
         for (const RequestRecord& record : caller_->requests().records()) {
-            const bool answered = record.tries.back().outcome == RequestOutcome::Answered;
-            EXPECT_EQ(book.keys().contains(record.key), answered) << record.key;
+            const bool answered = record.attempts.back().outcome == RequestOutcome::Answered;
+            EXPECT_EQ(tracker.keys().contains(record.key), answered) << record.key;
         }
     }
 
-    TEST_F(LoopbackTest, cancelledRequestsStopTheirWork)
+    TEST_F(LoopbackTest, CancelledRequestsStopTheirWork)
     {
         startBackend({ "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@100@2000" });
         startFabric();
@@ -137,8 +138,8 @@
             options.requests.balancers = 1;
             options.requests.requestsPerSecond = 50;
             options.requests.cancelShare = 1;
-            options.requests.shortestWork = std::chrono::milliseconds(400);
-            options.requests.longestWork = std::chrono::milliseconds(400);
+            options.requests.minWork = std::chrono::milliseconds(400);
+            options.requests.maxWork = std::chrono::milliseconds(400);
         });
         const BackendRequestCounts& counts = backend_->servers()[0]->requests().counts();
         EXPECT_GT(counts.runs, 20U);
@@ -146,7 +147,7 @@
         EXPECT_EQ(caller_->requests().counts().endedAs(RequestOutcome::Cancelled), counts.runs);
     }
 
-    TEST_F(LoopbackTest, theAdminDoorChangesAllOrNothing)
+    TEST_F(LoopbackTest, AnInvalidAdminChangeChangesNothing)
     {
         startBackend(
             { "tryon-1@tryon@127.0.0.1:0@127.0.0.1:0@2@2000", "tryon-2@tryon@127.0.0.1:0@127.0.0.1:0@2@2000" });
@@ -154,7 +155,7 @@
         ASSERT_TRUE(changeBackends(servers, R"({"server": "tryon-2", "drain": true, "lag_milliseconds": 500})"));
         EXPECT_FALSE(servers[0]->requests().behaviour().draining);
         EXPECT_TRUE(servers[1]->requests().behaviour().draining);
-        EXPECT_EQ(servers[1]->status().deceit().lag, std::chrono::milliseconds(500));
+        EXPECT_EQ(servers[1]->status().overrides().lag, std::chrono::milliseconds(500));
 
         for (const char* body :
             { "", "[]", R"({"server": "x", "slots": 9})", R"({"slots": 9, "slot": 9})", R"({"slots": 9, "drain": 1})",
