--- a/Source/Experiment/ConfigurationJudge.cpp
+++ b/Source/Experiment/ConfigurationChecker.cpp
@@ -1,45 +1,45 @@
-#include "Experiment/ConfigurationJudge.h"
+#include "Experiment/ConfigurationChecker.h"
 
 #include <algorithm>
 
 namespace wisteriadock {
 
-void ConfigurationJudge::accepted(std::uint64_t version, const std::string& contentHash, TimePoint at)
+void ConfigurationChecker::accepted(std::uint64_t version, const std::string& contentHash, TimePoint at)
 {
     const auto [place, isNew] = accepted_.try_emplace(version, Acceptance { contentHash, at });
     if (!isNew && place->second.contentHash != contentHash)
         ++reusedVersions_;
 }
 
-void ConfigurationJudge::processStarted(const std::string& process, TimePoint at) { processes_[process].begin = at; }
+void ConfigurationChecker::processStarted(const std::string& process, TimePoint at) { processes_[process].begin = at; }
 
-void ConfigurationJudge::processEnded(const std::string& process, TimePoint at) { processes_[process].end = at; }
+void ConfigurationChecker::processEnded(const std::string& process, TimePoint at) { processes_[process].end = at; }
 
-void ConfigurationJudge::cutBegan(const std::string& process, TimePoint at)
+void ConfigurationChecker::cutBegan(const std::string& process, TimePoint at)
 {
     processes_[process].cuts.push_back({ at });
 }
 
-void ConfigurationJudge::cutEnded(const std::string& process, TimePoint at)
+void ConfigurationChecker::cutEnded(const std::string& process, TimePoint at)
 {
     auto& cuts = processes_[process].cuts;
     if (!cuts.empty())
         cuts.back().end = std::min(cuts.back().end, at);
 }
 
-void ConfigurationJudge::showed(const std::string& process, std::uint64_t version, TimePoint at)
+void ConfigurationChecker::showed(const std::string& process, std::uint64_t version, TimePoint at)
 {
     auto& showings = processes_[process].showings;
     if (showings.empty() || showings.back().version != version)
         showings.push_back({ version, at });
 }
 
-void ConfigurationJudge::served(std::uint64_t version, const std::string& namedHash, const std::string& hashOfText)
+void ConfigurationChecker::served(std::uint64_t version, const std::string& namedHash, const std::string& hashOfText)
 {
     ++served_[{ version, namedHash, hashOfText }];
 }
 
-std::uint64_t ConfigurationJudge::partialApplies() const
+std::uint64_t ConfigurationChecker::partialApplies() const
 {
     std::uint64_t count = reusedVersions_;
     for (const auto& [content, times] : served_) {
@@ -51,7 +51,7 @@
     return count;
 }
 
-std::uint64_t ConfigurationJudge::reversions(TimePoint end) const
+std::uint64_t ConfigurationChecker::reversions(TimePoint end) const
 {
     std::uint64_t count = 0;
     for (const auto& [name, process] : processes_) {
@@ -68,7 +68,7 @@
     return count;
 }
 
-double ConfigurationJudge::inForceSecondsMax(TimePoint end) const
+double ConfigurationChecker::inForceSecondsMax(TimePoint end) const
 {
     Duration longest { 0 };
     for (const auto& [version, acceptance] : accepted_) {
@@ -82,7 +82,7 @@
     return std::chrono::duration<double>(longest).count();
 }
 
-bool ConfigurationJudge::isInForceEverywhere(std::uint64_t version) const
+bool ConfigurationChecker::isInForceEverywhere(std::uint64_t version) const
 {
     return std::all_of(processes_.begin(), processes_.end(), [version](const auto& entry) {
         const Process& process = entry.second;
@@ -94,7 +94,7 @@
 }
 
 // The lowest of what all the others in reach had shown when the process started: none of them could show less any more.
-std::uint64_t ConfigurationJudge::versionInForceBefore(const std::string& process) const
+std::uint64_t ConfigurationChecker::versionInForceBefore(const std::string& process) const
 {
     const TimePoint start = processes_.at(process).begin;
     std::uint64_t lowest = 0;
@@ -109,7 +109,7 @@
     return lowest;
 }
 
-TimePoint ConfigurationJudge::acceptanceOf(std::uint64_t version) const
+TimePoint ConfigurationChecker::acceptanceOf(std::uint64_t version) const
 {
     TimePoint at = accepted_.at(version).at;
     for (const auto& [name, process] : processes_) {
@@ -121,7 +121,7 @@
     return at;
 }
 
-bool ConfigurationJudge::Process::isInReach(TimePoint at) const
+bool ConfigurationChecker::Process::isInReach(TimePoint at) const
 {
     if (at < begin || at >= end)
         return false;
@@ -129,7 +129,7 @@
         cuts.begin(), cuts.end(), [at](const Interval& cut) { return at >= cut.begin && at < cut.end; });
 }
 
-std::uint64_t ConfigurationJudge::Process::highestShownBy(TimePoint at) const
+std::uint64_t ConfigurationChecker::Process::highestShownBy(TimePoint at) const
 {
     std::uint64_t highest = 0;
     for (const Showing& showing : showings) {
@@ -139,7 +139,7 @@
     return highest;
 }
 
-TimePoint ConfigurationJudge::Process::reached(std::uint64_t version) const
+TimePoint ConfigurationChecker::Process::reached(std::uint64_t version) const
 {
     for (const Showing& showing : showings) {
         if (showing.version >= version)
@@ -148,7 +148,7 @@
     return TimePoint::max();
 }
 
-std::vector<ConfigurationJudge::Interval> ConfigurationJudge::Process::uncut(
+std::vector<ConfigurationChecker::Interval> ConfigurationChecker::Process::uncut(
     TimePoint intervalBegin, TimePoint intervalEnd) const
 {
     std::vector<Interval> result;
--- a/Source/Experiment/ConfigurationJudge.h
+++ b/Source/Experiment/ConfigurationChecker.h
@@ -12,7 +12,7 @@
 // Judges what operators were told about versions against what the balancers showed. It does no I/O: a scenario hands it
 // observations as they come, in the order of their times, and asks for the counts when the run is over. A process is
 // one life of a balancer; its name is never used again.
-class ConfigurationJudge {
+class ConfigurationChecker {
 public:
     // An operator was told that this content is in force under this version.
     void accepted(std::uint64_t version, const std::string& contentHash, TimePoint);
--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -30,7 +30,7 @@
     , deployment_(deployment)
     , control_(control)
     , client_(context.loop)
-    , watcher_(client_, deployment.balancers(), judge_)
+    , watcher_(client_, deployment.balancers(), checker_)
     , schedule_(context.options.seed, context.options.availabilityZones)
     , configuration_(deployment.configurationOperator().configuration())
 {
@@ -41,7 +41,7 @@
     begin_ = Clock::now();
     nextSample_ = begin_;
     watcher_.noticeProcesses();
-    judge_.accepted(version_, contentHashOf(writeConfiguration(configuration_)), begin_);
+    checker_.accepted(version_, contentHashOf(writeConfiguration(configuration_)), begin_);
     BOOST_OUTCOME_TRY(before, deployment_.platform().counters());
     countersBefore_ = before;
     BOOST_OUTCOME_TRYV(goOn(calmStart));
@@ -55,7 +55,7 @@
         BOOST_OUTCOME_TRYV(goOn(step.pause));
     }
     // So that the balancers that started last are judged too.
-    BOOST_OUTCOME_TRYV(goOn(ConfigurationJudge::settleTime));
+    BOOST_OUTCOME_TRYV(goOn(ConfigurationChecker::settleTime));
     end_ = Clock::now();
     BOOST_OUTCOME_TRY(after, deployment_.platform().counters());
     platformCallsPerSecond_ = static_cast<double>(after.calls - countersBefore_.calls)
@@ -244,7 +244,7 @@
 void ConfigurationRun::takeAccepted(const ConfigurationApply& apply)
 {
     ++acceptedCount_;
-    judge_.accepted(apply.version(), apply.contentHash(), Clock::now());
+    checker_.accepted(apply.version(), apply.contentHash(), Clock::now());
     log_.info(fmt::format("version {} was accepted", apply.version()));
     configuration_ = apply.configuration();
     version_ = apply.version();
@@ -272,7 +272,7 @@
 
 Result<void> ConfigurationRun::settle()
 {
-    return goOn(Clock::now() + inForceLimit, [this] { return judge_.isInForceEverywhere(version_); });
+    return goOn(Clock::now() + inForceLimit, [this] { return checker_.isInForceEverywhere(version_); });
 }
 
 Result<void> ConfigurationRun::goOn(Duration length)
@@ -295,9 +295,9 @@
 
 Verdict ConfigurationRun::judge()
 {
-    const std::uint64_t partial = judge_.partialApplies();
-    const std::uint64_t reversions = judge_.reversions(end_);
-    const double inForce = judge_.inForceSecondsMax(end_);
+    const std::uint64_t partial = checker_.partialApplies();
+    const std::uint64_t reversions = checker_.reversions(end_);
+    const double inForce = checker_.inForceSecondsMax(end_);
     Rows& rows = context_.rows;
     rows.set("applies_sent", sent_);
     rows.set("applies_accepted", acceptedCount_);
--- a/Source/Experiment/ConfigurationRun.h
+++ b/Source/Experiment/ConfigurationRun.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Experiment/ConfigurationApply.h"
-#include "Experiment/ConfigurationJudge.h"
+#include "Experiment/ConfigurationChecker.h"
 #include "Experiment/ConfigurationSchedule.h"
 #include "Experiment/ConfigurationWatcher.h"
 #include "Experiment/ControlMeter.h"
@@ -55,7 +55,7 @@
     Deployment& deployment_;
     ControlMeter& control_;
     AdminClient client_;
-    ConfigurationJudge judge_;
+    ConfigurationChecker checker_;
     ConfigurationWatcher watcher_;
     ConfigurationSchedule schedule_;
     Log log_ { "experiment" };
--- a/Source/Experiment/ConfigurationWatcher.cpp
+++ b/Source/Experiment/ConfigurationWatcher.cpp
@@ -29,15 +29,15 @@
     for (const RunningBalancer& balancer : running) {
         if (!watched_.try_emplace(balancer.name, Watched { balancer.zone }).second)
             continue;
-        judge_.processStarted(balancer.name, now);
+        checker_.processStarted(balancer.name, now);
         if (cutZones_.contains(balancer.zone))
-            judge_.cutBegan(balancer.name, now);
+            checker_.cutBegan(balancer.name, now);
     }
     std::erase_if(watched_, [&](const auto& entry) {
         const bool runs = std::any_of(running.begin(), running.end(),
             [&](const RunningBalancer& balancer) { return balancer.name == entry.first; });
         if (!runs)
-            judge_.processEnded(entry.first, now);
+            checker_.processEnded(entry.first, now);
         return !runs;
     });
 }
@@ -47,7 +47,7 @@
     cutZones_.insert(zone);
     for (const auto& [name, watched] : watched_) {
         if (watched.zone == zone)
-            judge_.cutBegan(name, Clock::now());
+            checker_.cutBegan(name, Clock::now());
     }
 }
 
@@ -56,7 +56,7 @@
     cutZones_.erase(zone);
     for (const auto& [name, watched] : watched_) {
         if (watched.zone == zone)
-            judge_.cutEnded(name, Clock::now());
+            checker_.cutEnded(name, Clock::now());
     }
 }
 
@@ -69,7 +69,7 @@
     }
     ++answers_;
     const auto version = status.value().value("configuration_version", std::uint64_t(0));
-    judge_.showed(balancer.name, version, Clock::now());
+    checker_.showed(balancer.name, version, Clock::now());
     if (version != watched.versionRead)
         readConfiguration(balancer, watched);
 }
@@ -82,7 +82,7 @@
         return;
     }
     watched.versionRead = page.value().value("version", std::uint64_t(0));
-    judge_.served(watched.versionRead, page.value().value("hash", ""), contentHashOf(page.value().value("text", "")));
+    checker_.served(watched.versionRead, page.value().value("hash", ""), contentHashOf(page.value().value("text", "")));
 }
 
 }
--- a/Source/Experiment/ConfigurationWatcher.h
+++ b/Source/Experiment/ConfigurationWatcher.h
@@ -2,7 +2,7 @@
 
 #include "Experiment/AdminClient.h"
 #include "Experiment/BalancerFleet.h"
-#include "Experiment/ConfigurationJudge.h"
+#include "Experiment/ConfigurationChecker.h"
 
 #include <cstdint>
 #include <map>
@@ -16,10 +16,10 @@
 class ConfigurationWatcher {
 public:
     // All outlive this object.
-    ConfigurationWatcher(AdminClient& client, BalancerFleet& balancers, ConfigurationJudge& judge)
+    ConfigurationWatcher(AdminClient& client, BalancerFleet& balancers, ConfigurationChecker& judge)
         : client_(client)
         , balancers_(balancers)
-        , judge_(judge)
+        , checker_(judge)
     {
     }
 
@@ -45,7 +45,7 @@
 
     AdminClient& client_;
     BalancerFleet& balancers_;
-    ConfigurationJudge& judge_;
+    ConfigurationChecker& checker_;
     std::map<std::string, Watched> watched_;
     std::set<std::size_t> cutZones_;
     TimePoint next_;
--- a/Source/Experiment/DrainJudge.cpp
+++ b/Source/Experiment/DrainChecker.cpp
@@ -1,19 +1,19 @@
-#include "Experiment/DrainJudge.h"
+#include "Experiment/DrainChecker.h"
 
 #include <algorithm>
 
 namespace wisteriadock {
 
-void DrainJudge::drainAccepted(const std::string& server, TimePoint at) { absences_[server].push_back({ at }); }
+void DrainChecker::drainAccepted(const std::string& server, TimePoint at) { absences_[server].push_back({ at }); }
 
-void DrainJudge::returnStarted(const std::string& server, TimePoint at)
+void DrainChecker::returnStarted(const std::string& server, TimePoint at)
 {
     const auto found = absences_.find(server);
     if (found != absences_.end() && !found->second.empty())
         found->second.back().end = std::min(found->second.back().end, at);
 }
 
-std::uint64_t DrainJudge::lateNewFlows(const std::string& server, const std::vector<TimePoint>& firstSeen) const
+std::uint64_t DrainChecker::lateNewFlows(const std::string& server, const std::vector<TimePoint>& firstSeen) const
 {
     const auto found = absences_.find(server);
     if (found == absences_.end())
@@ -25,7 +25,7 @@
     return static_cast<std::uint64_t>(std::count_if(firstSeen.begin(), firstSeen.end(), isLate));
 }
 
-std::size_t DrainJudge::judgedDrains(TimePoint end) const
+std::size_t DrainChecker::checkedDrains(TimePoint end) const
 {
     std::size_t count = 0;
     for (const auto& [server, absences] : absences_) {
--- a/Source/Experiment/DrainJudge.h
+++ b/Source/Experiment/DrainChecker.h
@@ -10,7 +10,7 @@
 namespace wisteriadock {
 
 // Counts new flows that reached a backend server although it had been leaving for longer than the grace time.
-class DrainJudge {
+class DrainChecker {
 public:
     // Time for a drain to reach every balancer, counted from the platform's word that the file was accepted.
     static constexpr std::chrono::seconds grace { 5 };
@@ -22,7 +22,7 @@
     // The times are those at which the server saw each of its flows first.
     std::uint64_t lateNewFlows(const std::string& server, const std::vector<TimePoint>& firstSeen) const;
     // Drains that lasted longer than the grace time until the given end of the run.
-    std::size_t judgedDrains(TimePoint end) const;
+    std::size_t checkedDrains(TimePoint end) const;
 
 private:
     struct Absence {
--- a/Source/Experiment/FlowsScenario.cpp
+++ b/Source/Experiment/FlowsScenario.cpp
@@ -73,7 +73,7 @@
                 static_cast<double>(established) / static_cast<double>(context_.options.length.count()));
             rows.set("faults_injected", steps_.failures() + control.proxyFaults());
             rows.set("planned_changes", steps_.plannedChanges());
-            rows.set("drains_judged", std::uint64_t(steps_.drains().judgedDrains(end_)));
+            rows.set("drains_judged", std::uint64_t(steps_.drains().checkedDrains(end_)));
             rows.set("flows_not_established", caller_.row("flows_not_established"));
             rows.set("openings_elsewhere", caller_.row("openings_elsewhere"));
             control.report(rows);
--- a/Source/Experiment/RequestJudge.cpp
+++ b/Source/Experiment/RequestChecker.cpp
@@ -1,4 +1,4 @@
-#include "Experiment/RequestJudge.h"
+#include "Experiment/RequestChecker.h"
 
 #include "Core/NameTable.h"
 
@@ -129,7 +129,7 @@
 }
 
 // A key or type that is missing throws inside the JSON library; the records are then not what this judge knows.
-Result<void> RequestJudge::readCallers(const Json& records)
+Result<void> RequestChecker::readCallers(const Json& records)
 {
     try {
         for (const Json& row : records.at("requests")) {
@@ -142,7 +142,7 @@
     return boost::outcome_v2::success();
 }
 
-Result<void> RequestJudge::readBackendServers(const Json& servers)
+Result<void> RequestChecker::readBackendServers(const Json& servers)
 {
     try {
         for (const auto& [server, record] : servers.items()) {
@@ -160,16 +160,16 @@
     return boost::outcome_v2::success();
 }
 
-void RequestJudge::addKey(KeyTries key) { keys_.push_back(std::move(key)); }
+void RequestChecker::addKey(KeyTries key) { keys_.push_back(std::move(key)); }
 
-void RequestJudge::addRun(const std::string& key, const KeyRuns& runs)
+void RequestChecker::addRun(const std::string& key, const KeyRuns& runs)
 {
     KeyRuns& all = runs_[key];
     all.runs += runs.runs;
     all.firstStartMilliseconds = std::min(all.firstStartMilliseconds, runs.firstStartMilliseconds);
 }
 
-RequestFindings RequestJudge::judge(std::int64_t firstFailureMilliseconds) const
+RequestFindings RequestChecker::judge(std::int64_t firstFailureMilliseconds) const
 {
     RequestFindings findings;
     Finder finder(findings);
--- a/Source/Experiment/RequestJudge.h
+++ b/Source/Experiment/RequestChecker.h
@@ -73,7 +73,7 @@
 
 // Compares what the callers got with what the backend servers ran. Knows nothing of what balancers say about
 // themselves.
-class RequestJudge {
+class RequestChecker {
 public:
     static constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
 
--- a/Source/Experiment/RequestsScenario.cpp
+++ b/Source/Experiment/RequestsScenario.cpp
@@ -1,7 +1,7 @@
 #include "Experiment/CallerRun.h"
 #include "Experiment/ConnectionResets.h"
 #include "Experiment/ControlMeter.h"
-#include "Experiment/RequestJudge.h"
+#include "Experiment/RequestChecker.h"
 #include "Experiment/Scenario.h"
 #include "Experiment/ScenarioSchedule.h"
 #include "Experiment/StepRunner.h"
@@ -55,7 +55,7 @@
     std::int64_t firstFailureOf(const std::vector<Step>& steps, TimePoint begin, const ExperimentOptions& options)
     {
         if (options.faults != FaultMode::All)
-            return RequestJudge::never;
+            return RequestChecker::never;
         std::int64_t first = millisecondsOf(begin + ConnectionResets::calmStart);
         for (const Step& step : steps) {
             if (!isPlannedChange(step.kind))
@@ -99,7 +99,7 @@
         Result<Verdict> judge(const ControlMeter& control)
         {
             BOOST_OUTCOME_TRY(servers, deployment_.backendServers().requestRecords());
-            RequestJudge judge;
+            RequestChecker judge;
             BOOST_OUTCOME_TRYV(judge.readCallers(caller_.records()));
             BOOST_OUTCOME_TRYV(judge.readBackendServers(servers));
             const RequestFindings findings = judge.judge(firstFailure_);
--- a/Source/Experiment/StepRunner.h
+++ b/Source/Experiment/StepRunner.h
@@ -2,7 +2,7 @@
 
 #include "Core/Log.h"
 #include "Experiment/Deployment.h"
-#include "Experiment/DrainJudge.h"
+#include "Experiment/DrainChecker.h"
 #include "Experiment/Schedule.h"
 
 #include <cstdint>
@@ -25,7 +25,7 @@
     bool began() const { return next_ > 0; }
     std::uint64_t plannedChanges() const { return plannedChanges_; }
     std::uint64_t failures() const { return failures_; }
-    const DrainJudge& drains() const { return drains_; }
+    const DrainChecker& drains() const { return drains_; }
     // The servers that take new work as far as the operator has said so, with their weights.
     const std::map<std::string, std::uint32_t>& activeServers() const { return active_; }
     // The kind of the last step that began before this time, or "none".
@@ -50,7 +50,7 @@
     TimePoint begin_;
     std::size_t next_ = 0;
     std::vector<Ending> endings_;
-    DrainJudge drains_;
+    DrainChecker drains_;
     std::map<std::string, std::uint32_t> active_;
     std::uint64_t plannedChanges_ = 0;
     std::uint64_t failures_ = 0;
--- a/Tests/Experiment/RequestJudgeTest.cpp
+++ b/Tests/Experiment/RequestCheckerTest.cpp
@@ -1,11 +1,11 @@
-#include "Experiment/RequestJudge.h"
+#include "Experiment/RequestChecker.h"
 
 #include <gtest/gtest.h>
 
 namespace wisteriadock {
 namespace {
 
-    class RequestJudgeTest : public testing::Test {
+    class RequestCheckerTest : public testing::Test {
     protected:
         static TryRecord answered(std::int64_t at) { return { TryOutcome::Answered, false, 200, at }; }
         static TryRecord saidNo(std::int64_t at) { return { TryOutcome::Refused, false, 503, at }; }
@@ -16,9 +16,9 @@
 
         // A key that ran at 50 ms, as often as said.
         static RequestFindings findingsOf(
-            std::vector<TryRecord> tries, std::uint64_t runs = 1, std::int64_t firstFailure = RequestJudge::never)
+            std::vector<TryRecord> tries, std::uint64_t runs = 1, std::int64_t firstFailure = RequestChecker::never)
         {
-            RequestJudge judge;
+            RequestChecker judge;
             judge.addKey({ "key", std::move(tries) });
             if (runs > 0)
                 judge.addRun("key", { runs, 50 });
@@ -26,7 +26,7 @@
         }
     };
 
-    TEST_F(RequestJudgeTest, findsNothingInAKeyThatRanOnceAndWasAnswered)
+    TEST_F(RequestCheckerTest, findsNothingInAKeyThatRanOnceAndWasAnswered)
     {
         const RequestFindings findings = findingsOf({ answered(100) });
         EXPECT_EQ(findings.doubleRuns, 0U);
@@ -38,19 +38,19 @@
         EXPECT_TRUE(findings.examples.empty());
     }
 
-    TEST_F(RequestJudgeTest, countsKeysThatRanTwiceOnOneServerOrOnTwo)
+    TEST_F(RequestCheckerTest, countsKeysThatRanTwiceOnOneServerOrOnTwo)
     {
         EXPECT_EQ(findingsOf({ answered(100) }, 2).doubleRuns, 1U);
 
-        RequestJudge judge;
+        RequestChecker judge;
         judge.addKey({ "key", { answered(100) } });
         judge.addRun("key", { 1, 50 });
         judge.addRun("key", { 1, 70 });
         judge.addRun("nobody's", { 3, 50 });
-        EXPECT_EQ(judge.judge(RequestJudge::never).doubleRuns, 2U);
+        EXPECT_EQ(judge.judge(RequestChecker::never).doubleRuns, 2U);
     }
 
-    TEST_F(RequestJudgeTest, aRefusalIsFalseWhenTheKeyRan)
+    TEST_F(RequestCheckerTest, aRefusalIsFalseWhenTheKeyRan)
     {
         {
             SCOPED_TRACE("as the last word, also when the run began only afterwards");
@@ -74,7 +74,7 @@
         }
     }
 
-    TEST_F(RequestJudgeTest, tellsCutAnswersFromThoseOfOthers)
+    TEST_F(RequestCheckerTest, tellsCutAnswersFromThoseOfOthers)
     {
         EXPECT_EQ(findingsOf({ wrong(true) }).incompleteAnswers, 1U);
         EXPECT_EQ(findingsOf({ wrong(true) }).mixedAnswers, 0U);
@@ -82,7 +82,7 @@
         EXPECT_EQ(findingsOf({ wrong(false) }).incompleteAnswers, 0U);
     }
 
-    TEST_F(RequestJudgeTest, aCutCountsUntilTheFirstFailure)
+    TEST_F(RequestCheckerTest, aCutCountsUntilTheFirstFailure)
     {
         EXPECT_EQ(findingsOf({ lost(60), answered(100) }).cutInFlight, 1U);
         EXPECT_EQ(findingsOf({ unknown(100) }).cutInFlight, 1U);
@@ -92,7 +92,7 @@
         EXPECT_EQ(findingsOf({ lost(100) }, 1, 100).cutInFlight, 0U);
     }
 
-    TEST_F(RequestJudgeTest, countsWhatCallersDoNotKnowInTheEnd)
+    TEST_F(RequestCheckerTest, countsWhatCallersDoNotKnowInTheEnd)
     {
         const RequestFindings ran = findingsOf({ lost(60), notSent(100) });
         EXPECT_EQ(ran.unknownOutcomes, 1U);
@@ -104,16 +104,16 @@
         EXPECT_EQ(findingsOf({ unknown(60), answered(100) }).unknownOutcomes, 0U);
     }
 
-    TEST_F(RequestJudgeTest, missesNoRunOfAnAnsweredKey)
+    TEST_F(RequestCheckerTest, missesNoRunOfAnAnsweredKey)
     {
         EXPECT_EQ(findingsOf({ answered(100) }, 0).answeredWithoutRun, 1U);
         EXPECT_EQ(findingsOf({ answered(100) }).answeredWithoutRun, 0U);
     }
 
-    TEST_F(RequestJudgeTest, readsTheRecordsOfBothEnds)
+    TEST_F(RequestCheckerTest, readsTheRecordsOfBothEnds)
     {
         using Json = nlohmann::json;
-        RequestJudge judge;
+        RequestChecker judge;
         const Json good = Json::parse(R"({"requests": [{"key": "a", "service": "tryon", "tries": [
             {"outcome": "lost", "answer_fault": "none", "status": 0, "ended_milliseconds": 60},
             {"outcome": "refused", "answer_fault": "none", "status": 503, "ended_milliseconds": 80}]}]})");
@@ -122,18 +122,18 @@
             "tryon-01": {"keys": {"a": {"runs": 1, "records": [{"started_milliseconds": 70}]}}},
             "tryon-02": {"keys": {"a": {"runs": 1, "records": [{"started_milliseconds": 90}]}}}})");
         ASSERT_TRUE(judge.readBackendServers(servers));
-        const RequestFindings findings = judge.judge(RequestJudge::never);
+        const RequestFindings findings = judge.judge(RequestChecker::never);
         EXPECT_EQ(findings.doubleRuns, 1U);
         EXPECT_EQ(findings.falseRefusals, 1U);
         ASSERT_FALSE(findings.examples.empty());
         EXPECT_EQ(findings.examples.front(),
             "double run a: 2 runs, the first at 70 ms; lost 0 at 60 ms; refused 503 at 80 ms");
 
-        EXPECT_FALSE(RequestJudge().readCallers(Json::object()));
-        EXPECT_FALSE(RequestJudge().readCallers(Json::parse(R"({"requests": [{"key": "a", "tries": []}]})")));
-        EXPECT_FALSE(RequestJudge().readCallers(Json::parse(R"({"requests": [{"key": "a", "tries": [
+        EXPECT_FALSE(RequestChecker().readCallers(Json::object()));
+        EXPECT_FALSE(RequestChecker().readCallers(Json::parse(R"({"requests": [{"key": "a", "tries": []}]})")));
+        EXPECT_FALSE(RequestChecker().readCallers(Json::parse(R"({"requests": [{"key": "a", "tries": [
             {"outcome": "odd", "answer_fault": "none", "status": 0, "ended_milliseconds": 60}]}]})")));
-        EXPECT_FALSE(RequestJudge().readBackendServers(Json::parse(R"({"tryon-01": {}})")));
+        EXPECT_FALSE(RequestChecker().readBackendServers(Json::parse(R"({"tryon-01": {}})")));
     }
 
 }
