--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -293,7 +293,7 @@
     return boost::outcome_v2::success();
 }
 
-Verdict ConfigurationRun::judge()
+Verdict ConfigurationRun::check()
 {
     const std::uint64_t partial = checker_.partialApplies();
     const std::uint64_t reversions = checker_.reversions(end_);
--- a/Source/Experiment/ConfigurationRun.h
+++ b/Source/Experiment/ConfigurationRun.h
@@ -24,7 +24,7 @@
     ConfigurationRun(const ScenarioContext&, Deployment&, ControlMeter&);
 
     Result<void> drive();
-    Verdict judge();
+    Verdict check();
 
 private:
     using Condition = std::function<bool()>;
--- a/Source/Experiment/ConfigurationScenario.cpp
+++ b/Source/Experiment/ConfigurationScenario.cpp
@@ -15,7 +15,7 @@
     BOOST_OUTCOME_TRYV(control.measureQuietWindow(quietWindow));
     ConfigurationRun run(context, *deployment, control);
     BOOST_OUTCOME_TRYV(run.drive());
-    return run.judge();
+    return run.check();
 }
 
 }
--- a/Source/Experiment/ConfigurationWatcher.h
+++ b/Source/Experiment/ConfigurationWatcher.h
@@ -16,10 +16,10 @@
 class ConfigurationWatcher {
 public:
     // All outlive this object.
-    ConfigurationWatcher(AdminClient& client, BalancerFleet& balancers, ConfigurationChecker& judge)
+    ConfigurationWatcher(AdminClient& client, BalancerFleet& balancers, ConfigurationChecker& checker)
         : client_(client)
         , balancers_(balancers)
-        , checker_(judge)
+        , checker_(checker)
     {
     }
 
--- a/Source/Experiment/FlowsScenario.cpp
+++ b/Source/Experiment/FlowsScenario.cpp
@@ -48,7 +48,7 @@
             return caller_.readResults(deployment_.loop());
         }
 
-        Result<Verdict> judge(const ControlMeter& control)
+        Result<Verdict> check(const ControlMeter& control)
         {
             BOOST_OUTCOME_TRY(records, deployment_.backendServers().records(true));
             std::uint64_t wrongService = caller_.row("wrong_service_packets");
@@ -146,7 +146,7 @@
 
     FlowsRun run(context, *deployment, std::move(steps), *caller);
     BOOST_OUTCOME_TRYV(run.drive(control));
-    return run.judge(control);
+    return run.check(control);
 }
 
 }
--- a/Source/Experiment/RequestChecker.cpp
+++ b/Source/Experiment/RequestChecker.cpp
@@ -169,7 +169,7 @@
     all.firstStartMilliseconds = std::min(all.firstStartMilliseconds, runs.firstStartMilliseconds);
 }
 
-RequestFindings RequestChecker::judge(std::int64_t firstFailureMilliseconds) const
+RequestFindings RequestChecker::check(std::int64_t firstFailureMilliseconds) const
 {
     RequestFindings findings;
     Finder finder(findings);
--- a/Source/Experiment/RequestChecker.h
+++ b/Source/Experiment/RequestChecker.h
@@ -86,7 +86,7 @@
     void addRun(const std::string& key, const KeyRuns&);
 
     // The first unplanned failure began at this time, in milliseconds of the shared clock, or never.
-    RequestFindings judge(std::int64_t firstFailureMilliseconds) const;
+    RequestFindings check(std::int64_t firstFailureMilliseconds) const;
 
 private:
     std::vector<KeyTries> keys_;
--- a/Source/Experiment/RequestsScenario.cpp
+++ b/Source/Experiment/RequestsScenario.cpp
@@ -96,13 +96,13 @@
             return deployment_.loop().runUntil(Clock::now() + settlingTime);
         }
 
-        Result<Verdict> judge(const ControlMeter& control)
+        Result<Verdict> check(const ControlMeter& control)
         {
             BOOST_OUTCOME_TRY(servers, deployment_.backendServers().requestRecords());
-            RequestChecker judge;
-            BOOST_OUTCOME_TRYV(judge.readCallers(caller_.records()));
-            BOOST_OUTCOME_TRYV(judge.readBackendServers(servers));
-            const RequestFindings findings = judge.judge(firstFailure_);
+            RequestChecker checker;
+            BOOST_OUTCOME_TRYV(checker.readCallers(caller_.records()));
+            BOOST_OUTCOME_TRYV(checker.readBackendServers(servers));
+            const RequestFindings findings = checker.check(firstFailure_);
             std::uint64_t wrongService = caller_.row("wrong_service_packets") + caller_.row("requests_wrong_service");
             std::uint64_t unrecorded = 0;
             for (const auto& [name, server] : servers.items()) {
@@ -196,7 +196,7 @@
 
     RequestsRun run(context, *deployment, std::move(steps), *caller);
     BOOST_OUTCOME_TRYV(run.drive(control));
-    return run.judge(control);
+    return run.check(control);
 }
 
 }
--- a/Tests/Experiment/RequestCheckerTest.cpp
+++ b/Tests/Experiment/RequestCheckerTest.cpp
@@ -18,11 +18,11 @@
         static RequestFindings findingsOf(
             std::vector<TryRecord> tries, std::uint64_t runs = 1, std::int64_t firstFailure = RequestChecker::never)
         {
-            RequestChecker judge;
-            judge.addKey({ "key", std::move(tries) });
+            RequestChecker checker;
+            checker.addKey({ "key", std::move(tries) });
             if (runs > 0)
-                judge.addRun("key", { runs, 50 });
-            return judge.judge(firstFailure);
+                checker.addRun("key", { runs, 50 });
+            return checker.check(firstFailure);
         }
     };
 
@@ -42,12 +42,12 @@
     {
         EXPECT_EQ(findingsOf({ answered(100) }, 2).doubleRuns, 1U);
 
-        RequestChecker judge;
-        judge.addKey({ "key", { answered(100) } });
-        judge.addRun("key", { 1, 50 });
-        judge.addRun("key", { 1, 70 });
-        judge.addRun("nobody's", { 3, 50 });
-        EXPECT_EQ(judge.judge(RequestChecker::never).doubleRuns, 2U);
+        RequestChecker checker;
+        checker.addKey({ "key", { answered(100) } });
+        checker.addRun("key", { 1, 50 });
+        checker.addRun("key", { 1, 70 });
+        checker.addRun("nobody's", { 3, 50 });
+        EXPECT_EQ(checker.check(RequestChecker::never).doubleRuns, 2U);
     }
 
     TEST_F(RequestCheckerTest, aRefusalIsFalseWhenTheKeyRan)
@@ -113,16 +113,16 @@
     TEST_F(RequestCheckerTest, readsTheRecordsOfBothEnds)
     {
         using Json = nlohmann::json;
-        RequestChecker judge;
+        RequestChecker checker;
         const Json good = Json::parse(R"({"requests": [{"key": "a", "service": "tryon", "tries": [
             {"outcome": "lost", "answer_fault": "none", "status": 0, "ended_milliseconds": 60},
             {"outcome": "refused", "answer_fault": "none", "status": 503, "ended_milliseconds": 80}]}]})");
-        ASSERT_TRUE(judge.readCallers(good));
+        ASSERT_TRUE(checker.readCallers(good));
         const Json servers = Json::parse(R"({
             "tryon-01": {"keys": {"a": {"runs": 1, "records": [{"started_milliseconds": 70}]}}},
             "tryon-02": {"keys": {"a": {"runs": 1, "records": [{"started_milliseconds": 90}]}}}})");
-        ASSERT_TRUE(judge.readBackendServers(servers));
-        const RequestFindings findings = judge.judge(RequestChecker::never);
+        ASSERT_TRUE(checker.readBackendServers(servers));
+        const RequestFindings findings = checker.check(RequestChecker::never);
         EXPECT_EQ(findings.doubleRuns, 1U);
         EXPECT_EQ(findings.falseRefusals, 1U);
         ASSERT_FALSE(findings.examples.empty());
