--- a/Source/Experiment/RequestChecker.cpp
+++ b/Source/Experiment/RequestChecker.cpp
@@ -14,13 +14,13 @@
 
     constexpr std::size_t exampleLimit = 10;
 
-    constexpr auto outcomeNames = makeNameTable<TryOutcome>({
-        { TryOutcome::Answered, "answered" },
-        { TryOutcome::Refused, "refused" },
-        { TryOutcome::Unknown, "unknown" },
-        { TryOutcome::Lost, "lost" },
-        { TryOutcome::Cancelled, "cancelled" },
-        { TryOutcome::WrongAnswer, "wrong_answer" },
+    constexpr auto outcomeNames = makeNameTable<AttemptOutcome>({
+        { AttemptOutcome::Answered, "answered" },
+        { AttemptOutcome::Refused, "refused" },
+        { AttemptOutcome::Unknown, "unknown" },
+        { AttemptOutcome::Lost, "lost" },
+        { AttemptOutcome::Cancelled, "cancelled" },
+        { AttemptOutcome::WrongAnswer, "wrong_answer" },
     });
 
     Error malformed(const char* where, const std::string& why)
@@ -28,9 +28,9 @@
         return { ErrorCode::InvalidArgument, fmt::format("{}: {}", where, why) };
     }
 
-    Result<TryRecord> tryOf(const Json& row)
+    Result<AttemptRecord> attemptOf(const Json& row)
     {
-        TryRecord record;
+        AttemptRecord record;
         const std::string name = row.at("outcome").get<std::string>();
         const auto outcome = outcomeNames.value(name);
         if (!outcome)
@@ -42,11 +42,11 @@
         return record;
     }
 
-    Result<KeyTries> keyOf(const Json& row)
+    Result<KeyAttempts> keyOf(const Json& row)
     {
-        KeyTries key { row.at("key").get<std::string>(), {} };
+        KeyAttempts key { row.at("key").get<std::string>(), {} };
         for (const Json& each : row.at("tries")) {
-            BOOST_OUTCOME_TRY(record, tryOf(each));
+            BOOST_OUTCOME_TRY(record, attemptOf(each));
             key.tries.push_back(record);
         }
         if (key.tries.empty())
@@ -54,72 +54,75 @@
         return key;
     }
 
-    bool saysNotRun(const TryRecord& record) { return record.outcome == TryOutcome::Refused && record.status != 0; }
+    bool reportsNotRun(const AttemptRecord& record)
+    {
+        return record.outcome == AttemptOutcome::Refused && record.status != 0;
+    }
 
     // Refused by a connection that was never made, or by a stream's reset, which speaks of this try alone.
-    bool isRefusedWithoutAnswer(const TryRecord& record)
+    bool isRefusedWithoutAnswer(const AttemptRecord& record)
     {
-        return record.outcome == TryOutcome::Refused && record.status == 0;
+        return record.outcome == AttemptOutcome::Refused && record.status == 0;
     }
 
-    bool isUnknown(const TryRecord& record)
+    bool isUnknown(const AttemptRecord& record)
     {
-        return record.outcome == TryOutcome::Unknown || record.outcome == TryOutcome::Lost
-            || record.outcome == TryOutcome::Cancelled;
+        return record.outcome == AttemptOutcome::Unknown || record.outcome == AttemptOutcome::Lost
+            || record.outcome == AttemptOutcome::Cancelled;
     }
 
     // The last try that tells anything about the key; a try that reached nobody leaves the earlier word standing.
-    const TryRecord& lastWord(const KeyTries& key)
+    const AttemptRecord& lastConclusiveAttempt(const KeyAttempts& key)
     {
         const auto found = std::find_if_not(key.tries.rbegin(), key.tries.rend(), isRefusedWithoutAnswer);
         return found == key.tries.rend() ? key.tries.back() : *found;
     }
 
-    bool isFalselyRefused(const KeyTries& key, const KeyRuns& runs)
+    bool isFalselyRefused(const KeyAttempts& key, const KeyRuns& runs)
     {
         if (runs.runs == 0)
             return false;
-        const bool saidAfterStart = std::ranges::any_of(key.tries, [&](const TryRecord& record) {
-            return saysNotRun(record) && record.endedMilliseconds > runs.firstStartMilliseconds;
+        const bool saidAfterStart = std::ranges::any_of(key.tries, [&](const AttemptRecord& record) {
+            return reportsNotRun(record) && record.endedMilliseconds > runs.firstStartMilliseconds;
         });
         const bool allRefused = std::ranges::all_of(
-            key.tries, [](const TryRecord& record) { return record.outcome == TryOutcome::Refused; });
-        return saidAfterStart || allRefused || saysNotRun(lastWord(key));
+            key.tries, [](const AttemptRecord& record) { return record.outcome == AttemptOutcome::Refused; });
+        return saidAfterStart || allRefused || reportsNotRun(lastConclusiveAttempt(key));
     }
 
-    bool isCut(const KeyTries& key)
+    bool isCut(const KeyAttempts& key)
     {
         const bool lost = std::ranges::any_of(
-            key.tries, [](const TryRecord& record) { return record.outcome == TryOutcome::Lost; });
-        return lost || lastWord(key).outcome == TryOutcome::Unknown;
+            key.tries, [](const AttemptRecord& record) { return record.outcome == AttemptOutcome::Lost; });
+        return lost || lastConclusiveAttempt(key).outcome == AttemptOutcome::Unknown;
     }
 
-    std::string storyOf(const char* what, const std::string& key, const KeyTries* tries, const KeyRuns& runs)
+    std::string describe(const char* what, const std::string& key, const KeyAttempts* tries, const KeyRuns& runs)
     {
         std::string story = fmt::format("{} {}: {} runs", what, key, runs.runs);
         if (runs.runs > 0)
             story += fmt::format(", the first at {} ms", runs.firstStartMilliseconds);
         if (!tries)
             return story;
-        for (const TryRecord& record : tries->tries)
+        for (const AttemptRecord& record : tries->tries)
             story += fmt::format(
                 "; {} {} at {} ms", outcomeNames.name(record.outcome), record.status, record.endedMilliseconds);
         return story;
     }
 
     // Counts a promise that was broken and keeps the first few stories.
-    class Finder {
+    class FindingsRecorder {
     public:
-        explicit Finder(RequestFindings& findings)
+        explicit FindingsRecorder(RequestFindings& findings)
             : findings_(findings)
         {
         }
 
-        void count(std::uint64_t& counter, const char* what, const KeyTries& key, const KeyRuns& runs)
+        void count(std::uint64_t& counter, const char* what, const KeyAttempts& key, const KeyRuns& runs)
         {
             ++counter;
             if (findings_.examples.size() < exampleLimit)
-                findings_.examples.push_back(storyOf(what, key.key, &key, runs));
+                findings_.examples.push_back(describe(what, key.key, &key, runs));
         }
 
     private:
@@ -160,7 +163,7 @@
     return boost::outcome_v2::success();
 }
 
-void RequestChecker::addKey(KeyTries key) { keys_.push_back(std::move(key)); }
+void RequestChecker::addKey(KeyAttempts key) { keys_.push_back(std::move(key)); }
 
 void RequestChecker::addRun(const std::string& key, const KeyRuns& runs)
 {
@@ -172,34 +175,34 @@
 RequestFindings RequestChecker::check(std::int64_t firstFailureMilliseconds) const
 {
     RequestFindings findings;
-    Finder finder(findings);
+    FindingsRecorder recorder(findings);
     findings.keysRun = runs_.size();
     findings.keysRecorded = keys_.size();
     // Also counts keys that no caller recorded.
     for (const auto& [key, runs] : runs_)
         findings.doubleRuns += runs.runs > 1;
-    for (const KeyTries& key : keys_) {
+    for (const KeyAttempts& key : keys_) {
         const auto found = runs_.find(key.key);
         const KeyRuns runs = found == runs_.end() ? KeyRuns() : found->second;
         std::uint64_t shown = 0;
         if (runs.runs > 1)
-            finder.count(shown, "double run", key, runs);
+            recorder.count(shown, "double run", key, runs);
         if (isFalselyRefused(key, runs))
-            finder.count(findings.falseRefusals, "false refusal", key, runs);
-        for (const TryRecord& record : key.tries) {
-            if (record.outcome == TryOutcome::WrongAnswer)
-                finder.count(record.isIncomplete ? findings.incompleteAnswers : findings.mixedAnswers,
+            recorder.count(findings.falseRefusals, "false refusal", key, runs);
+        for (const AttemptRecord& record : key.tries) {
+            if (record.outcome == AttemptOutcome::WrongAnswer)
+                recorder.count(record.isIncomplete ? findings.incompleteAnswers : findings.mixedAnswers,
                     record.isIncomplete ? "incomplete answer" : "mixed answer", key, runs);
         }
         if (key.tries.back().endedMilliseconds < firstFailureMilliseconds && isCut(key))
-            finder.count(findings.cutInFlight, "cut in flight", key, runs);
-        const bool unknown = isUnknown(lastWord(key));
+            recorder.count(findings.cutInFlight, "cut in flight", key, runs);
+        const bool unknown = isUnknown(lastConclusiveAttempt(key));
         findings.unknownOutcomes += unknown;
         if (unknown)
-            ++findings.unknownByStatus[lastWord(key).status];
+            ++findings.unknownByStatus[lastConclusiveAttempt(key).status];
         findings.unknownThatRan += unknown && runs.runs > 0;
-        if (key.tries.back().outcome == TryOutcome::Answered && runs.runs == 0)
-            finder.count(findings.answeredWithoutRun, "answered without a run", key, runs);
+        if (key.tries.back().outcome == AttemptOutcome::Answered && runs.runs == 0)
+            recorder.count(findings.answeredWithoutRun, "answered without a run", key, runs);
     }
     return findings;
 }
--- a/Source/Experiment/RequestChecker.h
+++ b/Source/Experiment/RequestChecker.h
@@ -13,7 +13,7 @@
 namespace wisteriadock {
 
 // How one try of a request ended for its caller, as the callers' records name it.
-enum class TryOutcome {
+enum class AttemptOutcome {
     Answered,
     Refused,
     Unknown,
@@ -22,8 +22,8 @@
     WrongAnswer,
 };
 
-struct TryRecord {
-    TryOutcome outcome = TryOutcome::Lost;
+struct AttemptRecord {
+    AttemptOutcome outcome = AttemptOutcome::Lost;
     // Of a wrong answer: whether it is the beginning of the right one.
     bool isIncomplete = false;
     // 0 without an answer: a refusal is then the word of the connection, not of a balancer.
@@ -33,9 +33,9 @@
 };
 
 // What a caller saw of one key.
-struct KeyTries {
+struct KeyAttempts {
     std::string key;
-    std::vector<TryRecord> tries;
+    std::vector<AttemptRecord> tries;
 };
 
 // What the backend servers did for one key.
@@ -82,14 +82,14 @@
     Result<void> readCallers(const nlohmann::json& records);
     Result<void> readBackendServers(const nlohmann::json& servers);
 
-    void addKey(KeyTries);
+    void addKey(KeyAttempts);
     void addRun(const std::string& key, const KeyRuns&);
 
     // The first unplanned failure began at this time, in milliseconds of the shared clock, or never.
     RequestFindings check(std::int64_t firstFailureMilliseconds) const;
 
 private:
-    std::vector<KeyTries> keys_;
+    std::vector<KeyAttempts> keys_;
     std::map<std::string, KeyRuns> runs_;
 };
 
--- a/Tests/Experiment/RequestCheckerTest.cpp
+++ b/Tests/Experiment/RequestCheckerTest.cpp
@@ -7,16 +7,19 @@
 
     class RequestCheckerTest : public testing::Test {
     protected:
-        static TryRecord answered(std::int64_t at) { return { TryOutcome::Answered, false, 200, at }; }
-        static TryRecord saidNo(std::int64_t at) { return { TryOutcome::Refused, false, 503, at }; }
-        static TryRecord notSent(std::int64_t at) { return { TryOutcome::Refused, false, 0, at }; }
-        static TryRecord unknown(std::int64_t at) { return { TryOutcome::Unknown, false, 409, at }; }
-        static TryRecord lost(std::int64_t at) { return { TryOutcome::Lost, false, 0, at }; }
-        static TryRecord wrong(bool isIncomplete) { return { TryOutcome::WrongAnswer, isIncomplete, 200, 100 }; }
+        static AttemptRecord answered(std::int64_t at) { return { AttemptOutcome::Answered, false, 200, at }; }
+        static AttemptRecord saidNo(std::int64_t at) { return { AttemptOutcome::Refused, false, 503, at }; }
+        static AttemptRecord notSent(std::int64_t at) { return { AttemptOutcome::Refused, false, 0, at }; }
+        static AttemptRecord unknown(std::int64_t at) { return { AttemptOutcome::Unknown, false, 409, at }; }
+        static AttemptRecord lost(std::int64_t at) { return { AttemptOutcome::Lost, false, 0, at }; }
+        static AttemptRecord wrong(bool isIncomplete)
+        {
+            return { AttemptOutcome::WrongAnswer, isIncomplete, 200, 100 };
+        }
 
         // A key that ran at 50 ms, as often as said.
         static RequestFindings findingsOf(
-            std::vector<TryRecord> tries, std::uint64_t runs = 1, std::int64_t firstFailure = RequestChecker::never)
+            std::vector<AttemptRecord> tries, std::uint64_t runs = 1, std::int64_t firstFailure = RequestChecker::never)
         {
             RequestChecker checker;
             checker.addKey({ "key", std::move(tries) });
