--- a/Source/Experiment/RequestChecker.cpp
+++ b/Source/Experiment/RequestChecker.cpp
@@ -47,9 +47,9 @@
         KeyAttempts key { row.at("key").get<std::string>(), {} };
         for (const Json& each : row.at("tries")) {
             BOOST_OUTCOME_TRY(record, attemptOf(each));
-            key.tries.push_back(record);
+            key.attempts.push_back(record);
         }
-        if (key.tries.empty())
+        if (key.attempts.empty())
             return malformed("the callers' records", fmt::format("key '{}' has no try", key.key));
         return key;
     }
@@ -74,40 +74,40 @@
     // The last try that tells anything about the key; a try that reached nobody leaves the earlier word standing.
     const AttemptRecord& lastConclusiveAttempt(const KeyAttempts& key)
     {
-        const auto found = std::find_if_not(key.tries.rbegin(), key.tries.rend(), isRefusedWithoutAnswer);
-        return found == key.tries.rend() ? key.tries.back() : *found;
+        const auto found = std::find_if_not(key.attempts.rbegin(), key.attempts.rend(), isRefusedWithoutAnswer);
+        return found == key.attempts.rend() ? key.attempts.back() : *found;
     }
 
     bool isFalselyRefused(const KeyAttempts& key, const KeyRuns& runs)
     {
         if (runs.runs == 0)
             return false;
-        const bool saidAfterStart = std::ranges::any_of(key.tries, [&](const AttemptRecord& record) {
+        const bool saidAfterStart = std::ranges::any_of(key.attempts, [&](const AttemptRecord& record) {
             return reportsNotRun(record) && record.endedMilliseconds > runs.firstStartMilliseconds;
         });
         const bool allRefused = std::ranges::all_of(
-            key.tries, [](const AttemptRecord& record) { return record.outcome == AttemptOutcome::Refused; });
+            key.attempts, [](const AttemptRecord& record) { return record.outcome == AttemptOutcome::Refused; });
         return saidAfterStart || allRefused || reportsNotRun(lastConclusiveAttempt(key));
     }
 
     bool isCut(const KeyAttempts& key)
     {
         const bool lost = std::ranges::any_of(
-            key.tries, [](const AttemptRecord& record) { return record.outcome == AttemptOutcome::Lost; });
+            key.attempts, [](const AttemptRecord& record) { return record.outcome == AttemptOutcome::Lost; });
         return lost || lastConclusiveAttempt(key).outcome == AttemptOutcome::Unknown;
     }
 
-    std::string describe(const char* what, const std::string& key, const KeyAttempts* tries, const KeyRuns& runs)
+    std::string describe(const char* what, const std::string& key, const KeyAttempts* attempts, const KeyRuns& runs)
     {
-        std::string story = fmt::format("{} {}: {} runs", what, key, runs.runs);
+        std::string text = fmt::format("{} {}: {} runs", what, key, runs.runs);
         if (runs.runs > 0)
-            story += fmt::format(", the first at {} ms", runs.firstStartMilliseconds);
-        if (!tries)
-            return story;
-        for (const AttemptRecord& record : tries->tries)
-            story += fmt::format(
+            text += fmt::format(", the first at {} ms", runs.firstStartMilliseconds);
+        if (!attempts)
+            return text;
+        for (const AttemptRecord& record : attempts->attempts)
+            text += fmt::format(
                 "; {} {} at {} ms", outcomeNames.name(record.outcome), record.status, record.endedMilliseconds);
-        return story;
+        return text;
     }
 
     // Counts a promise that was broken and keeps the first few stories.
@@ -189,19 +189,19 @@
             recorder.count(shown, "double run", key, runs);
         if (isFalselyRefused(key, runs))
             recorder.count(findings.falseRefusals, "false refusal", key, runs);
-        for (const AttemptRecord& record : key.tries) {
+        for (const AttemptRecord& record : key.attempts) {
             if (record.outcome == AttemptOutcome::WrongAnswer)
                 recorder.count(record.isIncomplete ? findings.incompleteAnswers : findings.mixedAnswers,
                     record.isIncomplete ? "incomplete answer" : "mixed answer", key, runs);
         }
-        if (key.tries.back().endedMilliseconds < firstFailureMilliseconds && isCut(key))
+        if (key.attempts.back().endedMilliseconds < firstFailureMilliseconds && isCut(key))
             recorder.count(findings.cutInFlight, "cut in flight", key, runs);
         const bool unknown = isUnknown(lastConclusiveAttempt(key));
         findings.unknownOutcomes += unknown;
         if (unknown)
             ++findings.unknownByStatus[lastConclusiveAttempt(key).status];
         findings.unknownThatRan += unknown && runs.runs > 0;
-        if (key.tries.back().outcome == AttemptOutcome::Answered && runs.runs == 0)
+        if (key.attempts.back().outcome == AttemptOutcome::Answered && runs.runs == 0)
             recorder.count(findings.answeredWithoutRun, "answered without a run", key, runs);
     }
     return findings;
--- a/Source/Experiment/RequestChecker.h
+++ b/Source/Experiment/RequestChecker.h
@@ -35,7 +35,7 @@
 // What a caller saw of one key.
 struct KeyAttempts {
     std::string key;
-    std::vector<AttemptRecord> tries;
+    std::vector<AttemptRecord> attempts;
 };
 
 // What the backend servers did for one key.
--- a/Tests/Experiment/RequestCheckerTest.cpp
+++ b/Tests/Experiment/RequestCheckerTest.cpp
@@ -18,11 +18,11 @@
         }
 
         // A key that ran at 50 ms, as often as said.
-        static RequestFindings findingsOf(
-            std::vector<AttemptRecord> tries, std::uint64_t runs = 1, std::int64_t firstFailure = RequestChecker::never)
+        static RequestFindings findingsOf(std::vector<AttemptRecord> attempts, std::uint64_t runs = 1,
+            std::int64_t firstFailure = RequestChecker::never)
         {
             RequestChecker checker;
-            checker.addKey({ "key", std::move(tries) });
+            checker.addKey({ "key", std::move(attempts) });
             if (runs > 0)
                 checker.addRun("key", { runs, 50 });
             return checker.check(firstFailure);
