--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -25,7 +25,7 @@
 
 }
 
-ConfigurationRun::ConfigurationRun(const ScenarioContext& context, Deployment& deployment, ControlMeter& control)
+ConfigurationRun::ConfigurationRun(const ScenarioContext& context, Deployment& deployment, ControlPlaneMeter& control)
     : context_(context)
     , deployment_(deployment)
     , control_(control)
@@ -298,7 +298,7 @@
     const std::uint64_t partial = checker_.partialApplies();
     const std::uint64_t reversions = checker_.reversions(end_);
     const double inForce = checker_.inForceSecondsMax(end_);
-    Rows& rows = context_.rows;
+    ResultRows& rows = context_.rows;
     rows.set("applies_sent", sent_);
     rows.set("applies_accepted", acceptedCount_);
     rows.set("applies_refused", refused_);
--- a/Source/Experiment/ConfigurationRun.h
+++ b/Source/Experiment/ConfigurationRun.h
@@ -4,7 +4,7 @@
 #include "Experiment/ConfigurationChecker.h"
 #include "Experiment/ConfigurationSchedule.h"
 #include "Experiment/ConfigurationWatcher.h"
-#include "Experiment/ControlMeter.h"
+#include "Experiment/ControlPlaneMeter.h"
 #include "Experiment/Deployment.h"
 #include "Experiment/Scenario.h"
 
@@ -21,7 +21,7 @@
 class ConfigurationRun {
 public:
     // All outlive this object.
-    ConfigurationRun(const ScenarioContext&, Deployment&, ControlMeter&);
+    ConfigurationRun(const ScenarioContext&, Deployment&, ControlPlaneMeter&);
 
     Result<void> drive();
     Verdict check();
@@ -53,7 +53,7 @@
 
     const ScenarioContext& context_;
     Deployment& deployment_;
-    ControlMeter& control_;
+    ControlPlaneMeter& control_;
     AdminClient client_;
     ConfigurationChecker checker_;
     ConfigurationWatcher watcher_;
--- a/Source/Experiment/ControlMeter.cpp
+++ b/Source/Experiment/ControlPlaneMeter.cpp
@@ -1,4 +1,4 @@
-#include "Experiment/ControlMeter.h"
+#include "Experiment/ControlPlaneMeter.h"
 
 #include <algorithm>
 
@@ -14,19 +14,19 @@
 }
 
 // Each byte between two balancers is sent by one and received by another.
-double ControlMeter::Reading::bytesPerBalancer(std::size_t balancers) const
+double ControlPlaneMeter::Reading::bytesPerBalancer(std::size_t balancers) const
 {
     const auto bytes = static_cast<double>(2 * totals.balancerBytes + totals.platformBytes);
     return bytes / static_cast<double>(std::max<std::size_t>(1, balancers));
 }
 
-Result<ControlMeter::Reading> ControlMeter::read()
+Result<ControlPlaneMeter::Reading> ControlPlaneMeter::read()
 {
     BOOST_OUTCOME_TRY(totals, deployment_.proxy().totals());
     return Reading { Clock::now(), totals };
 }
 
-Result<void> ControlMeter::measureQuietWindow(Duration window)
+Result<void> ControlPlaneMeter::measureIdleProcessorUse(Duration window)
 {
     const double usedBefore = deployment_.balancers().processorSeconds();
     const TimePoint begin = Clock::now();
@@ -37,7 +37,7 @@
     return boost::outcome_v2::success();
 }
 
-Result<void> ControlMeter::sample(bool stepsBegan)
+Result<void> ControlPlaneMeter::sample(bool stepsBegan)
 {
     BOOST_OUTCOME_TRY(now, read());
     const std::size_t balancers = deployment_.balancers().running();
@@ -57,7 +57,7 @@
     return boost::outcome_v2::success();
 }
 
-void ControlMeter::report(Rows& rows) const
+void ControlPlaneMeter::report(ResultRows& rows) const
 {
     rows.set("control_bytes_per_second_per_balancer", steady_.rate());
     rows.set("control_bytes_mean_per_second_per_balancer", whole_.rate());
--- a/Source/Experiment/ControlMeter.h
+++ b/Source/Experiment/ControlPlaneMeter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Experiment/Deployment.h"
-#include "Experiment/Rows.h"
+#include "Experiment/ResultRows.h"
 
 #include <cstdint>
 #include <vector>
@@ -10,20 +10,20 @@
 
 // Measures what the balancers spend on control: bytes as the fault proxy sees them between balancers and between them
 // and the platform, both those sent and those received; and processor time while no caller sends anything.
-class ControlMeter {
+class ControlPlaneMeter {
 public:
-    explicit ControlMeter(Deployment& deployment)
+    explicit ControlPlaneMeter(Deployment& deployment)
         : deployment_(deployment)
     {
     }
 
     // Waits for the length of the window, during which nothing else may happen.
-    Result<void> measureQuietWindow(Duration);
+    Result<void> measureIdleProcessorUse(Duration);
 
     // Call it about once a second while load runs; steps begin with the first call that says so.
     Result<void> sample(bool stepsBegan);
 
-    void report(Rows&) const;
+    void report(ResultRows&) const;
     // Units that the fault proxy had to drop for lack of room.
     std::uint64_t overflowed() const { return last_.totals.overflowed; }
     std::uint64_t proxyFaults() const { return last_.totals.faultsInjected; }
--- a/Source/Experiment/FlowsScenario.cpp
+++ b/Source/Experiment/FlowsScenario.cpp
@@ -1,6 +1,6 @@
 #include "Experiment/BalanceMeter.h"
 #include "Experiment/CallerRun.h"
-#include "Experiment/ControlMeter.h"
+#include "Experiment/ControlPlaneMeter.h"
 #include "Experiment/Scenario.h"
 #include "Experiment/ScenarioSchedule.h"
 #include "Experiment/StepRunner.h"
@@ -15,7 +15,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto quietWindow = 2s;
+    constexpr auto idleWindow = 2s;
     constexpr auto sampleInterval = 1s;
     constexpr auto pollInterval = 20ms;
 
@@ -30,7 +30,7 @@
         {
         }
 
-        Result<void> drive(ControlMeter& control)
+        Result<void> drive(ControlPlaneMeter& control)
         {
             TimePoint nextSample = Clock::now();
             while (!caller_.isOver()) {
@@ -48,7 +48,7 @@
             return caller_.readResults(deployment_.loop());
         }
 
-        Result<Verdict> check(const ControlMeter& control)
+        Result<Verdict> check(const ControlPlaneMeter& control)
         {
             BOOST_OUTCOME_TRY(records, deployment_.backendServers().records(true));
             std::uint64_t wrongService = caller_.row("wrong_service_packets");
@@ -62,7 +62,7 @@
             const std::uint64_t established = caller_.row("flows_established");
             const std::uint64_t broken = caller_.row("flows_broken");
 
-            Rows& rows = context_.rows;
+            ResultRows& rows = context_.rows;
             rows.set("flows_established", established);
             rows.set("flows_broken", broken);
             rows.set("wrong_service_packets", wrongService);
@@ -112,7 +112,7 @@
         }
 
         // Why flows broke: what the callers saw, and which step came last before it.
-        void reportBreaks(Rows& rows) const
+        void reportBreaks(ResultRows& rows) const
         {
             std::map<std::string, std::uint64_t> counts;
             const auto breaks = caller_.records().value("breaks", nlohmann::json::array());
@@ -140,8 +140,8 @@
     auto steps = scheduleOf(context.options);
     BOOST_OUTCOME_TRY(deployment,
         Deployment::start(context.loop, context.directory, { context.options, addedServers(steps), false }));
-    ControlMeter control(*deployment);
-    BOOST_OUTCOME_TRYV(control.measureQuietWindow(quietWindow));
+    ControlPlaneMeter control(*deployment);
+    BOOST_OUTCOME_TRYV(control.measureIdleProcessorUse(idleWindow));
     BOOST_OUTCOME_TRY(caller, CallerRun::start(*deployment, context.options, {}));
 
     FlowsRun run(context, *deployment, std::move(steps), *caller);
--- a/Source/Experiment/PathScenario.cpp
+++ b/Source/Experiment/PathScenario.cpp
@@ -1,5 +1,5 @@
 #include "Experiment/CallerRun.h"
-#include "Experiment/ControlMeter.h"
+#include "Experiment/ControlPlaneMeter.h"
 #include "Experiment/Scenario.h"
 
 #include <fmt/format.h>
@@ -10,7 +10,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto quietWindow = 1s;
+    constexpr auto idleWindow = 1s;
     constexpr auto sampleInterval = 1s;
     constexpr int requestsPerSecond = 20;
 
@@ -22,7 +22,7 @@
         return "--balancers=" + text;
     }
 
-    Result<void> runLoad(CallerRun& caller, Deployment& deployment, ControlMeter& control)
+    Result<void> runLoad(CallerRun& caller, Deployment& deployment, ControlPlaneMeter& control)
     {
         while (!caller.isOver()) {
             BOOST_OUTCOME_TRYV(control.sample(false));
@@ -45,8 +45,8 @@
     BOOST_OUTCOME_TRY(deployment, Deployment::start(context.loop, context.directory, { options, 0, asksForFaults }));
     BOOST_OUTCOME_TRYV(deployment->proxy().setFaults({ "fabric/*" }, faults));
 
-    ControlMeter control(*deployment);
-    BOOST_OUTCOME_TRYV(control.measureQuietWindow(quietWindow));
+    ControlPlaneMeter control(*deployment);
+    BOOST_OUTCOME_TRYV(control.measureIdleProcessorUse(idleWindow));
     BOOST_OUTCOME_TRY(caller,
         CallerRun::start(*deployment, options,
             { requestArguments(deployment->balancers().requestAddresses()),
@@ -57,7 +57,7 @@
     std::uint64_t wrongService = caller->row("wrong_service_packets");
     for (const auto& [name, record] : records)
         wrongService += record.wrongServicePackets;
-    Rows& rows = context.rows;
+    ResultRows& rows = context.rows;
     for (const char* name :
         { "flows_established", "flows_broken", "requests_sent", "requests_answered", "requests_refused" })
         rows.set(name, caller->row(name));
--- a/Source/Experiment/RequestsScenario.cpp
+++ b/Source/Experiment/RequestsScenario.cpp
@@ -1,6 +1,6 @@
 #include "Experiment/CallerRun.h"
 #include "Experiment/ConnectionResets.h"
-#include "Experiment/ControlMeter.h"
+#include "Experiment/ControlPlaneMeter.h"
 #include "Experiment/RequestChecker.h"
 #include "Experiment/Scenario.h"
 #include "Experiment/ScenarioSchedule.h"
@@ -17,7 +17,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto quietWindow = 2s;
+    constexpr auto idleWindow = 2s;
     constexpr auto sampleInterval = 1s;
     constexpr auto pollInterval = 20ms;
     // Work that a balancer still sends after the callers gave up belongs to the records too.
@@ -77,7 +77,7 @@
         {
         }
 
-        Result<void> drive(ControlMeter& control)
+        Result<void> drive(ControlPlaneMeter& control)
         {
             TimePoint nextSample = Clock::now();
             while (!caller_.isOver()) {
@@ -96,7 +96,7 @@
             return deployment_.loop().runUntil(Clock::now() + settlingTime);
         }
 
-        Result<Verdict> check(const ControlMeter& control)
+        Result<Verdict> check(const ControlPlaneMeter& control)
         {
             BOOST_OUTCOME_TRY(servers, deployment_.backendServers().requestRecords());
             RequestChecker checker;
@@ -116,9 +116,9 @@
         }
 
     private:
-        void report(const RequestFindings& findings, const ControlMeter& control, std::uint64_t wrongService)
+        void report(const RequestFindings& findings, const ControlPlaneMeter& control, std::uint64_t wrongService)
         {
-            Rows& rows = context_.rows;
+            ResultRows& rows = context_.rows;
             const std::uint64_t sent = caller_.row("requests_sent");
             const std::uint64_t answered = caller_.row("requests_answered");
             for (const char* name : { "requests_sent", "requests_answered", "requests_refused" })
@@ -145,7 +145,7 @@
             control.report(rows);
         }
 
-        Verdict verdictOf(const RequestFindings& findings, const ControlMeter& control, std::uint64_t wrongService,
+        Verdict verdictOf(const RequestFindings& findings, const ControlPlaneMeter& control, std::uint64_t wrongService,
             std::uint64_t unrecorded)
         {
             const FaultMode mode = context_.options.faults;
@@ -189,8 +189,8 @@
     }
     auto steps = scheduleOf(options);
     BOOST_OUTCOME_TRY(deployment, Deployment::start(context.loop, context.directory, deploymentOf(options, steps)));
-    ControlMeter control(*deployment);
-    BOOST_OUTCOME_TRYV(control.measureQuietWindow(quietWindow));
+    ControlPlaneMeter control(*deployment);
+    BOOST_OUTCOME_TRYV(control.measureIdleProcessorUse(idleWindow));
     BOOST_OUTCOME_TRY(caller,
         CallerRun::start(*deployment, options, callerArguments(options, deployment->balancers().requestAddresses())));
 
--- a/Source/Experiment/Rows.cpp
+++ b/Source/Experiment/ResultRows.cpp
@@ -1,4 +1,4 @@
-#include "Experiment/Rows.h"
+#include "Experiment/ResultRows.h"
 
 #include <fmt/format.h>
 
@@ -6,11 +6,11 @@
 
 namespace wisteriadock {
 
-void Rows::set(std::string_view name, std::uint64_t value) { set(name, std::to_string(value)); }
+void ResultRows::set(std::string_view name, std::uint64_t value) { set(name, std::to_string(value)); }
 
-void Rows::set(std::string_view name, double value) { set(name, fmt::format("{:.6g}", value)); }
+void ResultRows::set(std::string_view name, double value) { set(name, fmt::format("{:.6g}", value)); }
 
-void Rows::set(std::string_view name, std::string value)
+void ResultRows::set(std::string_view name, std::string value)
 {
     const auto found = std::find_if(rows_.begin(), rows_.end(), [name](const auto& row) { return row.first == name; });
     if (found != rows_.end())
@@ -19,7 +19,7 @@
         rows_.emplace_back(name, std::move(value));
 }
 
-std::string_view Rows::value(std::string_view name) const
+std::string_view ResultRows::value(std::string_view name) const
 {
     for (const auto& [rowName, rowValue] : rows_) {
         if (rowName == name)
@@ -28,7 +28,7 @@
     return {};
 }
 
-std::string Rows::toString() const
+std::string ResultRows::toString() const
 {
     std::string text;
     for (const auto& [name, value] : rows_)
--- a/Source/Experiment/Rows.h
+++ b/Source/Experiment/ResultRows.h
@@ -10,7 +10,7 @@
 
 // The result of a run, printed as one "name value" row a line. Names are unique and stay in the order of their first
 // use.
-class Rows {
+class ResultRows {
 public:
     void set(std::string_view name, std::uint64_t value);
     // Prints six significant digits.
--- a/Source/Experiment/Scenario.h
+++ b/Source/Experiment/Scenario.h
@@ -2,7 +2,7 @@
 
 #include "Experiment/EventLoop.h"
 #include "Experiment/ExperimentOptions.h"
-#include "Experiment/Rows.h"
+#include "Experiment/ResultRows.h"
 #include "Experiment/RunDirectory.h"
 
 #include <span>
@@ -31,7 +31,7 @@
     const ExperimentOptions& options;
     EventLoop& loop;
     const RunDirectory& directory;
-    Rows& rows;
+    ResultRows& rows;
 };
 
 struct Scenario {
--- a/Source/Experiment/main.cpp
+++ b/Source/Experiment/main.cpp
@@ -81,7 +81,7 @@
         return options;
     }
 
-    Result<Verdict> run(const Scenario& scenario, const ExperimentOptions& options, Rows& rows)
+    Result<Verdict> run(const Scenario& scenario, const ExperimentOptions& options, ResultRows& rows)
     {
         EventLoop loop;
         BOOST_OUTCOME_TRY(directory, RunDirectory::create());
@@ -92,7 +92,7 @@
         return scenario.run({ options, loop, *directory, rows });
     }
 
-    int report(const Result<Verdict>& verdict, const Rows& rows)
+    int report(const Result<Verdict>& verdict, const ResultRows& rows)
     {
         fmt::print("{}", rows.toString());
         if (!verdict) {
@@ -117,7 +117,7 @@
             fmt::print(stderr, "{}\n", options.error().detail);
             return CouldNotRun;
         }
-        Rows rows;
+        ResultRows rows;
         rows.set("scenario", std::string(scenario->name));
         rows.set("seed", options.value().seed);
         return report(run(*scenario, options.value(), rows), rows);
--- a/Tests/Experiment/RowsTest.cpp
+++ b/Tests/Experiment/ResultRowsTest.cpp
@@ -1,13 +1,13 @@
-#include "Experiment/Rows.h"
+#include "Experiment/ResultRows.h"
 
 #include <gtest/gtest.h>
 
 namespace wisteriadock {
 namespace {
 
-    TEST(RowsTest, printsOneRowALineInTheOrderOfFirstUse)
+    TEST(ResultRowsTest, printsOneRowALineInTheOrderOfFirstUse)
     {
-        Rows rows;
+        ResultRows rows;
         rows.set("seed", std::uint64_t(7));
         rows.set("imbalance_max_over_mean", 1.25);
         rows.set("policy", "default");
