--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -14,7 +14,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto calmStart = 3s;
+    constexpr auto faultFreeStart = 3s;
     constexpr auto sampleInterval = 1s;
     constexpr auto pollInterval = 10ms;
     constexpr auto applyLimit = 70s;
@@ -44,7 +44,7 @@
     checker_.accepted(version_, contentHashOf(writeConfiguration(configuration_)), begin_);
     BOOST_OUTCOME_TRY(before, deployment_.platform().counters());
     countersBefore_ = before;
-    BOOST_OUTCOME_TRYV(goOn(calmStart));
+    BOOST_OUTCOME_TRYV(goOn(faultFreeStart));
     stepsBegan_ = true;
     while (Clock::now() < begin_ + context_.options.length) {
         const ConfigurationStep step = schedule_.next();
--- a/Source/Experiment/ConfigurationSchedule.cpp
+++ b/Source/Experiment/ConfigurationSchedule.cpp
@@ -30,10 +30,10 @@
     if (std::exchange(isFirst_, false)) {
         step.fault = ConfigurationFault::LoseAnswers;
     } else {
-        if (round_.empty())
-            shuffleRound();
-        step.fault = round_.back();
-        round_.pop_back();
+        if (remainingFaults_.empty())
+            shuffleFaults();
+        step.fault = remainingFaults_.back();
+        remainingFaults_.pop_back();
     }
     step.length = between(2s, 4s);
     step.delay = between(200ms, 700ms);
@@ -50,13 +50,13 @@
     return low + std::chrono::milliseconds(drawBelow(static_cast<std::size_t>((high - low).count() + 1)));
 }
 
-void ConfigurationSchedule::shuffleRound()
+void ConfigurationSchedule::shuffleFaults()
 {
-    round_ = { ConfigurationFault::LoseAnswers, ConfigurationFault::Race, ConfigurationFault::PlatformOutage,
+    remainingFaults_ = { ConfigurationFault::LoseAnswers, ConfigurationFault::Race, ConfigurationFault::PlatformOutage,
         ConfigurationFault::SlowPlatform, ConfigurationFault::Restore, ConfigurationFault::RestartBalancer,
         ConfigurationFault::CutZone };
-    for (std::size_t i = round_.size(); i > 1; --i)
-        std::swap(round_[i - 1], round_[drawBelow(i)]);
+    for (std::size_t i = remainingFaults_.size(); i > 1; --i)
+        std::swap(remainingFaults_[i - 1], remainingFaults_[drawBelow(i)]);
 }
 
 }
--- a/Source/Experiment/ConfigurationSchedule.h
+++ b/Source/Experiment/ConfigurationSchedule.h
@@ -55,11 +55,11 @@
 private:
     std::size_t drawBelow(std::size_t bound) { return random_() % bound; }
     std::chrono::milliseconds between(std::chrono::milliseconds low, std::chrono::milliseconds high);
-    void shuffleRound();
+    void shuffleFaults();
 
     std::mt19937_64 random_;
     std::size_t availabilityZones_;
-    std::vector<ConfigurationFault> round_;
+    std::vector<ConfigurationFault> remainingFaults_;
     bool isFirst_ = true;
 };
 
--- a/Source/Experiment/ConnectionResets.cpp
+++ b/Source/Experiment/ConnectionResets.cpp
@@ -7,10 +7,10 @@
     using namespace std::chrono_literals;
 
     // Nothing new begins in the last part, as in the schedule.
-    constexpr auto calmEnd = 3s;
+    constexpr auto faultFreeEnd = 3s;
     constexpr auto resetLength = 50ms;
-    constexpr auto shortestGap = 150ms;
-    constexpr std::uint64_t gapSpreadMilliseconds = 200;
+    constexpr auto minGap = 150ms;
+    constexpr std::uint64_t gapRangeMilliseconds = 200;
 
 }
 
@@ -18,8 +18,8 @@
     : deployment_(deployment)
     , enabled_(options.faults == FaultMode::All)
     , random_(options.seed)
-    , next_(begin + calmStart)
-    , last_(begin + options.length - calmEnd)
+    , next_(begin + faultFreeStart)
+    , last_(begin + options.length - faultFreeEnd)
 {
 }
 
@@ -40,7 +40,7 @@
 {
     const auto& servers = deployment_.plan().servers;
     link_ = "backend/" + servers[random_() % servers.size()].name;
-    next_ += shortestGap + std::chrono::milliseconds(random_() % gapSpreadMilliseconds);
+    next_ += minGap + std::chrono::milliseconds(random_() % gapRangeMilliseconds);
     endsAt_ = Clock::now() + resetLength;
     ++count_;
     return deployment_.proxy().setFaults({ link_, "*" }, { .cut = true, .reset = true });
--- a/Source/Experiment/ConnectionResets.h
+++ b/Source/Experiment/ConnectionResets.h
@@ -12,7 +12,7 @@
 // that answers are lost after their work has begun. Times and servers are drawn from the seed.
 class ConnectionResets {
 public:
-    static constexpr std::chrono::seconds calmStart { 3 };
+    static constexpr std::chrono::seconds faultFreeStart { 3 };
 
     // The deployment, whose backend servers stand behind the fault proxy, outlives it.
     ConnectionResets(Deployment&, const ExperimentOptions&, TimePoint begin);
--- a/Source/Experiment/RequestsScenario.cpp
+++ b/Source/Experiment/RequestsScenario.cpp
@@ -56,7 +56,7 @@
     {
         if (options.faults != FaultMode::All)
             return RequestChecker::never;
-        std::int64_t first = millisecondsOf(begin + ConnectionResets::calmStart);
+        std::int64_t first = millisecondsOf(begin + ConnectionResets::faultFreeStart);
         for (const Step& step : steps) {
             if (!isPlannedChange(step.kind))
                 first = std::min(first, millisecondsOf(begin + step.at));
--- a/Source/Experiment/Schedule.cpp
+++ b/Source/Experiment/Schedule.cpp
@@ -29,16 +29,16 @@
     });
 
     // Load runs undisturbed for this long first, so that there are established flows to break.
-    constexpr milliseconds calmStart = 3s;
+    constexpr milliseconds faultFreeStart = 3s;
     // Nothing new begins in the last part, so that what a step breaks is still seen.
-    constexpr milliseconds calmEnd = 3s;
-    constexpr milliseconds shortestGap = 700ms;
-    constexpr milliseconds longestGap = 2500ms;
+    constexpr milliseconds faultFreeEnd = 3s;
+    constexpr milliseconds minGap = 700ms;
+    constexpr milliseconds maxGap = 2500ms;
 
     // Draws steps one after another and remembers what they leave behind.
-    class ScheduleMaker {
+    class ScheduleGenerator {
     public:
-        explicit ScheduleMaker(const ScheduleOptions& options)
+        explicit ScheduleGenerator(const ScheduleOptions& options)
             : options_(options)
             , random_(options.seed)
             , servers_(options.serviceOfServer.size())
@@ -50,13 +50,13 @@
         {
             if (options_.mode == FaultMode::None)
                 return {};
-            for (milliseconds now = calmStart; now < options_.length - calmEnd;
-                 now += between(shortestGap, longestGap)) {
-                takeBack(now);
-                takeNext(now);
+            for (milliseconds now = faultFreeStart; now < options_.length - faultFreeEnd;
+                 now += between(minGap, maxGap)) {
+                addUndrainSteps(now);
+                addNextStep(now);
                 // Two changes at once are harder than one after the other.
                 if (drawBelow(3) == 0)
-                    takeNext(now);
+                    addNextStep(now);
             }
             std::stable_sort(steps_.begin(), steps_.end(),
                 [](const Step& first, const Step& second) { return first.at < second.at; });
@@ -83,35 +83,35 @@
         // Every kind comes up once, in random order, before any comes up again.
         StepKind drawKind()
         {
-            if (deck_.empty()) {
+            if (remainingKinds_.empty()) {
                 for (const auto& [kind, name] : stepNames.rows()) {
                     const bool drawn = kind != StepKind::UndrainServer;
                     if (drawn && (options_.mode == FaultMode::All || isPlannedChange(kind)))
-                        deck_.push_back(kind);
+                        remainingKinds_.push_back(kind);
                 }
                 // std::shuffle is not the same in every standard library.
-                for (std::size_t i = deck_.size(); i > 1; --i)
-                    std::swap(deck_[i - 1], deck_[drawBelow(i)]);
+                for (std::size_t i = remainingKinds_.size(); i > 1; --i)
+                    std::swap(remainingKinds_[i - 1], remainingKinds_[drawBelow(i)]);
             }
-            const StepKind kind = deck_.back();
-            deck_.pop_back();
+            const StepKind kind = remainingKinds_.back();
+            remainingKinds_.pop_back();
             return kind;
         }
 
-        void takeNext(milliseconds now)
+        void addNextStep(milliseconds now)
         {
             Step step;
             step.at = now;
             step.kind = drawKind();
-            if (choose(step))
+            if (chooseSubject(step))
                 steps_.push_back(step);
         }
 
         // Servers return some time after they were drained.
-        void takeBack(milliseconds now)
+        void addUndrainSteps(milliseconds now)
         {
             for (std::size_t i = 0; i < servers_.size(); ++i) {
-                if (!servers_[i].drainedAt || now < *servers_[i].drainedAt + shortestDrain || drawBelow(2) == 0)
+                if (!servers_[i].drainedAt || now < *servers_[i].drainedAt + minDrainTime || drawBelow(2) == 0)
                     continue;
                 servers_[i].drainedAt.reset();
                 steps_.push_back({ .at = now, .kind = StepKind::UndrainServer, .subject = i });
@@ -119,7 +119,7 @@
         }
 
         // Completes the step, or returns false when the fleet has no subject for it now.
-        bool choose(Step& step)
+        bool chooseSubject(Step& step)
         {
             switch (step.kind) {
             case StepKind::DrainServer:
@@ -147,10 +147,10 @@
                 return chooseBalancer(step);
             case StepKind::FreezeBalancer:
                 step.length = between(1s, 4s);
-                return chooseBalancer(step) && disturb(step);
+                return chooseBalancer(step) && markDisturbed(step);
             case StepKind::CutOneWay:
                 step.length = between(2s, 4s);
-                return chooseBalancer(step) && chooseOther(step);
+                return chooseBalancer(step) && chooseUnreachableBalancer(step);
             case StepKind::CutZone:
                 step.length = between(2s, 5s);
                 step.subject = drawBelow(options_.availabilityZones);
@@ -166,7 +166,7 @@
         {
             std::vector<std::size_t> candidates;
             for (std::size_t i = 0; i < options_.serviceOfServer.size(); ++i) {
-                if (!servers_[i].drainedAt && mayDrainOneMoreOf(options_.serviceOfServer[i]))
+                if (!servers_[i].drainedAt && canDrainAnotherOf(options_.serviceOfServer[i]))
                     candidates.push_back(i);
             }
             if (candidates.empty())
@@ -176,7 +176,7 @@
             return true;
         }
 
-        bool mayDrainOneMoreOf(std::size_t service) const
+        bool canDrainAnotherOf(std::size_t service) const
         {
             std::size_t all = 0;
             std::size_t drained = 0;
@@ -205,7 +205,7 @@
             return true;
         }
 
-        bool chooseOther(Step& step)
+        bool chooseUnreachableBalancer(Step& step)
         {
             std::vector<std::size_t> others;
             for (std::size_t i = 0; i < balancers_.size(); ++i) {
@@ -218,7 +218,7 @@
             return true;
         }
 
-        bool disturb(const Step& step)
+        bool markDisturbed(const Step& step)
         {
             balancers_[step.subject].disturbedUntil = step.at + step.length;
             return true;
@@ -234,7 +234,7 @@
         std::mt19937_64 random_;
         std::vector<Server> servers_;
         std::vector<Balancer> balancers_;
-        std::vector<StepKind> deck_;
+        std::vector<StepKind> remainingKinds_;
         std::vector<Step> steps_;
     };
 
@@ -263,6 +263,6 @@
     return false;
 }
 
-std::vector<Step> makeSchedule(const ScheduleOptions& options) { return ScheduleMaker(options).make(); }
+std::vector<Step> makeSchedule(const ScheduleOptions& options) { return ScheduleGenerator(options).make(); }
 
 }
--- a/Source/Experiment/Schedule.h
+++ b/Source/Experiment/Schedule.h
@@ -62,6 +62,6 @@
 std::vector<Step> makeSchedule(const ScheduleOptions&);
 
 // A server that was drained is watched for this long before it may return, so that late new flows are seen.
-inline constexpr std::chrono::seconds shortestDrain { 7 };
+inline constexpr std::chrono::seconds minDrainTime { 7 };
 
 }
--- a/Tests/Experiment/ScheduleTest.cpp
+++ b/Tests/Experiment/ScheduleTest.cpp
@@ -117,7 +117,7 @@
                 if (step.kind == StepKind::DrainServer)
                     drainedAt[step.subject] = step.at;
                 if (step.kind == StepKind::UndrainServer) {
-                    EXPECT_GE(step.at - drainedAt.at(step.subject), shortestDrain);
+                    EXPECT_GE(step.at - drainedAt.at(step.subject), minDrainTime);
                 }
             }
         }
