--- a/Source/Experiment/BalancerFleet.cpp
+++ b/Source/Experiment/BalancerFleet.cpp
@@ -26,8 +26,8 @@
 
 }
 
-BalancerFleet::BalancerFleet(BalancerSurroundings surroundings, const FleetPlan& plan, BalancerFleetOptions options)
-    : surroundings_(surroundings)
+BalancerFleet::BalancerFleet(BalancerEnvironment environment, const FleetPlan& plan, BalancerFleetOptions options)
+    : environment_(environment)
     , plan_(plan)
     , options_(std::move(options))
 {
@@ -44,18 +44,18 @@
     for (std::size_t i = 0; i < count; ++i) {
         BOOST_OUTCOME_TRYV(start(balancers_[first + i], first + i, settings[i]));
     }
-    BOOST_OUTCOME_TRYV(tellPlatform());
-    return tellFabric();
+    BOOST_OUTCOME_TRYV(updatePlatform());
+    return updateFabric();
 }
 
 Result<void> BalancerFleet::openLinks(Balancer& balancer, std::size_t index, std::string& settings)
 {
-    FaultProxyControl& proxy = surroundings_.proxy;
+    FaultProxyControl& proxy = environment_.proxy;
     BOOST_OUTCOME_TRY(peer, proxy.putLink(linkOf("peer", index), LinkProtocol::Udp));
     BOOST_OUTCOME_TRY(flow, proxy.putLink(linkOf("flow", index), LinkProtocol::Udp));
     BOOST_OUTCOME_TRY(request, proxy.putLink(linkOf("request", index), LinkProtocol::Tcp));
     BOOST_OUTCOME_TRY(
-        platform, proxy.putLink(linkOf("platform", index), LinkProtocol::Tcp, surroundings_.platform.address()));
+        platform, proxy.putLink(linkOf("platform", index), LinkProtocol::Tcp, environment_.platform.address()));
     balancer.peerAddress = peer;
 
     const std::string host = loopbackAddress(zoneOf(index), index);
@@ -66,7 +66,7 @@
         "[advertise]\nflow = {}\npeer = {}\nrequest = {}\n\n", flow.toString(), peer.toString(), request.toString());
     settings += fmt::format("[platform]\naddress = {}\n\n", platform.toString());
     settings += fmt::format("[flow]\npolicy = {}\n\n[drain]\nseconds = {}\n\n", options_.policy, drainSeconds);
-    settings += options_.furtherSettings;
+    settings += options_.extraSettings;
     return boost::outcome_v2::success();
 }
 
@@ -81,15 +81,15 @@
         ++listed;
     }
     const std::string peers = seeds.empty() ? "" : fmt::format("[peers]\nseeds = {}\n", seeds);
-    BOOST_OUTCOME_TRY(file, surroundings_.starter.directory().write(balancer.name + ".ini", settings + peers));
+    BOOST_OUTCOME_TRY(file, environment_.starter.directory().write(balancer.name + ".ini", settings + peers));
     BOOST_OUTCOME_TRY(process,
-        surroundings_.starter.startListening(balancer.name, "wisteriadock-balancer", { "--settings=" + file.string() },
+        environment_.starter.startListening(balancer.name, "wisteriadock-balancer", { "--settings=" + file.string() },
             { "flow", "peer", "request", "metrics" }));
     balancer.process = std::move(process);
     balancer.requestAddress = balancer.process->listening("request").value();
     balancer.fabricAddress = balancer.process->listening("flow").value();
 
-    FaultProxyControl& proxy = surroundings_.proxy;
+    FaultProxyControl& proxy = environment_.proxy;
     BOOST_OUTCOME_TRYV(proxy.putLink(linkOf("peer", index), LinkProtocol::Udp, balancer.process->listening("peer")));
     BOOST_OUTCOME_TRYV(proxy.putLink(linkOf("flow", index), LinkProtocol::Udp, balancer.process->listening("flow")));
     BOOST_OUTCOME_TRYV(proxy.putLink(linkOf("request", index), LinkProtocol::Tcp, balancer.requestAddress));
@@ -114,7 +114,7 @@
             return Error { ErrorCode::DeadlineExceeded,
                 "the balancers do not all serve: " + (serving ? "not ready yet" : serving.error().toString()) };
         }
-        BOOST_OUTCOME_TRYV(surroundings_.starter.loop().runUntil(Clock::now() + pollInterval));
+        BOOST_OUTCOME_TRYV(environment_.starter.loop().runUntil(Clock::now() + pollInterval));
     }
 }
 
@@ -132,7 +132,7 @@
 
 Result<bool> BalancerFleet::isServing(const Balancer& balancer, std::uint64_t configurationVersion)
 {
-    BOOST_OUTCOME_TRY(status, surroundings_.client.get(balancer.requestAddress, "/status"));
+    BOOST_OUTCOME_TRY(status, environment_.client.get(balancer.requestAddress, "/status"));
     if (status.value("state", "") != "serving" || status.value("configuration_version", 0ULL) < configurationVersion)
         return false;
     const auto members = status.value("members", nlohmann::json::array());
@@ -146,7 +146,7 @@
     balancers_[index].leaving = true;
     balancers_[index].vmState = VmState::Leaving;
     balancers_[index].process->signal(SIGTERM);
-    return tellPlatform();
+    return updatePlatform();
 }
 
 void BalancerFleet::kill(std::size_t index)
@@ -159,14 +159,14 @@
 
 void BalancerFleet::resume(std::size_t index) { balancers_[index].process->signal(SIGCONT); }
 
-Result<void> BalancerFleet::turnFabricAwayFrom(std::size_t index)
+Result<void> BalancerFleet::removeFromFabric(std::size_t index)
 {
     balancers_[index].inFabric = false;
-    BOOST_OUTCOME_TRYV(tellFabric());
-    return tellPlatform();
+    BOOST_OUTCOME_TRYV(updateFabric());
+    return updatePlatform();
 }
 
-Result<void> BalancerFleet::tellPlatform()
+Result<void> BalancerFleet::updatePlatform()
 {
     std::vector<Vm> vms;
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
@@ -176,17 +176,17 @@
                 balancer.vmState });
         }
     }
-    return surroundings_.platform.setVms(vms);
+    return environment_.platform.setVms(vms);
 }
 
-Result<void> BalancerFleet::tellFabric()
+Result<void> BalancerFleet::updateFabric()
 {
     std::vector<Endpoint> entries;
     for (const Balancer& balancer : balancers_) {
         if (balancer.inFabric)
             entries.push_back(balancer.fabricAddress);
     }
-    return surroundings_.fabric.setBalancers(entries);
+    return environment_.fabric.setBalancers(entries);
 }
 
 std::size_t BalancerFleet::running() const
--- a/Source/Experiment/BalancerFleet.h
+++ b/Source/Experiment/BalancerFleet.h
@@ -15,7 +15,7 @@
 namespace wisteriadock {
 
 // The doors that all balancers of a run stand behind.
-struct BalancerSurroundings {
+struct BalancerEnvironment {
     ProcessStarter& starter;
     AdminClient& client;
     FaultProxyControl& proxy;
@@ -38,7 +38,7 @@
     // Sends the fabric's packets through the fault proxy too.
     bool fabricThroughProxy = false;
     // Further sections of the settings files.
-    std::string furtherSettings = {};
+    std::string extraSettings = {};
 };
 
 // The balancers of a run. Each listens on a loopback address of its own and reaches the others and the platform through
@@ -46,7 +46,7 @@
 // peer/1/b1, flow/1/b1, request/1/b1, platform/1/b1 and fabric/1/b1.
 class BalancerFleet {
 public:
-    BalancerFleet(BalancerSurroundings, const FleetPlan&, BalancerFleetOptions);
+    BalancerFleet(BalancerEnvironment, const FleetPlan&, BalancerFleetOptions);
 
     // Starts balancers side by side and waits until they listen. The platform's list and the fabric hear of them.
     Result<void> add(std::size_t count);
@@ -54,12 +54,12 @@
     Result<void> waitUntilServing(std::uint64_t configurationVersion);
 
     // By index, in the order of the starts. A stop is announced on the platform's list; the fabric goes on sending to a
-    // balancer that was stopped or killed until turnFabricAwayFrom.
+    // balancer that was stopped or killed until removeFromFabric.
     Result<void> stop(std::size_t);
     void kill(std::size_t);
     void pause(std::size_t);
     void resume(std::size_t);
-    Result<void> turnFabricAwayFrom(std::size_t);
+    Result<void> removeFromFabric(std::size_t);
 
     std::size_t running() const;
     std::vector<RunningBalancer> runningBalancers() const;
@@ -94,12 +94,12 @@
 
     Result<void> openLinks(Balancer&, std::size_t index, std::string& settings);
     Result<void> start(Balancer&, std::size_t index, const std::string& settings);
-    Result<void> tellPlatform();
-    Result<void> tellFabric();
+    Result<void> updatePlatform();
+    Result<void> updateFabric();
     Result<bool> areServing(std::uint64_t configurationVersion);
     Result<bool> isServing(const Balancer&, std::uint64_t configurationVersion);
 
-    BalancerSurroundings surroundings_;
+    BalancerEnvironment environment_;
     const FleetPlan& plan_;
     BalancerFleetOptions options_;
     std::vector<Balancer> balancers_;
--- a/Source/Experiment/CallerRun.cpp
+++ b/Source/Experiment/CallerRun.cpp
@@ -18,18 +18,18 @@
 }
 
 Result<std::unique_ptr<CallerRun>> CallerRun::start(
-    Deployment& deployment, const ExperimentOptions& options, const std::vector<std::string>& furtherArguments)
+    Deployment& deployment, const ExperimentOptions& options, const std::vector<std::string>& extraArguments)
 {
     const auto recordFile = deployment.starter().directory().path() / "caller-records.json";
     std::vector<std::string> arguments {
         "--fabric=" + deployment.fabric().address().toString(),
-        "--services=" + deployment.plan().callerServices(),
+        "--services=" + deployment.plan().callerServicesArgument(),
         fmt::format("--seed={}", options.seed),
         fmt::format("--seconds={}", options.length.count()),
         fmt::format("--flows_per_second={}", options.flowsPerSecond),
         "--record_file=" + recordFile.string(),
     };
-    arguments.insert(arguments.end(), furtherArguments.begin(), furtherArguments.end());
+    arguments.insert(arguments.end(), extraArguments.begin(), extraArguments.end());
     BOOST_OUTCOME_TRY(process,
         deployment.starter().startListening("caller", "wisteriadock-standin-caller", arguments, { "replies" }));
     BOOST_OUTCOME_TRYV(deployment.backendServers().setReplyAddress(process->listening("replies").value()));
--- a/Source/Experiment/CallerRun.h
+++ b/Source/Experiment/CallerRun.h
@@ -16,7 +16,7 @@
 public:
     // The deployment outlives the run.
     static Result<std::unique_ptr<CallerRun>> start(
-        Deployment&, const ExperimentOptions&, const std::vector<std::string>& furtherArguments);
+        Deployment&, const ExperimentOptions&, const std::vector<std::string>& extraArguments);
 
     TimePoint begin() const { return begin_; }
     bool isOver() { return !process_->running(); }
--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -130,9 +130,9 @@
 {
     switch (step.fault) {
     case ConfigurationFault::PlatformOutage:
-        return deployment_.platform().setDown(true);
+        return deployment_.platform().setOutage(true);
     case ConfigurationFault::SlowPlatform:
-        return deployment_.platform().setSlow(step.delay);
+        return deployment_.platform().setCallDelay(step.delay);
     case ConfigurationFault::CutZone:
         watcher_.cutBegan(step.zone);
         return setZoneFaults(deployment_, step.zone, { .cut = true });
@@ -145,9 +145,9 @@
 {
     switch (step.fault) {
     case ConfigurationFault::PlatformOutage:
-        return deployment_.platform().setDown(false);
+        return deployment_.platform().setOutage(false);
     case ConfigurationFault::SlowPlatform:
-        return deployment_.platform().setSlow(0ms);
+        return deployment_.platform().setCallDelay(0ms);
     case ConfigurationFault::CutZone:
         // Ends for the judge as soon as it ends for the balancers, but for the proxy's answer.
         watcher_.cutEnded(step.zone);
@@ -264,7 +264,7 @@
     ++restarts_;
     balancers.kill(subject);
     watcher_.noticeProcesses();
-    BOOST_OUTCOME_TRYV(balancers.turnFabricAwayFrom(subject));
+    BOOST_OUTCOME_TRYV(balancers.removeFromFabric(subject));
     BOOST_OUTCOME_TRYV(balancers.add(1));
     watcher_.noticeProcesses();
     return boost::outcome_v2::success();
--- a/Source/Experiment/Deployment.cpp
+++ b/Source/Experiment/Deployment.cpp
@@ -17,7 +17,7 @@
 {
     std::unique_ptr<Deployment> deployment(new Deployment(loop, directory, std::move(options)));
     BOOST_OUTCOME_TRYV(deployment->startProcesses());
-    BOOST_OUTCOME_TRYV(deployment->applyFirstConfiguration());
+    BOOST_OUTCOME_TRYV(deployment->applyInitialConfiguration());
     return deployment;
 }
 
@@ -42,9 +42,9 @@
     BOOST_OUTCOME_TRY(fabric, FabricControl::start(starter_, client_, seed));
     fabric_ = std::move(fabric);
     balancers_ = std::make_unique<BalancerFleet>(
-        BalancerSurroundings { starter_, client_, *proxy_, *platform_, *fabric_ }, plan_,
+        BalancerEnvironment { starter_, client_, *proxy_, *platform_, *fabric_ }, plan_,
         BalancerFleetOptions {
-            options_.experiment.policy, options_.fabricThroughProxy, options_.furtherBalancerSettings });
+            options_.experiment.policy, options_.fabricThroughProxy, options_.extraBalancerSettings });
     return balancers_->add(options_.experiment.balancers);
 }
 
@@ -60,11 +60,11 @@
     return boost::outcome_v2::success();
 }
 
-Result<void> Deployment::applyFirstConfiguration()
+Result<void> Deployment::applyInitialConfiguration()
 {
     Configuration first;
     first.services = plan_.services;
-    for (std::size_t i = 0; i < plan_.firstServers(); ++i)
+    for (std::size_t i = 0; i < plan_.initialServerCount(); ++i)
         first.backendServers.push_back(backendServer(i));
     const auto byName = [](const auto& one, const auto& other) { return one.name < other.name; };
     std::sort(first.services.begin(), first.services.end(), byName);
--- a/Source/Experiment/Deployment.h
+++ b/Source/Experiment/Deployment.h
@@ -22,7 +22,7 @@
     // Balancers reach the backend servers' request addresses through links backend/NAME of the fault proxy.
     bool backendsThroughProxy = false;
     // Further sections of every balancer's settings file.
-    std::string furtherBalancerSettings = {};
+    std::string extraBalancerSettings = {};
 };
 
 // The whole system of a run, as separate processes: platform, fault proxy, backend servers, fabric and balancers, with
@@ -52,7 +52,7 @@
 
     Result<void> startProcesses();
     Result<void> openBackendLinks();
-    Result<void> applyFirstConfiguration();
+    Result<void> applyInitialConfiguration();
 
     DeploymentOptions options_;
     ProcessStarter starter_;
--- a/Source/Experiment/FleetPlan.cpp
+++ b/Source/Experiment/FleetPlan.cpp
@@ -54,17 +54,17 @@
     return plan;
 }
 
-std::vector<std::size_t> FleetPlan::serviceOfFirstServers() const
+std::vector<std::size_t> FleetPlan::serviceOfInitialServers() const
 {
     std::vector<std::size_t> result;
-    for (std::size_t i = 0; i < firstServers(); ++i)
+    for (std::size_t i = 0; i < initialServerCount(); ++i)
         result.push_back(servers[i].service);
     return result;
 }
 
-std::string FleetPlan::callerServices() const
+std::string FleetPlan::callerServicesArgument() const
 {
-    const auto all = serviceOfFirstServers();
+    const auto all = serviceOfInitialServers();
     std::string text;
     for (std::size_t i = 0; i < services.size(); ++i) {
         const auto share = std::count(all.begin(), all.end(), i);
--- a/Source/Experiment/FleetPlan.h
+++ b/Source/Experiment/FleetPlan.h
@@ -29,10 +29,10 @@
 
     static FleetPlan make(const ExperimentOptions&, std::size_t spareServers);
 
-    std::size_t firstServers() const { return servers.size() - spareServers; }
-    std::vector<std::size_t> serviceOfFirstServers() const;
+    std::size_t initialServerCount() const { return servers.size() - spareServers; }
+    std::vector<std::size_t> serviceOfInitialServers() const;
     // "tryon@ADDRESS@SHARE,…" as the callers' stand-in takes it.
-    std::string callerServices() const;
+    std::string callerServicesArgument() const;
 };
 
 }
--- a/Source/Experiment/PlatformControl.cpp
+++ b/Source/Experiment/PlatformControl.cpp
@@ -27,13 +27,13 @@
     return boost::outcome_v2::success();
 }
 
-Result<void> PlatformControl::setDown(bool down)
+Result<void> PlatformControl::setOutage(bool down)
 {
     BOOST_OUTCOME_TRYV(client_.post(address_, "/admin/faults", { { "down", down ? "reset" : "up" } }));
     return boost::outcome_v2::success();
 }
 
-Result<void> PlatformControl::setSlow(std::chrono::milliseconds delay)
+Result<void> PlatformControl::setCallDelay(std::chrono::milliseconds delay)
 {
     BOOST_OUTCOME_TRYV(client_.post(address_, "/admin/faults", { { "slow_ms", delay.count() } }));
     return boost::outcome_v2::success();
--- a/Source/Experiment/PlatformControl.h
+++ b/Source/Experiment/PlatformControl.h
@@ -21,9 +21,9 @@
 
     // The balancers see the list only after a lag.
     Result<void> setVms(const std::vector<Vm>&);
-    Result<void> setDown(bool);
+    Result<void> setOutage(bool);
     // Every call waits that long before it is acted on.
-    Result<void> setSlow(std::chrono::milliseconds);
+    Result<void> setCallDelay(std::chrono::milliseconds);
     // The next writes by compare-and-swap take effect, but their answers are lost. 0 ends it.
     Result<void> loseWriteAnswers(std::uint64_t count);
     Result<void> takeSnapshot(const std::string& name);
--- a/Source/Experiment/RequestsScenario.cpp
+++ b/Source/Experiment/RequestsScenario.cpp
@@ -33,7 +33,7 @@
         deployment.experiment.policy = "default";
         deployment.spareServers = addedServers(steps);
         deployment.backendsThroughProxy = true;
-        deployment.furtherBalancerSettings = fmt::format("[request]\npolicy = {}\navailability_zones = {}\n\n",
+        deployment.extraBalancerSettings = fmt::format("[request]\npolicy = {}\navailability_zones = {}\n\n",
             options.policy, fmt::join(FleetPlan::make(options, 0).availabilityZones, ", "));
         return deployment;
     }
--- a/Source/Experiment/ScenarioSchedule.cpp
+++ b/Source/Experiment/ScenarioSchedule.cpp
@@ -14,7 +14,7 @@
     schedule.length = options.length;
     schedule.availabilityZones = options.availabilityZones;
     schedule.balancers = options.balancers;
-    schedule.serviceOfServer = FleetPlan::make(options, 0).serviceOfFirstServers();
+    schedule.serviceOfServer = FleetPlan::make(options, 0).serviceOfInitialServers();
     return makeSchedule(schedule);
 }
 
--- a/Source/Experiment/StepRunner.cpp
+++ b/Source/Experiment/StepRunner.cpp
@@ -32,7 +32,7 @@
     , begin_(begin)
 {
     const FleetPlan& plan = deployment.plan();
-    for (std::size_t i = 0; i < plan.firstServers(); ++i)
+    for (std::size_t i = 0; i < plan.initialServerCount(); ++i)
         active_[plan.servers[i].name] = BackendServer().weight;
 }
 
@@ -111,7 +111,7 @@
     case StepKind::CutZone:
         return setZoneFaults(deployment_, step.subject, { .cut = true });
     case StepKind::PlatformOutage:
-        return deployment_.platform().setDown(true);
+        return deployment_.platform().setOutage(true);
     }
     return boost::outcome_v2::success();
 }
@@ -122,7 +122,7 @@
     switch (step.kind) {
     case StepKind::StopBalancer:
     case StepKind::KillBalancer:
-        return balancers.turnFabricAwayFrom(step.subject);
+        return balancers.removeFromFabric(step.subject);
     case StepKind::DelayVersions:
         return deployment_.proxy().setFaults({ balancers.linkOf("platform", step.subject) }, {}, Direction::ToSource);
     case StepKind::FreezeBalancer:
@@ -133,7 +133,7 @@
     case StepKind::CutZone:
         return setZoneFaults(deployment_, step.subject, {});
     case StepKind::PlatformOutage:
-        return deployment_.platform().setDown(false);
+        return deployment_.platform().setOutage(false);
     default:
         return boost::outcome_v2::success();
     }
--- a/Tests/Experiment/FleetPlanTest.cpp
+++ b/Tests/Experiment/FleetPlanTest.cpp
@@ -11,11 +11,11 @@
     TEST(FleetPlanTest, sharesTheServersAsTheUsersDo)
     {
         const FleetPlan plan = FleetPlan::make({ .backendServers = 19 }, 2);
-        const auto services = plan.serviceOfFirstServers();
+        const auto services = plan.serviceOfInitialServers();
         EXPECT_EQ(std::count(services.begin(), services.end(), 0u), 15);
         EXPECT_EQ(std::count(services.begin(), services.end(), 1u), 4);
         EXPECT_EQ(plan.servers.size(), 21u);
-        EXPECT_EQ(plan.callerServices(), "tryon@192.0.2.1:7000@15,scanintake@192.0.2.2:7000@4");
+        EXPECT_EQ(plan.callerServicesArgument(), "tryon@192.0.2.1:7000@15,scanintake@192.0.2.2:7000@4");
 
         std::set<std::string> names;
         for (const PlannedServer& server : plan.servers)
@@ -27,7 +27,7 @@
     TEST(FleetPlanTest, givesBothServicesAServerHoweverFewThereAre)
     {
         const FleetPlan plan = FleetPlan::make({ .availabilityZones = 5, .backendServers = 2 }, 0);
-        EXPECT_EQ(plan.serviceOfFirstServers(), (std::vector<std::size_t> { 0, 1 }));
+        EXPECT_EQ(plan.serviceOfInitialServers(), (std::vector<std::size_t> { 0, 1 }));
         EXPECT_EQ(plan.availabilityZones.size(), 5u);
     }
 
