--- a/Source/Experiment/AdminClient.cpp
+++ b/Source/Experiment/AdminClient.cpp
@@ -10,7 +10,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto callLimit = 5s;
+    constexpr auto callTimeout = 5s;
 
     Error failure(const Endpoint& server, const HttpRequest& request, const std::string& why)
     {
@@ -45,8 +45,8 @@
     request.authority = server.toString();
     // Shared, since the answer may come after an interruption has ended this wait.
     const auto outcome = std::make_shared<std::optional<HttpOutcome>>();
-    client->send(request, Clock::now() + callLimit, [outcome](HttpOutcome ended) { *outcome = std::move(ended); });
-    BOOST_OUTCOME_TRYV(loop_.waitUntil([&] { return outcome->has_value(); }, 2 * callLimit, request.path));
+    client->send(request, Clock::now() + callTimeout, [outcome](HttpOutcome ended) { *outcome = std::move(ended); });
+    BOOST_OUTCOME_TRYV(loop_.waitUntil([&] { return outcome->has_value(); }, 2 * callTimeout, request.path));
 
     if (!outcome->value())
         return failure(server, request, outcome->value().error().detail);
--- a/Source/Experiment/BalancerFleet.cpp
+++ b/Source/Experiment/BalancerFleet.cpp
@@ -11,7 +11,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto servingLimit = 30s;
+    constexpr auto servingTimeout = 30s;
     constexpr auto pollInterval = 50ms;
     constexpr std::size_t seedCount = 2;
     // Longer than the fabric ever takes to hear of a stop, so that a stop by plan loses no packet.
@@ -102,7 +102,7 @@
 
 Result<void> BalancerFleet::waitUntilServing(std::uint64_t configurationVersion)
 {
-    const TimePoint deadline = Clock::now() + servingLimit;
+    const TimePoint deadline = Clock::now() + servingTimeout;
     while (true) {
         const auto serving = areServing(configurationVersion);
         if (serving && serving.value())
--- a/Source/Experiment/CallerRun.cpp
+++ b/Source/Experiment/CallerRun.cpp
@@ -11,7 +11,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto outputLimit = 5s;
+    constexpr auto outputTimeout = 5s;
     // The last row that the callers' stand-in prints.
     constexpr const char* lastRow = "\nrequests_skipped ";
 
@@ -46,7 +46,7 @@
 Result<void> CallerRun::readResults(EventLoop& loop)
 {
     const auto complete = [&] { return process_->output().find(lastRow) != std::string::npos; };
-    if (process_->exitCode().value_or(0) != 0 || !loop.waitUntil(complete, outputLimit, "the callers' rows")) {
+    if (process_->exitCode().value_or(0) != 0 || !loop.waitUntil(complete, outputTimeout, "the callers' rows")) {
         return Error { ErrorCode::Unavailable,
             fmt::format("the callers ended with {}: {}", process_->exitCode().value_or(-1), process_->errorTail()) };
     }
--- a/Source/Experiment/ConfigurationApply.cpp
+++ b/Source/Experiment/ConfigurationApply.cpp
@@ -12,7 +12,7 @@
     using namespace std::chrono_literals;
 
     constexpr auto retryInterval = 200ms;
-    constexpr auto longestApply = 60s;
+    constexpr auto applyTimeout = 60s;
 
     std::string listOf(const std::vector<Endpoint>& addresses)
     {
@@ -38,14 +38,14 @@
 
 Result<void> ConfigurationApply::startCtl()
 {
-    ++tries_;
+    ++attempts_;
     std::vector<std::string> arguments { "--platform=" + request_.platform.toString(), "--format=json",
         "--balancers=" + listOf(request_.balancers), "--apply_id=" + request_.id, "--author=" + request_.author };
     if (request_.baseVersion)
         arguments.push_back(fmt::format("--base_version={}", *request_.baseVersion));
     arguments.insert(arguments.end(), { "apply", file_ });
-    BOOST_OUTCOME_TRY(
-        ctl, starter_.start(fmt::format("{}-try-{}", request_.id, tries_), "wisteriadock-ctl", std::move(arguments)));
+    BOOST_OUTCOME_TRY(ctl,
+        starter_.start(fmt::format("{}-try-{}", request_.id, attempts_), "wisteriadock-ctl", std::move(arguments)));
     ctl_ = std::move(ctl);
     return boost::outcome_v2::success();
 }
@@ -53,18 +53,18 @@
 Result<void> ConfigurationApply::poll()
 {
     const TimePoint now = Clock::now();
-    if (isSettled() || now < nextTry_)
+    if (isSettled() || now < nextAttempt_)
         return boost::outcome_v2::success();
-    if (now > begin_ + longestApply)
+    if (now > begin_ + applyTimeout)
         return Error { ErrorCode::DeadlineExceeded, "no final outcome of " + request_.id + ": " + report_.dump() };
     if (!ctl_)
         return startCtl();
     if (!ctl_->exitCode())
         return boost::outcome_v2::success();
-    return takeReport();
+    return handleReport();
 }
 
-Result<void> ConfigurationApply::takeReport()
+Result<void> ConfigurationApply::handleReport()
 {
     // The end of the process may be seen before the last of its output; the limit of the apply bounds this wait.
     auto report = nlohmann::json::parse(ctl_->output(), nullptr, false);
@@ -82,7 +82,7 @@
     } else if (!isSettled() && status != "unavailable") {
         return Error { ErrorCode::InvalidArgument, request_.id + ": " + report_.dump() };
     }
-    nextTry_ = Clock::now() + retryInterval;
+    nextAttempt_ = Clock::now() + retryInterval;
     return boost::outcome_v2::success();
 }
 
--- a/Source/Experiment/ConfigurationApply.h
+++ b/Source/Experiment/ConfigurationApply.h
@@ -55,7 +55,7 @@
     }
 
     Result<void> startCtl();
-    Result<void> takeReport();
+    Result<void> handleReport();
 
     ProcessStarter& starter_;
     ConfigurationApplyRequest request_;
@@ -64,8 +64,8 @@
     std::string file_;
     std::unique_ptr<ChildProcess> ctl_;
     nlohmann::json report_;
-    TimePoint nextTry_;
-    unsigned tries_ = 0;
+    TimePoint nextAttempt_;
+    unsigned attempts_ = 0;
     bool accepted_ = false;
     bool refused_ = false;
     bool wasUnknown_ = false;
--- a/Source/Experiment/ConfigurationOperator.cpp
+++ b/Source/Experiment/ConfigurationOperator.cpp
@@ -13,7 +13,7 @@
     using namespace std::chrono_literals;
 
     constexpr auto retryInterval = 200ms;
-    constexpr auto longestRefusal = 30s;
+    constexpr auto refusalTimeout = 30s;
 
 }
 
@@ -47,14 +47,14 @@
         } else {
             lastProblem_ = fmt::format("exit code {}: {}", *exitCode, ctl_->errorTail());
             waiting_.insert(waiting_.begin(), applying_.begin(), applying_.end());
-            nextTry_ = now + retryInterval;
+            nextAttempt_ = now + retryInterval;
         }
         applying_.clear();
         ctl_.reset();
     }
-    if (waiting_.empty() || now < nextTry_)
+    if (waiting_.empty() || now < nextAttempt_)
         return boost::outcome_v2::success();
-    if (now > waitingSince_ + longestRefusal)
+    if (now > waitingSince_ + refusalTimeout)
         return Error { ErrorCode::Unavailable, "the configuration was not accepted: " + lastProblem_ };
     return startApply();
 }
--- a/Source/Experiment/ConfigurationOperator.h
+++ b/Source/Experiment/ConfigurationOperator.h
@@ -42,7 +42,7 @@
     std::vector<OnAccepted> applying_;
     std::unique_ptr<ChildProcess> ctl_;
     std::string lastProblem_;
-    TimePoint nextTry_;
+    TimePoint nextAttempt_;
     TimePoint waitingSince_;
     std::uint64_t applies_ = 0;
     std::uint64_t accepted_ = 0;
--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -17,11 +17,11 @@
     constexpr auto faultFreeStart = 3s;
     constexpr auto sampleInterval = 1s;
     constexpr auto pollInterval = 10ms;
-    constexpr auto applyLimit = 70s;
+    constexpr auto applyTimeout = 70s;
     constexpr auto inForceLimit = 5s;
     // Applies run on for this long while a fault holds, so that it meets them at different moments.
-    constexpr auto faultLead = 100ms;
-    constexpr const char* copyName = "older";
+    constexpr auto faultLeadTime = 100ms;
+    constexpr const char* snapshotName = "older";
 
 }
 
@@ -40,11 +40,11 @@
 {
     begin_ = Clock::now();
     nextSample_ = begin_;
-    watcher_.noticeProcesses();
+    watcher_.updateProcesses();
     checker_.accepted(version_, contentHashOf(writeConfiguration(configuration_)), begin_);
     BOOST_OUTCOME_TRY(before, deployment_.platform().counters());
     countersBefore_ = before;
-    BOOST_OUTCOME_TRYV(goOn(faultFreeStart));
+    BOOST_OUTCOME_TRYV(monitor(faultFreeStart));
     stepsBegan_ = true;
     while (Clock::now() < begin_ + context_.options.length) {
         const ConfigurationStep step = schedule_.next();
@@ -52,10 +52,10 @@
             step.restarts ? ", a balancer is replaced" : ""));
         BOOST_OUTCOME_TRYV(perform(step));
         BOOST_OUTCOME_TRYV(settle());
-        BOOST_OUTCOME_TRYV(goOn(step.pause));
+        BOOST_OUTCOME_TRYV(monitor(step.pause));
     }
     // So that the balancers that started last are judged too.
-    BOOST_OUTCOME_TRYV(goOn(ConfigurationChecker::settleTime));
+    BOOST_OUTCOME_TRYV(monitor(ConfigurationChecker::settleTime));
     end_ = Clock::now();
     BOOST_OUTCOME_TRY(after, deployment_.platform().counters());
     platformCallsPerSecond_ = static_cast<double>(after.calls - countersBefore_.calls)
@@ -69,19 +69,19 @@
     if (step.fault == ConfigurationFault::LoseAnswers)
         return loseAnswers(step);
     if (step.fault == ConfigurationFault::Restore)
-        return restoreOlderCopy(step);
+        return restoreOlderSnapshot(step);
 
     const bool lasts = step.fault != ConfigurationFault::Race && step.fault != ConfigurationFault::RestartBalancer;
     const TimePoint faultEnd = Clock::now() + step.length;
     if (lasts) {
         ++faults_;
         BOOST_OUTCOME_TRYV(beginFault(step));
-        BOOST_OUTCOME_TRYV(goOn(faultLead));
+        BOOST_OUTCOME_TRYV(monitor(faultLeadTime));
     }
     BOOST_OUTCOME_TRYV(startApplies(step.races));
     if (lasts) {
         while (Clock::now() < faultEnd) {
-            BOOST_OUTCOME_TRYV(goOn(pollInterval));
+            BOOST_OUTCOME_TRYV(monitor(pollInterval));
             BOOST_OUTCOME_TRYV(pollApplies(step));
         }
         BOOST_OUTCOME_TRYV(endFault(step));
@@ -107,21 +107,21 @@
 }
 
 // What is accepted after the copy was taken is in force on all balancers before the platform forgets it.
-Result<void> ConfigurationRun::restoreOlderCopy(const ConfigurationStep& step)
+Result<void> ConfigurationRun::restoreOlderSnapshot(const ConfigurationStep& step)
 {
-    BOOST_OUTCOME_TRYV(deployment_.platform().takeSnapshot(copyName));
+    BOOST_OUTCOME_TRYV(deployment_.platform().takeSnapshot(snapshotName));
     for (int i = 0; i < 2; ++i) {
         BOOST_OUTCOME_TRYV(startApplies(false));
         BOOST_OUTCOME_TRYV(finishApplies(step));
     }
     BOOST_OUTCOME_TRYV(settle());
     ++faults_;
-    BOOST_OUTCOME_TRYV(deployment_.platform().restore(copyName));
+    BOOST_OUTCOME_TRYV(deployment_.platform().restore(snapshotName));
     restartIsDue_ = step.restarts;
     if (restartIsDue_) {
         BOOST_OUTCOME_TRYV(restartBalancer(step));
     }
-    BOOST_OUTCOME_TRYV(goOn(step.length));
+    BOOST_OUTCOME_TRYV(monitor(step.length));
     BOOST_OUTCOME_TRYV(startApplies(false));
     return finishApplies(step);
 }
@@ -168,7 +168,7 @@
 }
 
 // Every apply writes a weight that none wrote before, so that no two have the same content.
-Result<void> ConfigurationRun::startApply(bool namesBase)
+Result<void> ConfigurationRun::startApply(bool setsBaseVersion)
 {
     ++sent_;
     ConfigurationApplyRequest request;
@@ -177,7 +177,7 @@
     request.configuration = configuration_;
     auto& servers = request.configuration.backendServers;
     servers[sent_ % servers.size()].weight = static_cast<std::uint32_t>(BackendServer().weight + sent_);
-    if (namesBase)
+    if (setsBaseVersion)
         request.baseVersion = version_;
     request.platform = deployment_.platform().address();
     request.balancers = deployment_.balancers().requestAddresses();
@@ -194,7 +194,7 @@
         BOOST_OUTCOME_TRYV(apply->poll());
         if (!apply->isAccepted())
             continue;
-        takeAccepted(*apply);
+        recordAccepted(*apply);
         if (restartIsDue_) {
             BOOST_OUTCOME_TRYV(restartBalancer(step));
         }
@@ -207,11 +207,11 @@
     const auto areSettled = [this] {
         return std::all_of(applies_.begin(), applies_.end(), [](const auto& apply) { return apply->isSettled(); });
     };
-    const TimePoint limit = Clock::now() + applyLimit;
+    const TimePoint limit = Clock::now() + applyTimeout;
     while (!areSettled()) {
         if (Clock::now() > limit)
             return Error { ErrorCode::DeadlineExceeded, "the applies do not end" };
-        BOOST_OUTCOME_TRYV(goOn(pollInterval));
+        BOOST_OUTCOME_TRYV(monitor(pollInterval));
         BOOST_OUTCOME_TRYV(pollApplies(step));
     }
     for (const auto& apply : applies_) {
@@ -241,7 +241,7 @@
     }
 }
 
-void ConfigurationRun::takeAccepted(const ConfigurationApply& apply)
+void ConfigurationRun::recordAccepted(const ConfigurationApply& apply)
 {
     ++acceptedCount_;
     checker_.accepted(apply.version(), apply.contentHash(), Clock::now());
@@ -263,24 +263,24 @@
     ++faults_;
     ++restarts_;
     balancers.kill(subject);
-    watcher_.noticeProcesses();
+    watcher_.updateProcesses();
     BOOST_OUTCOME_TRYV(balancers.removeFromFabric(subject));
     BOOST_OUTCOME_TRYV(balancers.add(1));
-    watcher_.noticeProcesses();
+    watcher_.updateProcesses();
     return boost::outcome_v2::success();
 }
 
 Result<void> ConfigurationRun::settle()
 {
-    return goOn(Clock::now() + inForceLimit, [this] { return checker_.isInForceEverywhere(version_); });
+    return monitor(Clock::now() + inForceLimit, [this] { return checker_.isInForceEverywhere(version_); });
 }
 
-Result<void> ConfigurationRun::goOn(Duration length)
+Result<void> ConfigurationRun::monitor(Duration length)
 {
-    return goOn(Clock::now() + length, [] { return false; });
+    return monitor(Clock::now() + length, [] { return false; });
 }
 
-Result<void> ConfigurationRun::goOn(TimePoint end, const Condition& condition)
+Result<void> ConfigurationRun::monitor(TimePoint end, const Condition& condition)
 {
     while (!condition() && Clock::now() < end) {
         if (Clock::now() >= nextSample_) {
--- a/Source/Experiment/ConfigurationRun.h
+++ b/Source/Experiment/ConfigurationRun.h
@@ -31,25 +31,25 @@
 
     Result<void> perform(const ConfigurationStep&);
     Result<void> loseAnswers(const ConfigurationStep&);
-    Result<void> restoreOlderCopy(const ConfigurationStep&);
+    Result<void> restoreOlderSnapshot(const ConfigurationStep&);
     Result<void> beginFault(const ConfigurationStep&);
     Result<void> endFault(const ConfigurationStep&);
 
     // Starts one apply, or two of the same base at the same moment.
     Result<void> startApplies(bool races);
-    Result<void> startApply(bool namesBase);
+    Result<void> startApply(bool setsBaseVersion);
     // Until every apply was accepted or refused.
     Result<void> finishApplies(const ConfigurationStep&);
     Result<void> pollApplies(const ConfigurationStep&);
     void countRace();
-    void takeAccepted(const ConfigurationApply&);
+    void recordAccepted(const ConfigurationApply&);
     Result<void> restartBalancer(const ConfigurationStep&);
     // Until the newest version is in force on all, or the judge would count it as late anyway.
     Result<void> settle();
 
     // Goes on with watching and measuring until the condition holds.
-    Result<void> goOn(TimePoint end, const Condition& condition);
-    Result<void> goOn(Duration length);
+    Result<void> monitor(TimePoint end, const Condition& condition);
+    Result<void> monitor(Duration length);
 
     const ScenarioContext& context_;
     Deployment& deployment_;
--- a/Source/Experiment/ConfigurationWatcher.cpp
+++ b/Source/Experiment/ConfigurationWatcher.cpp
@@ -17,12 +17,12 @@
     if (Clock::now() < next_)
         return;
     next_ = Clock::now() + interval;
-    noticeProcesses();
+    updateProcesses();
     for (const RunningBalancer& balancer : balancers_.runningBalancers())
         ask(balancer, watched_[balancer.name]);
 }
 
-void ConfigurationWatcher::noticeProcesses()
+void ConfigurationWatcher::updateProcesses()
 {
     const auto running = balancers_.runningBalancers();
     const TimePoint now = Clock::now();
--- a/Source/Experiment/ConfigurationWatcher.h
+++ b/Source/Experiment/ConfigurationWatcher.h
@@ -26,7 +26,7 @@
     // Asks all of them, if it is time to.
     void poll();
     // Looks only for processes that began or ended. Call it right after starting or killing some.
-    void noticeProcesses();
+    void updateProcesses();
     void cutBegan(std::size_t zone);
     void cutEnded(std::size_t zone);
 
--- a/Source/Experiment/ProcessStarter.cpp
+++ b/Source/Experiment/ProcessStarter.cpp
@@ -11,7 +11,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto startLimit = 20s;
+    constexpr auto startTimeout = 20s;
 
     std::filesystem::path siblingProgram(const std::string& program)
     {
@@ -37,7 +37,7 @@
             [&](const std::string& each) { return process->listening(each).has_value(); });
     };
     const auto waited
-        = loop_.waitUntil([&] { return listens() || !process->running(); }, startLimit, name + " begins to listen");
+        = loop_.waitUntil([&] { return listens() || !process->running(); }, startTimeout, name + " begins to listen");
     if (!waited)
         return waited.error();
     if (!listens())
