--- a/Source/Experiment/ConfigurationChecker.cpp
+++ b/Source/Experiment/ConfigurationChecker.cpp
@@ -27,11 +27,11 @@
         cuts.back().end = std::min(cuts.back().end, at);
 }
 
-void ConfigurationChecker::showed(const std::string& process, std::uint64_t version, TimePoint at)
+void ConfigurationChecker::noteVersionInForce(const std::string& process, std::uint64_t version, TimePoint at)
 {
-    auto& showings = processes_[process].showings;
-    if (showings.empty() || showings.back().version != version)
-        showings.push_back({ version, at });
+    auto& reports = processes_[process].reports;
+    if (reports.empty() || reports.back().version != version)
+        reports.push_back({ version, at });
 }
 
 void ConfigurationChecker::served(std::uint64_t version, const std::string& namedHash, const std::string& hashOfText)
@@ -55,14 +55,14 @@
 {
     std::uint64_t count = 0;
     for (const auto& [name, process] : processes_) {
-        for (std::size_t i = 1; i < process.showings.size(); ++i)
-            count += process.showings[i].version < process.showings[i - 1].version ? 1 : 0;
-
-        Duration inContact { 0 };
-        for (const Interval& interval : process.uncut(process.begin, std::min(end, process.end)))
-            inContact += interval.end - interval.begin;
-        const std::uint64_t last = process.showings.empty() ? 0 : process.showings.back().version;
-        if (inContact >= settleTime && last < versionInForceBefore(name))
+        for (std::size_t i = 1; i < process.reports.size(); ++i)
+            count += process.reports[i].version < process.reports[i - 1].version ? 1 : 0;
+
+        Duration reachableTime { 0 };
+        for (const Interval& interval : process.intervalsOutsideCuts(process.begin, std::min(end, process.end)))
+            reachableTime += interval.end - interval.begin;
+        const std::uint64_t last = process.reports.empty() ? 0 : process.reports.back().version;
+        if (reachableTime >= settleTime && last < versionInForceBefore(name))
             ++count;
     }
     return count;
@@ -75,7 +75,7 @@
         const TimePoint at = acceptanceOf(version);
         for (const auto& [name, process] : processes_) {
             const TimePoint reached = std::min({ process.reached(version), process.end, end });
-            for (const Interval& interval : process.uncut(std::max(at, process.begin), reached))
+            for (const Interval& interval : process.intervalsOutsideCuts(std::max(at, process.begin), reached))
                 longest = std::max(longest, interval.end - interval.begin);
         }
     }
@@ -89,7 +89,7 @@
         const bool isCut = !process.cuts.empty() && process.cuts.back().end == TimePoint::max();
         if (process.end != TimePoint::max() || isCut)
             return true;
-        return !process.showings.empty() && process.showings.back().version >= version;
+        return !process.reports.empty() && process.reports.back().version >= version;
     });
 }
 
@@ -100,9 +100,9 @@
     std::uint64_t lowest = 0;
     bool hasOthers = false;
     for (const auto& [name, other] : processes_) {
-        if (name == process || other.begin >= start || !other.isInReach(start))
+        if (name == process || other.begin >= start || !other.isReachable(start))
             continue;
-        const std::uint64_t shown = other.highestShownBy(start);
+        const std::uint64_t shown = other.highestReportedBy(start);
         lowest = hasOthers ? std::min(lowest, shown) : shown;
         hasOthers = true;
     }
@@ -113,15 +113,15 @@
 {
     TimePoint at = accepted_.at(version).at;
     for (const auto& [name, process] : processes_) {
-        for (const Showing& showing : process.showings) {
-            if (showing.version == version)
-                at = std::min(at, showing.at);
+        for (const VersionReport& report : process.reports) {
+            if (report.version == version)
+                at = std::min(at, report.at);
         }
     }
     return at;
 }
 
-bool ConfigurationChecker::Process::isInReach(TimePoint at) const
+bool ConfigurationChecker::Process::isReachable(TimePoint at) const
 {
     if (at < begin || at >= end)
         return false;
@@ -129,26 +129,26 @@
         cuts.begin(), cuts.end(), [at](const Interval& cut) { return at >= cut.begin && at < cut.end; });
 }
 
-std::uint64_t ConfigurationChecker::Process::highestShownBy(TimePoint at) const
+std::uint64_t ConfigurationChecker::Process::highestReportedBy(TimePoint at) const
 {
     std::uint64_t highest = 0;
-    for (const Showing& showing : showings) {
-        if (showing.at <= at)
-            highest = std::max(highest, showing.version);
+    for (const VersionReport& report : reports) {
+        if (report.at <= at)
+            highest = std::max(highest, report.version);
     }
     return highest;
 }
 
 TimePoint ConfigurationChecker::Process::reached(std::uint64_t version) const
 {
-    for (const Showing& showing : showings) {
-        if (showing.version >= version)
-            return showing.at;
+    for (const VersionReport& report : reports) {
+        if (report.version >= version)
+            return report.at;
     }
     return TimePoint::max();
 }
 
-std::vector<ConfigurationChecker::Interval> ConfigurationChecker::Process::uncut(
+std::vector<ConfigurationChecker::Interval> ConfigurationChecker::Process::intervalsOutsideCuts(
     TimePoint intervalBegin, TimePoint intervalEnd) const
 {
     std::vector<Interval> result;
--- a/Source/Experiment/ConfigurationChecker.h
+++ b/Source/Experiment/ConfigurationChecker.h
@@ -9,9 +9,9 @@
 
 namespace wisteriadock {
 
-// Judges what operators were told about versions against what the balancers showed. It does no I/O: a scenario hands it
-// observations as they come, in the order of their times, and asks for the counts when the run is over. A process is
-// one life of a balancer; its name is never used again.
+// Judges what operators were told about versions against what the balancers noteVersionInForce. It does no I/O: a
+// scenario hands it observations as they come, in the order of their times, and asks for the counts when the run is
+// over. A process is one life of a balancer; its name is never used again.
 class ConfigurationChecker {
 public:
     // An operator was told that this content is in force under this version.
@@ -24,21 +24,21 @@
     void cutEnded(const std::string& process, TimePoint);
 
     // The process said which version it has in force; 0 for none.
-    void showed(const std::string& process, std::uint64_t version, TimePoint);
+    void noteVersionInForce(const std::string& process, std::uint64_t version, TimePoint);
     // The process served its whole configuration: the hash that it names, and the hash of the text that came with it.
     void served(std::uint64_t version, const std::string& namedHash, const std::string& hashOfText);
 
     // Contents served that nobody was told to be accepted under that version, each counted once, and versions that were
     // accepted with two contents.
     std::uint64_t partialApplies() const;
-    // Times that a process showed a lower version than before, and processes that came to rest below a version that was
-    // in force on all others in reach when they started.
+    // Times that a process noteVersionInForce a lower version than before, and processes that came to rest below a
+    // version that was in force on all others in reach when they started.
     std::uint64_t reversions(TimePoint end) const;
     // The longest time that a process could have heard of an accepted version and did not have it in force. The time
     // before and the time after a cut count each on its own. A version counts from its first sight, if a balancer
-    // showed it before its operator was told.
+    // noteVersionInForce it before its operator was told.
     double inForceSecondsMax(TimePoint end) const;
-    // True when all processes that run and are in reach showed this version or a newer one.
+    // True when all processes that run and are in reach noteVersionInForce this version or a newer one.
     bool isInForceEverywhere(std::uint64_t version) const;
 
     // A fresh process has this long, out of cuts, to come to rest.
@@ -50,7 +50,7 @@
         TimePoint end = TimePoint::max();
     };
 
-    struct Showing {
+    struct VersionReport {
         std::uint64_t version = 0;
         TimePoint at;
     };
@@ -60,13 +60,13 @@
         TimePoint end = TimePoint::max();
         std::vector<Interval> cuts;
         // Only changes, oldest first.
-        std::vector<Showing> showings;
+        std::vector<VersionReport> reports;
 
-        bool isInReach(TimePoint) const;
-        std::uint64_t highestShownBy(TimePoint) const;
-        // When it first showed the version or a newer one; TimePoint::max() if never.
+        bool isReachable(TimePoint) const;
+        std::uint64_t highestReportedBy(TimePoint) const;
+        // When it first noteVersionInForce the version or a newer one; TimePoint::max() if never.
         TimePoint reached(std::uint64_t version) const;
-        std::vector<Interval> uncut(TimePoint begin, TimePoint end) const;
+        std::vector<Interval> intervalsOutsideCuts(TimePoint begin, TimePoint end) const;
     };
 
     struct Content {
--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -320,7 +320,7 @@
     verdict.require(acceptedCount_ > 0, "no apply was accepted");
     verdict.require(lostOutcomes_ > 0, "no apply lost the answer to its deciding write");
     verdict.require(faults_ > 0, "no fault was injected");
-    verdict.require(watcher_.answers() > 0, "no balancer showed its version");
+    verdict.require(watcher_.answers() > 0, "no balancer noteVersionInForce its version");
     verdict.require(partial == 0, "balancers served contents that were not accepted under that version");
     verdict.require(reversions == 0, "balancers went back to lower versions");
     verdict.require(inForce < std::chrono::duration<double>(inForceLimit).count(),
--- a/Source/Experiment/ConfigurationWatcher.cpp
+++ b/Source/Experiment/ConfigurationWatcher.cpp
@@ -69,7 +69,7 @@
     }
     ++answers_;
     const auto version = status.value().value("configuration_version", std::uint64_t(0));
-    checker_.showed(balancer.name, version, Clock::now());
+    checker_.noteVersionInForce(balancer.name, version, Clock::now());
     if (version != watched.versionRead)
         readConfiguration(balancer, watched);
 }
--- a/Tests/Experiment/ConfigurationCheckerTest.cpp
+++ b/Tests/Experiment/ConfigurationCheckerTest.cpp
@@ -14,14 +14,14 @@
             checker_.accepted(1, "one", start_);
             for (const char* process : { "b1", "b2" }) {
                 checker_.processStarted(process, start_);
-                checker_.showed(process, 1, start_ + 100ms);
+                checker_.noteVersionInForce(process, 1, start_ + 100ms);
             }
         }
 
-        void showOnBoth(std::uint64_t version, TimePoint at)
+        void reportOnBoth(std::uint64_t version, TimePoint at)
         {
-            checker_.showed("b1", version, at);
-            checker_.showed("b2", version, at);
+            checker_.noteVersionInForce("b1", version, at);
+            checker_.noteVersionInForce("b2", version, at);
         }
 
         const TimePoint start_ = ManualClock().now();
@@ -76,7 +76,7 @@
     TEST_F(ConfigurationCheckerTest, countsEveryStepBackOfAProcess)
     {
         for (const std::uint64_t version : { 3, 2, 3, 1 })
-            checker_.showed("b1", version, start_ + 1s);
+            checker_.noteVersionInForce("b1", version, start_ + 1s);
         EXPECT_EQ(checker_.reversions(end_), 2u);
     }
 
@@ -86,30 +86,30 @@
     TEST_F(ConfigurationCheckerTest, countsAFreshProcessThatRestsBelowTheOthers)
     {
         checker_.accepted(2, "two", start_ + 1s);
-        showOnBoth(2, start_ + 2s);
+        reportOnBoth(2, start_ + 2s);
         checker_.processStarted("b3", start_ + 10s);
-        checker_.showed("b3", 1, start_ + 11s);
+        checker_.noteVersionInForce("b3", 1, start_ + 11s);
         EXPECT_EQ(checker_.reversions(start_ + 14s), 0u);
         EXPECT_EQ(checker_.reversions(start_ + 15s), 1u);
 
         SCOPED_TRACE("it may be late, if it gets there");
-        checker_.showed("b3", 2, start_ + 16s);
+        checker_.noteVersionInForce("b3", 2, start_ + 16s);
         EXPECT_EQ(checker_.reversions(end_), 0u);
     }
 
     TEST_F(ConfigurationCheckerTest, aFreshProcessOwesOnlyWhatAllInReachHad)
     {
         checker_.accepted(2, "two", start_ + 1s);
-        checker_.showed("b1", 2, start_ + 2s);
+        checker_.noteVersionInForce("b1", 2, start_ + 2s);
         checker_.processStarted("b3", start_ + 3s);
-        checker_.showed("b3", 1, start_ + 4s);
+        checker_.noteVersionInForce("b3", 1, start_ + 4s);
         EXPECT_EQ(checker_.reversions(end_), 0u);
 
         SCOPED_TRACE("one that is cut off does not count among them");
         checker_.cutBegan("b2", start_ + 5s);
         checker_.processEnded("b3", start_ + 5s);
         checker_.processStarted("b4", start_ + 6s);
-        checker_.showed("b4", 1, start_ + 7s);
+        checker_.noteVersionInForce("b4", 1, start_ + 7s);
         EXPECT_EQ(checker_.reversions(end_), 1u);
     }
 
@@ -125,8 +125,8 @@
     TEST_F(ConfigurationCheckerTest, measuresFromAcceptanceToTheLastBalancer)
     {
         checker_.accepted(2, "two", start_ + 10s);
-        checker_.showed("b1", 2, start_ + 11s);
-        checker_.showed("b2", 3, start_ + 12s);
+        checker_.noteVersionInForce("b1", 2, start_ + 11s);
+        checker_.noteVersionInForce("b2", 3, start_ + 12s);
         EXPECT_DOUBLE_EQ(checker_.inForceSecondsMax(end_), 2);
         EXPECT_TRUE(checker_.isInForceEverywhere(2));
     }
@@ -134,7 +134,7 @@
     TEST_F(ConfigurationCheckerTest, aVersionThatNeverArrivesCountsToTheEnd)
     {
         checker_.accepted(2, "two", start_ + 10s);
-        checker_.showed("b1", 2, start_ + 11s);
+        checker_.noteVersionInForce("b1", 2, start_ + 11s);
         EXPECT_DOUBLE_EQ(checker_.inForceSecondsMax(start_ + 30s), 20);
         checker_.processEnded("b2", start_ + 14s);
         EXPECT_DOUBLE_EQ(checker_.inForceSecondsMax(start_ + 30s), 4);
@@ -143,29 +143,29 @@
     TEST_F(ConfigurationCheckerTest, aVersionCountsFromItsFirstSight)
     {
         SCOPED_TRACE("the operator's answer was lost and found out later");
-        checker_.showed("b1", 2, start_ + 10s);
+        checker_.noteVersionInForce("b1", 2, start_ + 10s);
         checker_.accepted(2, "two", start_ + 13s);
-        checker_.showed("b2", 2, start_ + 14s);
+        checker_.noteVersionInForce("b2", 2, start_ + 14s);
         EXPECT_DOUBLE_EQ(checker_.inForceSecondsMax(end_), 4);
     }
 
     TEST_F(ConfigurationCheckerTest, leavesOutCutsButNotWhatComesBeforeAndAfter)
     {
         checker_.accepted(2, "two", start_ + 10s);
-        checker_.showed("b1", 2, start_ + 10s);
+        checker_.noteVersionInForce("b1", 2, start_ + 10s);
         checker_.cutBegan("b2", start_ + 13s);
         EXPECT_TRUE(checker_.isInForceEverywhere(2));
         checker_.cutEnded("b2", start_ + 20s);
         EXPECT_FALSE(checker_.isInForceEverywhere(2));
-        checker_.showed("b2", 2, start_ + 21s);
+        checker_.noteVersionInForce("b2", 2, start_ + 21s);
         EXPECT_DOUBLE_EQ(checker_.inForceSecondsMax(end_), 3);
     }
 
     TEST_F(ConfigurationCheckerTest, aNewcomerCountsFromItsStart)
     {
         checker_.processStarted("b3", start_ + 10s);
-        checker_.showed("b3", 0, start_ + 11s);
-        checker_.showed("b3", 1, start_ + 12500ms);
+        checker_.noteVersionInForce("b3", 0, start_ + 11s);
+        checker_.noteVersionInForce("b3", 1, start_ + 12500ms);
         EXPECT_DOUBLE_EQ(checker_.inForceSecondsMax(end_), 2.5);
     }
 
