--- a/Source/Experiment/BalanceMeter.cpp
+++ b/Source/Experiment/BalanceMeter.cpp
@@ -13,18 +13,18 @@
 
 void BalanceMeter::sampleLiveFlows(const std::map<std::string, ServerLoad>& servers)
 {
-    std::erase_if(steadiness_, [&](const auto& entry) { return !servers.contains(entry.first); });
+    std::erase_if(stableWeights_, [&](const auto& entry) { return !servers.contains(entry.first); });
     LoadsByService loads;
     for (const auto& [name, server] : servers) {
         // Those of the first sample have no earlier flows that could not move.
         const auto [entry, added]
-            = steadiness_.try_emplace(name, Steadiness { server.weight, samples_ == 0 ? settlingSamples : 0 });
-        Steadiness& steadiness = entry->second;
-        if (steadiness.weight != server.weight)
-            steadiness = { server.weight, 0 };
-        if (steadiness.samples >= settlingSamples)
-            loads[server.service].push_back(weigh(server.liveFlows, server.weight));
-        ++steadiness.samples;
+            = stableWeights_.try_emplace(name, StableWeight { server.weight, samples_ == 0 ? settlingSamples : 0 });
+        StableWeight& stableWeight = entry->second;
+        if (stableWeight.weight != server.weight)
+            stableWeight = { server.weight, 0 };
+        if (stableWeight.samples >= settlingSamples)
+            loads[server.service].push_back(perWeight(server.liveFlows, server.weight));
+        ++stableWeight.samples;
     }
     live_.add(maxOverMean(loads));
 }
@@ -41,7 +41,7 @@
     LoadsByService begun;
     for (const auto& [name, before] : windowStart_) {
         const ServerLoad& now = servers.at(name);
-        begun[now.service].push_back(weigh(now.newFlows - before.newFlows, now.weight));
+        begun[now.service].push_back(perWeight(now.newFlows - before.newFlows, now.weight));
     }
     new_.add(maxOverMean(begun));
     windowStart_ = servers;
@@ -67,7 +67,7 @@
     return { all.mean(), all.flows };
 }
 
-BalanceMeter::WeightedLoad BalanceMeter::weigh(std::uint64_t flows, std::uint32_t weight)
+BalanceMeter::WeightedLoad BalanceMeter::perWeight(std::uint64_t flows, std::uint32_t weight)
 {
     const auto count = static_cast<double>(flows);
     return { weight == 0 ? 0 : count / weight, count };
--- a/Source/Experiment/BalanceMeter.h
+++ b/Source/Experiment/BalanceMeter.h
@@ -19,7 +19,7 @@
 
 // Judges how evenly load is shared from samples that are about a second apart. A server's load counts relative to its
 // weight, and only once the server was active with that weight for a while: the flows that it held before cannot move.
-// Services and samples count by their flows, so that the first few flows of a run weigh little.
+// Services and samples count by their flows, so that the first few flows of a run perWeight little.
 class BalanceMeter {
 public:
     // The servers that are active now, by name.
@@ -51,7 +51,7 @@
         double mean() const { return flows > 0 ? sum / flows : 0; }
     };
 
-    struct Steadiness {
+    struct StableWeight {
         std::uint32_t weight = 0;
         std::size_t samples = 0;
     };
@@ -64,14 +64,14 @@
     using LoadsByService = std::map<std::string, std::vector<WeightedLoad>>;
 
     static Ratio maxOverMean(const LoadsByService&);
-    static WeightedLoad weigh(std::uint64_t flows, std::uint32_t weight);
+    static WeightedLoad perWeight(std::uint64_t flows, std::uint32_t weight);
     void sampleLiveFlows(const std::map<std::string, ServerLoad>&);
     void sampleNewFlows(const std::map<std::string, ServerLoad>&);
 
     Mean live_;
     Mean new_;
     std::size_t samples_ = 0;
-    std::map<std::string, Steadiness> steadiness_;
+    std::map<std::string, StableWeight> stableWeights_;
     std::map<std::string, ServerLoad> windowStart_;
     std::size_t samplesInWindow_ = 0;
 };
--- a/Source/Experiment/ChildProcess.cpp
+++ b/Source/Experiment/ChildProcess.cpp
@@ -25,7 +25,7 @@
 
     // Runs in the forked child, where only async-signal-safe calls are allowed. A child whose parent was killed would
     // go on for ever and load the machine; PR_SET_PDEATHSIG ends it with its parent, which posix_spawn cannot ask for.
-    [[noreturn]] void becomeProgram(char* const* arguments, int output, int log, pid_t parent)
+    [[noreturn]] void executeProgram(char* const* arguments, int output, int log, pid_t parent)
     {
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         if (getppid() != parent)
@@ -94,7 +94,7 @@
     const pid_t parent = getpid();
     pid_ = fork();
     if (pid_ == 0)
-        becomeProgram(arguments.data(), pipeEnds[1], log, parent);
+        executeProgram(arguments.data(), pipeEnds[1], log, parent);
     close(pipeEnds[1]);
     close(log);
     output_->descriptor.assign(pipeEnds[0]);
@@ -116,12 +116,12 @@
             if (error || !output->descriptor.is_open())
                 return;
             output->text.append(output->buffer, 0, size);
-            output->takeLines();
+            output->parseLines();
             read(output);
         });
 }
 
-void ChildProcess::Output::takeLines()
+void ChildProcess::Output::parseLines()
 {
     for (auto end = text.find('\n', parsed); end != std::string::npos; end = text.find('\n', parsed)) {
         const std::string_view line = std::string_view(text).substr(parsed, end - parsed);
--- a/Source/Experiment/ChildProcess.h
+++ b/Source/Experiment/ChildProcess.h
@@ -61,7 +61,7 @@
     struct Output {
         explicit Output(boost::asio::io_context&);
         static void read(const std::shared_ptr<Output>&);
-        void takeLines();
+        void parseLines();
 
         boost::asio::posix::stream_descriptor descriptor;
         std::string buffer;
