--- a/Source/Experiment/AdminClient.h
+++ b/Source/Experiment/AdminClient.h
@@ -13,7 +13,8 @@
 
 namespace wisteriadock {
 
-// Asks the HTTP/2 doors of the processes that take part, one request at a time. The loop goes on while it waits.
+// Sends requests to the HTTP/2 endpoints of the processes of a run, one at a time. Each call blocks its caller until
+// the response arrives and runs the event loop meanwhile.
 class AdminClient {
 public:
     explicit AdminClient(EventLoop& loop)
@@ -21,7 +22,8 @@
     {
     }
 
-    // The JSON body of the answer, or an empty object. Fails with Unavailable for any status but 200.
+    // Return the JSON body of the response, or an empty object if there is none. Fail with Unavailable when the server
+    // does not answer or its status differs from 200.
     Result<nlohmann::json> get(const Endpoint&, const std::string& path);
     Result<nlohmann::json> post(const Endpoint&, const std::string& path, const nlohmann::json& body);
 
--- a/Source/Experiment/BackendFleet.h
+++ b/Source/Experiment/BackendFleet.h
@@ -11,21 +11,21 @@
 
 namespace wisteriadock {
 
-// What one backend server recorded so far.
+// The counters of one backend server since the run began.
 struct ServerRecord {
     std::uint64_t liveFlows = 0;
     std::uint64_t newFlows = 0;
     std::uint64_t unknownFlowPackets = 0;
     std::uint64_t wrongServicePackets = 0;
-    // Records that it dropped for lack of room: above 0 the run's figures are worth nothing.
+    // Records dropped because the server's memory for them was full. Above 0, the results of the run are invalid.
     std::uint64_t droppedRecords = 0;
-    // When each new flow was first seen; only if asked for.
+    // When the first packet of each new flow arrived. Empty unless requested.
     std::vector<TimePoint> newFlowTimes;
 };
 
 using ServerRecords = std::map<std::string, ServerRecord>;
 
-// The process that stands in for all backend servers of a run.
+// Starts and queries the one process that simulates all backend servers of a run.
 class BackendFleet {
 public:
     static Result<std::unique_ptr<BackendFleet>> start(ProcessStarter&, AdminClient&, const FleetPlan&);
@@ -36,10 +36,10 @@
         return process_->listening("request " + server).value();
     }
 
-    // Where the servers send their replies to flow packets.
+    // Sets the address to which the servers send their replies to flow packets.
     Result<void> setReplyAddress(const Endpoint&);
     Result<ServerRecords> records(bool withNewFlowTimes);
-    // The servers' own records of every key that they ran, by name, as GET /records gives them.
+    // Returns the record of every request key that each server executed, by server name, as GET /records returns it.
     Result<nlohmann::json> requestRecords();
 
 private:
--- a/Source/Experiment/BalanceMeter.cpp
+++ b/Source/Experiment/BalanceMeter.cpp
@@ -23,7 +23,7 @@
         if (stableWeight.weight != server.weight)
             stableWeight = { server.weight, 0 };
         if (stableWeight.samples >= settlingSamples)
-            loads[server.service].push_back(perWeight(server.liveFlows, server.weight));
+            loads[server.service].push_back(normalizeByWeight(server.liveFlows, server.weight));
         ++stableWeight.samples;
     }
     live_.add(maxOverMean(loads));
@@ -41,7 +41,7 @@
     LoadsByService begun;
     for (const auto& [name, before] : windowStart_) {
         const ServerLoad& now = servers.at(name);
-        begun[now.service].push_back(perWeight(now.newFlows - before.newFlows, now.weight));
+        begun[now.service].push_back(normalizeByWeight(now.newFlows - before.newFlows, now.weight));
     }
     new_.add(maxOverMean(begun));
     windowStart_ = servers;
@@ -67,7 +67,7 @@
     return { all.mean(), all.flows };
 }
 
-BalanceMeter::WeightedLoad BalanceMeter::perWeight(std::uint64_t flows, std::uint32_t weight)
+BalanceMeter::WeightedLoad BalanceMeter::normalizeByWeight(std::uint64_t flows, std::uint32_t weight)
 {
     const auto count = static_cast<double>(flows);
     return { weight == 0 ? 0 : count / weight, count };
--- a/Source/Experiment/BalanceMeter.h
+++ b/Source/Experiment/BalanceMeter.h
@@ -8,33 +8,34 @@
 
 namespace wisteriadock {
 
-// What one backend server that takes new work carries at one moment.
+// The load of one active backend server at the time of a sample.
 struct ServerLoad {
     std::string service;
     std::uint32_t weight = 100;
     std::uint64_t liveFlows = 0;
-    // Since the server began.
+    // Since the server started.
     std::uint64_t newFlows = 0;
 };
 
-// Judges how evenly load is shared from samples that are about a second apart. A server's load counts relative to its
-// weight, and only once the server was active with that weight for a while: the flows that it held before cannot move.
-// Services and samples count by their flows, so that the first few flows of a run perWeight little.
+// Measures how evenly load is distributed, from samples that are taken about once per second. A server's load is
+// divided by its weight. A server counts only after settlingSamples samples with the same weight, because its earlier
+// flows stay where they are. Services and samples are weighted by their number of flows.
 class BalanceMeter {
 public:
-    // The servers that are active now, by name.
+    // Takes the servers that are active now, by name.
     void sample(const std::map<std::string, ServerLoad>&);
 
-    // The highest load over the mean load, in live flows.
+    // The ratio of the highest load to the mean load, in live flows per weight.
     double liveFlowsMaxOverMean() const { return live_.mean(); }
-    // The same of flows begun in windows of windowSamples samples, over servers that were active all the time.
+    // The same ratio for flows that began in windows of windowSamples samples, over servers that were active
+    // throughout.
     double newFlowsMaxOverMean() const { return new_.mean(); }
 
     static constexpr std::size_t windowSamples = 5;
     static constexpr std::size_t settlingSamples = 10;
 
 private:
-    // Highest over mean, and the flows that it was found among.
+    // The ratio of the highest to the mean load, and the number of flows it is computed from.
     struct Ratio {
         double value = 0;
         double flows = 0;
@@ -64,7 +65,7 @@
     using LoadsByService = std::map<std::string, std::vector<WeightedLoad>>;
 
     static Ratio maxOverMean(const LoadsByService&);
-    static WeightedLoad perWeight(std::uint64_t flows, std::uint32_t weight);
+    static WeightedLoad normalizeByWeight(std::uint64_t flows, std::uint32_t weight);
     void sampleLiveFlows(const std::map<std::string, ServerLoad>&);
     void sampleNewFlows(const std::map<std::string, ServerLoad>&);
 
--- a/Source/Experiment/BalancerFleet.h
+++ b/Source/Experiment/BalancerFleet.h
@@ -14,7 +14,7 @@
 
 namespace wisteriadock {
 
-// The doors that all balancers of a run stand behind.
+// The services of a run that all its balancers use.
 struct BalancerEnvironment {
     ProcessStarter& starter;
     AdminClient& client;
@@ -28,33 +28,35 @@
     std::string name;
     // Index of its availability zone.
     std::size_t zone = 0;
-    // Its own address, past the fault proxy.
+    // The balancer's own address, which bypasses the fault proxy.
     Endpoint requestAddress;
 };
 
-// How the balancers of a run are set up.
+// How the balancers of a run are configured.
 struct BalancerFleetOptions {
     std::string policy;
-    // Sends the fabric's packets through the fault proxy too.
+    // Also routes the fabric's packets through the fault proxy.
     bool fabricThroughProxy = false;
-    // Further sections of the settings files.
+    // Additional sections of the settings files.
     std::string extraSettings = {};
 };
 
-// The balancers of a run. Each listens on a loopback address of its own and reaches the others and the platform through
-// links of the fault proxy, which tells them apart by those addresses. The links of balancer b1 in the first zone are
-// peer/1/b1, flow/1/b1, request/1/b1, platform/1/b1 and fabric/1/b1.
+// Starts, stops and queries the balancer processes of a run. Each listens on a loopback address of its own and reaches
+// the others and the platform through links of the fault proxy, which identifies the balancers by these addresses. The
+// links of balancer b1 in the first zone are peer/1/b1, flow/1/b1, request/1/b1, platform/1/b1 and fabric/1/b1.
 class BalancerFleet {
 public:
     BalancerFleet(BalancerEnvironment, const FleetPlan&, BalancerFleetOptions);
 
-    // Starts balancers side by side and waits until they listen. The platform's list and the fabric hear of them.
+    // Starts balancers one after another, waits until each listens, and adds them to the platform's list and to the
+    // fabric.
     Result<void> add(std::size_t count);
-    // Waits until every balancer that runs serves, has this configuration or a newer one, and knows the others.
+    // Waits until every running balancer is serving, has this configuration version or a newer one, and knows the
+    // others.
     Result<void> waitUntilServing(std::uint64_t configurationVersion);
 
-    // By index, in the order of the starts. A stop is announced on the platform's list; the fabric goes on sending to a
-    // balancer that was stopped or killed until removeFromFabric.
+    // An index counts the balancers in the order of their starts. A stop is announced in the platform's list. The
+    // fabric keeps sending to a stopped or killed balancer until removeFromFabric is called.
     Result<void> stop(std::size_t);
     void kill(std::size_t);
     void pause(std::size_t);
@@ -63,20 +65,21 @@
 
     std::size_t running() const;
     std::vector<RunningBalancer> runningBalancers() const;
-    // By the index of a start, as above.
+    // True until the balancer is stopped or killed.
     bool isRunning(std::size_t index) const { return !balancers_[index].leaving; }
     std::size_t started() const { return balancers_.size(); }
     std::size_t zoneOf(std::size_t index) const { return index % plan_.availabilityZones.size(); }
-    // Patterns for the fault proxy, by index of the balancer or of its zone.
+    // Link and source patterns for the fault proxy, by index of the balancer or of its zone.
     std::string linkOf(const std::string& kind, std::size_t index) const;
     std::string sourceOf(std::size_t index) const;
     std::string sourcesOfZone(std::size_t zone) const;
     std::string sourcesOutsideZone(std::size_t zone) const;
 
     std::vector<Endpoint> requestAddresses() const;
-    // Processor seconds that the running ones have used.
+    // Total processor time of the running balancers, in seconds.
     double processorSeconds() const;
-    // Names of balancers that ended although nobody stopped or killed them, with the end of their logs.
+    // Names of the balancers that exited without being stopped or killed, with the end of their logs. Empty if there
+    // are none.
     std::string unexpectedEnds() const;
 
 private:
@@ -86,7 +89,7 @@
         Endpoint peerAddress;
         Endpoint fabricAddress;
         Endpoint requestAddress;
-        // Asked to stop, or killed.
+        // The balancer was stopped or killed.
         bool leaving = false;
         VmState vmState = VmState::Live;
         bool inFabric = true;
--- a/Source/Experiment/CallerRun.h
+++ b/Source/Experiment/CallerRun.h
@@ -11,7 +11,7 @@
 
 namespace wisteriadock {
 
-// The callers' stand-in while it drives load for the length of a run.
+// The process that simulates the callers and generates load for the length of a run.
 class CallerRun {
 public:
     // The deployment outlives the run.
@@ -20,12 +20,12 @@
 
     TimePoint begin() const { return begin_; }
     bool isOver() { return !process_->running(); }
-    // Reads what the callers counted, once the run is over. Fails with Unavailable when they ended badly.
+    // Reads the counters and records after the run. Fails with Unavailable when the process failed or left no records.
     Result<void> readResults(EventLoop&);
 
-    // One of the rows that the callers' stand-in printed; 0 when it is missing.
+    // The value of a row that the process printed; 0 when it is missing.
     std::uint64_t row(const std::string& name) const;
-    // Its record of every broken flow and every request.
+    // The record of every broken flow and every request.
     const nlohmann::json& records() const { return records_; }
 
 private:
--- a/Source/Experiment/ChildProcess.h
+++ b/Source/Experiment/ChildProcess.h
@@ -17,22 +17,22 @@
 
 namespace wisteriadock {
 
-// What to start, and under which name its log stands.
+// A program to start, with its arguments and the name of its log.
 struct ChildCommand {
     std::string name;
     std::filesystem::path program;
     std::vector<std::string> arguments;
-    // Takes NAME.err.
+    // Standard error is appended to NAME.err in this directory.
     std::filesystem::path logDirectory;
 };
 
-// One process that this experiment started. It is only ever addressed by its own pid, and ends with this object.
+// A child process, which is killed when this object is destroyed. Signals go to its own process id only.
 class ChildProcess {
 public:
     // Fails with Unavailable when the process can't be started.
     static Result<std::unique_ptr<ChildProcess>> start(boost::asio::io_context&, ChildCommand);
 
-    // Kills what still runs and waits for it.
+    // Kills the process if it still runs, and waits until it ended.
     ~ChildProcess();
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
@@ -44,20 +44,20 @@
     std::optional<Endpoint> listening(const std::string& name = "") const;
     // Everything that the process wrote to its standard output.
     const std::string& output() const { return output_->text; }
-    // The last lines of what it wrote to its standard error.
+    // The last 2000 bytes that the process wrote to its standard error.
     std::string errorTail() const;
 
-    // Ignored when the process ended already.
+    // Sends a signal; ignored when the process has already ended.
     void signal(int number);
     bool running();
-    // How the process ended: its exit code, or 128 and the signal; unset while it runs.
+    // The exit code, or 128 plus the signal number; unset while the process runs.
     std::optional<int> exitCode();
-    // Seconds of processor time that it has used; 0 when it ended.
+    // Processor time used, in seconds; 0 after the process ended.
     double processorSeconds() const;
 
 private:
-    // The standard output, shared with the read in progress: that one may have ended, and wait for its turn, when the
-    // ChildProcess is destroyed.
+    // The standard output. It is shared with the pending read, whose handler may run after the ChildProcess is
+    // destroyed.
     struct Output {
         explicit Output(boost::asio::io_context&);
         static void read(const std::shared_ptr<Output>&);
--- a/Source/Experiment/ConfigurationApply.h
+++ b/Source/Experiment/ConfigurationApply.h
@@ -13,32 +13,33 @@
 
 namespace wisteriadock {
 
-// What an operator wants to apply, and how.
+// A configuration to apply, and the options of the apply.
 struct ConfigurationApplyRequest {
-    // Names the apply towards the platform and the files of the run.
+    // Identifies the apply on the platform and names its files in the run directory.
     std::string id;
     std::string author;
     Configuration configuration;
-    // Unset: on top of whatever is newest.
+    // Unset: the newest version.
     std::optional<std::uint64_t> baseVersion;
     Endpoint platform;
     std::vector<Endpoint> balancers;
 };
 
-// One apply of one operator, who follows what wisteriadock-ctl reports: runs it again when the platform was not
-// reached, and with the same id and base when the outcome is unknown, until it was accepted or refused.
+// Applies one configuration with wisteriadock-ctl. Runs it again when the platform was unreachable, and with the same
+// id and base version when the outcome is unknown, until the apply was accepted or refused.
 class ConfigurationApply {
 public:
     // The starter outlives this object.
     static Result<std::unique_ptr<ConfigurationApply>> start(ProcessStarter&, ConfigurationApplyRequest);
 
-    // Call it often. Fails when ctl says something that the operator can't follow, or says nothing final for long.
+    // Must be called frequently. Fails with InvalidArgument when ctl reports an unexpected status, and with
+    // DeadlineExceeded when it reports no final outcome in time.
     Result<void> poll();
 
     bool isSettled() const { return accepted_ || refused_; }
     bool isAccepted() const { return accepted_; }
     std::uint64_t version() const { return report_.value("version", std::uint64_t(0)); }
-    // Whether a refusal says who came first.
+    // Whether the refusal names the apply that succeeded instead.
     bool namesWinner() const { return report_.contains("winner"); }
     std::string reason() const { return report_.value("reason", ""); }
     bool wasUnknown() const { return wasUnknown_; }
--- a/Source/Experiment/ConfigurationChecker.h
+++ b/Source/Experiment/ConfigurationChecker.h
@@ -9,39 +9,39 @@
 
 namespace wisteriadock {
 
-// Judges what operators were told about versions against what the balancers noteVersionInForce. It does no I/O: a
-// scenario hands it observations as they come, in the order of their times, and asks for the counts when the run is
-// over. A process is one life of a balancer; its name is never used again.
+// Compares the configuration versions that operators were told are accepted with those that the balancers reported. The
+// scenario passes in observations in the order of their times and reads the counts after the run. Each process is one
+// start of a balancer, and its name is used only once. Performs no I/O.
 class ConfigurationChecker {
 public:
-    // An operator was told that this content is in force under this version.
+    // An operator was told that this content was accepted as this version.
     void accepted(std::uint64_t version, const std::string& contentHash, TimePoint);
 
     void processStarted(const std::string& process, TimePoint);
     void processEnded(const std::string& process, TimePoint);
-    // While it is cut off, a process has no way to hear of anything.
+    // A process that is cut off receives no versions.
     void cutBegan(const std::string& process, TimePoint);
     void cutEnded(const std::string& process, TimePoint);
 
-    // The process said which version it has in force; 0 for none.
+    // The process reported the version that it has in force; 0 for none.
     void noteVersionInForce(const std::string& process, std::uint64_t version, TimePoint);
-    // The process served its whole configuration: the hash that it names, and the hash of the text that came with it.
+    // A process returned its complete configuration: the hash that it reported, and the hash of the text.
     void served(std::uint64_t version, const std::string& namedHash, const std::string& hashOfText);
 
-    // Contents served that nobody was told to be accepted under that version, each counted once, and versions that were
-    // accepted with two contents.
+    // Number of distinct contents that were served as a version without having been accepted as that version, plus
+    // number of times that a version was accepted with a second content.
     std::uint64_t partialApplies() const;
-    // Times that a process noteVersionInForce a lower version than before, and processes that came to rest below a
-    // version that was in force on all others in reach when they started.
+    // Number of times that a process reported a lower version than before, plus number of processes that settled below
+    // a version that was in force on all other reachable processes when they started.
     std::uint64_t reversions(TimePoint end) const;
-    // The longest time that a process could have heard of an accepted version and did not have it in force. The time
-    // before and the time after a cut count each on its own. A version counts from its first sight, if a balancer
-    // noteVersionInForce it before its operator was told.
+    // The longest time, in seconds, that a reachable process did not have an accepted version in force. The times
+    // before and after a cut count separately. A version counts from its acceptance or from the first report of it,
+    // whichever is earlier.
     double inForceSecondsMax(TimePoint end) const;
-    // True when all processes that run and are in reach noteVersionInForce this version or a newer one.
+    // True when all running, reachable processes reported this version or a newer one.
     bool isInForceEverywhere(std::uint64_t version) const;
 
-    // A fresh process has this long, out of cuts, to come to rest.
+    // Time that a new process has to reach its version, not counting cuts.
     static constexpr std::chrono::seconds settleTime { 5 };
 
 private:
@@ -64,7 +64,7 @@
 
         bool isReachable(TimePoint) const;
         std::uint64_t highestReportedBy(TimePoint) const;
-        // When it first noteVersionInForce the version or a newer one; TimePoint::max() if never.
+        // When the process first reported the version or a newer one; TimePoint::max() if never.
         TimePoint reached(std::uint64_t version) const;
         std::vector<Interval> intervalsOutsideCuts(TimePoint begin, TimePoint end) const;
     };
--- a/Source/Experiment/ConfigurationOperator.h
+++ b/Source/Experiment/ConfigurationOperator.h
@@ -10,8 +10,8 @@
 
 namespace wisteriadock {
 
-// Plays the operator: changes the configuration file and applies it as a whole with wisteriadock-ctl, again and again
-// while the platform is out. Changes that come while an apply is under way go into the next one.
+// Simulates an operator: edits the configuration file and applies it with wisteriadock-ctl, and retries while the
+// platform is unavailable. Changes made during an apply are part of the next one.
 class ConfigurationOperator {
 public:
     using Change = std::function<void(Configuration&)>;
@@ -20,15 +20,15 @@
     // The starter outlives this object.
     ConfigurationOperator(ProcessStarter&, Endpoint platform, Configuration first);
 
-    // The callback runs when the file with this change was accepted.
+    // Queues a change. The callback runs when a file with this change was accepted.
     void change(
         const Change&, OnAccepted = [](TimePoint) {});
 
-    // Goes on with what is under way; call it often. Fails when a file was refused for so long that no outage explains
-    // it.
+    // Starts and completes applies; must be called frequently. Fails with Unavailable when no apply succeeded for
+    // longer than any outage of the schedule lasts.
     Result<void> poll();
     bool isIdle() const { return !ctl_ && waiting_.empty(); }
-    // The file as it stands, accepted or not.
+    // The current file, accepted or not.
     const Configuration& configuration() const { return configuration_; }
     std::uint64_t accepted() const { return accepted_; }
 
--- a/Source/Experiment/ConfigurationRun.h
+++ b/Source/Experiment/ConfigurationRun.h
@@ -17,10 +17,10 @@
 
 namespace wisteriadock {
 
-// One run of the scenario "configuration": its operators, its faults, and what is counted meanwhile.
+// One run of the scenario "configuration": starts applies, injects faults and collects the results.
 class ConfigurationRun {
 public:
-    // All outlive this object.
+    // All arguments must outlive this object.
     ConfigurationRun(const ScenarioContext&, Deployment&, ControlPlaneMeter&);
 
     Result<void> drive();
@@ -35,19 +35,19 @@
     Result<void> beginFault(const ConfigurationStep&);
     Result<void> endFault(const ConfigurationStep&);
 
-    // Starts one apply, or two of the same base at the same moment.
+    // Starts one apply, or two concurrent ones with the same base version.
     Result<void> startApplies(bool races);
     Result<void> startApply(bool setsBaseVersion);
-    // Until every apply was accepted or refused.
+    // Runs until every apply was accepted or refused.
     Result<void> finishApplies(const ConfigurationStep&);
     Result<void> pollApplies(const ConfigurationStep&);
     void countRace();
     void recordAccepted(const ConfigurationApply&);
     Result<void> restartBalancer(const ConfigurationStep&);
-    // Until the newest version is in force on all, or the judge would count it as late anyway.
+    // Runs until the newest version is in force everywhere, or until it is late.
     Result<void> settle();
 
-    // Goes on with watching and measuring until the condition holds.
+    // Polls the balancers and takes samples until the condition holds or the end is reached.
     Result<void> monitor(TimePoint end, const Condition& condition);
     Result<void> monitor(Duration length);
 
@@ -61,7 +61,7 @@
     Log log_ { "experiment" };
 
     std::vector<std::unique_ptr<ConfigurationApply>> applies_;
-    // What was accepted last, and under which version.
+    // The last accepted configuration and its version.
     Configuration configuration_;
     std::uint64_t version_ = 1;
     bool restartIsDue_ = false;
@@ -77,9 +77,9 @@
     std::uint64_t refused_ = 0;
     std::uint64_t lostOutcomes_ = 0;
     std::uint64_t races_ = 0;
-    // Races that did not end with one winner, and one loser who was told who won.
+    // Races without exactly one winner, or whose loser was not told which apply won.
     std::uint64_t unfairRaces_ = 0;
-    // Applies that were refused although nobody else applied.
+    // Applies that were refused although no other apply was running.
     std::uint64_t refusedAlone_ = 0;
     std::uint64_t faults_ = 0;
     std::uint64_t restarts_ = 0;
--- a/Source/Experiment/ConfigurationSchedule.h
+++ b/Source/Experiment/ConfigurationSchedule.h
@@ -9,14 +9,14 @@
 
 namespace wisteriadock {
 
-// What goes wrong while operators apply.
+// Faults that are injected while operators apply configurations.
 enum class ConfigurationFault {
-    LoseAnswers, // The platform loses the answers to the writes.
-    Race, // Two operators apply at the same moment; nothing else goes wrong by itself.
+    LoseAnswers, // The platform executes writes but drops their responses.
+    Race, // Two operators apply concurrently, without any other fault.
     PlatformOutage, // Every call fails for the step's length.
-    SlowPlatform, // Every call takes the step's delay longer.
-    Restore, // The platform goes back to an older copy.
-    RestartBalancer, // A balancer is killed and another starts in the middle of the roll-out.
+    SlowPlatform, // Every call is delayed by the step's delay.
+    Restore, // The platform is restored to an older snapshot.
+    RestartBalancer, // A balancer is killed and replaced during the rollout.
     CutZone, // An availability zone reaches neither the others nor the platform.
 };
 
@@ -28,20 +28,20 @@
     std::chrono::milliseconds delay { 0 };
     // Index of the availability zone.
     std::size_t zone = 0;
-    // Two operators apply at the same moment, from the same base.
+    // Two operators apply concurrently, with the same base version.
     bool races = false;
-    // A balancer is replaced besides, as soon as a version was accepted.
+    // A balancer is also replaced as soon as a version is accepted.
     bool restarts = false;
-    // Draws the balancer that is replaced.
+    // Random number that selects the balancer to replace.
     std::uint32_t draw = 0;
-    // Until the next step.
+    // Time until the next step.
     std::chrono::milliseconds pause { 0 };
 
     bool operator==(const ConfigurationStep&) const = default;
 };
 
-// Draws step after step. A lost answer comes first, so that even a short run has one; then every kind comes up once, in
-// random order, before any comes up again. The same seed gives the same steps.
+// Generates random steps for ConfigurationRun. The first step loses answers, so that short runs have one too. Then all
+// kinds follow once each, in random order, before any repeats. The same seed gives the same steps.
 class ConfigurationSchedule {
 public:
     ConfigurationSchedule(std::uint64_t seed, std::size_t availabilityZones)
--- a/Source/Experiment/ConfigurationWatcher.h
+++ b/Source/Experiment/ConfigurationWatcher.h
@@ -11,11 +11,12 @@
 
 namespace wisteriadock {
 
-// Asks every balancer that runs, past the fault proxy, which version it has in force, and reads the whole configuration
-// whenever that changed. Tells the judge, also of processes that began and ended and of zones that are cut off.
+// Polls every running balancer for the version that it has in force, bypassing the fault proxy, and reads its
+// configuration whenever the version changed. Passes this to the checker, together with starts and ends of processes
+// and cuts of zones.
 class ConfigurationWatcher {
 public:
-    // All outlive this object.
+    // All arguments must outlive this object.
     ConfigurationWatcher(AdminClient& client, BalancerFleet& balancers, ConfigurationChecker& checker)
         : client_(client)
         , balancers_(balancers)
@@ -23,15 +24,15 @@
     {
     }
 
-    // Asks all of them, if it is time to.
+    // Polls all balancers if the polling interval has passed.
     void poll();
-    // Looks only for processes that began or ended. Call it right after starting or killing some.
+    // Only detects processes that started or ended. Must be called right after starting or killing one.
     void updateProcesses();
     void cutBegan(std::size_t zone);
     void cutEnded(std::size_t zone);
 
     std::uint64_t answers() const { return answers_; }
-    // Calls that got no answer from a balancer that should run.
+    // Calls that a running balancer did not answer.
     std::uint64_t failedCalls() const { return failedCalls_; }
 
 private:
--- a/Source/Experiment/ConnectionResets.h
+++ b/Source/Experiment/ConnectionResets.h
@@ -8,18 +8,18 @@
 
 namespace wisteriadock {
 
-// Under FaultMode::All: resets, every now and then, all connections between the balancers and one backend server, so
-// that answers are lost after their work has begun. Times and servers are drawn from the seed.
+// With FaultMode::All, resets all connections between the balancers and one backend server at random intervals, so that
+// responses are lost after the server started the work. Times and servers depend on the seed only.
 class ConnectionResets {
 public:
     static constexpr std::chrono::seconds faultFreeStart { 3 };
 
-    // The deployment, whose backend servers stand behind the fault proxy, outlives it.
+    // The deployment must outlive this object and must have its backend servers behind the fault proxy.
     ConnectionResets(Deployment&, const ExperimentOptions&, TimePoint begin);
 
-    // Does what is due. Call it often.
+    // Begins and ends resets that are due. Must be called frequently.
     Result<void> poll();
-    // Lets connections through again.
+    // Allows connections again.
     Result<void> end();
 
     std::uint64_t count() const { return count_; }
@@ -32,7 +32,7 @@
     std::mt19937_64 random_;
     TimePoint next_;
     TimePoint last_;
-    // The link that is being reset, or empty.
+    // The link whose connections are being reset; empty if none.
     std::string link_;
     TimePoint endsAt_;
     std::uint64_t count_ = 0;
--- a/Source/Experiment/ControlPlaneMeter.h
+++ b/Source/Experiment/ControlPlaneMeter.h
@@ -8,8 +8,8 @@
 
 namespace wisteriadock {
 
-// Measures what the balancers spend on control: bytes as the fault proxy sees them between balancers and between them
-// and the platform, both those sent and those received; and processor time while no caller sends anything.
+// Measures the control-plane overhead of the balancers: bytes sent and received between balancers and between them and
+// the platform, as counted by the fault proxy, and processor time while there is no load.
 class ControlPlaneMeter {
 public:
     explicit ControlPlaneMeter(Deployment& deployment)
@@ -17,14 +17,15 @@
     {
     }
 
-    // Waits for the length of the window, during which nothing else may happen.
+    // Measures processor time for the given duration, during which there must be no load.
     Result<void> measureIdleProcessorUse(Duration);
 
-    // Call it about once a second while load runs; steps begin with the first call that says so.
+    // Must be called about once per second while load runs. `stepsBegan` is set once the schedule's first step has
+    // begun.
     Result<void> sample(bool stepsBegan);
 
     void report(ResultRows&) const;
-    // Units that the fault proxy had to drop for lack of room.
+    // Datagrams and chunks that the fault proxy dropped because its buffers were full.
     std::uint64_t overflowed() const { return last_.totals.overflowed; }
     std::uint64_t proxyFaults() const { return last_.totals.faultsInjected; }
 
--- a/Source/Experiment/Deployment.h
+++ b/Source/Experiment/Deployment.h
@@ -16,20 +16,20 @@
 
 struct DeploymentOptions {
     ExperimentOptions experiment;
-    // Backend servers that run from the start and are configured later.
+    // Number of backend servers that run from the start but are added to the configuration later.
     std::size_t spareServers = 0;
     bool fabricThroughProxy = false;
     // Balancers reach the backend servers' request addresses through links backend/NAME of the fault proxy.
     bool backendsThroughProxy = false;
-    // Further sections of every balancer's settings file.
+    // Additional sections of every balancer's settings file.
     std::string extraBalancerSettings = {};
 };
 
-// The whole system of a run, as separate processes: platform, fault proxy, backend servers, fabric and balancers, with
-// the first configuration in force on all of them.
+// Starts the processes of a run: platform, fault proxy, backend servers, fabric and balancers. The initial
+// configuration is in force on all balancers when start() returns.
 class Deployment {
 public:
-    // The loop and the directory outlive the deployment.
+    // The loop and the directory must outlive the deployment.
     static Result<std::unique_ptr<Deployment>> start(EventLoop&, const RunDirectory&, DeploymentOptions);
     Deployment(const Deployment&) = delete;
     Deployment& operator=(const Deployment&) = delete;
@@ -44,7 +44,7 @@
     BalancerFleet& balancers() { return *balancers_; }
     ConfigurationOperator& configurationOperator() { return *operator_; }
 
-    // The entry of a planned server, as it stands in the configuration at first.
+    // The initial configuration entry of a planned server.
     BackendServer backendServer(std::size_t index) const;
 
 private:
@@ -61,7 +61,7 @@
     std::unique_ptr<FaultProxyControl> proxy_;
     std::unique_ptr<PlatformControl> platform_;
     std::unique_ptr<BackendFleet> backendServers_;
-    // By server, where balancers send requests; empty without links.
+    // The address to which balancers send requests, by server name; empty without links through the fault proxy.
     std::map<std::string, Endpoint> backendLinks_;
     std::unique_ptr<FabricControl> fabric_;
     std::unique_ptr<BalancerFleet> balancers_;
--- a/Source/Experiment/DrainChecker.h
+++ b/Source/Experiment/DrainChecker.h
@@ -9,19 +9,19 @@
 
 namespace wisteriadock {
 
-// Counts new flows that reached a backend server although it had been leaving for longer than the grace time.
+// Counts new flows that reached a backend server after it had been draining for longer than the grace time.
 class DrainChecker {
 public:
-    // Time for a drain to reach every balancer, counted from the platform's word that the file was accepted.
+    // Time for a drain to reach every balancer, starting when the platform accepted the configuration.
     static constexpr std::chrono::seconds grace { 5 };
 
     void drainAccepted(const std::string& server, TimePoint);
-    // From here on the server may get new flows again, whether or not the file is accepted yet.
+    // The server may receive new flows from this time on, even before the configuration is accepted.
     void returnStarted(const std::string& server, TimePoint);
 
-    // The times are those at which the server saw each of its flows first.
+    // Counts late flows, given when the first packet of each of the server's flows arrived.
     std::uint64_t lateNewFlows(const std::string& server, const std::vector<TimePoint>& firstSeen) const;
-    // Drains that lasted longer than the grace time until the given end of the run.
+    // Number of drains that lasted longer than the grace time, up to the given end of the run.
     std::size_t checkedDrains(TimePoint end) const;
 
 private:
--- a/Source/Experiment/EventLoop.h
+++ b/Source/Experiment/EventLoop.h
@@ -11,15 +11,16 @@
 
 namespace wisteriadock {
 
-// The one thread of an experiment. SIGTERM and SIGINT end every wait with Cancelled, so that the run unwinds and its
-// child processes end with it.
+// Runs all handlers of an experiment in a single thread. After SIGTERM or SIGINT every wait fails with Cancelled, so
+// that the run returns and its child processes are killed.
 class EventLoop {
 public:
     EventLoop();
 
     boost::asio::io_context& context() { return context_; }
 
-    // Runs until the condition holds. Fails with DeadlineExceeded, naming what was waited for.
+    // Runs until the condition holds. Fails with DeadlineExceeded after the limit; `what` describes the condition in
+    // the error.
     Result<void> waitUntil(const std::function<bool()>& condition, Duration limit, std::string_view what);
     Result<void> runUntil(TimePoint);
 
--- a/Source/Experiment/ExperimentOptions.h
+++ b/Source/Experiment/ExperimentOptions.h
@@ -10,33 +10,34 @@
 
 namespace wisteriadock {
 
-// Which steps a scenario takes while its load runs.
+// The steps that a scenario takes while load runs.
 enum class FaultMode {
-    None, // No change and no failure.
-    Planned, // What operators do: drains, returns, joins, planned stops, new versions that arrive unevenly.
-    All, // Planned changes, and besides them kills, freezes, cuts and outages of the platform.
+    None, // No steps.
+    Planned, // Operator actions: drains, undrains, joins, graceful stops, configuration versions with uneven delays.
+    All, // Planned changes and failures: kills, freezes, cuts and platform outages.
 };
 
 std::string_view nameOf(FaultMode);
 Result<FaultMode> parseFaultMode(std::string_view);
 
-// What the command line of wisteriadock-experiment says.
+// Options from the command line of wisteriadock-experiment.
 struct ExperimentOptions {
     std::uint64_t seed = 1;
     std::size_t availabilityZones = 3;
     std::size_t balancers = 3;
     std::size_t backendServers = 19;
     std::chrono::seconds length { 10 };
-    // The flow policy that the balancers are told to use; scenario requests: their request policy.
+    // The flow policy of the balancers; in scenario "requests", their request policy.
     std::string policy = "default";
     FaultMode faults = FaultMode::None;
     std::uint32_t flowsPerSecond = 200;
-    // Scenario requests.
+    // Only in scenario "requests".
     std::uint32_t requestsPerSecond = 100;
-    // Faults of the links between the fabric and the balancers (scenario path).
+    // Faults of the links between the fabric and the balancers, only in scenario "path". The loss is a fraction from 0
+    // to 1.
     std::chrono::milliseconds delay { 0 };
     double loss = 0;
-    // Keeps the settings and logs of the processes when the run is over.
+    // Keeps the settings and logs of the processes after the run.
     bool keepFiles = false;
 };
 
--- a/Source/Experiment/FabricControl.h
+++ b/Source/Experiment/FabricControl.h
@@ -9,14 +9,14 @@
 
 namespace wisteriadock {
 
-// The fabric's stand-in of a run.
+// Starts and controls the process that simulates the fabric.
 class FabricControl {
 public:
     static Result<std::unique_ptr<FabricControl>> start(ProcessStarter&, AdminClient&, std::uint64_t seed);
 
-    // Where callers send their packets.
+    // The address to which callers send their packets.
     Endpoint address() const { return process_->listening("fabric").value(); }
-    // The balancers that it sprays packets over from now on.
+    // Sets the balancers over which the fabric sprays packets.
     Result<void> setBalancers(const std::vector<Endpoint>&);
 
 private:
--- a/Source/Experiment/FaultProxyControl.h
+++ b/Source/Experiment/FaultProxyControl.h
@@ -11,21 +11,22 @@
 
 namespace wisteriadock {
 
-// The fault proxy of a run.
+// Starts and controls the fault proxy of a run.
 class FaultProxyControl {
 public:
     static Result<std::unique_ptr<FaultProxyControl>> start(ProcessStarter&, AdminClient&, std::uint64_t seed);
 
-    // Opens a link on loopback, or gives an open link its target. Returns where it listens.
+    // Opens a link on a loopback address, or sets the target of an open link. Returns the address on which it listens.
     Result<Endpoint> putLink(const std::string& name, LinkProtocol, std::optional<Endpoint> target = std::nullopt);
-    // Both directions when none is named. Settings without a fault end the faults of that scope.
+    // Sets the faults of one direction, or of both if none is given. Default settings end the faults of the scope.
     Result<void> setFaults(const FaultScope&, const FaultSettings&, std::optional<Direction> = std::nullopt);
 
     struct Totals {
         std::uint64_t faultsInjected = 0;
-        // Units dropped because the proxy could hold no more: above 0 the run's figures are worth nothing.
+        // Datagrams and chunks dropped because the proxy's buffers were full. Above 0, the results of the run are
+        // invalid.
         std::uint64_t overflowed = 0;
-        // Bytes between balancers, peer datagrams and requests to each other.
+        // Bytes between balancers: peer datagrams and forwarded requests.
         std::uint64_t balancerBytes = 0;
         // Bytes between balancers and the platform.
         std::uint64_t platformBytes = 0;
--- a/Source/Experiment/FleetPlan.h
+++ b/Source/Experiment/FleetPlan.h
@@ -9,7 +9,7 @@
 
 namespace wisteriadock {
 
-// A backend server as it is planned, before its process has an address.
+// A backend server that has no address yet.
 struct PlannedServer {
     std::string name;
     // Index into FleetPlan::services.
@@ -17,13 +17,12 @@
     std::string availabilityZone;
 };
 
-// Names, services and sizes of the system that a run builds up: two services, the first with about four fifths of the
-// backend servers, spread over the availability zones.
+// The services and backend servers of a run: two services, the first with about four fifths of the backend servers, all
+// distributed over the availability zones.
 struct FleetPlan {
     std::vector<std::string> availabilityZones;
     std::vector<Service> services;
-    // Those of the first configuration, and after them spares that are added to the first service while the run goes
-    // on.
+    // The servers of the initial configuration, followed by the spare servers, which the run adds to the first service.
     std::vector<PlannedServer> servers;
     std::size_t spareServers = 0;
 
@@ -31,7 +30,8 @@
 
     std::size_t initialServerCount() const { return servers.size() - spareServers; }
     std::vector<std::size_t> serviceOfInitialServers() const;
-    // "tryon@ADDRESS@SHARE,…" as the callers' stand-in takes it.
+    // The services as "NAME@ADDRESS@SHARE,…", the value of the flag --services of wisteriadock-standin-caller. SHARE is
+    // the number of the service's initial servers.
     std::string callerServicesArgument() const;
 };
 
--- a/Source/Experiment/PlatformControl.h
+++ b/Source/Experiment/PlatformControl.h
@@ -12,25 +12,25 @@
 
 namespace wisteriadock {
 
-// The platform's stand-in of a run.
+// Starts and controls the process that simulates the platform.
 class PlatformControl {
 public:
     static Result<std::unique_ptr<PlatformControl>> start(ProcessStarter&, AdminClient&);
 
     Endpoint address() const { return address_; }
 
-    // The balancers see the list only after a lag.
+    // Sets the list of VMs, which the balancers see after vmListLag.
     Result<void> setVms(const std::vector<Vm>&);
     Result<void> setOutage(bool);
-    // Every call waits that long before it is acted on.
+    // Delays every call by this time before it is executed.
     Result<void> setCallDelay(std::chrono::milliseconds);
-    // The next writes by compare-and-swap take effect, but their answers are lost. 0 ends it.
+    // Executes the next `count` compare-and-swap writes but drops their responses. 0 ends this.
     Result<void> loseWriteAnswers(std::uint64_t count);
     Result<void> takeSnapshot(const std::string& name);
     Result<void> restore(const std::string& name);
 
     struct Counters {
-        // Calls of all kinds, a waiting watch as one, and calls that an outage refused.
+        // Calls of all kinds, including those rejected during an outage. A watch counts as one call.
         std::uint64_t calls = 0;
         std::uint64_t answersLost = 0;
     };
--- a/Source/Experiment/ProcessStarter.h
+++ b/Source/Experiment/ProcessStarter.h
@@ -10,7 +10,7 @@
 
 namespace wisteriadock {
 
-// Starts the programs that stand beside the experiment's own.
+// Starts programs from the directory of the experiment's own executable.
 class ProcessStarter {
 public:
     ProcessStarter(EventLoop& loop, const RunDirectory& directory)
@@ -22,8 +22,8 @@
     Result<std::unique_ptr<ChildProcess>> start(
         const std::string& name, const std::string& program, std::vector<std::string> arguments);
 
-    // Also waits until the process has said where it listens under all these names. Fails with Unavailable, the end of
-    // its log in the detail, when it ends before that.
+    // Also waits until the process has printed a listening address for each of these names. Fails with Unavailable,
+    // with the end of its log as detail, when the process ends before that.
     Result<std::unique_ptr<ChildProcess>> startListening(const std::string& name, const std::string& program,
         std::vector<std::string> arguments, const std::vector<std::string>& listening);
 
--- a/Source/Experiment/RequestChecker.h
+++ b/Source/Experiment/RequestChecker.h
@@ -12,7 +12,7 @@
 
 namespace wisteriadock {
 
-// How one try of a request ended for its caller, as the callers' records name it.
+// The outcome of one attempt of a request, as in the callers' records.
 enum class AttemptOutcome {
     Answered,
     Refused,
@@ -24,68 +24,68 @@
 
 struct AttemptRecord {
     AttemptOutcome outcome = AttemptOutcome::Lost;
-    // Of a wrong answer: whether it is the beginning of the right one.
+    // Whether a wrong answer is a prefix of the right one.
     bool isIncomplete = false;
-    // 0 without an answer: a refusal is then the word of the connection, not of a balancer.
+    // HTTP status; 0 without a response. A refusal with status 0 comes from the connection, not from a balancer.
     int status = 0;
-    // Milliseconds of the monotonic clock that all processes share.
+    // Milliseconds of the monotonic clock, which all processes share.
     std::int64_t endedMilliseconds = 0;
 };
 
-// What a caller saw of one key.
+// All attempts of a caller for one request key.
 struct KeyAttempts {
     std::string key;
     std::vector<AttemptRecord> attempts;
 };
 
-// What the backend servers did for one key.
+// The executions of one request key on the backend servers.
 struct KeyRuns {
     std::uint64_t runs = 0;
     std::int64_t firstStartMilliseconds = std::numeric_limits<std::int64_t>::max();
 };
 
 struct RequestFindings {
-    // Keys that the backend servers began to run more than once.
+    // Keys whose execution started more than once.
     std::uint64_t doubleRuns = 0;
-    // Keys that ran although a caller was told that they did not: by the last answer it got, by an answer that came
-    // after the run began, or because each of its tries was refused.
+    // Keys that ran although a caller was told that they did not: by the last answer, by an answer received after the
+    // run started, or because every attempt was refused.
     std::uint64_t falseRefusals = 0;
-    // Successes, of any try, that belong to another key, server or service.
+    // Successful answers to any attempt that belong to another key, server or service.
     std::uint64_t mixedAnswers = 0;
-    // Successes, of any try, that were cut short.
+    // Successful answers to any attempt that were truncated.
     std::uint64_t incompleteAnswers = 0;
-    // Keys that ended before the first unplanned failure and of which a try stayed without an answer or the last one
-    // said unknown.
+    // Keys that ended before the first unplanned failure and have an attempt without an answer, or whose last answer
+    // was "unknown".
     std::uint64_t cutInFlight = 0;
-    // Keys whose caller does not know in the end whether they ran, and those of them that ran.
+    // Keys whose caller does not know after the last attempt whether they ran, and how many of these ran.
     std::uint64_t unknownOutcomes = 0;
     std::uint64_t unknownThatRan = 0;
-    // The former by the HTTP status of the last answer; 0 stands for none.
+    // Unknown outcomes by the HTTP status of the last answer; 0 for none.
     std::map<int, std::uint64_t> unknownByStatus;
-    // Keys that were answered although no backend server ran them: above 0, records are missing.
+    // Keys that were answered although no backend server ran them. Above 0, records are missing.
     std::uint64_t answeredWithoutRun = 0;
-    // All keys that a backend server ran, and the keys of callers.
+    // Number of keys in the records of the backend servers, and in those of the callers.
     std::uint64_t keysRun = 0;
     std::uint64_t keysRecorded = 0;
-    // The first few keys that broke a promise, each with what is wrong.
+    // Descriptions of the first few violations.
     std::vector<std::string> examples;
 };
 
-// Compares what the callers got with what the backend servers ran. Knows nothing of what balancers say about
-// themselves.
+// Compares the answers that callers received with the requests that backend servers ran. Used by scenario "requests"
+// after the run. Uses no data from the balancers.
 class RequestChecker {
 public:
     static constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
 
-    // The records as the stand-ins write them: the callers' record file, and the servers of GET /records. Fail with
-    // InvalidArgument when a part is missing.
+    // Read the record file of wisteriadock-standin-caller, and the "servers" of wisteriadock-standin-backend's GET
+    // /records. Fail with InvalidArgument when a field is missing or has the wrong type.
     Result<void> readCallers(const nlohmann::json& records);
     Result<void> readBackendServers(const nlohmann::json& servers);
 
     void addKey(KeyAttempts);
     void addRun(const std::string& key, const KeyRuns&);
 
-    // The first unplanned failure began at this time, in milliseconds of the shared clock, or never.
+    // Takes the time of the first unplanned failure in milliseconds of the shared clock, or `never`.
     RequestFindings check(std::int64_t firstFailureMilliseconds) const;
 
 private:
--- a/Source/Experiment/ResultRows.h
+++ b/Source/Experiment/ResultRows.h
@@ -8,16 +8,16 @@
 
 namespace wisteriadock {
 
-// The result of a run, printed as one "name value" row a line. Names are unique and stay in the order of their first
+// The results of a run, printed as one "name value" row per line. Names are unique and keep the order of their first
 // use.
 class ResultRows {
 public:
     void set(std::string_view name, std::uint64_t value);
-    // Prints six significant digits.
+    // Printed with six significant digits.
     void set(std::string_view name, double value);
     void set(std::string_view name, std::string value);
 
-    // The value as it is printed, or an empty view.
+    // The value as printed, or an empty view if there is no such row.
     std::string_view value(std::string_view name) const;
     std::string toString() const;
 
--- a/Source/Experiment/RunDirectory.h
+++ b/Source/Experiment/RunDirectory.h
@@ -8,7 +8,8 @@
 
 namespace wisteriadock {
 
-// A temporary directory of one run, for settings, records and logs. It goes with this object unless it is kept.
+// A temporary directory for the settings, records and logs of a run. The destructor removes it unless keep() was
+// called.
 class RunDirectory {
 public:
     static Result<std::unique_ptr<RunDirectory>> create();
--- a/Source/Experiment/Scenario.h
+++ b/Source/Experiment/Scenario.h
@@ -12,13 +12,13 @@
 
 namespace wisteriadock {
 
-// The invariants that a run broke, in words for people. None: all held.
+// The invariants that a run violated, as messages for the user. Empty if all held.
 class Verdict {
 public:
-    void require(bool holds, std::string sentence)
+    void require(bool holds, std::string message)
     {
         if (!holds)
-            violations_.push_back(std::move(sentence));
+            violations_.push_back(std::move(message));
     }
     const std::vector<std::string>& violations() const { return violations_; }
 
@@ -26,7 +26,7 @@
     std::vector<std::string> violations_;
 };
 
-// What a scenario works with. Its rows are printed in the end, also when an invariant was broken.
+// The environment of a scenario. Its rows are printed after the run, even if an invariant was violated.
 struct ScenarioContext {
     const ExperimentOptions& options;
     EventLoop& loop;
@@ -44,13 +44,13 @@
 std::span<const Scenario> allScenarios();
 const Scenario* findScenario(std::string_view name);
 
-// One flow and one request from end to end, and the path's own faults.
+// Flows and requests from end to end, with faults between the fabric and the balancers.
 Result<Verdict> runPathScenario(const ScenarioContext&);
-// Versions of the configuration through races, lost answers, outages, restores, restarts and cuts.
+// Configuration versions during races, lost answers, outages, restores, restarts and cuts.
 Result<Verdict> runConfigurationScenario(const ScenarioContext&);
-// Flows through planned changes and failures.
+// Flows during planned changes and failures.
 Result<Verdict> runFlowsScenario(const ScenarioContext&);
-// Keyed requests that must not run twice, through the same, with retries elsewhere.
+// Keyed requests, which must run at most once, during planned changes and failures, with retries at other balancers.
 Result<Verdict> runRequestsScenario(const ScenarioContext&);
 
 }
--- a/Source/Experiment/ScenarioSchedule.h
+++ b/Source/Experiment/ScenarioSchedule.h
@@ -8,10 +8,10 @@
 
 namespace wisteriadock {
 
-// The schedule of a scenario that changes the fleet, drawn from the options' seed.
+// Returns the random steps for the given options. Used by the scenarios "flows" and "requests".
 std::vector<Step> scheduleOf(const ExperimentOptions&);
 
-// How many backend servers the steps add to those of the start.
+// Number of backend servers that the steps add.
 std::size_t addedServers(const std::vector<Step>&);
 
 }
--- a/Source/Experiment/StepRunner.h
+++ b/Source/Experiment/StepRunner.h
@@ -11,24 +11,25 @@
 
 namespace wisteriadock {
 
-// Carries out the steps of a schedule when they are due, and ends them after their length.
+// Executes the steps of a schedule when they are due, and ends them after their length. Used by the scenarios "flows"
+// and "requests".
 class StepRunner {
 public:
-    // The deployment outlives the runner.
+    // The deployment must outlive this object.
     StepRunner(Deployment&, std::vector<Step>, TimePoint begin);
 
-    // Does what is due. Call it often.
+    // Begins and ends the steps that are due. Must be called frequently.
     Result<void> poll();
-    // Ends whatever still goes on.
+    // Ends all steps that are still in progress.
     Result<void> endAll();
 
     bool began() const { return next_ > 0; }
     std::uint64_t plannedChanges() const { return plannedChanges_; }
     std::uint64_t failures() const { return failures_; }
     const DrainChecker& drains() const { return drains_; }
-    // The servers that take new work as far as the operator has said so, with their weights.
+    // The weights of the active servers by name, as requested by the operator so far.
     const std::map<std::string, std::uint32_t>& activeServers() const { return active_; }
-    // The kind of the last step that began before this time, or "none".
+    // The name of the last step that was due by this time, or "none".
     std::string_view lastStepBefore(TimePoint) const;
 
 private:
