--- a/Source/Experiment/AdminClient.cpp
+++ b/Source/Experiment/AdminClient.cpp
@@ -43,7 +43,7 @@
         client = std::make_unique<Http2Client>(loop_.context(), server);
 
     request.authority = server.toString();
-    // Shared, since the answer may come after an interruption has ended this wait.
+    // Shared, because the response may arrive after a signal interrupted the wait.
     const auto outcome = std::make_shared<std::optional<HttpOutcome>>();
     client->send(request, Clock::now() + callTimeout, [outcome](HttpOutcome ended) { *outcome = std::move(ended); });
     BOOST_OUTCOME_TRYV(loop_.waitUntil([&] { return outcome->has_value(); }, 2 * callTimeout, request.path));
@@ -58,7 +58,7 @@
         return nlohmann::json::object();
     auto body = nlohmann::json::parse(response.body, nullptr, false);
     if (body.is_discarded())
-        return failure(server, request, "the answer is not JSON");
+        return failure(server, request, "the response is not JSON");
     return body;
 }
 
--- a/Source/Experiment/BackendFleet.cpp
+++ b/Source/Experiment/BackendFleet.cpp
@@ -18,7 +18,8 @@
         record.unknownFlowPackets = server.value("unknown_flow_count", std::uint64_t(0));
         record.wrongServicePackets = server.value("wrong_service_count", std::uint64_t(0));
         record.droppedRecords = server.value("dropped_flow_records", std::uint64_t(0));
-        // Each row is the flow's number and the milliseconds of the monotonic clock that all processes share.
+        // Each row holds the flow's number and the time in milliseconds of the monotonic clock, which all processes
+        // share.
         const Json newFlows = server.value("new_flows", Json::array());
         for (const Json& flow : newFlows)
             record.newFlowTimes.emplace_back(std::chrono::milliseconds(flow.at(1).get<std::int64_t>()));
--- a/Source/Experiment/BalanceMeter.cpp
+++ b/Source/Experiment/BalanceMeter.cpp
@@ -16,7 +16,7 @@
     std::erase_if(stableWeights_, [&](const auto& entry) { return !servers.contains(entry.first); });
     LoadsByService loads;
     for (const auto& [name, server] : servers) {
-        // Those of the first sample have no earlier flows that could not move.
+        // Servers of the first sample have no earlier flows and count at once.
         const auto [entry, added]
             = stableWeights_.try_emplace(name, StableWeight { server.weight, samples_ == 0 ? settlingSamples : 0 });
         StableWeight& stableWeight = entry->second;
@@ -31,7 +31,7 @@
 
 void BalanceMeter::sampleNewFlows(const std::map<std::string, ServerLoad>& servers)
 {
-    // A server whose weight changed, or that was away, is left out of the window.
+    // Excludes servers that were inactive or changed their weight during the window.
     std::erase_if(windowStart_, [&](const auto& entry) {
         const auto found = servers.find(entry.first);
         return found == servers.end() || found->second.weight != entry.second.weight;
@@ -48,7 +48,7 @@
     samplesInWindow_ = 0;
 }
 
-// Services count by their flows.
+// Averages over the services, weighted by their number of flows.
 BalanceMeter::Ratio BalanceMeter::maxOverMean(const LoadsByService& services)
 {
     Mean all;
--- a/Source/Experiment/BalancerFleet.cpp
+++ b/Source/Experiment/BalancerFleet.cpp
@@ -14,7 +14,7 @@
     constexpr auto servingTimeout = 30s;
     constexpr auto pollInterval = 50ms;
     constexpr std::size_t seedCount = 2;
-    // Longer than the fabric ever takes to hear of a stop, so that a stop by plan loses no packet.
+    // Longer than the fabric takes to stop sending to a stopped balancer, so that a graceful stop loses no packets.
     constexpr int drainSeconds = 4;
 
     // Balancer 0 of zone 0 is 127.0.1.10.
@@ -112,7 +112,7 @@
             return Error { ErrorCode::Unavailable, ends };
         if (Clock::now() > deadline) {
             return Error { ErrorCode::DeadlineExceeded,
-                "the balancers do not all serve: " + (serving ? "not ready yet" : serving.error().toString()) };
+                "not all balancers are serving: " + (serving ? "not ready yet" : serving.error().toString()) };
         }
         BOOST_OUTCOME_TRYV(environment_.starter.loop().runUntil(Clock::now() + pollInterval));
     }
@@ -241,7 +241,7 @@
     std::string text;
     for (const Balancer& balancer : balancers_) {
         if (balancer.process && !balancer.leaving && !balancer.process->running()) {
-            text += fmt::format("{} ended by itself with {}: {}\n", balancer.name, *balancer.process->exitCode(),
+            text += fmt::format("{} exited unexpectedly with {}: {}\n", balancer.name, *balancer.process->exitCode(),
                 balancer.process->errorTail());
         }
     }
--- a/Source/Experiment/CallerRun.cpp
+++ b/Source/Experiment/CallerRun.cpp
@@ -12,7 +12,7 @@
     using namespace std::chrono_literals;
 
     constexpr auto outputTimeout = 5s;
-    // The last row that the callers' stand-in prints.
+    // The last row that wisteriadock-standin-caller prints.
     constexpr const char* lastRow = "\nrequests_skipped ";
 
 }
@@ -48,7 +48,7 @@
     const auto complete = [&] { return process_->output().find(lastRow) != std::string::npos; };
     if (process_->exitCode().value_or(0) != 0 || !loop.waitUntil(complete, outputTimeout, "the callers' rows")) {
         return Error { ErrorCode::Unavailable,
-            fmt::format("the callers ended with {}: {}", process_->exitCode().value_or(-1), process_->errorTail()) };
+            fmt::format("the callers exited with {}: {}", process_->exitCode().value_or(-1), process_->errorTail()) };
     }
     std::istringstream lines(process_->output());
     for (std::string line; std::getline(lines, line);) {
@@ -61,7 +61,7 @@
     std::ifstream file(recordFile_);
     records_ = nlohmann::json::parse(file, nullptr, false);
     if (!records_.is_object())
-        return Error { ErrorCode::Unavailable, "the callers left no records" };
+        return Error { ErrorCode::Unavailable, "the callers wrote no valid records" };
     return boost::outcome_v2::success();
 }
 
--- a/Source/Experiment/ChildProcess.cpp
+++ b/Source/Experiment/ChildProcess.cpp
@@ -23,8 +23,8 @@
     constexpr int childSetupFailed = 127;
     constexpr std::size_t readSize = 4096;
 
-    // Runs in the forked child, where only async-signal-safe calls are allowed. A child whose parent was killed would
-    // go on for ever and load the machine; PR_SET_PDEATHSIG ends it with its parent, which posix_spawn cannot ask for.
+    // Runs in the forked child, where only async-signal-safe calls are allowed. PR_SET_PDEATHSIG, which posix_spawn
+    // does not support, kills the child when its parent dies.
     [[noreturn]] void executeProgram(char* const* arguments, int output, int log, pid_t parent)
     {
         prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -35,7 +35,7 @@
         sigprocmask(SIG_SETMASK, &none, nullptr);
         dup2(output, STDOUT_FILENO);
         dup2(log, STDERR_FILENO);
-        // Sockets of the parent that the child kept open would hold their addresses after the parent has closed them.
+        // Inherited sockets would keep their addresses in use after the parent has closed them.
         close_range(STDERR_FILENO + 1, ~0U, 0);
         execv(arguments[0], arguments);
         _exit(childSetupFailed);
--- a/Source/Experiment/ConfigurationApply.cpp
+++ b/Source/Experiment/ConfigurationApply.cpp
@@ -66,7 +66,7 @@
 
 Result<void> ConfigurationApply::handleReport()
 {
-    // The end of the process may be seen before the last of its output; the limit of the apply bounds this wait.
+    // The exit of the process may be detected before its last output is read. applyTimeout limits this wait.
     auto report = nlohmann::json::parse(ctl_->output(), nullptr, false);
     if (!report.is_object())
         return boost::outcome_v2::success();
--- a/Source/Experiment/ConfigurationChecker.cpp
+++ b/Source/Experiment/ConfigurationChecker.cpp
@@ -93,7 +93,7 @@
     });
 }
 
-// The lowest of what all the others in reach had shown when the process started: none of them could show less any more.
+// Returns the lowest of the highest versions that the other reachable processes had reported when the process started.
 std::uint64_t ConfigurationChecker::versionInForceBefore(const std::string& process) const
 {
     const TimePoint start = processes_.at(process).begin;
--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -19,7 +19,7 @@
     constexpr auto pollInterval = 10ms;
     constexpr auto applyTimeout = 70s;
     constexpr auto inForceLimit = 5s;
-    // Applies run on for this long while a fault holds, so that it meets them at different moments.
+    // Time from the begin of a fault to the first apply.
     constexpr auto faultLeadTime = 100ms;
     constexpr const char* snapshotName = "older";
 
@@ -54,7 +54,7 @@
         BOOST_OUTCOME_TRYV(settle());
         BOOST_OUTCOME_TRYV(monitor(step.pause));
     }
-    // So that the balancers that started last are judged too.
+    // Gives the balancers that started last enough time to be checked.
     BOOST_OUTCOME_TRYV(monitor(ConfigurationChecker::settleTime));
     end_ = Clock::now();
     BOOST_OUTCOME_TRY(after, deployment_.platform().counters());
@@ -89,8 +89,8 @@
     return finishApplies(step);
 }
 
-// Every apply writes one part with a content of its own, and of those that run together one gets its head through: with
-// that many answers lost, the answer to the deciding write is among them.
+// Each apply writes one part of its own content, and one of the concurrent applies succeeds in writing the head. Losing
+// that many answers therefore includes the answer to the head write.
 Result<void> ConfigurationRun::loseAnswers(const ConfigurationStep& step)
 {
     const std::uint64_t writes = step.races ? 3 : 2;
@@ -106,7 +106,7 @@
     return boost::outcome_v2::success();
 }
 
-// What is accepted after the copy was taken is in force on all balancers before the platform forgets it.
+// Versions accepted after the snapshot are in force on all balancers before the platform is restored.
 Result<void> ConfigurationRun::restoreOlderSnapshot(const ConfigurationStep& step)
 {
     BOOST_OUTCOME_TRYV(deployment_.platform().takeSnapshot(snapshotName));
@@ -149,7 +149,7 @@
     case ConfigurationFault::SlowPlatform:
         return deployment_.platform().setCallDelay(0ms);
     case ConfigurationFault::CutZone:
-        // Ends for the judge as soon as it ends for the balancers, but for the proxy's answer.
+        // The checker must see the end of the cut no later than the balancers do.
         watcher_.cutEnded(step.zone);
         return setZoneFaults(deployment_, step.zone, {});
     default:
@@ -167,7 +167,7 @@
     return boost::outcome_v2::success();
 }
 
-// Every apply writes a weight that none wrote before, so that no two have the same content.
+// Each apply writes a weight that no earlier one wrote, so that all contents differ.
 Result<void> ConfigurationRun::startApply(bool setsBaseVersion)
 {
     ++sent_;
@@ -210,7 +210,7 @@
     const TimePoint limit = Clock::now() + applyTimeout;
     while (!areSettled()) {
         if (Clock::now() > limit)
-            return Error { ErrorCode::DeadlineExceeded, "the applies do not end" };
+            return Error { ErrorCode::DeadlineExceeded, "the applies did not finish in time" };
         BOOST_OUTCOME_TRYV(monitor(pollInterval));
         BOOST_OUTCOME_TRYV(pollApplies(step));
     }
@@ -318,16 +318,17 @@
 
     Verdict verdict;
     verdict.require(acceptedCount_ > 0, "no apply was accepted");
-    verdict.require(lostOutcomes_ > 0, "no apply lost the answer to its deciding write");
+    verdict.require(lostOutcomes_ > 0, "no apply lost the answer to its head write");
     verdict.require(faults_ > 0, "no fault was injected");
-    verdict.require(watcher_.answers() > 0, "no balancer noteVersionInForce its version");
-    verdict.require(partial == 0, "balancers served contents that were not accepted under that version");
+    verdict.require(watcher_.answers() > 0, "no balancer reported its version");
+    verdict.require(partial == 0, "balancers served contents that were not accepted as that version");
     verdict.require(reversions == 0, "balancers went back to lower versions");
     verdict.require(inForce < std::chrono::duration<double>(inForceLimit).count(),
-        "an accepted version was not in force within 5 s on a balancer in reach");
-    verdict.require(unfairRaces_ == 0, "a race did not end with one winner and a loser who was told");
-    verdict.require(refusedAlone_ == 0, "an apply without a rival was refused");
-    verdict.require(control_.overflowed() == 0, "the fault proxy ran out of room");
+        "an accepted version was not in force within 5 s on a reachable balancer");
+    verdict.require(
+        unfairRaces_ == 0, "a race did not end with exactly one winner and a loser that was told the winner");
+    verdict.require(refusedAlone_ == 0, "an apply was refused although no other was running");
+    verdict.require(control_.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
     const std::string ends = deployment_.balancers().unexpectedEnds();
     verdict.require(ends.empty(), ends);
     return verdict;
--- a/Source/Experiment/ConnectionResets.cpp
+++ b/Source/Experiment/ConnectionResets.cpp
@@ -6,7 +6,7 @@
 
     using namespace std::chrono_literals;
 
-    // Nothing new begins in the last part, as in the schedule.
+    // No reset begins in the last part of the run.
     constexpr auto faultFreeEnd = 3s;
     constexpr auto resetLength = 50ms;
     constexpr auto minGap = 150ms;
--- a/Source/Experiment/ControlPlaneMeter.cpp
+++ b/Source/Experiment/ControlPlaneMeter.cpp
@@ -13,7 +13,7 @@
 
 }
 
-// Each byte between two balancers is sent by one and received by another.
+// Bytes between balancers count twice, for the sender and the receiver.
 double ControlPlaneMeter::Reading::bytesPerBalancer(std::size_t balancers) const
 {
     const auto bytes = static_cast<double>(2 * totals.balancerBytes + totals.platformBytes);
--- a/Source/Experiment/ExperimentOptions.cpp
+++ b/Source/Experiment/ExperimentOptions.cpp
@@ -22,7 +22,7 @@
 {
     if (const auto mode = faultModeNames.value(text))
         return *mode;
-    return Error { ErrorCode::InvalidArgument, fmt::format("'{}' is none of none, planned, all", text) };
+    return Error { ErrorCode::InvalidArgument, fmt::format("'{}' is not one of none, planned, all", text) };
 }
 
 }
--- a/Source/Experiment/FleetPlan.cpp
+++ b/Source/Experiment/FleetPlan.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     constexpr std::array zoneNames { "walu", "laucala", "nabua" };
-    // From the addresses that are set aside for examples: nothing is ever sent there.
+    // From the address range reserved for documentation (192.0.2.0/24), so that no packet can reach a real host.
     constexpr std::uint32_t firstServiceAddress = 0xC0000201;
     constexpr std::uint16_t servicePort = 7000;
 
--- a/Source/Experiment/FlowsScenario.cpp
+++ b/Source/Experiment/FlowsScenario.cpp
@@ -19,7 +19,7 @@
     constexpr auto sampleInterval = 1s;
     constexpr auto pollInterval = 20ms;
 
-    // One run: the system, its load, its steps and what is measured meanwhile.
+    // One run of the scenario: executes the steps while load runs, and collects the results.
     class FlowsRun {
     public:
         FlowsRun(const ScenarioContext& context, Deployment& deployment, std::vector<Step> steps, CallerRun& caller)
@@ -84,11 +84,11 @@
             verdict.require(established > 0, "no flow was established");
             verdict.require(broken == 0 || mode == FaultMode::All, "flows broke without an unplanned failure");
             verdict.require(wrongService == 0, "packets reached the wrong service");
-            verdict.require(lateNewFlows == 0, "leaving servers got new flows after the grace time");
+            verdict.require(lateNewFlows == 0, "draining servers received new flows after the grace time");
             verdict.require(mode == FaultMode::None || steps_.plannedChanges() > 0, "no change was made");
             verdict.require(mode != FaultMode::All || steps_.failures() > 0, "no failure was injected");
-            verdict.require(control.overflowed() == 0, "the fault proxy ran out of room");
-            verdict.require(droppedRecords == 0, "the backend servers ran out of room for records");
+            verdict.require(control.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
+            verdict.require(droppedRecords == 0, "the backend servers dropped records because their memory was full");
             const std::string ends = deployment_.balancers().unexpectedEnds();
             verdict.require(ends.empty(), ends);
             return verdict;
@@ -111,7 +111,7 @@
             return boost::outcome_v2::success();
         }
 
-        // Why flows broke: what the callers saw, and which step came last before it.
+        // Counts broken flows by the kind of break and by the last step before it.
         void reportBreaks(ResultRows& rows) const
         {
             std::map<std::string, std::uint64_t> counts;
--- a/Source/Experiment/PathScenario.cpp
+++ b/Source/Experiment/PathScenario.cpp
@@ -72,7 +72,7 @@
     verdict.require(caller->row("requests_answered") == caller->row("requests_sent"), "requests went unanswered");
     verdict.require(wrongService == 0, "packets reached the wrong service");
     verdict.require(!asksForFaults || control.proxyFaults() > 0, "no fault was injected");
-    verdict.require(control.overflowed() == 0, "the fault proxy ran out of room");
+    verdict.require(control.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
     const std::string ends = deployment->balancers().unexpectedEnds();
     verdict.require(ends.empty(), ends);
     return verdict;
--- a/Source/Experiment/RequestChecker.cpp
+++ b/Source/Experiment/RequestChecker.cpp
@@ -50,7 +50,7 @@
             key.attempts.push_back(record);
         }
         if (key.attempts.empty())
-            return malformed("the callers' records", fmt::format("key '{}' has no try", key.key));
+            return malformed("the callers' records", fmt::format("key '{}' has no attempts", key.key));
         return key;
     }
 
@@ -59,7 +59,7 @@
         return record.outcome == AttemptOutcome::Refused && record.status != 0;
     }
 
-    // Refused by a connection that was never made, or by a stream's reset, which speaks of this try alone.
+    // A failed connection or a stream reset shows only that this attempt did not run.
     bool isRefusedWithoutAnswer(const AttemptRecord& record)
     {
         return record.outcome == AttemptOutcome::Refused && record.status == 0;
@@ -71,7 +71,7 @@
             || record.outcome == AttemptOutcome::Cancelled;
     }
 
-    // The last try that tells anything about the key; a try that reached nobody leaves the earlier word standing.
+    // The last attempt that gives information about the key. An attempt that reached no balancer gives none.
     const AttemptRecord& lastConclusiveAttempt(const KeyAttempts& key)
     {
         const auto found = std::find_if_not(key.attempts.rbegin(), key.attempts.rend(), isRefusedWithoutAnswer);
@@ -110,7 +110,7 @@
         return text;
     }
 
-    // Counts a promise that was broken and keeps the first few stories.
+    // Counts violations and keeps descriptions of the first few.
     class FindingsRecorder {
     public:
         explicit FindingsRecorder(RequestFindings& findings)
@@ -131,7 +131,7 @@
 
 }
 
-// A key or type that is missing throws inside the JSON library; the records are then not what this judge knows.
+// The JSON library throws if a field is missing or has the wrong type.
 Result<void> RequestChecker::readCallers(const Json& records)
 {
     try {
@@ -178,7 +178,7 @@
     FindingsRecorder recorder(findings);
     findings.keysRun = runs_.size();
     findings.keysRecorded = keys_.size();
-    // Also counts keys that no caller recorded.
+    // Includes keys that no caller recorded.
     for (const auto& [key, runs] : runs_)
         findings.doubleRuns += runs.runs > 1;
     for (const KeyAttempts& key : keys_) {
--- a/Source/Experiment/RequestsScenario.cpp
+++ b/Source/Experiment/RequestsScenario.cpp
@@ -20,9 +20,9 @@
     constexpr auto idleWindow = 2s;
     constexpr auto sampleInterval = 1s;
     constexpr auto pollInterval = 20ms;
-    // Work that a balancer still sends after the callers gave up belongs to the records too.
+    // Allows requests that balancers send after the callers' deadline to be recorded.
     constexpr auto settlingTime = 3s;
-    // Further tries of a key, each at another balancer.
+    // Number of additional attempts per key, each at another balancer.
     constexpr int requestRetries = 3;
     constexpr std::string_view blindRetry = "blind_retry";
 
@@ -64,7 +64,7 @@
         return first;
     }
 
-    // One run: the system, its load and its steps.
+    // One run of the scenario: executes the steps while load runs, and collects the results.
     class RequestsRun {
     public:
         RequestsRun(const ScenarioContext& context, Deployment& deployment, std::vector<Step> steps, CallerRun& caller)
@@ -154,17 +154,18 @@
             verdict.require(findings.keysRun > 0, "the backend servers recorded no run");
             verdict.require(findings.doubleRuns == 0, "keys ran more than once");
             verdict.require(findings.falseRefusals == 0, "keys ran although their callers were told that they did not");
-            verdict.require(findings.mixedAnswers == 0, "callers got answers that are not theirs");
-            verdict.require(findings.incompleteAnswers == 0, "callers got answers that are cut short");
+            verdict.require(findings.mixedAnswers == 0, "callers received answers to other requests");
+            verdict.require(findings.incompleteAnswers == 0, "callers received truncated answers");
             verdict.require(findings.cutInFlight == 0, "requests in flight were cut off without an unplanned failure");
-            verdict.require(findings.answeredWithoutRun == 0, "requests were answered that no backend server ran");
-            verdict.require(wrongService == 0, "packets or answers of the wrong service");
+            verdict.require(
+                findings.answeredWithoutRun == 0, "requests were answered although no backend server ran them");
+            verdict.require(wrongService == 0, "packets or answers reached the wrong service");
             verdict.require(mode == FaultMode::None || steps_.plannedChanges() > 0, "no change was made");
             verdict.require(mode != FaultMode::All || steps_.failures() > 0, "no failure was injected");
-            verdict.require(control.overflowed() == 0, "the fault proxy ran out of room");
-            verdict.require(unrecorded == 0, "the backend servers ran out of room for records");
+            verdict.require(control.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
+            verdict.require(unrecorded == 0, "the backend servers dropped records because their memory was full");
             verdict.require(
-                findings.keysRecorded == caller_.row("requests_sent"), "the callers ran out of room for records");
+                findings.keysRecorded == caller_.row("requests_sent"), "the callers did not record every request");
             const std::string ends = deployment_.balancers().unexpectedEnds();
             verdict.require(ends.empty(), ends);
             return verdict;
--- a/Source/Experiment/RunDirectory.cpp
+++ b/Source/Experiment/RunDirectory.cpp
@@ -13,7 +13,7 @@
     const auto parent = std::filesystem::temp_directory_path(error);
     std::string pattern = (parent / "wisteriadock-experiment-XXXXXX").string();
     if (error || !mkdtemp(pattern.data()))
-        return Error { ErrorCode::Unavailable, "no temporary directory like " + pattern };
+        return Error { ErrorCode::Unavailable, "cannot create a temporary directory from " + pattern };
     return std::unique_ptr<RunDirectory>(new RunDirectory(pattern));
 }
 
@@ -31,7 +31,7 @@
     file << text;
     file.close();
     if (!file)
-        return Error { ErrorCode::Unavailable, "'" + path.string() + "' can't be written" };
+        return Error { ErrorCode::Unavailable, "cannot write '" + path.string() + "'" };
     return path;
 }
 
--- a/Source/Experiment/Scenario.cpp
+++ b/Source/Experiment/Scenario.cpp
@@ -8,11 +8,11 @@
 
     constexpr std::array scenarios {
         Scenario { "path", "flows and requests from callers to backend servers and back", runPathScenario },
-        Scenario { "configuration", "versions of the configuration through races, lost answers, outages and cuts",
+        Scenario { "configuration", "configuration versions during races, lost answers, outages and cuts",
             runConfigurationScenario },
-        Scenario { "flows", "established flows through planned changes and failures", runFlowsScenario },
-        Scenario {
-            "requests", "keyed requests at most once, with whole answers and honest refusals", runRequestsScenario },
+        Scenario { "flows", "established flows during planned changes and failures", runFlowsScenario },
+        Scenario { "requests", "keyed requests run at most once, with complete answers and correct refusals",
+            runRequestsScenario },
     };
 
 }
--- a/Source/Experiment/Schedule.cpp
+++ b/Source/Experiment/Schedule.cpp
@@ -28,14 +28,14 @@
         { StepKind::PlatformOutage, "platform_outage" },
     });
 
-    // Load runs undisturbed for this long first, so that there are established flows to break.
+    // Time without steps at the start, during which flows are established.
     constexpr milliseconds faultFreeStart = 3s;
-    // Nothing new begins in the last part, so that what a step breaks is still seen.
+    // Time without new steps at the end, so that the effects of the last steps are detected.
     constexpr milliseconds faultFreeEnd = 3s;
     constexpr milliseconds minGap = 700ms;
     constexpr milliseconds maxGap = 2500ms;
 
-    // Draws steps one after another and remembers what they leave behind.
+    // Generates steps one after another and tracks the state of the fleet that they lead to.
     class ScheduleGenerator {
     public:
         explicit ScheduleGenerator(const ScheduleOptions& options)
@@ -54,7 +54,7 @@
                  now += between(minGap, maxGap)) {
                 addUndrainSteps(now);
                 addNextStep(now);
-                // Two changes at once are harder than one after the other.
+                // Sometimes adds a second, simultaneous step.
                 if (drawBelow(3) == 0)
                     addNextStep(now);
             }
@@ -80,7 +80,7 @@
             return low + milliseconds(drawBelow(static_cast<std::size_t>((high - low).count()) + 1));
         }
 
-        // Every kind comes up once, in random order, before any comes up again.
+        // Returns every kind once, in random order, before any repeats.
         StepKind drawKind()
         {
             if (remainingKinds_.empty()) {
@@ -89,7 +89,7 @@
                     if (drawn && (options_.mode == FaultMode::All || isPlannedChange(kind)))
                         remainingKinds_.push_back(kind);
                 }
-                // std::shuffle is not the same in every standard library.
+                // The result of std::shuffle depends on the standard library.
                 for (std::size_t i = remainingKinds_.size(); i > 1; --i)
                     std::swap(remainingKinds_[i - 1], remainingKinds_[drawBelow(i)]);
             }
@@ -107,7 +107,7 @@
                 steps_.push_back(step);
         }
 
-        // Servers return some time after they were drained.
+        // Adds steps that undrain servers after minDrainTime, at random.
         void addUndrainSteps(milliseconds now)
         {
             for (std::size_t i = 0; i < servers_.size(); ++i) {
@@ -118,7 +118,7 @@
             }
         }
 
-        // Completes the step, or returns false when the fleet has no subject for it now.
+        // Completes the step, or returns false if the fleet currently has no suitable subject.
         bool chooseSubject(Step& step)
         {
             switch (step.kind) {
--- a/Source/Experiment/StepRunner.cpp
+++ b/Source/Experiment/StepRunner.cpp
@@ -12,7 +12,7 @@
 
     using namespace std::chrono_literals;
 
-    // Long enough to bring versions out of step, short enough that calls to the platform still end in time.
+    // Long enough that balancers have different versions, short enough that calls to the platform do not time out.
     constexpr std::chrono::milliseconds versionDelay = 1200ms;
 
     BackendServer* find(Configuration& configuration, const std::string& name)
--- a/Source/Experiment/ZoneFaults.cpp
+++ b/Source/Experiment/ZoneFaults.cpp
@@ -14,8 +14,8 @@
         BOOST_OUTCOME_TRYV(proxy.setFaults({ kind + inside, balancers.sourcesOutsideZone(zone) }, settings));
         BOOST_OUTCOME_TRYV(proxy.setFaults({ kind + outside, balancers.sourcesOfZone(zone) }, settings));
     }
-    // Connections between balancers do not tell their zone: nobody reaches the zone's request addresses over them,
-    // while its own balancers still reach others. That loses what is said about requests' keys.
+    // Connections between balancers do not identify the source zone. All connections to the zone's request addresses
+    // are therefore affected, also from inside the zone, while its balancers still reach those of other zones.
     BOOST_OUTCOME_TRYV(proxy.setFaults({ "request" + inside, "127.*" }, settings));
     return proxy.setFaults({ "platform" + inside, "127.*" }, settings);
 }
--- a/Source/Experiment/main.cpp
+++ b/Source/Experiment/main.cpp
@@ -9,16 +9,16 @@
 
 #include <cstdio>
 
-ABSL_FLAG(std::uint64_t, seed, 1, "Seed of everything that is drawn: load, faults and the schedule.");
+ABSL_FLAG(std::uint64_t, seed, 1, "Seed of all random choices: load, faults and the schedule.");
 ABSL_FLAG(unsigned, availability_zones, 3, "Number of availability zones (1 to 9).");
 ABSL_FLAG(unsigned, balancers, 6, "Number of balancers at the start (1 to 100).");
 ABSL_FLAG(unsigned, backend_servers, 19, "Number of backend servers of both services (2 to 200).");
 ABSL_FLAG(unsigned, seconds, 10, "Length of the load (1 to 3600).");
 ABSL_FLAG(std::string, policy, "default",
     "Flow policy: default, modulo, consistent_hash or bounded_loads; requests: default or blind_retry.");
-ABSL_FLAG(std::string, faults, "none", "What happens while load runs: none, planned or all.");
-ABSL_FLAG(unsigned, flows_per_second, 200, "Flows that callers open a second.");
-ABSL_FLAG(unsigned, requests_per_second, 100, "requests: requests that callers send a second.");
+ABSL_FLAG(std::string, faults, "none", "Steps taken while load runs: none, planned or all.");
+ABSL_FLAG(unsigned, flows_per_second, 200, "Flows that callers open per second.");
+ABSL_FLAG(unsigned, requests_per_second, 100, "requests: requests that callers send per second.");
 ABSL_FLAG(unsigned, delay_ms, 0, "path: delay between the fabric and the balancers.");
 ABSL_FLAG(double, loss, 0, "path: share of packets lost between the fabric and the balancers (0 to 1).");
 ABSL_FLAG(bool, keep_files, false, "Keep the settings, logs and records of the processes.");
@@ -34,7 +34,7 @@
 
     std::string usage()
     {
-        std::string text = "Runs the system as separate processes and judges it.\n"
+        std::string text = "Runs the system as separate processes and checks its invariants.\n"
                            "  wisteriadock-experiment SCENARIO [flags]\n"
                            "Exits with 0 when every invariant held, 1 when one did not, 2 when it could not run.\n"
                            "Scenarios:\n";
@@ -87,7 +87,7 @@
         BOOST_OUTCOME_TRY(directory, RunDirectory::create());
         if (options.keepFiles) {
             directory->keep();
-            fmt::print(stderr, "files stand in {}\n", directory->path().string());
+            fmt::print(stderr, "files are kept in {}\n", directory->path().string());
         }
         return scenario.run({ options, loop, *directory, rows });
     }
