--- a/Tests/Experiment/BalanceMeterTest.cpp
+++ b/Tests/Experiment/BalanceMeterTest.cpp
@@ -5,14 +5,14 @@
 namespace wisteriadock {
 namespace {
 
-    TEST(BalanceMeterTest, takesTheHighestLiveLoadOverTheMeanOfEachService)
+    TEST(BalanceMeterTest, ComputesMaxOverMeanOfLiveFlowsPerService)
     {
         BalanceMeter meter;
         EXPECT_EQ(meter.liveFlowsMaxOverMean(), 0);
         meter.sample({ { "a", { "tryon", 100, 30, 0 } }, { "b", { "tryon", 100, 10, 0 } } });
         EXPECT_DOUBLE_EQ(meter.liveFlowsMaxOverMean(), 1.5);
 
-        SCOPED_TRACE("Services count by their flows: here three to one");
+        SCOPED_TRACE("two services, weighted by their number of flows (three to one)");
         BalanceMeter both;
         both.sample({
             { "a", { "tryon", 100, 30, 0 } },
@@ -23,19 +23,19 @@
         EXPECT_DOUBLE_EQ(both.liveFlowsMaxOverMean(), (60 * 1.0 + 20 * 2.0) / 80);
     }
 
-    TEST(BalanceMeterTest, judgesLoadRelativeToWeight)
+    TEST(BalanceMeterTest, DividesLoadByWeight)
     {
         BalanceMeter meter;
         meter.sample({ { "a", { "tryon", 200, 40, 0 } }, { "b", { "tryon", 100, 20, 0 } } });
         EXPECT_DOUBLE_EQ(meter.liveFlowsMaxOverMean(), 1);
     }
 
-    TEST(BalanceMeterTest, leavesServersOutUntilTheirLiveFlowsHadTimeToFollow)
+    TEST(BalanceMeterTest, ExcludesServersUntilTheirWeightIsStable)
     {
         BalanceMeter meter;
         const ServerLoad steady { "tryon", 100, 20, 0 };
         meter.sample({ { "a", steady }, { "b", steady } });
-        SCOPED_TRACE("b is to take half as much, but still holds its earlier flows; c is new");
+        SCOPED_TRACE("the weight of b is halved while it still has its earlier flows, and c is added");
         const ServerLoad lighter { "tryon", 50, 20, 0 };
         const ServerLoad added { "tryon", 100, 0, 0 };
         for (std::size_t i = 0; i < BalanceMeter::settlingSamples; ++i)
@@ -45,7 +45,7 @@
         EXPECT_GT(meter.liveFlowsMaxOverMean(), 1);
     }
 
-    TEST(BalanceMeterTest, countsNewFlowsOfServersThatStayedActive)
+    TEST(BalanceMeterTest, CountsNewFlowsOfServersActiveThroughout)
     {
         BalanceMeter meter;
         for (std::uint64_t second = 0; second <= BalanceMeter::windowSamples; ++second) {
--- a/Tests/Experiment/ChildProcessTest.cpp
+++ b/Tests/Experiment/ChildProcessTest.cpp
@@ -39,7 +39,7 @@
             ASSERT_TRUE(loop_.waitUntil(condition, 10s, "the test's condition"));
         }
 
-        // The state letter of /proc: T for stopped.
+        // Returns the process state from /proc, such as T for stopped.
         static char stateOf(pid_t pid)
         {
             std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
@@ -53,9 +53,8 @@
         std::filesystem::path directory_;
     };
 
-    // Guards against addresses that stay taken after their socket was closed, as a child that started meanwhile holds
-    // it.
-    TEST_F(ChildProcessTest, aChildHoldsNoSocketsOfItsParent)
+    // Guards against a child process that inherits a socket and keeps its address in use after the parent closed it.
+    TEST_F(ChildProcessTest, ChildInheritsNoSockets)
     {
         const auto ignore = [](const Endpoint&, std::span<const std::uint8_t>) {};
         auto socket = UdpSocket::bind(loop_.context(), { 0x7F000001, 0 }, ignore);
@@ -69,7 +68,7 @@
         waitFor([&] { return !child->running(); });
     }
 
-    TEST_F(ChildProcessTest, readsListeningLinesAndKeepsTheRest)
+    TEST_F(ChildProcessTest, ParsesListeningLinesAndKeepsOutput)
     {
         const auto process = startShell("echo listening flow 127.0.0.1:5; echo listening 127.0.0.1:6;"
                                         "echo listening flow tryon-1 127.0.0.1:7; echo flows 3;"
@@ -83,7 +82,7 @@
         EXPECT_EQ(process->errorTail(), "trouble\n");
     }
 
-    TEST_F(ChildProcessTest, stopsContinuesAndKillsByPid)
+    TEST_F(ChildProcessTest, StopsContinuesAndKillsByProcessId)
     {
         const auto process = startShell("echo up; while :; do sleep 0.01; done");
         waitFor([&] { return !process->output().empty(); });
@@ -97,7 +96,7 @@
         EXPECT_EQ(process->exitCode(), 128 + SIGKILL);
     }
 
-    TEST_F(ChildProcessTest, endsTheProcessWithTheObjectEvenWhenItIsStopped)
+    TEST_F(ChildProcessTest, DestructorKillsStoppedProcess)
     {
         pid_t pid = 0;
         {
@@ -108,11 +107,9 @@
         EXPECT_EQ(kill(pid, 0), -1);
     }
 
-    // Symptom: a soak of 300 processes ended with a segmentation fault just after all were killed (seed 41001).
-    // Sequence: a process that has written much ends, and its object goes while a further part waits to be handled.
-    // Cause: the next read ends at once when more is there already, and its handler wrote to the object that was gone.
-    // An address sanitizer shows it each time; without one it often went by unnoticed.
-    TEST_F(ChildProcessTest, anObjectMayGoWhileItsOutputWaitsForItsTurn)
+    // Guards against a read handler that uses a destroyed ChildProcess. Only an address sanitizer detects this
+    // reliably.
+    TEST_F(ChildProcessTest, DestructionWithPendingReadHandler)
     {
         auto process = startShell("i=0; while [ $i -lt 500 ]; do echo 0123456789012345678901234567890123456789; "
                                   "i=$((i+1)); done");
@@ -124,7 +121,7 @@
         EXPECT_GT(loop_.context().poll(), 0U);
     }
 
-    TEST_F(ChildProcessTest, saysWhatCouldNotBeStarted)
+    TEST_F(ChildProcessTest, StartErrorNamesTheProgram)
     {
         const auto process = ChildProcess::start(loop_.context(), { "absent", directory_ / "absent", {}, directory_ });
         ASSERT_FALSE(process);
@@ -132,7 +129,7 @@
         EXPECT_NE(process.error().detail.find("absent"), std::string::npos);
     }
 
-    TEST_F(ChildProcessTest, countsProcessorTime)
+    TEST_F(ChildProcessTest, MeasuresProcessorTime)
     {
         const auto process = startShell("while :; do :; done");
         waitFor([&] { return process->processorSeconds() > 0.02; });
--- a/Tests/Experiment/ConfigurationCheckerTest.cpp
+++ b/Tests/Experiment/ConfigurationCheckerTest.cpp
@@ -29,7 +29,7 @@
         ConfigurationChecker checker_;
     };
 
-    TEST_F(ConfigurationCheckerTest, aQuietRunHasNothingToReport)
+    TEST_F(ConfigurationCheckerTest, ReportsNoViolationsOfARunWithoutFaults)
     {
         checker_.served(1, "one", "one");
         EXPECT_EQ(checker_.partialApplies(), 0u);
@@ -39,21 +39,21 @@
         EXPECT_FALSE(checker_.isInForceEverywhere(2));
     }
 
-    TEST_F(ConfigurationCheckerTest, countsContentsThatNobodyAccepted)
+    TEST_F(ConfigurationCheckerTest, CountsContentsThatWereNotAccepted)
     {
         {
-            SCOPED_TRACE("the text is not the one that its hash names");
+            SCOPED_TRACE("the text does not match its hash");
             checker_.served(1, "one", "torn");
             checker_.served(1, "one", "torn");
             EXPECT_EQ(checker_.partialApplies(), 1u);
         }
         {
-            SCOPED_TRACE("a whole text, but of another apply");
+            SCOPED_TRACE("a complete text of another apply");
             checker_.served(1, "other", "other");
             EXPECT_EQ(checker_.partialApplies(), 2u);
         }
         {
-            SCOPED_TRACE("a version that no operator was told of, until one is");
+            SCOPED_TRACE("a version that is accepted only after it was served");
             checker_.served(2, "two", "two");
             EXPECT_EQ(checker_.partialApplies(), 3u);
             checker_.accepted(2, "two", end_);
@@ -61,10 +61,9 @@
         }
     }
 
-    // Symptom: two operators are both told "accepted", and one of their files is in force nowhere.
-    // Sequence: version 2 is accepted, the platform is restored to a copy with version 1, version 2 is accepted again.
-    // Cause: the second one was not numbered above what the balancers run.
-    TEST_F(ConfigurationCheckerTest, countsAVersionThatWasAcceptedWithTwoContents)
+    // Guards against a version number that is assigned again after a restore of the platform, so that an accepted
+    // configuration never takes effect.
+    TEST_F(ConfigurationCheckerTest, CountsVersionsAcceptedWithTwoContents)
     {
         checker_.accepted(2, "two", start_ + 1s);
         checker_.accepted(2, "two", start_ + 2s);
@@ -73,17 +72,15 @@
         EXPECT_EQ(checker_.partialApplies(), 1u);
     }
 
-    TEST_F(ConfigurationCheckerTest, countsEveryStepBackOfAProcess)
+    TEST_F(ConfigurationCheckerTest, CountsEveryReversionOfAProcess)
     {
         for (const std::uint64_t version : { 3, 2, 3, 1 })
             checker_.noteVersionInForce("b1", version, start_ + 1s);
         EXPECT_EQ(checker_.reversions(end_), 2u);
     }
 
-    // Symptom: a drained server gets work again from one balancer only.
-    // Sequence: version 2 is in force everywhere, the platform is restored to version 1, a balancer starts and reads
-    // it. Cause: the newcomer believed the platform and never asked its peers.
-    TEST_F(ConfigurationCheckerTest, countsAFreshProcessThatRestsBelowTheOthers)
+    // Guards against a new balancer that takes an older version from a restored platform without asking its peers.
+    TEST_F(ConfigurationCheckerTest, CountsNewProcessThatStaysBelowTheOthers)
     {
         checker_.accepted(2, "two", start_ + 1s);
         reportOnBoth(2, start_ + 2s);
@@ -92,12 +89,12 @@
         EXPECT_EQ(checker_.reversions(start_ + 14s), 0u);
         EXPECT_EQ(checker_.reversions(start_ + 15s), 1u);
 
-        SCOPED_TRACE("it may be late, if it gets there");
+        SCOPED_TRACE("the process reaches the version late");
         checker_.noteVersionInForce("b3", 2, start_ + 16s);
         EXPECT_EQ(checker_.reversions(end_), 0u);
     }
 
-    TEST_F(ConfigurationCheckerTest, aFreshProcessOwesOnlyWhatAllInReachHad)
+    TEST_F(ConfigurationCheckerTest, NewProcessNeedsOnlyTheVersionOfAllReachableProcesses)
     {
         checker_.accepted(2, "two", start_ + 1s);
         checker_.noteVersionInForce("b1", 2, start_ + 2s);
@@ -105,7 +102,7 @@
         checker_.noteVersionInForce("b3", 1, start_ + 4s);
         EXPECT_EQ(checker_.reversions(end_), 0u);
 
-        SCOPED_TRACE("one that is cut off does not count among them");
+        SCOPED_TRACE("a process that is cut off does not count");
         checker_.cutBegan("b2", start_ + 5s);
         checker_.processEnded("b3", start_ + 5s);
         checker_.processStarted("b4", start_ + 6s);
@@ -113,7 +110,7 @@
         EXPECT_EQ(checker_.reversions(end_), 1u);
     }
 
-    TEST_F(ConfigurationCheckerTest, aFreshProcessHasItsTimeOutOfCuts)
+    TEST_F(ConfigurationCheckerTest, SettleTimeExcludesCuts)
     {
         checker_.processStarted("b3", start_ + 10s);
         checker_.cutBegan("b3", start_ + 11s);
@@ -122,7 +119,7 @@
         EXPECT_EQ(checker_.reversions(start_ + 34s), 1u);
     }
 
-    TEST_F(ConfigurationCheckerTest, measuresFromAcceptanceToTheLastBalancer)
+    TEST_F(ConfigurationCheckerTest, MeasuresFromAcceptanceToTheLastBalancer)
     {
         checker_.accepted(2, "two", start_ + 10s);
         checker_.noteVersionInForce("b1", 2, start_ + 11s);
@@ -131,7 +128,7 @@
         EXPECT_TRUE(checker_.isInForceEverywhere(2));
     }
 
-    TEST_F(ConfigurationCheckerTest, aVersionThatNeverArrivesCountsToTheEnd)
+    TEST_F(ConfigurationCheckerTest, MissingVersionCountsUntilTheEnd)
     {
         checker_.accepted(2, "two", start_ + 10s);
         checker_.noteVersionInForce("b1", 2, start_ + 11s);
@@ -140,16 +137,16 @@
         EXPECT_DOUBLE_EQ(checker_.inForceSecondsMax(start_ + 30s), 4);
     }
 
-    TEST_F(ConfigurationCheckerTest, aVersionCountsFromItsFirstSight)
+    TEST_F(ConfigurationCheckerTest, VersionCountsFromItsFirstReport)
     {
-        SCOPED_TRACE("the operator's answer was lost and found out later");
+        SCOPED_TRACE("the operator learns of the acceptance only after a balancer reported the version");
         checker_.noteVersionInForce("b1", 2, start_ + 10s);
         checker_.accepted(2, "two", start_ + 13s);
         checker_.noteVersionInForce("b2", 2, start_ + 14s);
         EXPECT_DOUBLE_EQ(checker_.inForceSecondsMax(end_), 4);
     }
 
-    TEST_F(ConfigurationCheckerTest, leavesOutCutsButNotWhatComesBeforeAndAfter)
+    TEST_F(ConfigurationCheckerTest, ExcludesCutsFromTheTimeToTakeEffect)
     {
         checker_.accepted(2, "two", start_ + 10s);
         checker_.noteVersionInForce("b1", 2, start_ + 10s);
@@ -161,7 +158,7 @@
         EXPECT_DOUBLE_EQ(checker_.inForceSecondsMax(end_), 3);
     }
 
-    TEST_F(ConfigurationCheckerTest, aNewcomerCountsFromItsStart)
+    TEST_F(ConfigurationCheckerTest, NewProcessCountsFromItsStart)
     {
         checker_.processStarted("b3", start_ + 10s);
         checker_.noteVersionInForce("b3", 0, start_ + 11s);
--- a/Tests/Experiment/ConfigurationScheduleTest.cpp
+++ b/Tests/Experiment/ConfigurationScheduleTest.cpp
@@ -7,7 +7,7 @@
 namespace wisteriadock {
 namespace {
 
-    TEST(ConfigurationScheduleTest, theSameSeedGivesTheSameSteps)
+    TEST(ConfigurationScheduleTest, SameSeedGivesSameSteps)
     {
         ConfigurationSchedule one(7, 3);
         ConfigurationSchedule same(7, 3);
@@ -21,7 +21,7 @@
         EXPECT_TRUE(differs);
     }
 
-    TEST(ConfigurationScheduleTest, beginsWithALostAnswerAndBringsEveryKindInEachRound)
+    TEST(ConfigurationScheduleTest, StartsWithLostAnswersAndHasEveryFaultInEachRound)
     {
         constexpr std::size_t kinds = 7;
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
--- a/Tests/Experiment/DrainCheckerTest.cpp
+++ b/Tests/Experiment/DrainCheckerTest.cpp
@@ -13,7 +13,7 @@
         DrainChecker checker_;
     };
 
-    TEST_F(DrainCheckerTest, countsNewFlowsBetweenGraceAndReturn)
+    TEST_F(DrainCheckerTest, CountsNewFlowsBetweenGraceTimeAndReturn)
     {
         checker_.drainAccepted("a", start_);
         checker_.returnStarted("a", start_ + 10s);
@@ -22,7 +22,7 @@
         EXPECT_EQ(checker_.lateNewFlows("b", { start_ + 6s }), 0u);
     }
 
-    TEST_F(DrainCheckerTest, aSecondDrainIsJudgedOnItsOwn)
+    TEST_F(DrainCheckerTest, ChecksEachDrainSeparately)
     {
         checker_.drainAccepted("a", start_);
         checker_.returnStarted("a", start_ + 10s);
@@ -30,7 +30,7 @@
         EXPECT_EQ(checker_.lateNewFlows("a", { start_ + 15s, start_ + 24s, start_ + 26s }), 1u);
     }
 
-    TEST_F(DrainCheckerTest, saysHowManyDrainsLastedLongEnough)
+    TEST_F(DrainCheckerTest, CountsDrainsLongerThanTheGraceTime)
     {
         checker_.drainAccepted("a", start_);
         checker_.drainAccepted("b", start_);
--- a/Tests/Experiment/FleetPlanTest.cpp
+++ b/Tests/Experiment/FleetPlanTest.cpp
@@ -8,7 +8,7 @@
 namespace wisteriadock {
 namespace {
 
-    TEST(FleetPlanTest, sharesTheServersAsTheUsersDo)
+    TEST(FleetPlanTest, AssignsFourFifthsOfTheServersToTheFirstService)
     {
         const FleetPlan plan = FleetPlan::make({ .backendServers = 19 }, 2);
         const auto services = plan.serviceOfInitialServers();
@@ -24,7 +24,7 @@
         EXPECT_EQ(plan.servers.back().service, 0u);
     }
 
-    TEST(FleetPlanTest, givesBothServicesAServerHoweverFewThereAre)
+    TEST(FleetPlanTest, AssignsAtLeastOneServerToEachService)
     {
         const FleetPlan plan = FleetPlan::make({ .availabilityZones = 5, .backendServers = 2 }, 0);
         EXPECT_EQ(plan.serviceOfInitialServers(), (std::vector<std::size_t> { 0, 1 }));
--- a/Tests/Experiment/RequestCheckerTest.cpp
+++ b/Tests/Experiment/RequestCheckerTest.cpp
@@ -8,8 +8,8 @@
     class RequestCheckerTest : public testing::Test {
     protected:
         static AttemptRecord answered(std::int64_t at) { return { AttemptOutcome::Answered, false, 200, at }; }
-        static AttemptRecord saidNo(std::int64_t at) { return { AttemptOutcome::Refused, false, 503, at }; }
-        static AttemptRecord notSent(std::int64_t at) { return { AttemptOutcome::Refused, false, 0, at }; }
+        static AttemptRecord refusedByBalancer(std::int64_t at) { return { AttemptOutcome::Refused, false, 503, at }; }
+        static AttemptRecord refusedByConnection(std::int64_t at) { return { AttemptOutcome::Refused, false, 0, at }; }
         static AttemptRecord unknown(std::int64_t at) { return { AttemptOutcome::Unknown, false, 409, at }; }
         static AttemptRecord lost(std::int64_t at) { return { AttemptOutcome::Lost, false, 0, at }; }
         static AttemptRecord wrong(bool isIncomplete)
@@ -17,7 +17,7 @@
             return { AttemptOutcome::WrongAnswer, isIncomplete, 200, 100 };
         }
 
-        // A key that ran at 50 ms, as often as said.
+        // Checks one key with these attempts, which ran `runs` times, first at 50 ms.
         static RequestFindings findingsOf(std::vector<AttemptRecord> attempts, std::uint64_t runs = 1,
             std::int64_t firstFailure = RequestChecker::never)
         {
@@ -29,7 +29,7 @@
         }
     };
 
-    TEST_F(RequestCheckerTest, findsNothingInAKeyThatRanOnceAndWasAnswered)
+    TEST_F(RequestCheckerTest, NoViolationForAnsweredKeyThatRanOnce)
     {
         const RequestFindings findings = findingsOf({ answered(100) });
         EXPECT_EQ(findings.doubleRuns, 0U);
@@ -41,7 +41,7 @@
         EXPECT_TRUE(findings.examples.empty());
     }
 
-    TEST_F(RequestCheckerTest, countsKeysThatRanTwiceOnOneServerOrOnTwo)
+    TEST_F(RequestCheckerTest, CountsDoubleRunsOnOneOrTwoServers)
     {
         EXPECT_EQ(findingsOf({ answered(100) }, 2).doubleRuns, 1U);
 
@@ -53,31 +53,31 @@
         EXPECT_EQ(checker.check(RequestChecker::never).doubleRuns, 2U);
     }
 
-    TEST_F(RequestCheckerTest, aRefusalIsFalseWhenTheKeyRan)
+    TEST_F(RequestCheckerTest, RefusalIsFalseIfTheKeyRan)
     {
         {
-            SCOPED_TRACE("as the last word, also when the run began only afterwards");
-            EXPECT_EQ(findingsOf({ saidNo(100) }).falseRefusals, 1U);
-            EXPECT_EQ(findingsOf({ saidNo(40) }).falseRefusals, 1U);
-            EXPECT_EQ(findingsOf({ saidNo(40), notSent(60) }).falseRefusals, 1U);
+            SCOPED_TRACE("a refusal as the last answer, before or after the run started");
+            EXPECT_EQ(findingsOf({ refusedByBalancer(100) }).falseRefusals, 1U);
+            EXPECT_EQ(findingsOf({ refusedByBalancer(40) }).falseRefusals, 1U);
+            EXPECT_EQ(findingsOf({ refusedByBalancer(40), refusedByConnection(60) }).falseRefusals, 1U);
         }
         {
-            SCOPED_TRACE("in the middle, when it came after the run began");
-            EXPECT_EQ(findingsOf({ lost(60), saidNo(70), answered(100) }).falseRefusals, 1U);
-            EXPECT_EQ(findingsOf({ saidNo(40), answered(100) }).falseRefusals, 0U);
+            SCOPED_TRACE("an earlier refusal counts only if it came after the run started");
+            EXPECT_EQ(findingsOf({ lost(60), refusedByBalancer(70), answered(100) }).falseRefusals, 1U);
+            EXPECT_EQ(findingsOf({ refusedByBalancer(40), answered(100) }).falseRefusals, 0U);
         }
         {
-            SCOPED_TRACE("when every try was refused, by whatever means");
-            EXPECT_EQ(findingsOf({ notSent(100) }).falseRefusals, 1U);
-            EXPECT_EQ(findingsOf({ lost(60), notSent(100) }).falseRefusals, 0U);
+            SCOPED_TRACE("every attempt was refused, by a balancer or by the connection");
+            EXPECT_EQ(findingsOf({ refusedByConnection(100) }).falseRefusals, 1U);
+            EXPECT_EQ(findingsOf({ lost(60), refusedByConnection(100) }).falseRefusals, 0U);
         }
         {
-            SCOPED_TRACE("never of a key that did not run");
-            EXPECT_EQ(findingsOf({ saidNo(40), saidNo(100) }, 0).falseRefusals, 0U);
+            SCOPED_TRACE("a key that did not run");
+            EXPECT_EQ(findingsOf({ refusedByBalancer(40), refusedByBalancer(100) }, 0).falseRefusals, 0U);
         }
     }
 
-    TEST_F(RequestCheckerTest, tellsCutAnswersFromThoseOfOthers)
+    TEST_F(RequestCheckerTest, DistinguishesTruncatedFromMixedAnswers)
     {
         EXPECT_EQ(findingsOf({ wrong(true) }).incompleteAnswers, 1U);
         EXPECT_EQ(findingsOf({ wrong(true) }).mixedAnswers, 0U);
@@ -85,19 +85,19 @@
         EXPECT_EQ(findingsOf({ wrong(false) }).incompleteAnswers, 0U);
     }
 
-    TEST_F(RequestCheckerTest, aCutCountsUntilTheFirstFailure)
+    TEST_F(RequestCheckerTest, CountsCutRequestsUntilTheFirstFailure)
     {
         EXPECT_EQ(findingsOf({ lost(60), answered(100) }).cutInFlight, 1U);
         EXPECT_EQ(findingsOf({ unknown(100) }).cutInFlight, 1U);
         EXPECT_EQ(findingsOf({ unknown(60), answered(100) }).cutInFlight, 0U);
-        EXPECT_EQ(findingsOf({ notSent(60), answered(100) }).cutInFlight, 0U);
+        EXPECT_EQ(findingsOf({ refusedByConnection(60), answered(100) }).cutInFlight, 0U);
         EXPECT_EQ(findingsOf({ lost(100) }, 1, 101).cutInFlight, 1U);
         EXPECT_EQ(findingsOf({ lost(100) }, 1, 100).cutInFlight, 0U);
     }
 
-    TEST_F(RequestCheckerTest, countsWhatCallersDoNotKnowInTheEnd)
+    TEST_F(RequestCheckerTest, CountsUnknownOutcomes)
     {
-        const RequestFindings ran = findingsOf({ lost(60), notSent(100) });
+        const RequestFindings ran = findingsOf({ lost(60), refusedByConnection(100) });
         EXPECT_EQ(ran.unknownOutcomes, 1U);
         EXPECT_EQ(ran.unknownThatRan, 1U);
         EXPECT_EQ(ran.unknownByStatus, (std::map<int, std::uint64_t> { { 0, 1 } }));
@@ -107,13 +107,13 @@
         EXPECT_EQ(findingsOf({ unknown(60), answered(100) }).unknownOutcomes, 0U);
     }
 
-    TEST_F(RequestCheckerTest, missesNoRunOfAnAnsweredKey)
+    TEST_F(RequestCheckerTest, CountsAnsweredKeysWithoutRun)
     {
         EXPECT_EQ(findingsOf({ answered(100) }, 0).answeredWithoutRun, 1U);
         EXPECT_EQ(findingsOf({ answered(100) }).answeredWithoutRun, 0U);
     }
 
-    TEST_F(RequestCheckerTest, readsTheRecordsOfBothEnds)
+    TEST_F(RequestCheckerTest, ReadsRecordsOfCallersAndBackendServers)
     {
         using Json = nlohmann::json;
         RequestChecker checker;
--- a/Tests/Experiment/ResultRowsTest.cpp
+++ b/Tests/Experiment/ResultRowsTest.cpp
@@ -5,7 +5,7 @@
 namespace wisteriadock {
 namespace {
 
-    TEST(ResultRowsTest, printsOneRowALineInTheOrderOfFirstUse)
+    TEST(ResultRowsTest, PrintsOneRowPerLineInOrderOfFirstUse)
     {
         ResultRows rows;
         rows.set("seed", std::uint64_t(7));
--- a/Tests/Experiment/ScheduleTest.cpp
+++ b/Tests/Experiment/ScheduleTest.cpp
@@ -29,14 +29,14 @@
         return kinds;
     }
 
-    TEST(ScheduleTest, theSameSeedGivesTheSameSteps)
+    TEST(ScheduleTest, SameSeedGivesSameSteps)
     {
         EXPECT_EQ(makeSchedule(optionsFor(5, FaultMode::All)), makeSchedule(optionsFor(5, FaultMode::All)));
         EXPECT_NE(makeSchedule(optionsFor(5, FaultMode::All)), makeSchedule(optionsFor(6, FaultMode::All)));
         EXPECT_TRUE(makeSchedule(optionsFor(5, FaultMode::None)).empty());
     }
 
-    TEST(ScheduleTest, stepsAreSortedAndLeaveTheEndsCalm)
+    TEST(ScheduleTest, StepsAreSortedAndAvoidStartAndEnd)
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
             const auto steps = makeSchedule(optionsFor(seed, FaultMode::All));
@@ -48,7 +48,7 @@
         }
     }
 
-    TEST(ScheduleTest, everyKindOfStepComesUp)
+    TEST(ScheduleTest, ContainsEveryKindOfStep)
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
             SCOPED_TRACE(seed);
@@ -67,7 +67,7 @@
             EXPECT_GE(runs, 40) << nameOf(kind);
     }
 
-    TEST(ScheduleTest, neverTakesMoreAwayThanTheFleetCanBear)
+    TEST(ScheduleTest, KeepsMostServersAndBalancersActive)
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
             SCOPED_TRACE(seed);
@@ -109,7 +109,7 @@
         }
     }
 
-    TEST(ScheduleTest, drainedServersStayAwayLongEnoughToBeJudged)
+    TEST(ScheduleTest, DrainsLastLongEnoughToBeChecked)
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
             std::map<std::size_t, std::chrono::milliseconds> drainedAt;
