--- a/Source/Experiment/BalancerFleet.cpp
+++ b/Source/Experiment/BalancerFleet.cpp
@@ -75,7 +75,7 @@
     std::string seeds;
     std::size_t listed = 0;
     for (const Balancer& other : balancers_) {
-        if (&other == &balancer || other.leaving || listed == seedCount)
+        if (&other == &balancer || other.stopRequested || listed == seedCount)
             continue;
         seeds += (listed == 0 ? "" : ", ") + other.peerAddress.toString();
         ++listed;
@@ -107,9 +107,9 @@
         const auto serving = areServing(configurationVersion);
         if (serving && serving.value())
             return boost::outcome_v2::success();
-        const std::string ends = unexpectedEnds();
-        if (!ends.empty())
-            return Error { ErrorCode::Unavailable, ends };
+        const std::string exits = unexpectedExits();
+        if (!exits.empty())
+            return Error { ErrorCode::Unavailable, exits };
         if (Clock::now() > deadline) {
             return Error { ErrorCode::DeadlineExceeded,
                 "not all balancers are serving: " + (serving ? "not ready yet" : serving.error().toString()) };
@@ -121,7 +121,7 @@
 Result<bool> BalancerFleet::areServing(std::uint64_t configurationVersion)
 {
     for (const Balancer& balancer : balancers_) {
-        if (balancer.leaving)
+        if (balancer.stopRequested)
             continue;
         BOOST_OUTCOME_TRY(serving, isServing(balancer, configurationVersion));
         if (!serving)
@@ -138,12 +138,12 @@
     const auto members = status.value("members", nlohmann::json::array());
     const auto serving = std::count_if(
         members.begin(), members.end(), [](const auto& member) { return member.value("state", "") == "serving"; });
-    return static_cast<std::size_t>(serving) >= running();
+    return static_cast<std::size_t>(serving) >= runningCount();
 }
 
 Result<void> BalancerFleet::stop(std::size_t index)
 {
-    balancers_[index].leaving = true;
+    balancers_[index].stopRequested = true;
     balancers_[index].vmState = VmState::Leaving;
     balancers_[index].process->signal(SIGTERM);
     return updatePlatform();
@@ -151,7 +151,7 @@
 
 void BalancerFleet::kill(std::size_t index)
 {
-    balancers_[index].leaving = true;
+    balancers_[index].stopRequested = true;
     balancers_[index].process->signal(SIGKILL);
 }
 
@@ -189,17 +189,17 @@
     return environment_.fabric.setBalancers(entries);
 }
 
-std::size_t BalancerFleet::running() const
+std::size_t BalancerFleet::runningCount() const
 {
     return static_cast<std::size_t>(std::count_if(
-        balancers_.begin(), balancers_.end(), [](const Balancer& balancer) { return !balancer.leaving; }));
+        balancers_.begin(), balancers_.end(), [](const Balancer& balancer) { return !balancer.stopRequested; }));
 }
 
 std::vector<RunningBalancer> BalancerFleet::runningBalancers() const
 {
     std::vector<RunningBalancer> result;
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
-        if (!balancers_[i].leaving)
+        if (!balancers_[i].stopRequested)
             result.push_back({ balancers_[i].name, zoneOf(i), balancers_[i].requestAddress });
     }
     return result;
@@ -220,7 +220,7 @@
 {
     std::vector<Endpoint> addresses;
     for (const Balancer& balancer : balancers_) {
-        if (!balancer.leaving)
+        if (!balancer.stopRequested)
             addresses.push_back(balancer.requestAddress);
     }
     return addresses;
@@ -230,17 +230,17 @@
 {
     double sum = 0;
     for (const Balancer& balancer : balancers_) {
-        if (!balancer.leaving)
+        if (!balancer.stopRequested)
             sum += balancer.process->processorSeconds();
     }
     return sum;
 }
 
-std::string BalancerFleet::unexpectedEnds() const
+std::string BalancerFleet::unexpectedExits() const
 {
     std::string text;
     for (const Balancer& balancer : balancers_) {
-        if (balancer.process && !balancer.leaving && !balancer.process->running()) {
+        if (balancer.process && !balancer.stopRequested && !balancer.process->running()) {
             text += fmt::format("{} exited unexpectedly with {}: {}\n", balancer.name, *balancer.process->exitCode(),
                 balancer.process->errorTail());
         }
--- a/Source/Experiment/BalancerFleet.h
+++ b/Source/Experiment/BalancerFleet.h
@@ -63,11 +63,11 @@
     void resume(std::size_t);
     Result<void> removeFromFabric(std::size_t);
 
-    std::size_t running() const;
+    std::size_t runningCount() const;
     std::vector<RunningBalancer> runningBalancers() const;
     // True until the balancer is stopped or killed.
-    bool isRunning(std::size_t index) const { return !balancers_[index].leaving; }
-    std::size_t started() const { return balancers_.size(); }
+    bool isRunning(std::size_t index) const { return !balancers_[index].stopRequested; }
+    std::size_t startedCount() const { return balancers_.size(); }
     std::size_t zoneOf(std::size_t index) const { return index % plan_.availabilityZones.size(); }
     // Link and source patterns for the fault proxy, by index of the balancer or of its zone.
     std::string linkOf(const std::string& kind, std::size_t index) const;
@@ -80,7 +80,7 @@
     double processorSeconds() const;
     // Names of the balancers that exited without being stopped or killed, with the end of their logs. Empty if there
     // are none.
-    std::string unexpectedEnds() const;
+    std::string unexpectedExits() const;
 
 private:
     struct Balancer {
@@ -90,7 +90,7 @@
         Endpoint fabricAddress;
         Endpoint requestAddress;
         // The balancer was stopped or killed.
-        bool leaving = false;
+        bool stopRequested = false;
         VmState vmState = VmState::Live;
         bool inFabric = true;
     };
--- a/Source/Experiment/ConfigurationOperator.cpp
+++ b/Source/Experiment/ConfigurationOperator.cpp
@@ -29,7 +29,7 @@
     change(configuration_);
     if (isIdle())
         waitingSince_ = Clock::now();
-    waiting_.push_back(std::move(onAccepted));
+    queuedCallbacks_.push_back(std::move(onAccepted));
 }
 
 Result<void> ConfigurationOperator::poll()
@@ -41,21 +41,21 @@
             return boost::outcome_v2::success();
         if (*exitCode == 0) {
             ++accepted_;
-            for (const OnAccepted& onAccepted : applying_)
+            for (const OnAccepted& onAccepted : activeCallbacks_)
                 onAccepted(now);
             waitingSince_ = now;
         } else {
-            lastProblem_ = fmt::format("exit code {}: {}", *exitCode, ctl_->errorTail());
-            waiting_.insert(waiting_.begin(), applying_.begin(), applying_.end());
+            lastError_ = fmt::format("exit code {}: {}", *exitCode, ctl_->errorTail());
+            queuedCallbacks_.insert(queuedCallbacks_.begin(), activeCallbacks_.begin(), activeCallbacks_.end());
             nextAttempt_ = now + retryInterval;
         }
-        applying_.clear();
+        activeCallbacks_.clear();
         ctl_.reset();
     }
-    if (waiting_.empty() || now < nextAttempt_)
+    if (queuedCallbacks_.empty() || now < nextAttempt_)
         return boost::outcome_v2::success();
     if (now > waitingSince_ + refusalTimeout)
-        return Error { ErrorCode::Unavailable, "the configuration was not accepted: " + lastProblem_ };
+        return Error { ErrorCode::Unavailable, "the configuration was not accepted: " + lastError_ };
     return startApply();
 }
 
@@ -67,8 +67,8 @@
     BOOST_OUTCOME_TRY(ctl,
         starter_.start(name, "wisteriadock-ctl", { "--platform=" + platform_.toString(), "apply", file.string() }));
     ctl_ = std::move(ctl);
-    applying_ = std::move(waiting_);
-    waiting_.clear();
+    activeCallbacks_ = std::move(queuedCallbacks_);
+    queuedCallbacks_.clear();
     return boost::outcome_v2::success();
 }
 
--- a/Source/Experiment/ConfigurationOperator.h
+++ b/Source/Experiment/ConfigurationOperator.h
@@ -27,7 +27,7 @@
     // Starts and completes applies; must be called frequently. Fails with Unavailable when no apply succeeded for
     // longer than any outage of the schedule lasts.
     Result<void> poll();
-    bool isIdle() const { return !ctl_ && waiting_.empty(); }
+    bool isIdle() const { return !ctl_ && queuedCallbacks_.empty(); }
     // The current file, accepted or not.
     const Configuration& configuration() const { return configuration_; }
     std::uint64_t accepted() const { return accepted_; }
@@ -38,10 +38,10 @@
     ProcessStarter& starter_;
     Endpoint platform_;
     Configuration configuration_;
-    std::vector<OnAccepted> waiting_;
-    std::vector<OnAccepted> applying_;
+    std::vector<OnAccepted> queuedCallbacks_;
+    std::vector<OnAccepted> activeCallbacks_;
     std::unique_ptr<ChildProcess> ctl_;
-    std::string lastProblem_;
+    std::string lastError_;
     TimePoint nextAttempt_;
     TimePoint waitingSince_;
     std::uint64_t applies_ = 0;
--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -51,7 +51,7 @@
         log_.info(fmt::format("{}{}{}", nameOf(step.fault), step.races ? ", two operators" : "",
             step.restarts ? ", a balancer is replaced" : ""));
         BOOST_OUTCOME_TRYV(perform(step));
-        BOOST_OUTCOME_TRYV(settle());
+        BOOST_OUTCOME_TRYV(waitUntilInForce());
         BOOST_OUTCOME_TRYV(monitor(step.pause));
     }
     // Gives the balancers that started last enough time to be checked.
@@ -71,15 +71,16 @@
     if (step.fault == ConfigurationFault::Restore)
         return restoreOlderSnapshot(step);
 
-    const bool lasts = step.fault != ConfigurationFault::Race && step.fault != ConfigurationFault::RestartBalancer;
+    const bool hasDuration
+        = step.fault != ConfigurationFault::Race && step.fault != ConfigurationFault::RestartBalancer;
     const TimePoint faultEnd = Clock::now() + step.length;
-    if (lasts) {
+    if (hasDuration) {
         ++faults_;
         BOOST_OUTCOME_TRYV(beginFault(step));
         BOOST_OUTCOME_TRYV(monitor(faultLeadTime));
     }
     BOOST_OUTCOME_TRYV(startApplies(step.races));
-    if (lasts) {
+    if (hasDuration) {
         while (Clock::now() < faultEnd) {
             BOOST_OUTCOME_TRYV(monitor(pollInterval));
             BOOST_OUTCOME_TRYV(pollApplies(step));
@@ -114,7 +115,7 @@
         BOOST_OUTCOME_TRYV(startApplies(false));
         BOOST_OUTCOME_TRYV(finishApplies(step));
     }
-    BOOST_OUTCOME_TRYV(settle());
+    BOOST_OUTCOME_TRYV(waitUntilInForce());
     ++faults_;
     BOOST_OUTCOME_TRYV(deployment_.platform().restore(snapshotName));
     restartIsDue_ = step.restarts;
@@ -230,9 +231,9 @@
 {
     const auto winners
         = std::count_if(applies_.begin(), applies_.end(), [](const auto& apply) { return apply->isAccepted(); });
-    const bool losersKnow = std::all_of(applies_.begin(), applies_.end(),
+    const bool losersKnowWinner = std::all_of(applies_.begin(), applies_.end(),
         [](const auto& apply) { return apply->isAccepted() || apply->namesWinner(); });
-    if (winners == 1 && losersKnow)
+    if (winners == 1 && losersKnowWinner)
         return;
     ++unfairRaces_;
     for (const auto& apply : applies_) {
@@ -255,11 +256,11 @@
     restartIsDue_ = false;
     BalancerFleet& balancers = deployment_.balancers();
     std::vector<std::size_t> running;
-    for (std::size_t i = 0; i < balancers.started(); ++i) {
+    for (std::size_t i = 0; i < balancers.startedCount(); ++i) {
         if (balancers.isRunning(i))
             running.push_back(i);
     }
-    const std::size_t subject = running[step.draw % running.size()];
+    const std::size_t subject = running[step.balancerSelector % running.size()];
     ++faults_;
     ++restarts_;
     balancers.kill(subject);
@@ -270,7 +271,7 @@
     return boost::outcome_v2::success();
 }
 
-Result<void> ConfigurationRun::settle()
+Result<void> ConfigurationRun::waitUntilInForce()
 {
     return monitor(Clock::now() + inForceLimit, [this] { return checker_.isInForceEverywhere(version_); });
 }
@@ -329,8 +330,8 @@
         unfairRaces_ == 0, "a race did not end with exactly one winner and a loser that was told the winner");
     verdict.require(refusedAlone_ == 0, "an apply was refused although no other was running");
     verdict.require(control_.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
-    const std::string ends = deployment_.balancers().unexpectedEnds();
-    verdict.require(ends.empty(), ends);
+    const std::string exits = deployment_.balancers().unexpectedExits();
+    verdict.require(exits.empty(), exits);
     return verdict;
 }
 
--- a/Source/Experiment/ConfigurationRun.h
+++ b/Source/Experiment/ConfigurationRun.h
@@ -45,7 +45,7 @@
     void recordAccepted(const ConfigurationApply&);
     Result<void> restartBalancer(const ConfigurationStep&);
     // Runs until the newest version is in force everywhere, or until it is late.
-    Result<void> settle();
+    Result<void> waitUntilInForce();
 
     // Polls the balancers and takes samples until the condition holds or the end is reached.
     Result<void> monitor(TimePoint end, const Condition& condition);
--- a/Source/Experiment/ConfigurationSchedule.cpp
+++ b/Source/Experiment/ConfigurationSchedule.cpp
@@ -35,19 +35,20 @@
         step.fault = remainingFaults_.back();
         remainingFaults_.pop_back();
     }
-    step.length = between(2s, 4s);
-    step.delay = between(200ms, 700ms);
-    step.zone = drawBelow(availabilityZones_);
-    step.races = step.fault == ConfigurationFault::Race || drawBelow(2) == 0;
-    step.restarts = step.fault == ConfigurationFault::RestartBalancer || drawBelow(3) == 0;
-    step.draw = static_cast<std::uint32_t>(drawBelow(1U << 16U));
-    step.pause = between(100ms, 800ms);
+    step.length = randomBetween(2s, 4s);
+    step.delay = randomBetween(200ms, 700ms);
+    step.zone = randomBelow(availabilityZones_);
+    step.races = step.fault == ConfigurationFault::Race || randomBelow(2) == 0;
+    step.restarts = step.fault == ConfigurationFault::RestartBalancer || randomBelow(3) == 0;
+    step.balancerSelector = static_cast<std::uint32_t>(randomBelow(1U << 16U));
+    step.pause = randomBetween(100ms, 800ms);
     return step;
 }
 
-std::chrono::milliseconds ConfigurationSchedule::between(std::chrono::milliseconds low, std::chrono::milliseconds high)
+std::chrono::milliseconds ConfigurationSchedule::randomBetween(
+    std::chrono::milliseconds low, std::chrono::milliseconds high)
 {
-    return low + std::chrono::milliseconds(drawBelow(static_cast<std::size_t>((high - low).count() + 1)));
+    return low + std::chrono::milliseconds(randomBelow(static_cast<std::size_t>((high - low).count() + 1)));
 }
 
 void ConfigurationSchedule::shuffleFaults()
@@ -56,7 +57,7 @@
         ConfigurationFault::SlowPlatform, ConfigurationFault::Restore, ConfigurationFault::RestartBalancer,
         ConfigurationFault::CutZone };
     for (std::size_t i = remainingFaults_.size(); i > 1; --i)
-        std::swap(remainingFaults_[i - 1], remainingFaults_[drawBelow(i)]);
+        std::swap(remainingFaults_[i - 1], remainingFaults_[randomBelow(i)]);
 }
 
 }
--- a/Source/Experiment/ConfigurationSchedule.h
+++ b/Source/Experiment/ConfigurationSchedule.h
@@ -33,7 +33,7 @@
     // A balancer is also replaced as soon as a version is accepted.
     bool restarts = false;
     // Random number that selects the balancer to replace.
-    std::uint32_t draw = 0;
+    std::uint32_t balancerSelector = 0;
     // Time until the next step.
     std::chrono::milliseconds pause { 0 };
 
@@ -53,8 +53,8 @@
     ConfigurationStep next();
 
 private:
-    std::size_t drawBelow(std::size_t bound) { return random_() % bound; }
-    std::chrono::milliseconds between(std::chrono::milliseconds low, std::chrono::milliseconds high);
+    std::size_t randomBelow(std::size_t bound) { return random_() % bound; }
+    std::chrono::milliseconds randomBetween(std::chrono::milliseconds low, std::chrono::milliseconds high);
     void shuffleFaults();
 
     std::mt19937_64 random_;
--- a/Source/Experiment/ConfigurationWatcher.cpp
+++ b/Source/Experiment/ConfigurationWatcher.cpp
@@ -19,7 +19,7 @@
     next_ = Clock::now() + interval;
     updateProcesses();
     for (const RunningBalancer& balancer : balancers_.runningBalancers())
-        ask(balancer, watched_[balancer.name]);
+        pollBalancer(balancer, watched_[balancer.name]);
 }
 
 void ConfigurationWatcher::updateProcesses()
@@ -27,7 +27,7 @@
     const auto running = balancers_.runningBalancers();
     const TimePoint now = Clock::now();
     for (const RunningBalancer& balancer : running) {
-        if (!watched_.try_emplace(balancer.name, Watched { balancer.zone }).second)
+        if (!watched_.try_emplace(balancer.name, WatchedBalancer { balancer.zone }).second)
             continue;
         checker_.processStarted(balancer.name, now);
         if (cutZones_.contains(balancer.zone))
@@ -60,7 +60,7 @@
     }
 }
 
-void ConfigurationWatcher::ask(const RunningBalancer& balancer, Watched& watched)
+void ConfigurationWatcher::pollBalancer(const RunningBalancer& balancer, WatchedBalancer& watched)
 {
     const auto status = client_.get(balancer.requestAddress, "/status");
     if (!status) {
@@ -74,7 +74,7 @@
         readConfiguration(balancer, watched);
 }
 
-void ConfigurationWatcher::readConfiguration(const RunningBalancer& balancer, Watched& watched)
+void ConfigurationWatcher::readConfiguration(const RunningBalancer& balancer, WatchedBalancer& watched)
 {
     const auto page = client_.get(balancer.requestAddress, "/wisteriadock/configuration");
     if (!page) {
--- a/Source/Experiment/ConfigurationWatcher.h
+++ b/Source/Experiment/ConfigurationWatcher.h
@@ -36,18 +36,18 @@
     std::uint64_t failedCalls() const { return failedCalls_; }
 
 private:
-    struct Watched {
+    struct WatchedBalancer {
         std::size_t zone = 0;
         std::uint64_t versionRead = 0;
     };
 
-    void ask(const RunningBalancer&, Watched&);
-    void readConfiguration(const RunningBalancer&, Watched&);
+    void pollBalancer(const RunningBalancer&, WatchedBalancer&);
+    void readConfiguration(const RunningBalancer&, WatchedBalancer&);
 
     AdminClient& client_;
     BalancerFleet& balancers_;
     ConfigurationChecker& checker_;
-    std::map<std::string, Watched> watched_;
+    std::map<std::string, WatchedBalancer> watched_;
     std::set<std::size_t> cutZones_;
     TimePoint next_;
     std::uint64_t answers_ = 0;
--- a/Source/Experiment/ControlPlaneMeter.cpp
+++ b/Source/Experiment/ControlPlaneMeter.cpp
@@ -32,7 +32,7 @@
     const TimePoint begin = Clock::now();
     BOOST_OUTCOME_TRYV(deployment_.loop().runUntil(begin + window));
     const double used = deployment_.balancers().processorSeconds() - usedBefore;
-    const auto balancers = static_cast<double>(deployment_.balancers().running());
+    const auto balancers = static_cast<double>(deployment_.balancers().runningCount());
     processorFraction_ = used / secondsBetween(begin, Clock::now()) / balancers;
     return boost::outcome_v2::success();
 }
@@ -40,11 +40,11 @@
 Result<void> ControlPlaneMeter::sample(bool stepsBegan)
 {
     BOOST_OUTCOME_TRY(now, read());
-    const std::size_t balancers = deployment_.balancers().running();
+    const std::size_t balancers = deployment_.balancers().runningCount();
     if (sampling_) {
         const Mean step { now.bytesPerBalancer(balancers) - last_.bytesPerBalancer(balancers),
             secondsBetween(last_.at, now.at) };
-        for (Mean* mean : { &whole_, stepsBegan ? nullptr : &steady_ }) {
+        for (Mean* mean : { &overall_, stepsBegan ? nullptr : &beforeSteps_ }) {
             if (!mean)
                 continue;
             mean->bytes += step.bytes;
@@ -59,8 +59,8 @@
 
 void ControlPlaneMeter::report(ResultRows& rows) const
 {
-    rows.set("control_bytes_per_second_per_balancer", steady_.rate());
-    rows.set("control_bytes_mean_per_second_per_balancer", whole_.rate());
+    rows.set("control_bytes_per_second_per_balancer", beforeSteps_.rate());
+    rows.set("control_bytes_mean_per_second_per_balancer", overall_.rate());
     rows.set("control_bytes_peak_per_second_per_balancer", peak_);
     rows.set("control_cpu_fraction_per_balancer", processorFraction_);
 }
--- a/Source/Experiment/ControlPlaneMeter.h
+++ b/Source/Experiment/ControlPlaneMeter.h
@@ -47,8 +47,8 @@
     Deployment& deployment_;
     Reading last_;
     bool sampling_ = false;
-    Mean steady_;
-    Mean whole_;
+    Mean beforeSteps_;
+    Mean overall_;
     double peak_ = 0;
     double processorFraction_ = 0;
 };
--- a/Source/Experiment/DrainChecker.h
+++ b/Source/Experiment/DrainChecker.h
@@ -17,7 +17,7 @@
 
     void drainAccepted(const std::string& server, TimePoint);
     // The server may receive new flows from this time on, even before the configuration is accepted.
-    void returnStarted(const std::string& server, TimePoint);
+    void undrainRequested(const std::string& server, TimePoint);
 
     // Counts late flows, given when the first packet of each of the server's flows arrived.
     std::uint64_t lateNewFlows(const std::string& server, const std::vector<TimePoint>& firstSeen) const;
@@ -25,12 +25,12 @@
     std::size_t checkedDrains(TimePoint end) const;
 
 private:
-    struct Absence {
+    struct DrainPeriod {
         TimePoint begin;
         TimePoint end = TimePoint::max();
     };
 
-    std::map<std::string, std::vector<Absence>> absences_;
+    std::map<std::string, std::vector<DrainPeriod>> drains_;
 };
 
 }
--- a/Source/Experiment/FlowsScenario.cpp
+++ b/Source/Experiment/FlowsScenario.cpp
@@ -89,8 +89,8 @@
             verdict.require(mode != FaultMode::All || steps_.failures() > 0, "no failure was injected");
             verdict.require(control.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
             verdict.require(droppedRecords == 0, "the backend servers dropped records because their memory was full");
-            const std::string ends = deployment_.balancers().unexpectedEnds();
-            verdict.require(ends.empty(), ends);
+            const std::string exits = deployment_.balancers().unexpectedExits();
+            verdict.require(exits.empty(), exits);
             return verdict;
         }
 
--- a/Source/Experiment/PathScenario.cpp
+++ b/Source/Experiment/PathScenario.cpp
@@ -41,8 +41,8 @@
 {
     const ExperimentOptions& options = context.options;
     const FaultSettings faults { .delay = options.delay, .loss = options.loss };
-    const bool asksForFaults = faults != FaultSettings();
-    BOOST_OUTCOME_TRY(deployment, Deployment::start(context.loop, context.directory, { options, 0, asksForFaults }));
+    const bool hasFaults = faults != FaultSettings();
+    BOOST_OUTCOME_TRY(deployment, Deployment::start(context.loop, context.directory, { options, 0, hasFaults }));
     BOOST_OUTCOME_TRYV(deployment->proxy().setFaults({ "fabric/*" }, faults));
 
     ControlPlaneMeter control(*deployment);
@@ -71,10 +71,10 @@
     verdict.require(caller->row("requests_sent") > 0, "no request was sent");
     verdict.require(caller->row("requests_answered") == caller->row("requests_sent"), "requests went unanswered");
     verdict.require(wrongService == 0, "packets reached the wrong service");
-    verdict.require(!asksForFaults || control.proxyFaults() > 0, "no fault was injected");
+    verdict.require(!hasFaults || control.proxyFaults() > 0, "no fault was injected");
     verdict.require(control.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
-    const std::string ends = deployment->balancers().unexpectedEnds();
-    verdict.require(ends.empty(), ends);
+    const std::string exits = deployment->balancers().unexpectedExits();
+    verdict.require(exits.empty(), exits);
     return verdict;
 }
 
--- a/Source/Experiment/RequestsScenario.cpp
+++ b/Source/Experiment/RequestsScenario.cpp
@@ -166,8 +166,8 @@
             verdict.require(unrecorded == 0, "the backend servers dropped records because their memory was full");
             verdict.require(
                 findings.keysRecorded == caller_.row("requests_sent"), "the callers did not record every request");
-            const std::string ends = deployment_.balancers().unexpectedEnds();
-            verdict.require(ends.empty(), ends);
+            const std::string exits = deployment_.balancers().unexpectedExits();
+            verdict.require(exits.empty(), exits);
             return verdict;
         }
 
--- a/Source/Experiment/Schedule.cpp
+++ b/Source/Experiment/Schedule.cpp
@@ -51,11 +51,11 @@
             if (options_.mode == FaultMode::None)
                 return {};
             for (milliseconds now = faultFreeStart; now < options_.length - faultFreeEnd;
-                 now += between(minGap, maxGap)) {
+                 now += randomBetween(minGap, maxGap)) {
                 addUndrainSteps(now);
                 addNextStep(now);
                 // Sometimes adds a second, simultaneous step.
-                if (drawBelow(3) == 0)
+                if (randomBelow(3) == 0)
                     addNextStep(now);
             }
             std::stable_sort(steps_.begin(), steps_.end(),
@@ -73,25 +73,25 @@
             milliseconds disturbedUntil { 0 };
         };
 
-        std::size_t drawBelow(std::size_t bound) { return bound == 0 ? 0 : random_() % bound; }
+        std::size_t randomBelow(std::size_t bound) { return bound == 0 ? 0 : random_() % bound; }
 
-        milliseconds between(milliseconds low, milliseconds high)
+        milliseconds randomBetween(milliseconds low, milliseconds high)
         {
-            return low + milliseconds(drawBelow(static_cast<std::size_t>((high - low).count()) + 1));
+            return low + milliseconds(randomBelow(static_cast<std::size_t>((high - low).count()) + 1));
         }
 
         // Returns every kind once, in random order, before any repeats.
-        StepKind drawKind()
+        StepKind nextKind()
         {
             if (remainingKinds_.empty()) {
                 for (const auto& [kind, name] : stepNames.rows()) {
-                    const bool drawn = kind != StepKind::UndrainServer;
-                    if (drawn && (options_.mode == FaultMode::All || isPlannedChange(kind)))
+                    const bool isRandomKind = kind != StepKind::UndrainServer;
+                    if (isRandomKind && (options_.mode == FaultMode::All || isPlannedChange(kind)))
                         remainingKinds_.push_back(kind);
                 }
                 // The result of std::shuffle depends on the standard library.
                 for (std::size_t i = remainingKinds_.size(); i > 1; --i)
-                    std::swap(remainingKinds_[i - 1], remainingKinds_[drawBelow(i)]);
+                    std::swap(remainingKinds_[i - 1], remainingKinds_[randomBelow(i)]);
             }
             const StepKind kind = remainingKinds_.back();
             remainingKinds_.pop_back();
@@ -102,7 +102,7 @@
         {
             Step step;
             step.at = now;
-            step.kind = drawKind();
+            step.kind = nextKind();
             if (chooseSubject(step))
                 steps_.push_back(step);
         }
@@ -111,7 +111,7 @@
         void addUndrainSteps(milliseconds now)
         {
             for (std::size_t i = 0; i < servers_.size(); ++i) {
-                if (!servers_[i].drainedAt || now < *servers_[i].drainedAt + minDrainTime || drawBelow(2) == 0)
+                if (!servers_[i].drainedAt || now < *servers_[i].drainedAt + minDrainTime || randomBelow(2) == 0)
                     continue;
                 servers_[i].drainedAt.reset();
                 steps_.push_back({ .at = now, .kind = StepKind::UndrainServer, .subject = i });
@@ -127,8 +127,8 @@
             case StepKind::UndrainServer:
                 return false;
             case StepKind::ChangeWeight:
-                step.subject = drawBelow(options_.serviceOfServer.size());
-                step.weight = 50 + 25 * static_cast<std::uint32_t>(drawBelow(5));
+                step.subject = randomBelow(options_.serviceOfServer.size());
+                step.weight = 50 + 25 * static_cast<std::uint32_t>(randomBelow(5));
                 return true;
             case StepKind::AddServer:
                 step.subject = servers_.size();
@@ -136,27 +136,27 @@
                 return true;
             case StepKind::JoinBalancer:
                 step.subject = balancers_.size();
-                balancers_.push_back({ true, step.at + between(1s, 2s) });
+                balancers_.push_back({ true, step.at + randomBetween(1s, 2s) });
                 return true;
             case StepKind::StopBalancer:
             case StepKind::KillBalancer:
-                step.length = between(500ms, 2s);
+                step.length = randomBetween(500ms, 2s);
                 return chooseBalancer(step) && end(step.subject);
             case StepKind::DelayVersions:
-                step.length = between(2s, 6s);
+                step.length = randomBetween(2s, 6s);
                 return chooseBalancer(step);
             case StepKind::FreezeBalancer:
-                step.length = between(1s, 4s);
+                step.length = randomBetween(1s, 4s);
                 return chooseBalancer(step) && markDisturbed(step);
             case StepKind::CutOneWay:
-                step.length = between(2s, 4s);
+                step.length = randomBetween(2s, 4s);
                 return chooseBalancer(step) && chooseUnreachableBalancer(step);
             case StepKind::CutZone:
-                step.length = between(2s, 5s);
-                step.subject = drawBelow(options_.availabilityZones);
+                step.length = randomBetween(2s, 5s);
+                step.subject = randomBelow(options_.availabilityZones);
                 return options_.availabilityZones > 1;
             case StepKind::PlatformOutage:
-                step.length = between(2s, 6s);
+                step.length = randomBetween(2s, 6s);
                 return true;
             }
             return false;
@@ -171,7 +171,7 @@
             }
             if (candidates.empty())
                 return false;
-            step.subject = candidates[drawBelow(candidates.size())];
+            step.subject = candidates[randomBelow(candidates.size())];
             servers_[step.subject].drainedAt = step.at;
             return true;
         }
@@ -201,7 +201,7 @@
                 balancers_.begin(), balancers_.end(), [](const Balancer& balancer) { return balancer.runs; }));
             if (candidates.empty() || (ends && (running - 1) * 2 <= options_.balancers))
                 return false;
-            step.subject = candidates[drawBelow(candidates.size())];
+            step.subject = candidates[randomBelow(candidates.size())];
             return true;
         }
 
@@ -214,7 +214,7 @@
             }
             if (others.empty())
                 return false;
-            step.other = others[drawBelow(others.size())];
+            step.other = others[randomBelow(others.size())];
             return true;
         }
 
--- a/Source/Experiment/StepRunner.cpp
+++ b/Source/Experiment/StepRunner.cpp
@@ -153,7 +153,7 @@
         deployment_.configurationOperator().change(
             apply, [this, name](TimePoint accepted) { drains_.drainAccepted(name, accepted); });
     } else {
-        drains_.returnStarted(name, Clock::now());
+        drains_.undrainRequested(name, Clock::now());
         deployment_.configurationOperator().change(apply);
     }
 }
--- a/Tests/Experiment/DrainCheckerTest.cpp
+++ b/Tests/Experiment/DrainCheckerTest.cpp
@@ -16,7 +16,7 @@
     TEST_F(DrainCheckerTest, CountsNewFlowsBetweenGraceTimeAndReturn)
     {
         checker_.drainAccepted("a", start_);
-        checker_.returnStarted("a", start_ + 10s);
+        checker_.undrainRequested("a", start_ + 10s);
         EXPECT_EQ(checker_.lateNewFlows("a", { start_ - 1s, start_ + 4999ms, start_ + 10s, start_ + 20s }), 0u);
         EXPECT_EQ(checker_.lateNewFlows("a", { start_ + 5s, start_ + 9999ms }), 2u);
         EXPECT_EQ(checker_.lateNewFlows("b", { start_ + 6s }), 0u);
@@ -25,7 +25,7 @@
     TEST_F(DrainCheckerTest, ChecksEachDrainSeparately)
     {
         checker_.drainAccepted("a", start_);
-        checker_.returnStarted("a", start_ + 10s);
+        checker_.undrainRequested("a", start_ + 10s);
         checker_.drainAccepted("a", start_ + 20s);
         EXPECT_EQ(checker_.lateNewFlows("a", { start_ + 15s, start_ + 24s, start_ + 26s }), 1u);
     }
@@ -34,7 +34,7 @@
     {
         checker_.drainAccepted("a", start_);
         checker_.drainAccepted("b", start_);
-        checker_.returnStarted("b", start_ + 4s);
+        checker_.undrainRequested("b", start_ + 4s);
         checker_.drainAccepted("c", start_ + 8s);
         EXPECT_EQ(checker_.checkedDrains(start_ + 10s), 1u);
         EXPECT_EQ(checker_.checkedDrains(start_ + 14s), 2u);
