--- a/Source/Experiment/FlowsScenario.cpp
+++ b/Source/Experiment/FlowsScenario.cpp
@@ -56,7 +56,7 @@
             std::uint64_t droppedRecords = 0;
             for (const auto& [name, record] : records) {
                 wrongService += record.wrongServicePackets;
-                lateNewFlows += steps_.drains().lateNewFlows(name, record.newFlowTimes);
+                lateNewFlows += steps_.drainChecker().lateNewFlows(name, record.newFlowTimes);
                 droppedRecords += record.droppedRecords;
             }
             const std::uint64_t established = caller_.row("flows_established");
@@ -73,7 +73,7 @@
                 static_cast<double>(established) / static_cast<double>(context_.options.length.count()));
             rows.set("faults_injected", steps_.failures() + control.proxyFaults());
             rows.set("planned_changes", steps_.plannedChanges());
-            rows.set("drains_judged", std::uint64_t(steps_.drains().checkedDrains(end_)));
+            rows.set("drains_judged", std::uint64_t(steps_.drainChecker().checkedDrains(end_)));
             rows.set("flows_not_established", caller_.row("flows_not_established"));
             rows.set("openings_elsewhere", caller_.row("openings_elsewhere"));
             control.report(rows);
--- a/Source/Experiment/StepRunner.cpp
+++ b/Source/Experiment/StepRunner.cpp
@@ -151,9 +151,9 @@
     if (state == BackendServerState::Draining) {
         active_.erase(name);
         deployment_.configurationOperator().change(
-            apply, [this, name](TimePoint accepted) { drains_.drainAccepted(name, accepted); });
+            apply, [this, name](TimePoint accepted) { drainChecker_.drainAccepted(name, accepted); });
     } else {
-        drains_.undrainRequested(name, Clock::now());
+        drainChecker_.undrainRequested(name, Clock::now());
         deployment_.configurationOperator().change(apply);
     }
 }
--- a/Source/Experiment/StepRunner.h
+++ b/Source/Experiment/StepRunner.h
@@ -26,7 +26,7 @@
     bool began() const { return next_ > 0; }
     std::uint64_t plannedChanges() const { return plannedChanges_; }
     std::uint64_t failures() const { return failures_; }
-    const DrainChecker& drains() const { return drains_; }
+    const DrainChecker& drainChecker() const { return drainChecker_; }
     // The weights of the active servers by name, as requested by the operator so far.
     const std::map<std::string, std::uint32_t>& activeServers() const { return active_; }
     // The name of the last step that was due by this time, or "none".
@@ -51,7 +51,7 @@
     TimePoint begin_;
     std::size_t next_ = 0;
     std::vector<Ending> endings_;
-    DrainChecker drains_;
+    DrainChecker drainChecker_;
     std::map<std::string, std::uint32_t> active_;
     std::uint64_t plannedChanges_ = 0;
     std::uint64_t failures_ = 0;
