--- a/Source/Experiment/ChildProcess.h
+++ b/Source/Experiment/ChildProcess.h
@@ -44,7 +44,7 @@
     std::optional<Endpoint> listening(const std::string& name = "") const;
     // Everything that the process wrote to its standard output.
     const std::string& output() const { return output_->text; }
-    // The last 2000 bytes that the process wrote to its standard error.
+    // The end of what the process wrote to its standard error, at most 2000 bytes.
     std::string errorTail() const;
 
     // Sends a signal; ignored when the process has already ended.
--- a/Source/Experiment/ConfigurationChecker.h
+++ b/Source/Experiment/ConfigurationChecker.h
@@ -59,7 +59,7 @@
         TimePoint begin;
         TimePoint end = TimePoint::max();
         std::vector<Interval> cuts;
-        // Only changes, oldest first.
+        // Changes of the reported version, oldest first.
         std::vector<VersionReport> reports;
 
         bool isReachable(TimePoint) const;
--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -19,7 +19,7 @@
     constexpr auto pollInterval = 10ms;
     constexpr auto applyTimeout = 70s;
     constexpr auto inForceLimit = 5s;
-    // Time from the begin of a fault to the first apply.
+    // Time from the beginning of a fault to the first apply.
     constexpr auto faultLeadTime = 100ms;
     constexpr const char* snapshotName = "older";
 
--- a/Source/Experiment/DrainChecker.h
+++ b/Source/Experiment/DrainChecker.h
@@ -19,7 +19,8 @@
     // The server may receive new flows from this time on, even before the configuration is accepted.
     void undrainRequested(const std::string& server, TimePoint);
 
-    // Counts late flows, given when the first packet of each of the server's flows arrived.
+    // Number of flows that began after the grace time of a drain. Takes the arrival times of the first packets of the
+    // server's flows.
     std::uint64_t lateNewFlows(const std::string& server, const std::vector<TimePoint>& firstSeen) const;
     // Number of drains that lasted longer than the grace time, up to the given end of the run.
     std::size_t checkedDrains(TimePoint end) const;
