--- a/Source/Experiment/ZoneFaults.cpp
+++ b/Source/Experiment/ZoneFaults.cpp
@@ -15,7 +15,8 @@
         BOOST_OUTCOME_TRYV(proxy.setFaults({ kind + outside, balancers.sourcesOfZone(zone) }, settings));
     }
     // Connections between balancers do not identify the source zone. All connections to the zone's request addresses
-    // are therefore affected, also from inside the zone, while its balancers still reach those of other zones.
+    // are therefore affected, also from inside the zone, while its balancers still reach those of other zones. Messages
+    // about request keys get lost.
     BOOST_OUTCOME_TRYV(proxy.setFaults({ "request" + inside, "127.*" }, settings));
     return proxy.setFaults({ "platform" + inside, "127.*" }, settings);
 }
