--- a/Source/Experiment/ControlPlaneMeter.h
+++ b/Source/Experiment/ControlPlaneMeter.h
@@ -47,9 +47,12 @@
     Deployment& deployment_;
     Reading last_;
     bool sampling_ = false;
+    // Bytes per balancer: before the first step, and of all samples.
     Mean beforeSteps_;
     Mean overall_;
+    // Highest rate of all samples, in bytes per second and balancer.
     double peak_ = 0;
+    // Processor seconds per second and balancer, without load.
     double processorFraction_ = 0;
 };
 
