--- a/Source/Experiment/CallerRun.cpp
+++ b/Source/Experiment/CallerRun.cpp
@@ -11,25 +11,25 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto outputLimit = 5s;
-    // The last row that the callers' stand-in prints.
+    constexpr auto outputTimeout = 5s;
+    // The last row that wisteriadock-standin-caller prints.
     constexpr const char* lastRow = "\nrequests_skipped ";
 
 }
 
 Result<std::unique_ptr<CallerRun>> CallerRun::start(
-    Deployment& deployment, const ExperimentOptions& options, const std::vector<std::string>& furtherArguments)
+    Deployment& deployment, const ExperimentOptions& options, const std::vector<std::string>& extraArguments)
 {
     const auto recordFile = deployment.starter().directory().path() / "caller-records.json";
     std::vector<std::string> arguments {
         "--fabric=" + deployment.fabric().address().toString(),
-        "--services=" + deployment.plan().callerServices(),
+        "--services=" + deployment.plan().callerServicesArgument(),
         fmt::format("--seed={}", options.seed),
         fmt::format("--seconds={}", options.length.count()),
         fmt::format("--flows_per_second={}", options.flowsPerSecond),
         "--record_file=" + recordFile.string(),
     };
-    arguments.insert(arguments.end(), furtherArguments.begin(), furtherArguments.end());
+    arguments.insert(arguments.end(), extraArguments.begin(), extraArguments.end());
     BOOST_OUTCOME_TRY(process,
         deployment.starter().startListening("caller", "wisteriadock-standin-caller", arguments, { "replies" }));
     BOOST_OUTCOME_TRYV(deployment.backendServers().setReplyAddress(process->listening("replies").value()));
@@ -46,9 +46,9 @@
 Result<void> CallerRun::readResults(EventLoop& loop)
 {
     const auto complete = [&] { return process_->output().find(lastRow) != std::string::npos; };
-    if (process_->exitCode().value_or(0) != 0 || !loop.waitUntil(complete, outputLimit, "the callers' rows")) {
+    if (process_->exitCode().value_or(0) != 0 || !loop.waitUntil(complete, outputTimeout, "the callers' rows")) {
         return Error { ErrorCode::Unavailable,
-            fmt::format("the callers ended with {}: {}", process_->exitCode().value_or(-1), process_->errorTail()) };
+            fmt::format("the callers exited with {}: {}", process_->exitCode().value_or(-1), process_->errorTail()) };
     }
     std::istringstream lines(process_->output());
     for (std::string line; std::getline(lines, line);) {
@@ -61,7 +61,7 @@
     std::ifstream file(recordFile_);
     records_ = nlohmann::json::parse(file, nullptr, false);
     if (!records_.is_object())
-        return Error { ErrorCode::Unavailable, "the callers left no records" };
+        return Error { ErrorCode::Unavailable, "the callers wrote no valid records" };
     return boost::outcome_v2::success();
 }
 
--- a/Source/Experiment/ConfigurationWatcher.h
+++ b/Source/Experiment/ConfigurationWatcher.h
@@ -2,7 +2,7 @@
 
 #include "Experiment/AdminClient.h"
 #include "Experiment/BalancerFleet.h"
-#include "Experiment/ConfigurationJudge.h"
+#include "Experiment/ConfigurationChecker.h"
 
 #include <cstdint>
 #include <map>
@@ -11,42 +11,43 @@
 
 namespace wisteriadock {
 
-// Asks every balancer that runs, past the fault proxy, which version it has in force, and reads the whole configuration
-// whenever that changed. Tells the judge, also of processes that began and ended and of zones that are cut off.
+// Polls every running balancer for the version that it has in force, bypassing the fault proxy, and reads its
+// configuration whenever the version changed. Passes this to the checker, together with starts and ends of processes
+// and cuts of zones.
 class ConfigurationWatcher {
 public:
-    // All outlive this object.
-    ConfigurationWatcher(AdminClient& client, BalancerFleet& balancers, ConfigurationJudge& judge)
+    // All arguments must outlive this object.
+    ConfigurationWatcher(AdminClient& client, BalancerFleet& balancers, ConfigurationChecker& checker)
         : client_(client)
         , balancers_(balancers)
-        , judge_(judge)
+        , checker_(checker)
     {
     }
 
-    // Asks all of them, if it is time to.
+    // Polls all balancers if the polling interval has passed.
     void poll();
-    // Looks only for processes that began or ended. Call it right after starting or killing some.
-    void noticeProcesses();
+    // Only detects processes that started or ended. Must be called right after starting or killing one.
+    void updateProcesses();
     void cutBegan(std::size_t zone);
     void cutEnded(std::size_t zone);
 
     std::uint64_t answers() const { return answers_; }
-    // Calls that got no answer from a balancer that should run.
+    // Calls that a running balancer did not answer.
     std::uint64_t failedCalls() const { return failedCalls_; }
 
 private:
-    struct Watched {
+    struct WatchedBalancer {
         std::size_t zone = 0;
         std::uint64_t versionRead = 0;
     };
 
-    void ask(const RunningBalancer&, Watched&);
-    void readConfiguration(const RunningBalancer&, Watched&);
+    void pollBalancer(const RunningBalancer&, WatchedBalancer&);
+    void readConfiguration(const RunningBalancer&, WatchedBalancer&);
 
     AdminClient& client_;
     BalancerFleet& balancers_;
-    ConfigurationJudge& judge_;
-    std::map<std::string, Watched> watched_;
+    ConfigurationChecker& checker_;
+    std::map<std::string, WatchedBalancer> watched_;
     std::set<std::size_t> cutZones_;
     TimePoint next_;
     std::uint64_t answers_ = 0;
--- a/Source/Experiment/RequestsScenario.cpp
+++ b/Source/Experiment/RequestsScenario.cpp
@@ -1,7 +1,7 @@
 #include "Experiment/CallerRun.h"
 #include "Experiment/ConnectionResets.h"
-#include "Experiment/ControlMeter.h"
-#include "Experiment/RequestJudge.h"
+#include "Experiment/ControlPlaneMeter.h"
+#include "Experiment/RequestChecker.h"
 #include "Experiment/Scenario.h"
 #include "Experiment/ScenarioSchedule.h"
 #include "Experiment/StepRunner.h"
@@ -17,12 +17,12 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto quietWindow = 2s;
+    constexpr auto idleWindow = 2s;
     constexpr auto sampleInterval = 1s;
     constexpr auto pollInterval = 20ms;
-    // Work that a balancer still sends after the callers gave up belongs to the records too.
+    // Allows requests that balancers send after the callers' deadline to be recorded.
     constexpr auto settlingTime = 3s;
-    // Further tries of a key, each at another balancer.
+    // Number of additional attempts per key, each at another balancer.
     constexpr int requestRetries = 3;
     constexpr std::string_view blindRetry = "blind_retry";
 
@@ -33,7 +33,7 @@
         deployment.experiment.policy = "default";
         deployment.spareServers = addedServers(steps);
         deployment.backendsThroughProxy = true;
-        deployment.furtherBalancerSettings = fmt::format("[request]\npolicy = {}\navailability_zones = {}\n\n",
+        deployment.extraBalancerSettings = fmt::format("[request]\npolicy = {}\navailability_zones = {}\n\n",
             options.policy, fmt::join(FleetPlan::make(options, 0).availabilityZones, ", "));
         return deployment;
     }
@@ -55,8 +55,8 @@
     std::int64_t firstFailureOf(const std::vector<Step>& steps, TimePoint begin, const ExperimentOptions& options)
     {
         if (options.faults != FaultMode::All)
-            return RequestJudge::never;
-        std::int64_t first = millisecondsOf(begin + ConnectionResets::calmStart);
+            return RequestChecker::never;
+        std::int64_t first = millisecondsOf(begin + ConnectionResets::faultFreeStart);
         for (const Step& step : steps) {
             if (!isPlannedChange(step.kind))
                 first = std::min(first, millisecondsOf(begin + step.at));
@@ -64,7 +64,7 @@
         return first;
     }
 
-    // One run: the system, its load and its steps.
+    // One run of the scenario: executes the steps while load runs, and collects the results.
     class RequestsRun {
     public:
         RequestsRun(const ScenarioContext& context, Deployment& deployment, std::vector<Step> steps, CallerRun& caller)
@@ -77,7 +77,7 @@
         {
         }
 
-        Result<void> drive(ControlMeter& control)
+        Result<void> drive(ControlPlaneMeter& control)
         {
             TimePoint nextSample = Clock::now();
             while (!caller_.isOver()) {
@@ -96,13 +96,13 @@
             return deployment_.loop().runUntil(Clock::now() + settlingTime);
         }
 
-        Result<Verdict> judge(const ControlMeter& control)
+        Result<Verdict> check(const ControlPlaneMeter& control)
         {
             BOOST_OUTCOME_TRY(servers, deployment_.backendServers().requestRecords());
-            RequestJudge judge;
-            BOOST_OUTCOME_TRYV(judge.readCallers(caller_.records()));
-            BOOST_OUTCOME_TRYV(judge.readBackendServers(servers));
-            const RequestFindings findings = judge.judge(firstFailure_);
+            RequestChecker checker;
+            BOOST_OUTCOME_TRYV(checker.readCallers(caller_.records()));
+            BOOST_OUTCOME_TRYV(checker.readBackendServers(servers));
+            const RequestFindings findings = checker.check(firstFailure_);
             std::uint64_t wrongService = caller_.row("wrong_service_packets") + caller_.row("requests_wrong_service");
             std::uint64_t unrecorded = 0;
             for (const auto& [name, server] : servers.items()) {
@@ -116,9 +116,9 @@
         }
 
     private:
-        void report(const RequestFindings& findings, const ControlMeter& control, std::uint64_t wrongService)
+        void report(const RequestFindings& findings, const ControlPlaneMeter& control, std::uint64_t wrongService)
         {
-            Rows& rows = context_.rows;
+            ResultRows& rows = context_.rows;
             const std::uint64_t sent = caller_.row("requests_sent");
             const std::uint64_t answered = caller_.row("requests_answered");
             for (const char* name : { "requests_sent", "requests_answered", "requests_refused" })
@@ -145,7 +145,7 @@
             control.report(rows);
         }
 
-        Verdict verdictOf(const RequestFindings& findings, const ControlMeter& control, std::uint64_t wrongService,
+        Verdict verdictOf(const RequestFindings& findings, const ControlPlaneMeter& control, std::uint64_t wrongService,
             std::uint64_t unrecorded)
         {
             const FaultMode mode = context_.options.faults;
@@ -154,19 +154,20 @@
             verdict.require(findings.keysRun > 0, "the backend servers recorded no run");
             verdict.require(findings.doubleRuns == 0, "keys ran more than once");
             verdict.require(findings.falseRefusals == 0, "keys ran although their callers were told that they did not");
-            verdict.require(findings.mixedAnswers == 0, "callers got answers that are not theirs");
-            verdict.require(findings.incompleteAnswers == 0, "callers got answers that are cut short");
+            verdict.require(findings.mixedAnswers == 0, "callers received answers to other requests");
+            verdict.require(findings.incompleteAnswers == 0, "callers received truncated answers");
             verdict.require(findings.cutInFlight == 0, "requests in flight were cut off without an unplanned failure");
-            verdict.require(findings.answeredWithoutRun == 0, "requests were answered that no backend server ran");
-            verdict.require(wrongService == 0, "packets or answers of the wrong service");
+            verdict.require(
+                findings.answeredWithoutRun == 0, "requests were answered although no backend server ran them");
+            verdict.require(wrongService == 0, "packets or answers reached the wrong service");
             verdict.require(mode == FaultMode::None || steps_.plannedChanges() > 0, "no change was made");
             verdict.require(mode != FaultMode::All || steps_.failures() > 0, "no failure was injected");
-            verdict.require(control.overflowed() == 0, "the fault proxy ran out of room");
-            verdict.require(unrecorded == 0, "the backend servers ran out of room for records");
+            verdict.require(control.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
+            verdict.require(unrecorded == 0, "the backend servers dropped records because their memory was full");
             verdict.require(
-                findings.keysRecorded == caller_.row("requests_sent"), "the callers ran out of room for records");
-            const std::string ends = deployment_.balancers().unexpectedEnds();
-            verdict.require(ends.empty(), ends);
+                findings.keysRecorded == caller_.row("requests_sent"), "the callers did not record every request");
+            const std::string exits = deployment_.balancers().unexpectedExits();
+            verdict.require(exits.empty(), exits);
             return verdict;
         }
 
@@ -189,14 +190,14 @@
     }
     auto steps = scheduleOf(options);
     BOOST_OUTCOME_TRY(deployment, Deployment::start(context.loop, context.directory, deploymentOf(options, steps)));
-    ControlMeter control(*deployment);
-    BOOST_OUTCOME_TRYV(control.measureQuietWindow(quietWindow));
+    ControlPlaneMeter control(*deployment);
+    BOOST_OUTCOME_TRYV(control.measureIdleProcessorUse(idleWindow));
     BOOST_OUTCOME_TRY(caller,
         CallerRun::start(*deployment, options, callerArguments(options, deployment->balancers().requestAddresses())));
 
     RequestsRun run(context, *deployment, std::move(steps), *caller);
     BOOST_OUTCOME_TRYV(run.drive(control));
-    return run.judge(control);
+    return run.check(control);
 }
 
 }
