--- a/Tests/Configuration/ApplyOperationTest.cpp
+++ b/Tests/Configuration/ApplyOperationTest.cpp
@@ -40,7 +40,7 @@
         ApplyDriver driver_;
     };
 
-    TEST_F(ApplyOperationTest, writesSuccessiveVersions)
+    TEST_F(ApplyOperationTest, WritesSuccessiveVersions)
     {
         {
             SCOPED_TRACE("the first version");
@@ -85,7 +85,7 @@
     }
 
     // Guards against reporting a version in force as refused because the answer to its write was lost.
-    TEST_F(ApplyOperationTest, resolvesAWriteWithALostAnswer)
+    TEST_F(ApplyOperationTest, ResolvesAWriteWithALostAnswer)
     {
         {
             SCOPED_TRACE("the write took effect: accepted without another write");
@@ -121,7 +121,7 @@
     }
 
     // Guards against an apply that replaces a version against which it was not checked.
-    TEST_F(ApplyOperationTest, oneOfTwoConcurrentAppliesWins)
+    TEST_F(ApplyOperationTest, OneOfTwoConcurrentAppliesWins)
     {
         driver_.beforeHeadSwap = [this] { apply(variant(2), "wins"); };
         const ApplyOutcome outcome = apply(variant(3), "loses");
@@ -135,7 +135,7 @@
     }
 
     // Guards against taking the absence of an apply id from the limited record of a head as proof.
-    TEST_F(ApplyOperationTest, reportsUnknownOutcome)
+    TEST_F(ApplyOperationTest, ReportsUnknownOutcome)
     {
         {
             SCOPED_TRACE("all further writes are lost too");
@@ -164,7 +164,7 @@
 
     // Guards against overwriting another head whose revision is the same after the platform was restored from an older
     // copy.
-    TEST_F(ApplyOperationTest, detectsAReusedRevision)
+    TEST_F(ApplyOperationTest, DetectsAReusedRevision)
     {
         const std::string key(configurationHeadKey);
         ConfigurationHead other = driver_.head();
@@ -177,7 +177,7 @@
         EXPECT_EQ(driver_.head().applied.applyId, "other");
     }
 
-    TEST_F(ApplyOperationTest, splitsLargeContent)
+    TEST_F(ApplyOperationTest, SplitsLargeContent)
     {
         Configuration large = example_;
         for (int i = 0; i < 12000; ++i) {
@@ -195,7 +195,7 @@
             << "the large base has to be read for the check of the change";
     }
 
-    TEST_F(ApplyOperationTest, refusesUnexpectedStoredData)
+    TEST_F(ApplyOperationTest, RefusesUnexpectedStoredData)
     {
         {
             SCOPED_TRACE("a part of the version in force is missing");
--- a/Tests/Configuration/ChangeRulesTest.cpp
+++ b/Tests/Configuration/ChangeRulesTest.cpp
@@ -23,7 +23,7 @@
         const Configuration before_ = parsed(exampleText);
     };
 
-    TEST_F(ChangeRulesTest, diffListsAllDifferences)
+    TEST_F(ChangeRulesTest, DiffListsAllDifferences)
     {
         EXPECT_THAT(changes(before_, before_), IsEmpty());
         EXPECT_THAT(
@@ -38,7 +38,7 @@
                 "+ backend_server tryon-1", "+ backend_server tryon-2"));
     }
 
-    TEST_F(ChangeRulesTest, refusesIdleServices)
+    TEST_F(ChangeRulesTest, RefusesIdleServices)
     {
         const Configuration idle = parsed(std::string(exampleText) + "state = draining\n");
         {
@@ -57,7 +57,7 @@
     }
 
     // Guards against packets that reach another service because its address was moved while callers still use it.
-    TEST_F(ChangeRulesTest, refusesMovedAddresses)
+    TEST_F(ChangeRulesTest, RefusesMovedAddresses)
     {
         {
             SCOPED_TRACE("two services swap their addresses");
--- a/Tests/Configuration/ConfigurationParserTest.cpp
+++ b/Tests/Configuration/ConfigurationParserTest.cpp
@@ -23,7 +23,7 @@
         return lines;
     }
 
-    TEST(ConfigurationParserTest, parsesAndFindsEntries)
+    TEST(ConfigurationParserTest, ParsesAndFindsEntries)
     {
         const Configuration configuration = parsed(exampleText);
         {
@@ -42,7 +42,7 @@
         }
     }
 
-    TEST(ConfigurationParserTest, canonicalTextRoundTrips)
+    TEST(ConfigurationParserTest, CanonicalTextRoundTrips)
     {
         Configuration configuration = parsed(exampleText);
         configuration.services[0].evenness = 0.1;
@@ -62,7 +62,7 @@
         std::string_view problem;
     };
 
-    TEST(ConfigurationParserTest, reportsEachProblemWithItsLocation)
+    TEST(ConfigurationParserTest, ReportsEachProblemWithItsLocation)
     {
         const BadInput cases[] = {
             { "unknown key", "availability_zone = nabua", "availability_zone = nabua\nweigth = 3",
@@ -102,7 +102,7 @@
         }
     }
 
-    TEST(ConfigurationParserTest, reportsAllProblemsAtOnce)
+    TEST(ConfigurationParserTest, ReportsAllProblemsAtOnce)
     {
         std::string text = exampleWith("10.0.0.2:443", "10.0.0.1:443");
         text += "slots = many\n[oops\n";
@@ -113,7 +113,7 @@
     }
 
     // Guards against packets that reach the wrong service because the hashes of two names collide.
-    TEST(ConfigurationParserTest, refusesCollidingIdentifiers)
+    TEST(ConfigurationParserTest, RefusesCollidingIdentifiers)
     {
         std::unordered_map<ServiceId, std::string> seen;
         std::string first;
@@ -129,7 +129,7 @@
         EXPECT_THAT(problemsOf(text), testing::Contains(testing::HasSubstr("is already used by '" + second + "'")));
     }
 
-    TEST(ConfigurationParserTest, refusesFilesWithoutServicesOrOverTheLimits)
+    TEST(ConfigurationParserTest, RefusesFilesWithoutServicesOrOverTheLimits)
     {
         EXPECT_THAT(problemsOf(""), testing::ElementsAre("f.ini: expected at least one section [service NAME]"));
         EXPECT_THAT(problemsOf(std::string(maxConfigurationBytes + 1, '\n')),
@@ -143,7 +143,7 @@
         EXPECT_GT(result.error().omitted(), 0U);
     }
 
-    TEST(ConfigurationParserTest, survivesRandomEdits)
+    TEST(ConfigurationParserTest, SurvivesRandomEdits)
     {
         std::mt19937 random(7);
         int accepted = 0;
--- a/Tests/Configuration/HeadReaderTest.cpp
+++ b/Tests/Configuration/HeadReaderTest.cpp
@@ -46,7 +46,7 @@
         HeadReader reader_;
     };
 
-    TEST_F(HeadReaderTest, returnsEachVersionOnce)
+    TEST_F(HeadReaderTest, ReturnsEachVersionOnce)
     {
         apply(1);
         const HeadAction first = read();
@@ -59,7 +59,7 @@
     }
 
     // Guards against reverting an accepted change after the platform was restored from an older copy.
-    TEST_F(HeadReaderTest, refusesARestoredOlderCopy)
+    TEST_F(HeadReaderTest, RefusesARestoredOlderCopy)
     {
         apply(1);
         apply(2);
@@ -86,7 +86,7 @@
     }
 
     // Guards against putting incomplete content in force, from which services are missing.
-    TEST_F(HeadReaderTest, refusesIncompleteContent)
+    TEST_F(HeadReaderTest, RefusesIncompleteContent)
     {
         apply(1);
         read();
@@ -116,7 +116,7 @@
         EXPECT_TRUE(std::holds_alternative<PutInForce>(read()));
     }
 
-    TEST_F(HeadReaderTest, refusesMalformedHeads)
+    TEST_F(HeadReaderTest, RefusesMalformedHeads)
     {
         apply(1);
         const std::string valid = driver_.values.at(std::string(configurationHeadKey)).value;
--- a/Tests/Membership/MembersPagesTest.cpp
+++ b/Tests/Membership/MembersPagesTest.cpp
@@ -55,7 +55,7 @@
         MemberTable table_ { settings_, memberNamed("self"), TimePoint() };
     };
 
-    TEST_F(MembersPagesTest, compressedPagesNeedFewerDatagrams)
+    TEST_F(MembersPagesTest, CompressedPagesNeedFewerDatagrams)
     {
         fill(300, 8);
         std::size_t plain = 0;
@@ -65,14 +65,14 @@
         EXPECT_LE(compressed * 3, plain);
     }
 
-    TEST_F(MembersPagesTest, longNamesDoNotExceedTheDatagramSize)
+    TEST_F(MembersPagesTest, LongNamesDoNotExceedTheDatagramSize)
     {
         fill(100, 60);
         std::size_t pages = 0;
         EXPECT_EQ(readAll(true, pages).size(), 100U);
     }
 
-    TEST_F(MembersPagesTest, unreadableRowsAreRefused)
+    TEST_F(MembersPagesTest, UnreadableRowsAreRefused)
     {
         fill(100, 8);
         MembersPageMessage page = pageFor({ 0, {}, true }, table_);
--- a/Tests/Membership/MembershipFaultTest.cpp
+++ b/Tests/Membership/MembershipFaultTest.cpp
@@ -50,7 +50,7 @@
         MembershipNetwork network_ { 5 };
     };
 
-    TEST_F(MembershipFaultTest, killedBalancerIsDeclaredDeadEverywhere)
+    TEST_F(MembershipFaultTest, KilledBalancerIsDeclaredDeadEverywhere)
     {
         startFleet(7, 3);
         network_.loss = 0.05;
@@ -62,7 +62,7 @@
 
     // Guards against a resumed balancer that acts on its stale view, or declares all others dead because the time of
     // the pause counts as unanswered.
-    TEST_F(MembershipFaultTest, pausedBalancerIsIsolatedUntilAnswered)
+    TEST_F(MembershipFaultTest, PausedBalancerIsIsolatedUntilAnswered)
     {
         startFleet(7, 3);
         network_.pause(0);
@@ -81,7 +81,7 @@
     }
 
     // Guards against declaring members dead for the time of a pause if they became unreachable during it.
-    TEST_F(MembershipFaultTest, resumedBalancerWithoutPeersServesAfterTimeout)
+    TEST_F(MembershipFaultTest, ResumedBalancerWithoutPeersServesAfterTimeout)
     {
         startFleet(7, 3);
         network_.pause(0);
@@ -98,7 +98,7 @@
     }
 
     // Guards against a member that alternates between dead and alive while packets are lost in one direction only.
-    TEST_F(MembershipFaultTest, oneWayLossKeepsBothMembersAlive)
+    TEST_F(MembershipFaultTest, OneWayLossKeepsBothMembersAlive)
     {
         SCOPED_TRACE("both stay alive through indirect probes");
         startFleet(7, 3);
@@ -109,7 +109,7 @@
         EXPECT_EQ(network_.view(4).revision, revision);
     }
 
-    TEST_F(MembershipFaultTest, oneWayLossBetweenTwoIsAPartition)
+    TEST_F(MembershipFaultTest, OneWayLossBetweenTwoIsAPartition)
     {
         startFleet(2, 2);
         network_.isCut = [](std::size_t from, std::size_t to) { return from == 0 && to == 1; };
@@ -123,7 +123,7 @@
         EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
-    TEST_F(MembershipFaultTest, partitionedAvailabilityZoneServesAndRejoins)
+    TEST_F(MembershipFaultTest, PartitionedAvailabilityZoneServesAndRejoins)
     {
         startFleet(7, 3);
         const auto isInside = [](std::size_t index) { return index % 3 == 0; };
@@ -146,7 +146,7 @@
     }
 
     // Guards against a traffic spike among the remaining balancers when many fail at the same time.
-    TEST_F(MembershipFaultTest, lostRackCausesNoTrafficSpike)
+    TEST_F(MembershipFaultTest, LostRackCausesNoTrafficSpike)
     {
         startFleet(200, 4);
         network_.run(30s);
@@ -167,7 +167,7 @@
         RecordProperty("mostBytesInSecond", std::to_string(most));
     }
 
-    TEST_F(MembershipFaultTest, malformedMessagesCauseBoundedTraffic)
+    TEST_F(MembershipFaultTest, MalformedMessagesCauseBoundedTraffic)
     {
         startFleet(7, 3);
         std::mt19937_64 random(9);
--- a/Tests/Membership/MembershipJoinTest.cpp
+++ b/Tests/Membership/MembershipJoinTest.cpp
@@ -55,28 +55,28 @@
 
     // Guards against slow joins when all balancers start at once: the few seeds limit their answers, and other sources
     // know only a few members yet.
-    TEST_F(MembershipJoinTest, hundredsStartingTogetherJoinInTime)
+    TEST_F(MembershipJoinTest, HundredsStartingTogetherJoinInTime)
     {
         startTogether(195);
         EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, joinTimeLimit));
         EXPECT_LT(maxBytesInSecond(), maxJoiningBytesPerSecond);
     }
 
-    TEST_F(MembershipJoinTest, hundredsStartingTogetherJoinDespitePacketLoss)
+    TEST_F(MembershipJoinTest, HundredsStartingTogetherJoinDespitePacketLoss)
     {
         network_.loss = 0.02;
         startTogether(195);
         EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, joinTimeLimit));
     }
 
-    TEST_F(MembershipJoinTest, sixHundredStartingTogetherJoinInTime)
+    TEST_F(MembershipJoinTest, SixHundredStartingTogetherJoinInTime)
     {
         startTogether(600);
         EXPECT_TRUE(network_.runUntil([&] { return allKnowAll(); }, largeFleetJoinTimeLimit));
         EXPECT_LT(maxBytesInSecond(), maxJoiningBytesPerSecond);
     }
 
-    TEST_F(MembershipJoinTest, newBalancerJoinsLargeFleetInTime)
+    TEST_F(MembershipJoinTest, NewBalancerJoinsLargeFleetInTime)
     {
         startTogether(195);
         network_.run(30s);
--- a/Tests/Membership/MembershipTest.cpp
+++ b/Tests/Membership/MembershipTest.cpp
@@ -43,7 +43,7 @@
         MembershipNetwork network_ { 1 };
     };
 
-    TEST_F(MembershipTest, fleetJoinsAndSharesConfigurationVersions)
+    TEST_F(MembershipTest, FleetJoinsAndSharesConfigurationVersions)
     {
         EXPECT_TRUE(network_.view(0).isolated) << "no balancer has answered yet";
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
@@ -72,7 +72,7 @@
         EXPECT_EQ(network_.view(0).revision, revision);
     }
 
-    TEST_F(MembershipTest, loneBalancerServesAfterStartupTimeout)
+    TEST_F(MembershipTest, LoneBalancerServesAfterStartupTimeout)
     {
         MembershipNetwork alone(2);
         alone.add("walu");
@@ -82,7 +82,7 @@
         EXPECT_FALSE(alone.view(0).isolated);
     }
 
-    TEST_F(MembershipTest, stoppedBalancerIsLeavingAndThenRemoved)
+    TEST_F(MembershipTest, StoppedBalancerIsLeavingAndThenRemoved)
     {
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         network_.perform(2, network_.nodes()[2].membership->leave(network_.now));
@@ -93,7 +93,7 @@
         EXPECT_TRUE(network_.runUntil([&] { return allSee(2, std::nullopt); }, 5s));
     }
 
-    TEST_F(MembershipTest, restartReplacesTheOldIncarnation)
+    TEST_F(MembershipTest, RestartReplacesTheOldIncarnation)
     {
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         const std::uint64_t first = network_.nodes()[4].self.incarnation;
@@ -116,7 +116,7 @@
         EXPECT_GT(network_.nodes()[4].membership->selfIncarnation(), first + 5000);
     }
 
-    TEST_F(MembershipTest, sameSeedGivesTheSameTraffic)
+    TEST_F(MembershipTest, SameSeedGivesTheSameTraffic)
     {
         std::vector<std::uint64_t> totals;
         for (int i = 0; i < 2; ++i) {
--- a/Tests/Membership/OwnershipTest.cpp
+++ b/Tests/Membership/OwnershipTest.cpp
@@ -23,7 +23,7 @@
         return view;
     }
 
-    TEST(OwnershipTest, keysSpreadEvenlyAndMoveOnlyFromARemovedMember)
+    TEST(OwnershipTest, KeysSpreadEvenlyAndMoveOnlyFromARemovedMember)
     {
         const MembersView before = viewOf(7);
         MembersView after = before;
@@ -41,7 +41,7 @@
         EXPECT_NEAR(static_cast<double>(ownedByRemoved), 1000, 150);
     }
 
-    TEST(OwnershipTest, ownersAreServingMembersOfTheAvailabilityZone)
+    TEST(OwnershipTest, OwnersAreServingMembersOfTheAvailabilityZone)
     {
         MembersView view = viewOf(6);
         for (std::uint64_t key = 0; key < 100; ++key)
