--- a/Tests/News/FleetSimulation.h
+++ b/Tests/News/FleetSimulation.h
@@ -42,9 +42,9 @@
     void writeConfiguration(std::uint64_t version, const std::vector<std::string>& servicesByRoute);
     void writeServer(const RegisteredServer&);
     void removeServer(const RegisteredServer&);
-    // Writes or removes the order to drain a zone.
-    void drainZone(const std::string& zone) { put("empty " + zone, {}, false); }
-    void undrainZone(const std::string& zone) { put("empty " + zone, {}, true); }
+    // Writes or removes the order to evacuate a zone.
+    void evacuateZone(const std::string& zone) { put("empty " + zone, {}, false); }
+    void revokeEvacuation(const std::string& zone) { put("empty " + zone, {}, true); }
     void compactHistory() { compactedRevision_ = revision_; }
     // Freezes the content of listings that may be stale at the present state of the store, or ends that.
     void serveStaleListings(bool isStale);
--- a/Tests/News/ZoneDrainTest.cpp
+++ b/Tests/News/ZoneEvacuationTest.cpp
@@ -13,9 +13,9 @@
     // Bound from the acknowledgement of the order until all balancers apply it.
     constexpr auto bound = 5s;
 
-    // Two zones of three balancers and two servers each. The orders drain "nabua".
-    struct ZoneDrainTest : testing::TestWithParam<std::uint32_t> {
-        ZoneDrainTest()
+    // Two zones of three balancers and two servers each. The orders evacuate "nabua".
+    struct ZoneEvacuationTest : testing::TestWithParam<std::uint32_t> {
+        ZoneEvacuationTest()
         {
             fleet.writeConfiguration(2, { "tryon" });
             for (const std::uint64_t number : { 1, 2 })
@@ -25,17 +25,17 @@
             fleet.advance(2s);
         }
 
-        // Expects each running balancer to have the zone drained or not. A drained zone gets no new flows.
-        void expectDrained(bool isDrained)
+        // Expects each running balancer to have the zone evacuated or not. An evacuated zone gets no new flows.
+        void expectEvacuated(bool isEvacuated)
         {
             for (auto& balancer : fleet.balancers()) {
                 if (balancer.isFrozen)
                     continue;
-                EXPECT_EQ(balancer.router->evacuatedZones().contains("nabua"), isDrained) << balancer.name;
+                EXPECT_EQ(balancer.router->evacuatedZones().contains("nabua"), isEvacuated) << balancer.name;
                 for (int i = 0; i < 10; ++i) {
                     const auto packet = ForwardFixture::opening(++caller, 0, FleetSimulation::routeOf(0));
                     const PacketDecision decision = balancer.router->route(packet, fleet.now());
-                    if (decision.server && isDrained) {
+                    if (decision.server && isEvacuated) {
                         EXPECT_NE(decision.server->entry.availabilityZone, "nabua") << balancer.name;
                     }
                 }
@@ -47,96 +47,96 @@
     };
 
     // Guards against balancers that do not receive an order, or its removal.
-    TEST_P(ZoneDrainTest, DrainAndItsEndTakeEffectEverywhereWithinASecond)
+    TEST_P(ZoneEvacuationTest, EvacuationAndItsRevocationTakeEffectEverywhereWithinASecond)
     {
-        fleet.drainZone("nabua");
+        fleet.evacuateZone("nabua");
         fleet.advance(1s);
-        expectDrained(true);
-        fleet.undrainZone("nabua");
+        expectEvacuated(true);
+        fleet.revokeEvacuation("nabua");
         fleet.advance(1s);
-        expectDrained(false);
+        expectEvacuated(false);
     }
 
     // Guards against a zone that keeps sending flows to itself because the store rejects all of its balancers.
-    TEST_P(ZoneDrainTest, ZoneRejectedByTheStoreReceivesTheDrainFromOthers)
+    TEST_P(ZoneEvacuationTest, ZoneRejectedByTheStoreReceivesTheEvacuationFromOthers)
     {
         for (auto& balancer : fleet.balancers())
             balancer.isRejectedByStore = balancer.availabilityZone == "nabua";
         fleet.advance(1s);
-        fleet.drainZone("nabua");
+        fleet.evacuateZone("nabua");
         fleet.advance(bound / 2);
-        expectDrained(true);
+        expectEvacuated(true);
     }
 
     // Guards against an order that never arrives because messages were lost when it was given.
-    TEST_P(ZoneDrainTest, DrainArrivesWhileAThirdOfTheMessagesIsLost)
+    TEST_P(ZoneEvacuationTest, EvacuationArrivesWhileAThirdOfTheMessagesIsLost)
     {
         fleet.lossRate = 0.33;
-        fleet.drainZone("nabua");
+        fleet.evacuateZone("nabua");
         fleet.advance(bound);
-        expectDrained(true);
+        expectEvacuated(true);
     }
 
     // Guards against missing an order or its removal that the store has compacted.
-    TEST_P(ZoneDrainTest, DrainInACompactedHistoryShowsInTheNextListing)
+    TEST_P(ZoneEvacuationTest, EvacuationInACompactedHistoryShowsInTheNextListing)
     {
         fleet.isStoreDown = true;
         fleet.advance(1s);
-        fleet.drainZone("nabua");
+        fleet.evacuateZone("nabua");
         fleet.compactHistory();
         fleet.isStoreDown = false;
         fleet.advance(bound);
-        expectDrained(true);
+        expectEvacuated(true);
         fleet.isStoreDown = true;
         fleet.advance(1s);
-        fleet.undrainZone("nabua");
+        fleet.revokeEvacuation("nabua");
         fleet.compactHistory();
         fleet.isStoreDown = false;
         fleet.advance(bound);
-        expectDrained(false);
+        expectEvacuated(false);
     }
 
     // Guards against balancers that miss the order because they start after it, alone or all together.
-    TEST_P(ZoneDrainTest, BalancersThatStartLaterApplyTheDrain)
+    TEST_P(ZoneEvacuationTest, BalancersThatStartLaterApplyTheEvacuation)
     {
-        fleet.drainZone("nabua");
+        fleet.evacuateZone("nabua");
         for (std::size_t i = 0; i < fleet.balancers().size(); ++i)
             fleet.start(i);
         fleet.advance(bound / 2);
-        expectDrained(true);
+        expectEvacuated(true);
         fleet.start(4);
         fleet.advance(1s);
-        expectDrained(true);
+        expectEvacuated(true);
     }
 
     // Guards against a balancer that starts from a listing older than the order and keeps it.
-    TEST_P(ZoneDrainTest, StaleListingFromBeforeTheDrainIsCorrected)
+    TEST_P(ZoneEvacuationTest, StaleListingFromBeforeTheEvacuationIsCorrected)
     {
         fleet.serveStaleListings(true);
-        fleet.drainZone("nabua");
+        fleet.evacuateZone("nabua");
         fleet.advance(1s);
         for (std::size_t i = 0; i < fleet.balancers().size(); ++i)
             fleet.start(i);
         fleet.advance(bound / 2);
-        expectDrained(true);
+        expectEvacuated(true);
     }
 
     // Guards against a balancer that was frozen during the orders and applies an earlier one.
-    TEST_P(ZoneDrainTest, LastOfSeveralOrdersWithinASecondTakesEffect)
+    TEST_P(ZoneEvacuationTest, LastOfSeveralOrdersWithinASecondTakesEffect)
     {
         fleet.balancers()[4].isFrozen = true;
-        fleet.drainZone("nabua");
+        fleet.evacuateZone("nabua");
         fleet.advance(200ms);
-        fleet.undrainZone("nabua");
+        fleet.revokeEvacuation("nabua");
         fleet.advance(200ms);
-        fleet.drainZone("nabua");
+        fleet.evacuateZone("nabua");
         fleet.balancers()[4].isFrozen = false;
         fleet.start(4);
         fleet.advance(bound / 2);
-        expectDrained(true);
+        expectEvacuated(true);
     }
 
-    INSTANTIATE_TEST_SUITE_P(Seeds, ZoneDrainTest, testing::Range(1U, 21U));
+    INSTANTIATE_TEST_SUITE_P(Seeds, ZoneEvacuationTest, testing::Range(1U, 21U));
 
 }
 
