--- a/Source/Request/RequestTypes.h
+++ b/Source/Request/RequestTypes.h
@@ -72,9 +72,9 @@
 
     auto operator<=>(const BalancerInstance&) const = default;
 
-    template <typename HashState> friend HashState AbslHashValue(HashState state, const BalancerInstance& holder)
+    template <typename HashState> friend HashState AbslHashValue(HashState state, const BalancerInstance& instance)
     {
-        return HashState::combine(std::move(state), holder.id, holder.incarnation);
+        return HashState::combine(std::move(state), instance.id, instance.incarnation);
     }
 };
 
