--- a/Source/Balancer/PeerConfiguration.h
+++ b/Source/Balancer/PeerConfiguration.h
@@ -45,8 +45,8 @@
     Handler onHead_;
     Backoff backoff_;
     std::mt19937_64 random_;
-    // Set while a newer version is known. Jittered, so that a fleet does not ask the first balancer that has it all at
-    // once.
+    // When the next request is due; set while a newer version is known. Jittered, so that the balancers of a fleet do
+    // not all ask the first one that has the version at the same time.
     std::optional<TimePoint> nextAsk_;
     bool isAsking_ = false;
     std::unique_ptr<Http2Client> client_;
--- a/Source/Balancer/RequestMessageTransport.h
+++ b/Source/Balancer/RequestMessageTransport.h
@@ -43,7 +43,7 @@
     // The member with this id and incarnation; null when there is none.
     const Member* find(const BalancerInstance&) const;
     const std::shared_ptr<const MembersView>& view() const { return view_; }
-    // Bytes of message bodies sent and received by HTTP/2. The peer socket PeerSocket.
+    // Bytes of message bodies sent and received by HTTP/2. PeerSocket counts the datagrams.
     std::uint64_t longMessageBytes() const { return longMessageBytes_; }
     std::uint64_t droppedMessages() const { return droppedMessages_; }
 
--- a/Source/Core/EventLog.h
+++ b/Source/Core/EventLog.h
@@ -27,11 +27,11 @@
 // chunkInterval between two chunks, since collectors that serve many processes truncate bursts.
 class LineBuffer {
 public:
-    // Bytes of each of the two queues: some seconds of lines at the usual load.
+    // Bytes of each of the two queues.
     static constexpr std::size_t defaultCapacity = std::size_t(256) * 1024;
     // PIPE_BUF. A longer line forms a chunk of its own.
     static constexpr std::size_t chunkBytes = 4096;
-    // The time between two chunks; limits the output to about 160 KB/s.
+    // The time between two chunks; with chunkBytes it limits the rate of the output.
     static constexpr std::chrono::milliseconds chunkInterval { 25 };
 
     explicit LineBuffer(int descriptor, std::size_t capacity = defaultCapacity);
--- a/Source/Flow/TableGeneration.h
+++ b/Source/Flow/TableGeneration.h
@@ -33,7 +33,7 @@
     }
 
 private:
-    // Lasts for one change of the factors every two seconds during a year.
+    // The upper bits of a revision count the changes of the factors, the lower issuerBits identify the issuer.
     static constexpr unsigned revisionBits = 36;
     static constexpr unsigned issuerBits = 12;
     static constexpr std::uint64_t revisionMask = (std::uint64_t(1) << revisionBits) - 1;
--- a/Source/Forward/OpenFlowTable.h
+++ b/Source/Forward/OpenFlowTable.h
@@ -83,7 +83,7 @@
     // A server counts as failing from the first share of unanswered requests on, until it is below the second.
     static constexpr float failingThreshold = 0.3F;
     static constexpr float recoveryThreshold = 0.1F;
-    // Old bytes within this time after new ones arrived out of order; later they are a retransmission.
+    // Old bytes that arrive within this time after new ones count as out of order, later ones as a retransmission.
     static constexpr std::chrono::milliseconds reorderingWindow { 100 };
 
     explicit OpenFlowTable(ServerDirectory& directory)
--- a/Source/Forward/ServerDirectory.h
+++ b/Source/Forward/ServerDirectory.h
@@ -108,8 +108,8 @@
     std::chrono::milliseconds maxDoubtfulTime { 10000 };
     // How long servers that are gone or ended can be found by their token. Longer than flows last.
     std::chrono::milliseconds retention { 75000 };
-    // An entry with an earlier start time is ignored as a delayed write, unless the current entry was not written for
-    // this time: then the server's clock was set back between two starts.
+    // An entry with an earlier start time is ignored as a delayed write if it arrives within this time after the latest
+    // write of the current entry. Later, the server's clock is assumed to have been set back between two starts.
     std::chrono::milliseconds earlierStartTimeout { 10000 };
     // The platform reuses an address at the earliest this long after its server has ended. A server that answered
     // within this time therefore still has its address.
--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -99,7 +99,7 @@
         router.availabilityZone = settings.availabilityZone;
         router.opening = settings.opening;
         router.coldStart = settings.coldStart;
-        // A quarter longer than a flow lasts, for packets that are still in flight.
+        // Longer than a flow lasts, for packets that are still in flight.
         router.directory.retention = settings.longestFlow * 5 / 4;
         return router;
     }
--- a/Source/Forwarder/PeerSync.h
+++ b/Source/Forwarder/PeerSync.h
@@ -50,7 +50,7 @@
 
     // While this balancer is a watcher and the store is unreachable, the others see it as Detached.
     void noteStoreReachability(bool isUnreachable, TimePoint now);
-    // Whether everything is fetched from peers without waiting for the store.
+    // See ReplicaSync::setFetchesImmediately().
     void setFetchesImmediately(bool fetchesImmediately) { replicaSync_.setFetchesImmediately(fetchesImmediately); }
     // Whether this balancer is one of those that watch the store for the others.
     bool isWatcher(TimePoint now) const;
--- a/Source/News/CompressedValue.h
+++ b/Source/News/CompressedValue.h
@@ -8,7 +8,7 @@
 
 namespace wisteriadock {
 
-// Values of at least this many bytes are compressed for other balancers. Smaller ones would save little.
+// Values of at least this many bytes are compressed for other balancers.
 inline constexpr std::size_t compressionThreshold = 2048;
 
 // Compresses the update's value (zstd) if that makes it smaller. Values below compressionThreshold and values that are
--- a/Source/News/ReplicaSync.h
+++ b/Source/News/ReplicaSync.h
@@ -27,8 +27,8 @@
     std::chrono::milliseconds otherZoneDelay { 600 };
     // How long a balancer with an empty replica waits for its listing of the store before it fetches from a peer.
     std::chrono::milliseconds listingTimeout { 1500 };
-    // The same while a peer that is ahead has a link faster by fasterPeerClasses bandwidth classes (see Member.h; 3
-    // classes are at least a factor of 4). A small listing arrives within this time, so nobody is asked for it.
+    // Replaces listingTimeout while a peer that is ahead has a link faster by at least fasterPeerClasses bandwidth
+    // classes (see Member.h).
     std::chrono::milliseconds fasterPeerListingTimeout { 300 };
     int fasterPeerClasses = 3;
     // In a zone with at least this many other balancers, each fetch is delayed at random by up to maxJitter, and a
@@ -100,9 +100,9 @@
     ReplicaSyncActions handleFetchFailure(TimePoint now);
     // Bytes of the answer to the fetch in progress arrived.
     void noteFetchProgress(TimePoint now);
-    // Whether this balancer watches the store, and whether the store is unreachable for it.
+    // Sets whether this balancer watches the store, and whether it cannot reach the store.
     void setRole(bool isWatcher, bool isStoreUnreachable);
-    // Whether this balancer, while its replica is empty, fetches from others without waiting for the store.
+    // Sets whether this balancer, while its replica is empty, fetches from others without waiting for the store.
     void setFetchesImmediately(bool fetchesImmediately) { fetchesImmediately_ = fetchesImmediately; }
     ReplicaSyncActions handleView(std::shared_ptr<const MembersView>, TimePoint now);
     ReplicaSyncActions tick(TimePoint now);
--- a/Source/News/StoreFeed.h
+++ b/Source/News/StoreFeed.h
@@ -34,7 +34,7 @@
     // How long entries that lapsed in an outage take to be registered again. After this time the store is asked once
     // more, and entries that are still missing then are removed for certain.
     std::chrono::milliseconds reregistrationTime { 2000 };
-    // Shortest duration of a watch, including the one that asks for those entries.
+    // Shortest duration of a watch, also of the one that asks whether entries are registered again.
     std::chrono::milliseconds minWatchDuration { 50 };
     // How old a stale listing can be at most.
     std::chrono::milliseconds maxListingAge { 15000 };
@@ -43,8 +43,8 @@
     // minRemainingToCancel to complete, it is cancelled and its content fetched from peers.
     std::chrono::milliseconds listingCheckDelay { 150 };
     std::chrono::milliseconds minRemainingToCancel { 500 };
-    // A balancer whose own link carries the listing within this time completes it. Where no faster peer is known, so
-    // does one balancer in keepListingOneIn, chosen at random: somebody has to have what the peers fetch.
+    // A balancer whose own link carries the listing within this time completes it. Where no faster peer is known, one
+    // balancer in keepListingOneIn, chosen at random, completes it as well, so that others can fetch it from a peer.
     std::chrono::milliseconds fastLinkListingTime { 250 };
     std::uint32_t keepListingOneIn = 8;
     // How long peers are asked before the store is listed again, this time to the end.
@@ -112,8 +112,8 @@
         std::uint64_t received, std::uint64_t total, bool knowsFasterPeer, TimePoint now);
     // The outcome of the SendWatch with this number.
     StoreFeedActions handleChanges(std::uint64_t number, const Result<PlatformChanges>&, TimePoint now);
-    // Call it regularly: up to which revision the replica is complete, whether this balancer is to watch the store, and
-    // since when others are known to be ahead.
+    // Must be called regularly with the revision up to which the replica is complete, whether this balancer is to watch
+    // the store, and since when others are known to be ahead.
     StoreFeedActions update(
         std::uint64_t completeTo, bool isWatcher, std::optional<TimePoint> behindSince, TimePoint now);
     StoreFeedActions tick(TimePoint now);
