--- a/Source/Balancer/PeerControl.h
+++ b/Source/Balancer/PeerControl.h
@@ -35,7 +35,8 @@
     void start(ViewHandler, RequestHandler);
     void receive(const PeerEnvelope&, Endpoint sender);
     void applyConfiguration(const std::shared_ptr<const Configuration>&, std::uint64_t version);
-    // Balancers that may exist: the seeds of the settings and the platform's VM list.
+    // Passes membership the addresses of balancers that may exist: the seeds of the settings and the platform's VM
+    // list.
     void applyVms(const std::vector<ListedVm>&);
     // Announces the planned stop to the other balancers.
     void leave();
--- a/Source/Forwarder/StoreUpdateApplier.h
+++ b/Source/Forwarder/StoreUpdateApplier.h
@@ -44,7 +44,7 @@
 private:
     void applyConfiguration(const StoreUpdate& item, const ReplicaChanged& changed, TimePoint now)
     {
-        // Without a configuration nothing could be routed, and operators only ever replace it.
+        // Operators replace the configuration and never remove it, and without one no packet could be routed.
         if (item.isRemoved)
             return reject(item, { ErrorCode::NotFound, "the configuration was removed; the last one stays" }, now);
         // The replica has decompressed every value that can be decompressed.
--- a/Source/PacketIo/PacketBatch.h
+++ b/Source/PacketIo/PacketBatch.h
@@ -15,7 +15,7 @@
 // The largest datagram that the packet path forwards, headers included, in bytes.
 inline constexpr std::size_t maxPacketBytes = 9216;
 
-// The most bytes that a queued message may have before its payload.
+// The largest header that PacketBatch can put before the payload of a queued message, in bytes.
 inline constexpr std::size_t maxPacketHeaderBytes = 64;
 
 // Whether PacketBatch::receive() waits for the first datagram of a batch.
--- a/Source/Peers/ConfigurationWatchers.h
+++ b/Source/Peers/ConfigurationWatchers.h
@@ -9,9 +9,9 @@
 // How many balancers watch the platform for the others. Each waiting watch is a call to the platform, whose capacity
 // grows more slowly than the fleet, so the other balancers receive the changes from these few.
 struct WatcherCounts {
-    // Per availability zone. With two, the loss of one delays no change.
+    // Watchers in each availability zone. With more than one, the loss of one delays no change.
     std::size_t perAvailabilityZone = 2;
-    // At least this many in all availability zones together: with few zones each has more. 0 sets no minimum.
+    // Minimum number of watchers in all availability zones together; 0: no minimum. With few zones, each has more.
     std::size_t minTotal = 0;
     // At most this many detached watchers of a zone keep trying, beside the replacements chosen for them. When the
     // platform answers none of these, it is assumed to be down for all, and no more are chosen.
--- a/Source/Soak/SoakSchedule.h
+++ b/Source/Soak/SoakSchedule.h
@@ -43,8 +43,8 @@
 };
 
 inline constexpr std::size_t soakStepKindCount = 30;
-// The first kinds of groups that are drawn from generators of their own, so that adding a group leaves the other steps
-// of a seed unchanged.
+// The first step kind of each group that has its own random generator. A separate generator keeps the other steps of a
+// seed unchanged when a group is added.
 inline constexpr std::size_t firstAddedStepKind = 23;
 inline constexpr std::size_t firstIdentityStepKind = 26;
 inline constexpr std::size_t firstZoneStepKind = 28;
--- a/Source/StandIns/CallerFlowTypes.h
+++ b/Source/StandIns/CallerFlowTypes.h
@@ -90,7 +90,7 @@
 struct CallerFlowCounts {
     std::uint64_t flowsOpened = 0;
     std::uint64_t flowsEstablished = 0;
-    // Never answered until openingAttempts was reached.
+    // Flows that ended after openingAttempts unanswered opening packets.
     std::uint64_t flowsNotEstablished = 0;
     std::uint64_t flowsEnded = 0;
     // Broken flows, including stalled ones.
--- a/Source/StandIns/JsonText.h
+++ b/Source/StandIns/JsonText.h
@@ -20,7 +20,7 @@
 Result<nlohmann::json> parseJson(std::string_view text);
 
 HttpResponse jsonAnswer(const nlohmann::json&);
-// Status 200 with an empty object, or status 400 with the error.
+// Returns a response of status 200 with an empty object, or of status 400 with the error.
 HttpResponse answerTo(const Result<void>&);
 HttpResponse notFoundAnswer();
 
