--- a/Source/FlowStory/FlowStory.cpp
+++ b/Source/FlowStory/FlowStory.cpp
@@ -14,26 +14,26 @@
     constexpr std::array<std::string_view, 8> leadingKeys { "steady_ms", "time_of_day_s", "level", "part", "event",
         "vm", "availability_zone", "incarnation" };
 
-    bool fits(const LogLine& line, const FlowStoryQuery& query, const std::set<std::string>& flows)
+    bool matchesQuery(const LogLine& line, const FlowStoryQuery& query, const std::set<std::string>& flows)
     {
         const std::string flow = line.text("flow");
         if (flow.empty())
             return false;
-        const bool isFlow = query.flow.empty() || flow == query.flow || flow.starts_with(query.flow + ">");
-        const bool isServer = query.server.empty() || line.text("server") == query.server;
-        const bool isRequest = query.request.empty() || flows.contains(flow);
-        return isFlow && isServer && isRequest;
+        const bool flowMatches = query.flow.empty() || flow == query.flow || flow.starts_with(query.flow + ">");
+        const bool serverMatches = query.server.empty() || line.text("server") == query.server;
+        const bool requestMatches = query.request.empty() || flows.contains(flow);
+        return flowMatches && serverMatches && requestMatches;
     }
 
-    bool isCircumstance(const LogLine& line, const std::set<std::string>& servers, const std::set<std::string>& vms)
+    bool isContextLine(const LogLine& line, const std::set<std::string>& servers, const std::set<std::string>& vms)
     {
         const std::string part = line.text("part");
-        const bool isOfOneServer = part == "server" && !line.text("server").empty();
-        if (isOfOneServer)
+        const bool namesServer = part == "server" && !line.text("server").empty();
+        if (namesServer)
             return servers.contains(line.text("server"));
-        static constexpr std::array<std::string_view, 6> partsOfVms { "configuration", "store", "process", "settings",
+        static constexpr std::array<std::string_view, 6> vmParts { "configuration", "store", "process", "settings",
             "news", "server" };
-        return std::ranges::find(partsOfVms, part) != partsOfVms.end() && vms.contains(line.text("vm"));
+        return std::ranges::find(vmParts, part) != vmParts.end() && vms.contains(line.text("vm"));
     }
 
 }
@@ -55,8 +55,8 @@
         const bool hasTime = line.fields.is_object() && line.fields.contains("time_of_day_s")
             && line.fields["time_of_day_s"].is_number();
         // Of lines that were dropped only their number is known.
-        const bool tellsOfLog = line.fields.is_object() && line.text("part") == "log";
-        if (!tellsOfLog && (!hasTime || !line.fields.contains("part"))) {
+        const bool isLogSummary = line.fields.is_object() && line.text("part") == "log";
+        if (!isLogSummary && (!hasTime || !line.fields.contains("part"))) {
             ++unreadable;
             continue;
         }
@@ -67,7 +67,7 @@
     return lines;
 }
 
-std::size_t countLeftOut(const std::vector<LogLine>& lines)
+std::size_t countUnwrittenLines(const std::vector<LogLine>& lines)
 {
     std::size_t count = 0;
     for (const LogLine& line : lines) {
@@ -78,7 +78,7 @@
     return count;
 }
 
-Result<std::vector<LogLine>> storyOf(std::vector<LogLine> lines, const FlowStoryQuery& query)
+Result<std::vector<LogLine>> selectFlowLines(std::vector<LogLine> lines, const FlowStoryQuery& query)
 {
     if (query.request.empty() && query.flow.empty() && query.server.empty())
         return Error { ErrorCode::InvalidArgument, "name a request, a flow or a server" };
@@ -93,7 +93,7 @@
     const LogLine* first = nullptr;
     const LogLine* last = nullptr;
     for (const LogLine& line : lines) {
-        if (!fits(line, query, flows))
+        if (!matchesQuery(line, query, flows))
             continue;
         first = first ? first : &line;
         last = &line;
@@ -102,16 +102,16 @@
     }
     if (!first)
         return Error { ErrorCode::NotFound, fmt::format("none of {} lines fits", lines.size()) };
-    const double around = std::chrono::duration<double>(query.around).count();
-    const double from = first->timeOfDay - around;
-    const double to = last->timeOfDay + around;
-    std::vector<LogLine> story;
+    const double contextTime = std::chrono::duration<double>(query.contextTime).count();
+    const double from = first->timeOfDay - contextTime;
+    const double to = last->timeOfDay + contextTime;
+    std::vector<LogLine> selected;
     for (const LogLine& line : lines) {
         const bool isNear = line.timeOfDay >= from && line.timeOfDay <= to;
-        if (fits(line, query, flows) || (isNear && isCircumstance(line, servers, vms)))
-            story.push_back(line);
+        if (matchesQuery(line, query, flows) || (isNear && isContextLine(line, servers, vms)))
+            selected.push_back(line);
     }
-    return story;
+    return selected;
 }
 
 std::string describe(const LogLine& line, double firstTime)
--- a/Source/FlowStory/FlowStory.h
+++ b/Source/FlowStory/FlowStory.h
@@ -30,7 +30,7 @@
     // A backend server's id.
     std::string server {};
     // What happened to the flow's servers, the configuration and the balancers so long before and after is told too.
-    std::chrono::milliseconds around { 5000 };
+    std::chrono::milliseconds contextTime { 5000 };
 };
 
 // Reads lines of logs. What stands before an object, such as a prefix of whatever collected the lines, and lines
@@ -38,11 +38,11 @@
 std::vector<LogLine> readLogLines(std::istream&, std::size_t& unreadable);
 
 // How many lines their writers say they left out or dropped.
-std::size_t countLeftOut(const std::vector<LogLine>&);
+std::size_t countUnwrittenLines(const std::vector<LogLine>&);
 
 // The lines that tell what became of the flow at all balancers, in the order of time. Fails with InvalidArgument when
 // the query names nothing, and with NotFound when no line fits.
-Result<std::vector<LogLine>> storyOf(std::vector<LogLine> lines, const FlowStoryQuery&);
+Result<std::vector<LogLine>> selectFlowLines(std::vector<LogLine> lines, const FlowStoryQuery&);
 
 // "12.345678 vm-1 flow.opened server=i-1 …", the time counted from the story's first line.
 std::string describe(const LogLine&, double firstTime);
--- a/Source/FlowStory/main.cpp
+++ b/Source/FlowStory/main.cpp
@@ -21,12 +21,12 @@
 namespace {
 
     enum ExitCode : int {
-        Told = 0,
-        NothingFits = 1,
+        Success = 0,
+        NoMatch = 1,
         BadInput = 2,
     };
 
-    int tell(const std::vector<char*>& arguments)
+    int printFlowLines(const std::vector<char*>& arguments)
     {
         const std::string format = absl::GetFlag(FLAGS_format);
         if (format != "text" && format != "json") {
@@ -47,19 +47,19 @@
             lines = readLogLines(std::cin, unreadable);
         if (unreadable > 0)
             fmt::print(stderr, "{} lines could not be read and are left out\n", unreadable);
-        if (const std::size_t leftOut = countLeftOut(lines))
-            fmt::print(stderr, "{} lines were not written; log.left_out and log.lines_dropped name them\n", leftOut);
-        const auto story = storyOf(std::move(lines),
+        if (const std::size_t unwritten = countUnwrittenLines(lines))
+            fmt::print(stderr, "{} lines were not written; log.left_out and log.lines_dropped name them\n", unwritten);
+        const auto selected = selectFlowLines(std::move(lines),
             { absl::GetFlag(FLAGS_request), absl::GetFlag(FLAGS_flow), absl::GetFlag(FLAGS_server),
                 std::chrono::milliseconds(absl::GetFlag(FLAGS_around_milliseconds)) });
-        if (!story) {
-            fmt::print(stderr, "{}\n", story.error().toString());
-            return story.error().code == ErrorCode::NotFound ? NothingFits : BadInput;
+        if (!selected) {
+            fmt::print(stderr, "{}\n", selected.error().toString());
+            return selected.error().code == ErrorCode::NotFound ? NoMatch : BadInput;
         }
-        const double first = story.value().front().timeOfDay;
-        for (const LogLine& line : story.value())
+        const double first = selected.value().front().timeOfDay;
+        for (const LogLine& line : selected.value())
             fmt::print("{}\n", format == "json" ? line.fields.dump() : describe(line, first));
-        return Told;
+        return Success;
     }
 
 }
@@ -71,5 +71,5 @@
         "Tells what became of one flow at all balancers, from their logs.\n"
         "  wisteriadock-flow-story --request ID|--flow CALLER>ROUTE|--server ID [FILE...]\n"
         "Without files it reads standard input. Exits with 1 when no line fits, 2 on bad input.");
-    return wisteriadock::tell(absl::ParseCommandLine(argc, argv));
+    return wisteriadock::printFlowLines(absl::ParseCommandLine(argc, argv));
 }
--- a/Tests/FlowStory/FlowStoryTest.cpp
+++ b/Tests/FlowStory/FlowStoryTest.cpp
@@ -30,9 +30,9 @@
     std::vector<std::string> eventsOf(const FlowStoryQuery& query)
     {
         std::size_t unreadable = 0;
-        const auto story = storyOf(linesOf(unreadable), query);
+        const auto selected = selectFlowLines(linesOf(unreadable), query);
         std::vector<std::string> events;
-        for (const LogLine& line : story ? story.value() : std::vector<LogLine>())
+        for (const LogLine& line : selected ? selected.value() : std::vector<LogLine>())
             events.push_back(line.text("vm") + " " + line.text("event"));
         return events;
     }
@@ -49,8 +49,8 @@
 
     TEST(FlowStoryTest, circumstancesAreThoseOfTheFlowsServersAndNear)
     {
-        EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .around = std::chrono::milliseconds(0) }).size(), 3U);
-        EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .around = std::chrono::seconds(100) }).back(), "vm-1 ready");
+        EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .contextTime = std::chrono::milliseconds(0) }).size(), 3U);
+        EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .contextTime = std::chrono::seconds(100) }).back(), "vm-1 ready");
         EXPECT_EQ(eventsOf({ .server = "i-3" }), Events { "vm-1 opened" });
     }
 
@@ -60,8 +60,8 @@
         const std::vector<LogLine> lines = linesOf(unreadable);
         EXPECT_EQ(lines.size(), 7U);
         EXPECT_EQ(unreadable, 1U);
-        EXPECT_EQ(storyOf(lines, {}).error().code, ErrorCode::InvalidArgument);
-        EXPECT_EQ(storyOf(lines, { .request = "unknown" }).error().code, ErrorCode::NotFound);
+        EXPECT_EQ(selectFlowLines(lines, {}).error().code, ErrorCode::InvalidArgument);
+        EXPECT_EQ(selectFlowLines(lines, { .request = "unknown" }).error().code, ErrorCode::NotFound);
     }
 
     TEST(FlowStoryTest, aLineIsDescribedShortly)
