--- a/Tests/Flow/BaselinePolicyTest.cpp
+++ b/Tests/Flow/BaselinePolicyTest.cpp
@@ -1,4 +1,4 @@
-#include "Support/FlowFleet.h"
+#include "Support/FlowFleetSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -13,9 +13,9 @@
     {
         for (const FlowPolicy policy : { FlowPolicy::Modulo, FlowPolicy::ConsistentHash, FlowPolicy::BoundedLoads }) {
             SCOPED_TRACE(nameOf(policy));
-            FlowFleet::Options options;
+            FlowFleetSimulation::Options options;
             options.settings.policy = policy;
-            FlowFleet fleet(options);
+            FlowFleetSimulation fleet(options);
             Configuration configuration = makeConfiguration({ { "tryon", 15 }, { "scanintake", 4 } });
             fleet.apply(configuration);
             fleet.run(4s, 200);
--- a/Tests/Flow/FlowChangeTest.cpp
+++ b/Tests/Flow/FlowChangeTest.cpp
@@ -1,4 +1,4 @@
-#include "Support/FlowFleet.h"
+#include "Support/FlowFleetSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -21,9 +21,9 @@
             fleet_.run(2s, newFlowsPerSecond);
         }
 
-        static FlowFleet::Options optionsWith(std::uint64_t seed)
+        static FlowFleetSimulation::Options optionsWith(std::uint64_t seed)
         {
-            FlowFleet::Options options;
+            FlowFleetSimulation::Options options;
             options.seed = seed;
             options.messageLoss = seed % 2 == 0 ? 0.1 : 0;
             return options;
@@ -42,10 +42,10 @@
             fleet_.run(6s, newFlowsPerSecond);
             EXPECT_EQ(fleet_.outcome().brokenFlows, 0);
             EXPECT_EQ(fleet_.outcome().wrongServicePackets, 0);
-            EXPECT_EQ(fleet_.outcome().newFlowsToLeaving, 0);
+            EXPECT_EQ(fleet_.outcome().newFlowsToDraining, 0);
         }
 
-        FlowFleet fleet_;
+        FlowFleetSimulation fleet_;
         Configuration configuration_;
     };
 
--- a/Tests/Flow/FlowFailureTest.cpp
+++ b/Tests/Flow/FlowFailureTest.cpp
@@ -1,4 +1,4 @@
-#include "Support/FlowFleet.h"
+#include "Support/FlowFleetSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -20,9 +20,9 @@
             fleet_.run(3s, newFlowsPerSecond);
         }
 
-        static FlowFleet::Options optionsWith(std::uint64_t seed)
+        static FlowFleetSimulation::Options optionsWith(std::uint64_t seed)
         {
-            FlowFleet::Options options;
+            FlowFleetSimulation::Options options;
             options.seed = seed;
             return options;
         }
@@ -52,11 +52,11 @@
             EXPECT_TRUE(fleet_.runUntilSettled(30s, newFlowsPerSecond)) << "balancers did not settle";
             fleet_.run(8s, newFlowsPerSecond);
             EXPECT_EQ(fleet_.outcome().wrongServicePackets, 0);
-            EXPECT_EQ(fleet_.outcome().newFlowsToLeaving, 0);
+            EXPECT_EQ(fleet_.outcome().newFlowsToDraining, 0);
         }
 
         static constexpr double newFlowsPerSecond = 200;
-        FlowFleet fleet_;
+        FlowFleetSimulation fleet_;
         Configuration configuration_;
     };
 
--- a/Tests/Flow/FlowRandomTest.cpp
+++ b/Tests/Flow/FlowRandomTest.cpp
@@ -1,4 +1,4 @@
-#include "Support/FlowFleet.h"
+#include "Support/FlowFleetSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -21,9 +21,9 @@
             fleet_.run(4s, newFlowsPerSecond);
         }
 
-        static FlowFleet::Options options()
+        static FlowFleetSimulation::Options options()
         {
-            FlowFleet::Options options;
+            FlowFleetSimulation::Options options;
             options.seed = GetParam();
             options.balancers = 6;
             options.messageLoss = 0.05;
@@ -80,7 +80,7 @@
 
         static constexpr double newFlowsPerSecond = 150;
         std::mt19937_64 random_;
-        FlowFleet fleet_;
+        FlowFleetSimulation fleet_;
         Configuration configuration_;
         std::size_t nextToStop_ = 0;
         std::vector<std::size_t> leaving_;
--- a/Tests/Flow/FlowThreadsTest.cpp
+++ b/Tests/Flow/FlowThreadsTest.cpp
@@ -1,4 +1,4 @@
-#include "Support/FlowFleet.h"
+#include "Support/FlowFleetSimulation.h"
 
 #include <gtest/gtest.h>
 
--- a/Tests/Flow/ServerWeightsTest.cpp
+++ b/Tests/Flow/ServerWeightsTest.cpp
@@ -1,5 +1,5 @@
 #include "Flow/ServerWeights.h"
-#include "Support/FlowFleet.h"
+#include "Support/FlowFleetSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -105,7 +105,7 @@
     TEST(EvennessTest, HigherEvennessFillsReactivatedServerSooner)
     {
         const auto newFlowsOfReactivated = [](double evenness) {
-            FlowFleet fleet({});
+            FlowFleetSimulation fleet({});
             Configuration configuration = makeConfiguration({ { "tryon", 6 } });
             configuration.services.front().evenness = evenness;
             BackendServer& server = serverNamed(configuration, "tryon-3");
--- a/Tests/Support/FlowFleet.cpp
+++ b/Tests/Support/FlowFleetSimulation.cpp
@@ -1,4 +1,4 @@
-#include "Support/FlowFleet.h"
+#include "Support/FlowFleetSimulation.h"
 
 #include <algorithm>
 #include <string>
@@ -16,7 +16,7 @@
 
 }
 
-FlowFleet::FlowFleet(Options options)
+FlowFleetSimulation::FlowFleetSimulation(Options options)
     : options_(options)
     , random_(options_.seed)
 {
@@ -24,12 +24,12 @@
         addBalancer();
 }
 
-Duration FlowFleet::upTo(Duration longest)
+Duration FlowFleetSimulation::randomDelay(Duration maxDelay)
 {
-    return Duration(std::uniform_int_distribution<Duration::rep>(0, longest.count())(random_));
+    return Duration(std::uniform_int_distribution<Duration::rep>(0, maxDelay.count())(random_));
 }
 
-void FlowFleet::addBalancer()
+void FlowFleetSimulation::addBalancer()
 {
     const std::size_t index = balancers_.size();
     Balancer balancer;
@@ -38,27 +38,27 @@
     balancer.member.flowAddress = { loopback, static_cast<std::uint16_t>(firstFlowPort + index) };
     balancer.engine = std::make_unique<FlowEngine>(options_.settings, balancer.member.id, index);
     balancers_.push_back(std::move(balancer));
-    spreadViews();
+    scheduleViews();
     if (!configurations_.empty()) {
-        events_.emplace(now() + upTo(options_.configurationDelay),
+        events_.emplace(now() + randomDelay(options_.configurationDelay),
             Event { index, index, nullptr, nullptr, configurations_.back(), configurations_.size() });
     }
 }
 
-void FlowFleet::kill(std::size_t balancer)
+void FlowFleetSimulation::kill(std::size_t balancer)
 {
-    balancers_[balancer].dead = true;
+    balancers_[balancer].isDead = true;
     balancers_[balancer].member.state = MemberState::Dead;
-    spreadViews();
+    scheduleViews();
 }
 
-void FlowFleet::announceLeaving(std::size_t balancer)
+void FlowFleetSimulation::announceLeaving(std::size_t balancer)
 {
     balancers_[balancer].member.state = MemberState::Leaving;
-    spreadViews();
+    scheduleViews();
 }
 
-void FlowFleet::pause(std::size_t balancer, Duration length)
+void FlowFleetSimulation::pause(std::size_t balancer, Duration length)
 {
     balancers_[balancer].pausedUntil = now() + length;
     // What membership does: on waking nothing is trusted until another balancer has answered.
@@ -72,12 +72,12 @@
     events_.emplace(now() + length + options_.viewDelay, Event { balancer, balancer, nullptr, back, nullptr, 0 });
 }
 
-bool FlowFleet::isUp(std::size_t balancer) const
+bool FlowFleetSimulation::isUp(std::size_t balancer) const
 {
-    return !balancers_[balancer].dead && balancers_[balancer].pausedUntil <= now();
+    return !balancers_[balancer].isDead && balancers_[balancer].pausedUntil <= now();
 }
 
-std::size_t FlowFleet::anyBalancer()
+std::size_t FlowFleetSimulation::randomBalancer()
 {
     std::size_t balancer = 0;
     do
@@ -86,7 +86,7 @@
     return balancer;
 }
 
-void FlowFleet::spreadViews()
+void FlowFleetSimulation::scheduleViews()
 {
     MembersView view;
     view.revision = ++viewRevision_;
@@ -96,26 +96,26 @@
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
         view.self = balancers_[i].member.id;
         const auto shared = std::make_shared<MembersView>(view);
-        events_.emplace(now() + upTo(options_.viewDelay), Event { i, i, nullptr, shared, nullptr, 0 });
+        events_.emplace(now() + randomDelay(options_.viewDelay), Event { i, i, nullptr, shared, nullptr, 0 });
     }
 }
 
-void FlowFleet::apply(const Configuration& configuration)
+void FlowFleetSimulation::apply(const Configuration& configuration)
 {
     configurations_.push_back(std::make_shared<Configuration>(configuration));
     for (const BackendServer& server : configuration.backendServers) {
         if (server.state == BackendServerState::Active)
-            leavingSince_.erase(server.id);
+            drainingSince_.erase(server.id);
         else
-            leavingSince_.try_emplace(server.id, now());
+            drainingSince_.try_emplace(server.id, now());
     }
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
-        events_.emplace(now() + upTo(options_.configurationDelay),
+        events_.emplace(now() + randomDelay(options_.configurationDelay),
             Event { i, i, nullptr, nullptr, configurations_.back(), configurations_.size() });
     }
 }
 
-void FlowFleet::perform(std::size_t balancer, const FlowActions& actions)
+void FlowFleetSimulation::perform(std::size_t balancer, const FlowActions& actions)
 {
     for (const SendFlowMessage& action : actions) {
         const auto to = std::find_if(balancers_.begin(), balancers_.end(),
@@ -125,18 +125,18 @@
         const bool lost = std::bernoulli_distribution(options_.messageLoss)(random_);
         if (to == balancers_.end() || lost || cuts_.contains({ balancer, toIndex }))
             continue;
-        events_.emplace(now() + upTo(options_.messageDelay),
+        events_.emplace(now() + randomDelay(options_.messageDelay),
             Event { toIndex, balancer, std::make_shared<FlowMessage>(action.message), nullptr, nullptr, 0 });
     }
 }
 
-void FlowFleet::deliverDue()
+void FlowFleetSimulation::deliverDue()
 {
     while (!events_.empty() && events_.begin()->first <= now()) {
         const Event event = events_.begin()->second;
         events_.erase(events_.begin());
         Balancer& balancer = balancers_[event.balancer];
-        if (balancer.dead)
+        if (balancer.isDead)
             continue;
         if (balancer.pausedUntil > now()) {
             events_.emplace(balancer.pausedUntil, event);
@@ -155,7 +155,7 @@
     }
 }
 
-void FlowFleet::updateStates()
+void FlowFleetSimulation::updateStates()
 {
     bool changed = false;
     for (Balancer& balancer : balancers_) {
@@ -165,10 +165,10 @@
         changed = true;
     }
     if (changed)
-        spreadViews();
+        scheduleViews();
 }
 
-void FlowFleet::step(double newFlowsPerSecond)
+void FlowFleetSimulation::step(double newFlowsPerSecond)
 {
     clock_.advance(stepLength);
     deliverDue();
@@ -181,31 +181,31 @@
     }
     if (newFlowsPerSecond <= 0)
         return;
-    flowsOwed_ += newFlowsPerSecond * std::chrono::duration<double>(stepLength).count();
+    fractionalNewFlows_ += newFlowsPerSecond * std::chrono::duration<double>(stepLength).count();
     const std::vector<Service>& services = configurations_.back()->services;
-    for (; flowsOwed_ >= 1; --flowsOwed_)
+    for (; fractionalNewFlows_ >= 1; --fractionalNewFlows_)
         openFlow(services[std::uniform_int_distribution<std::size_t>(0, services.size() - 1)(random_)]);
     const auto packets = static_cast<std::size_t>(double(flows_.size()) * packetsPerFlowAndStep);
     for (std::size_t i = 0; i < packets; ++i)
-        sendOn(std::uniform_int_distribution<std::size_t>(0, flows_.size() - 1)(random_));
+        sendPacket(std::uniform_int_distribution<std::size_t>(0, flows_.size() - 1)(random_));
 }
 
-void FlowFleet::run(Duration length, double newFlowsPerSecond)
+void FlowFleetSimulation::run(Duration length, double newFlowsPerSecond)
 {
     const TimePoint end = now() + length;
     while (now() < end)
         step(newFlowsPerSecond);
 }
 
-bool FlowFleet::isSettled() const
+bool FlowFleetSimulation::isSettled() const
 {
     return std::all_of(balancers_.begin(), balancers_.end(), [](const Balancer& balancer) {
-        return balancer.dead
+        return balancer.isDead
             || (balancer.engine->isSynchronized() && balancer.engine->counters().unsettledServices == 0);
     });
 }
 
-bool FlowFleet::runUntilSettled(Duration limit, double newFlowsPerSecond)
+bool FlowFleetSimulation::runUntilSettled(Duration limit, double newFlowsPerSecond)
 {
     const TimePoint end = now() + limit;
     // At least for as long as a change takes to reach everybody.
@@ -215,12 +215,12 @@
     return isSettled();
 }
 
-BackendServerId FlowFleet::route(const Flow& flow)
+BackendServerId FlowFleetSimulation::route(const Flow& flow)
 {
-    constexpr int mostAttempts = 4;
+    constexpr int maxAttempts = 4;
     FlowPacket packet { flow.client, flow.serviceAddress, {}, 0, false };
-    std::size_t balancer = anyBalancer();
-    for (int attempt = 0; attempt < mostAttempts; ++attempt) {
+    std::size_t balancer = randomBalancer();
+    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
         const RouteDecision decision = balancers_[balancer].engine->route(packet, now());
         if (decision.kind == RouteKind::ToBackendServer)
             return decision.backendServer;
@@ -237,7 +237,7 @@
     return {};
 }
 
-std::size_t FlowFleet::openFlow(const Service& service)
+std::size_t FlowFleetSimulation::openFlow(const Service& service)
 {
     constexpr std::uint32_t firstClient = 0x0A000000;
     constexpr std::uint16_t clientPort = 40000;
@@ -245,11 +245,11 @@
     flows_.push_back(
         { { firstClient + static_cast<std::uint32_t>(index), clientPort }, service.address, service.id, {}, false });
     ++outcome_.flows;
-    sendOn(index);
+    sendPacket(index);
     return index;
 }
 
-BackendServerId FlowFleet::sendOn(std::size_t flow)
+BackendServerId FlowFleetSimulation::sendPacket(std::size_t flow)
 {
     const BackendServerId server = route(flows_[flow]);
     if (server.value != 0)
@@ -257,7 +257,7 @@
     return server;
 }
 
-void FlowFleet::checkServer(Flow& flow, BackendServerId server)
+void FlowFleetSimulation::checkServer(Flow& flow, BackendServerId server)
 {
     const bool ownService = std::any_of(configurations_.begin(), configurations_.end(), [&](const auto& configuration) {
         return std::any_of(configuration->backendServers.begin(), configuration->backendServers.end(),
@@ -268,14 +268,14 @@
     if (flow.server.value == 0) {
         flow.server = server;
         ++newFlowsByServer_[server];
-        const auto leaving = leavingSince_.find(server);
-        if (leaving != leavingSince_.end() && now() - leaving->second > leavingGrace)
-            ++outcome_.newFlowsToLeaving;
+        const auto draining = drainingSince_.find(server);
+        if (draining != drainingSince_.end() && now() - draining->second > drainingGracePeriod)
+            ++outcome_.newFlowsToDraining;
         return;
     }
-    if (flow.server == server || flow.broken)
+    if (flow.server == server || flow.isBroken)
         return;
-    flow.broken = true;
+    flow.isBroken = true;
     ++outcome_.brokenFlows;
 }
 
--- a/Tests/Support/FlowFleet.h
+++ b/Tests/Support/FlowFleetSimulation.h
@@ -13,7 +13,7 @@
 
 // A few flow engines with a small fake network between them: messages, views and configurations arrive late, unevenly
 // and, where a test asks for it, not at all. Time moves only when a test runs the fleet.
-class FlowFleet {
+class FlowFleetSimulation {
 public:
     struct Options {
         std::size_t balancers = 7;
@@ -32,10 +32,10 @@
         std::size_t wrongServicePackets = 0;
         std::size_t droppedPackets = 0;
         std::size_t forwardedPackets = 0;
-        std::size_t newFlowsToLeaving = 0;
+        std::size_t newFlowsToDraining = 0;
     };
 
-    explicit FlowFleet(Options);
+    explicit FlowFleetSimulation(Options);
 
     void addBalancer();
     void kill(std::size_t balancer);
@@ -60,7 +60,7 @@
     // Opens one flow now, by its first packet.
     std::size_t openFlow(const Service&);
     // One more packet of an open flow through a balancer chosen by chance; returns the server it reached, if any.
-    BackendServerId sendOn(std::size_t flow);
+    BackendServerId sendPacket(std::size_t flow);
 
     bool isSettled() const;
     const Outcome& outcome() const { return outcome_; }
@@ -69,14 +69,14 @@
     std::size_t messagesSent() const { return messagesSent_; }
     std::map<BackendServerId, std::size_t> newFlowsByServer() const { return newFlowsByServer_; }
     // New flows to a draining server count as wrong once the configuration has been known for this long.
-    static constexpr std::chrono::seconds leavingGrace { 5 };
+    static constexpr std::chrono::seconds drainingGracePeriod { 5 };
 
 private:
     struct Balancer {
         Member member;
         std::unique_ptr<FlowEngine> engine;
         std::shared_ptr<const MembersView> view;
-        bool dead = false;
+        bool isDead = false;
         TimePoint pausedUntil;
     };
     struct Flow {
@@ -84,7 +84,7 @@
         Endpoint serviceAddress;
         ServiceId service;
         BackendServerId server;
-        bool broken = false;
+        bool isBroken = false;
     };
     // Something that happens to one balancer later.
     struct Event {
@@ -97,10 +97,10 @@
     };
 
     TimePoint now() const { return clock_.now(); }
-    Duration upTo(Duration);
+    Duration randomDelay(Duration);
     bool isUp(std::size_t balancer) const;
-    std::size_t anyBalancer();
-    void spreadViews();
+    std::size_t randomBalancer();
+    void scheduleViews();
     void perform(std::size_t balancer, const FlowActions&);
     void deliverDue();
     void step(double newFlowsPerSecond);
@@ -115,13 +115,13 @@
     std::multimap<TimePoint, Event> events_;
     std::set<std::pair<std::size_t, std::size_t>> cuts_;
     std::vector<std::shared_ptr<const Configuration>> configurations_;
-    std::map<BackendServerId, TimePoint> leavingSince_;
+    std::map<BackendServerId, TimePoint> drainingSince_;
     std::map<BackendServerId, std::size_t> newFlowsByServer_;
     std::vector<Flow> flows_;
     Outcome outcome_;
     std::size_t messagesSent_ = 0;
     std::uint64_t viewRevision_ = 0;
-    double flowsOwed_ = 0;
+    double fractionalNewFlows_ = 0;
 };
 
 // A configuration of services that each have so many backend servers, all active, with the same weight.
