--- a/Tests/Ctl/CtlCommandsTest.cpp
+++ b/Tests/Ctl/CtlCommandsTest.cpp
@@ -98,13 +98,13 @@
         {
             SCOPED_TRACE("the platform goes down before ctl can look: unknown, and how to find out");
             platform_.beforeHeadSwap = [&] { platform_.loseAnswers(1); };
-            platform_.afterHeadSwap = [&] { platform_.setDown(true); };
+            platform_.afterHeadSwap = [&] { platform_.setOutage(true); };
             const std::string changed = exampleWith("nabua", "laucala");
             const CtlResult unknown = apply(changed, "second");
             EXPECT_EQ(unknown.exit, CtlExit::Unknown);
             EXPECT_THAT(unknown.text, HasSubstr("--apply_id second --base_version 1"));
 
-            platform_.setDown(false);
+            platform_.setOutage(false);
             CtlOptions again = options(fileOf(changed), "second");
             again.baseVersion = 1;
             EXPECT_EQ(apply(again).json["version"], 2);
@@ -115,12 +115,12 @@
     TEST_F(CtlCommandsTest, anOutageEndsWithUnavailableByTheDeadline)
     {
         apply(exampleText, "first");
-        platform_.setDown(true);
+        platform_.setOutage(true);
         const TimePoint start = clock_.now();
         EXPECT_EQ(apply(exampleWith("nabua", "laucala"), "second").exit, CtlExit::Unavailable);
         EXPECT_EQ(get().exit, CtlExit::Unavailable);
         EXPECT_LE(clock_.now() - start, std::chrono::seconds(20));
-        platform_.setDown(false);
+        platform_.setOutage(false);
         EXPECT_EQ(get().json["version"], 1);
     }
 
--- a/Tests/KeyValue/FakePlatformTest.cpp
+++ b/Tests/KeyValue/FakePlatformTest.cpp
@@ -38,12 +38,12 @@
             std::optional<ErrorCode> watchEnd;
             platform_.watch("key", 0, clock_.now() + 1s,
                 [&](const Result<PlatformEntry>& entry) { watchEnd = entry.error().code; });
-            platform_.setDown(true);
+            platform_.setOutage(true);
             EXPECT_EQ(watchEnd, ErrorCode::Unavailable);
             write(0, "down");
             EXPECT_EQ(writes_.at(0).error().code, ErrorCode::Unavailable);
             EXPECT_EQ(platform_.store().revision(), 0U);
-            platform_.setDown(false);
+            platform_.setOutage(false);
         }
         {
             SCOPED_TRACE("lost answer: the write takes effect");
@@ -54,17 +54,17 @@
         }
         {
             SCOPED_TRACE("slow: writes take effect at once, answers come at release() or too late");
-            platform_.setSlow(true);
+            platform_.setHoldsAnswers(true);
             write(1, "slow");
             EXPECT_EQ(platform_.store().revision(), 2U);
             ASSERT_EQ(writes_.size(), 2U);
-            platform_.release();
+            platform_.releaseAnswers();
             EXPECT_EQ(writes_.at(2).value(), 2U);
             write(2, "overdue");
             clock_.advance(1s);
             platform_.tick();
             EXPECT_EQ(writes_.at(3).error().code, ErrorCode::Unknown);
-            EXPECT_EQ(platform_.waitingAnswers(), 0U);
+            EXPECT_EQ(platform_.heldAnswers(), 0U);
         }
     }
 
--- a/Tests/Membership/MembershipFaultTest.cpp
+++ b/Tests/Membership/MembershipFaultTest.cpp
@@ -33,7 +33,7 @@
         bool seesExactlyDead(std::size_t observer, const std::set<std::size_t>& dead)
         {
             for (std::size_t subject = 0; subject < network_.nodes().size(); ++subject) {
-                const Member* const member = network_.seen(observer, subject);
+                const Member* const member = network_.viewedMember(observer, subject);
                 if (!member || (member->state == MemberState::Dead) != dead.contains(subject))
                     return false;
             }
@@ -151,7 +151,7 @@
         startFleet(200, 4);
         network_.run(30s);
         for (auto& node : network_.nodes())
-            node.mostBytesInSecond = 0;
+            node.peakBytesPerSecond = 0;
         std::set<std::size_t> rack;
         for (std::size_t i = 40; i < 80; ++i) {
             network_.kill(i);
@@ -162,7 +162,7 @@
         EXPECT_TRUE(allSeeExactlyDead(rack));
         std::uint64_t most = 0;
         for (const auto& node : network_.nodes())
-            most = std::max(most, node.mostBytesInSecond);
+            most = std::max(most, node.peakBytesPerSecond);
         EXPECT_LT(most, 6000U) << "bytes that one balancer sent in one second, headers included";
         RecordProperty("mostBytesInSecond", std::to_string(most));
     }
--- a/Tests/Membership/MembershipJoinTest.cpp
+++ b/Tests/Membership/MembershipJoinTest.cpp
@@ -46,7 +46,7 @@
         {
             std::uint64_t most = 0;
             for (const auto& node : std::as_const(network_).nodes())
-                most = std::max(most, node.mostBytesInSecond);
+                most = std::max(most, node.peakBytesPerSecond);
             return most;
         }
 
--- a/Tests/Membership/MembershipTest.cpp
+++ b/Tests/Membership/MembershipTest.cpp
@@ -24,7 +24,7 @@
             for (std::size_t observer = 0; observer < network_.nodes().size(); ++observer) {
                 if (observer == subject || !network_.isRunning(observer))
                     continue;
-                const Member* const member = network_.seen(observer, subject);
+                const Member* const member = network_.viewedMember(observer, subject);
                 if ((member ? std::optional(member->state) : std::nullopt) != state)
                     return false;
             }
@@ -58,7 +58,7 @@
         network_.perform(3, network_.nodes()[3].membership->setConfigurationVersion(12, network_.now));
         const auto allKnowVersion = [&] {
             for (std::size_t observer = 0; observer < 7; ++observer) {
-                if (network_.seen(observer, 3)->configurationVersion != 12)
+                if (network_.viewedMember(observer, 3)->configurationVersion != 12)
                     return false;
             }
             return true;
@@ -99,8 +99,8 @@
         const std::uint64_t first = network_.nodes()[4].self.incarnation;
         const auto allSeeIncarnationAbove = [&](std::uint64_t old) {
             for (std::size_t observer = 0; observer < 7; ++observer) {
-                if (network_.seen(observer, 4)->incarnation <= old
-                    || network_.seen(observer, 4)->state != MemberState::Serving)
+                if (network_.viewedMember(observer, 4)->incarnation <= old
+                    || network_.viewedMember(observer, 4)->state != MemberState::Serving)
                     return false;
             }
             return true;
--- a/Tests/Support/FakePlatform.h
+++ b/Tests/Support/FakePlatform.h
@@ -74,59 +74,59 @@
     }
 
     // While down, every call ends with Unavailable and nothing is done; waiting watches end so too.
-    void setDown(bool down)
+    void setOutage(bool hasOutage)
     {
-        down_ = down;
-        if (down)
-            store_.failWatches(outage());
+        hasOutage_ = hasOutage;
+        if (hasOutage)
+            store_.failWatches(outageError());
         answerWatches();
     }
 
     // While slow, calls act at once but their answers wait for release(). A deadline that passes meanwhile ends the
     // call at the next tick(), writes with Unknown and reads with DeadlineExceeded.
-    void setSlow(bool slow) { slow_ = slow; }
+    void setHoldsAnswers(bool holdsAnswers) { holdsAnswers_ = holdsAnswers; }
 
     // The next successful writes take effect and end with Unknown.
     void loseAnswers(std::size_t count) { answersToLose_ = count; }
 
     // Hands out the answers that wait now. Answers to calls made meanwhile wait in their turn.
-    void release()
+    void releaseAnswers()
     {
-        for (Waiting& waiting : std::exchange(waiting_, {}))
-            waiting.end(false);
+        for (HeldAnswer& held : std::exchange(heldAnswers_, {}))
+            held.end(false);
     }
 
-    std::size_t waitingAnswers() const { return waiting_.size(); }
+    std::size_t heldAnswers() const { return heldAnswers_.size(); }
 
     // Lapses leases and ends watches and slow calls whose time is up.
     void tick()
     {
         store_.advance(clock_.now());
         answerWatches();
-        const auto overdue = std::stable_partition(waiting_.begin(), waiting_.end(),
-            [now = clock_.now()](const Waiting& waiting) { return waiting.deadline > now; });
-        std::vector<Waiting> ended(std::make_move_iterator(overdue), std::make_move_iterator(waiting_.end()));
-        waiting_.erase(overdue, waiting_.end());
-        for (Waiting& waiting : ended)
-            waiting.end(true);
+        const auto overdue = std::stable_partition(heldAnswers_.begin(), heldAnswers_.end(),
+            [now = clock_.now()](const HeldAnswer& held) { return held.deadline > now; });
+        std::vector<HeldAnswer> ended(std::make_move_iterator(overdue), std::make_move_iterator(heldAnswers_.end()));
+        heldAnswers_.erase(overdue, heldAnswers_.end());
+        for (HeldAnswer& held : ended)
+            held.end(true);
     }
 
     // For tests to look inside, to set VMs and to restore older copies. Call tick() after a change.
     PlatformStore& store() { return store_; }
 
 private:
-    struct Waiting {
+    struct HeldAnswer {
         TimePoint deadline;
         std::function<void(bool overdue)> end;
     };
 
-    static Error outage() { return { ErrorCode::Unavailable, "the fake platform is down" }; }
+    static Error outageError() { return { ErrorCode::Unavailable, "the fake platform is down" }; }
 
     template <typename Value> bool refuses(const Callback<Value>& callback)
     {
-        if (down_)
-            callback(outage());
-        return down_;
+        if (hasOutage_)
+            callback(outageError());
+        return hasOutage_;
     }
 
     template <typename Value>
@@ -136,12 +136,12 @@
             --answersToLose_;
             result = Error { ErrorCode::Unknown, "the fake platform lost the answer" };
         }
-        if (!slow_) {
+        if (!holdsAnswers_) {
             callback(std::move(result));
         } else {
             const Error late { isWrite ? ErrorCode::Unknown : ErrorCode::DeadlineExceeded,
                 "the fake platform was slow" };
-            waiting_.push_back(
+            heldAnswers_.push_back(
                 { deadline, [callback = std::move(callback), result = std::move(result), late](bool overdue) {
                      callback(overdue ? late : result);
                  } });
@@ -159,11 +159,11 @@
 
     const ManualClock& clock_;
     PlatformStore store_;
-    bool down_ = false;
-    bool slow_ = false;
+    bool hasOutage_ = false;
+    bool holdsAnswers_ = false;
     std::size_t answersToLose_ = 0;
     std::map<PlatformStore::WatchId, Callback<PlatformEntry>> watchers_;
-    std::vector<Waiting> waiting_;
+    std::vector<HeldAnswer> heldAnswers_;
 };
 
 static_assert(PlatformService<FakePlatform>);
--- a/Tests/Support/MembershipNetwork.h
+++ b/Tests/Support/MembershipNetwork.h
@@ -26,8 +26,8 @@
         std::vector<PeerMessageReceived> inbox; // Waits while the node is paused.
         std::uint64_t bytesSent = 0;
         std::uint64_t datagramsSent = 0;
-        std::uint64_t mostBytesInSecond = 0;
-        std::uint64_t bytesAtSecond = 0;
+        std::uint64_t peakBytesPerSecond = 0;
+        std::uint64_t bytesAtSecondStart = 0;
     };
 
     // Adds the IPv4 and UDP headers to each datagram's size.
@@ -42,7 +42,7 @@
     // Starts a new balancer that reads a VM list of all balancers so far.
     std::size_t add(const std::string& availabilityZone)
     {
-        const std::size_t index = place(availabilityZone);
+        const std::size_t index = addNode(availabilityZone);
         start(index);
         return index;
     }
@@ -50,7 +50,7 @@
     // Starts a new balancer whose list names the first balancers only, also those that have not started yet.
     std::size_t addWithSeeds(const std::string& availabilityZone, std::size_t seeds)
     {
-        const std::size_t index = place(availabilityZone);
+        const std::size_t index = addNode(availabilityZone);
         nodes_[index].membership = std::make_unique<Membership>(settings, nodes_[index].self, random_(), now);
         VmListReceived list;
         for (std::size_t seed = 0; seed < seeds; ++seed) {
@@ -108,7 +108,7 @@
             if (to >= nodes_.size() || isLost || (isCut && isCut(index, to)))
                 continue;
             const auto delay = std::chrono::microseconds(500 + random_() % 1500);
-            flying_.push({ now + delay, ++sent_, index, to, std::move(datagram) });
+            inFlight_.push({ now + delay, ++sent_, index, to, std::move(datagram) });
         }
     }
 
@@ -131,7 +131,7 @@
                     perform(i, nodes_[i].membership->tick(now));
             }
             if (++ticks_ % 10 == 0)
-                closeSecond();
+                recordSecond();
         }
         return true;
     }
@@ -140,7 +140,10 @@
     const std::vector<Node>& nodes() const { return nodes_; }
     bool isRunning(std::size_t index) const { return nodes_[index].membership && !nodes_[index].isPaused; }
     const MembersView& view(std::size_t index) const { return *nodes_[index].membership->view(); }
-    const Member* seen(std::size_t by, std::size_t who) const { return view(by).find(nodes_[who].self.id); }
+    const Member* viewedMember(std::size_t observer, std::size_t subject) const
+    {
+        return view(observer).find(nodes_[subject].self.id);
+    }
 
     MembershipSettings settings;
     double loss = 0;
@@ -150,13 +153,16 @@
     TimePoint now = ManualClock().now();
 
 private:
-    struct Flying {
+    struct InFlightDatagram {
         TimePoint at;
         std::uint64_t order = 0;
         std::size_t from = 0;
         std::size_t to = 0;
         std::vector<std::uint8_t> bytes;
-        bool operator<(const Flying& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
+        bool operator<(const InFlightDatagram& other) const
+        {
+            return std::tie(at, order) > std::tie(other.at, other.order);
+        }
     };
 
     static constexpr std::uint64_t firstIncarnation = 1'790'000'000'000;
@@ -165,7 +171,7 @@
     static Endpoint peerAddressOf(std::size_t index) { return { hostOf(index), 7000 }; }
 
     // Makes room for a balancer, which has not started.
-    std::size_t place(const std::string& availabilityZone)
+    std::size_t addNode(const std::string& availabilityZone)
     {
         const std::size_t index = nodes_.size();
         const std::string name = fmt::format("{}-{}", availabilityZone, index);
@@ -178,8 +184,8 @@
 
     void deliverUntil(TimePoint end)
     {
-        for (; !flying_.empty() && flying_.top().at <= end; flying_.pop()) {
-            const Flying& datagram = flying_.top();
+        for (; !inFlight_.empty() && inFlight_.top().at <= end; inFlight_.pop()) {
+            const InFlightDatagram& datagram = inFlight_.top();
             Node& node = nodes_[datagram.to];
             if (!node.membership)
                 continue;
@@ -194,17 +200,17 @@
         now = end - tickPeriod;
     }
 
-    void closeSecond()
+    void recordSecond()
     {
         for (Node& node : nodes_) {
-            node.mostBytesInSecond = std::max(node.mostBytesInSecond, node.bytesSent - node.bytesAtSecond);
-            node.bytesAtSecond = node.bytesSent;
+            node.peakBytesPerSecond = std::max(node.peakBytesPerSecond, node.bytesSent - node.bytesAtSecondStart);
+            node.bytesAtSecondStart = node.bytesSent;
         }
     }
 
     std::mt19937_64 random_;
     std::vector<Node> nodes_;
-    std::priority_queue<Flying> flying_;
+    std::priority_queue<InFlightDatagram> inFlight_;
     std::uint64_t sent_ = 0;
     std::uint64_t ticks_ = 0;
 };
