--- a/Source/FlowStory/FlowStory.cpp
+++ b/Source/FlowStory/FlowStory.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    // Keys that describe() shows elsewhere or that are the same in every line.
+    // Keys that describe() prints first or omits.
     constexpr std::array<std::string_view, 8> leadingKeys { "steady_ms", "time_of_day_s", "level", "part", "event",
         "vm", "availability_zone", "incarnation" };
 
@@ -54,7 +54,7 @@
         LogLine line { 0, nlohmann::ordered_json::parse(text.substr(begin), nullptr, false) };
         const bool hasTime = line.fields.is_object() && line.fields.contains("time_of_day_s")
             && line.fields["time_of_day_s"].is_number();
-        // Of lines that were dropped only their number is known.
+        // Lines of the log about itself carry the count of dropped lines and may lack a time.
         const bool isLogSummary = line.fields.is_object() && line.text("part") == "log";
         if (!isLogSummary && (!hasTime || !line.fields.contains("part"))) {
             ++unreadable;
--- a/Source/FlowStory/FlowStory.h
+++ b/Source/FlowStory/FlowStory.h
@@ -12,39 +12,40 @@
 
 namespace wisteriadock {
 
-// One line of a forwarder's log.
+// One line of the structured log of a forwarder.
 struct LogLine {
-    // Seconds of the time of day, by which lines of several balancers are put in order.
+    // Wall-clock time in seconds; orders the lines of several balancers.
     double timeOfDay = 0;
     nlohmann::ordered_json fields;
 
+    // The string value of a field, or an empty string.
     std::string text(std::string_view key) const;
 };
 
-// Which flow to tell of. Any one of these is enough; together they all have to fit.
+// Selects flows. At least one of request, flow and server must be set; those that are set must all match.
 struct FlowStoryQuery {
-    // The request's id.
+    // Request id.
     std::string request {};
-    // "CALLER>ROUTE" as the log names flows, or only the caller's address and port.
+    // "CALLER>ROUTE" as in the log, or only the address and port of the caller.
     std::string flow {};
-    // A backend server's id.
+    // Backend server id.
     std::string server {};
-    // What happened to the flow's servers, the configuration and the balancers so long before and after is told too.
+    // Related events of servers, configuration and balancers are included for this long before and after the flow.
     std::chrono::milliseconds contextTime { 5000 };
 };
 
-// Reads lines of logs. What stands before an object, such as a prefix of whatever collected the lines, and lines
-// without one are passed over. The number of lines that began like an object and were none is added to `unreadable`.
+// Reads log lines. Text before the JSON object, such as the prefix of a log collector, and lines without an object are
+// skipped. Adds the number of malformed objects to `unreadable`.
 std::vector<LogLine> readLogLines(std::istream&, std::size_t& unreadable);
 
-// How many lines their writers say they left out or dropped.
+// The number of lines that the log itself reports as left out or dropped.
 std::size_t countUnwrittenLines(const std::vector<LogLine>&);
 
-// The lines that tell what became of the flow at all balancers, in the order of time. Fails with InvalidArgument when
-// the query names nothing, and with NotFound when no line fits.
+// Returns the lines of the selected flows from all balancers and their context, ordered by time. Fails with
+// InvalidArgument if the query is empty, and with NotFound if no line matches.
 Result<std::vector<LogLine>> selectFlowLines(std::vector<LogLine> lines, const FlowStoryQuery&);
 
-// "12.345678 vm-1 flow.opened server=i-1 …", the time counted from the story's first line.
+// Formats a line as "12.345678 vm-1 flow.opened server=i-1 …", with the time in seconds since `firstTime`.
 std::string describe(const LogLine&, double firstTime);
 
 }
