--- a/Source/Ctl/ApplyReport.h
+++ b/Source/Ctl/ApplyReport.h
@@ -5,7 +5,7 @@
 
 namespace wisteriadock {
 
-// The report on one apply, for "apply", "drain" and "undrain".
+// Builds the report of the "apply", "drain" and "undrain" commands.
 CtlResult reportApply(const ApplyOutcome&);
 
 }
--- a/Source/Ctl/ApplyRunner.h
+++ b/Source/Ctl/ApplyRunner.h
@@ -14,11 +14,12 @@
 
 namespace wisteriadock {
 
-// How long one call of the platform's may take, within the deadline of the whole command.
+// Limit for one platform call; the deadline of the command may end it sooner.
 constexpr std::chrono::milliseconds platformCallTimeout { 2000 };
 
-// Runs an ApplyOperation: turns its actions into calls of the platform's and timers, and the answers into events. It
-// keeps itself alive until the outcome is handed over; platform and runtime must outlive it.
+// Runs an ApplyOperation: turns its actions into platform calls and timers, and their results into events. Used by
+// CtlCommands and StateChange. The runner keeps itself alive until it has called the callback; the platform and the
+// runtime must outlive it.
 template <PlatformService Platform, CtlRuntime Runtime>
 class ApplyRunner : public std::enable_shared_from_this<ApplyRunner<Platform, Runtime>> {
 public:
--- a/Source/Ctl/BalancerStatus.cpp
+++ b/Source/Ctl/BalancerStatus.cpp
@@ -26,7 +26,7 @@
     status.availabilityZone = readName(object, "availability_zone");
     status.state = readName(object, "state");
     const auto version = object.find("configuration_version");
-    // Names are printed to the operator's terminal, so anything that is no name is refused here.
+    // The names are printed to the operator's terminal; isName() keeps out control characters.
     if (!isName(status.name) || !isName(status.availabilityZone) || !isName(status.state) || version == object.end()
         || !version->is_number_unsigned())
         return Error { ErrorCode::InvalidArgument,
--- a/Source/Ctl/BalancerStatus.h
+++ b/Source/Ctl/BalancerStatus.h
@@ -9,19 +9,19 @@
 
 namespace wisteriadock {
 
-// What a balancer says of itself at /status.
+// The fields of a /status response that ctl uses.
 struct BalancerStatus {
     std::string name;
     std::string availabilityZone;
-    // 0 while it has no configuration.
+    // 0 while the balancer has no configuration.
     std::uint64_t configurationVersion = 0;
     std::string state;
 
-    // Fails with InvalidArgument when the text is no such answer.
+    // Fails with InvalidArgument unless the text is a JSON object with all four fields.
     static Result<BalancerStatus> parse(std::string_view json);
 };
 
-// One balancer that was asked, and its answer or why there is none.
+// The result of one /status request: the status, or the error that prevented reading it.
 struct StatusProbe {
     Endpoint address;
     Result<BalancerStatus> status;
--- a/Source/Ctl/CtlCommands.h
+++ b/Source/Ctl/CtlCommands.h
@@ -14,8 +14,8 @@
 
 namespace wisteriadock {
 
-// The commands that need the platform. Each ends exactly once through its callback; platform and runtime must outlive
-// that.
+// The commands that need the platform, called by CtlProgram. Each command calls its callback exactly once. The platform
+// and the runtime must stay alive until then.
 template <PlatformService Platform, CtlRuntime Runtime> class CtlCommands {
 public:
     using Callback = std::function<void(CtlResult)>;
@@ -35,7 +35,7 @@
         });
     }
 
-    // Hands the newest version's number over, for "status".
+    // Reads the number of the newest version, for the "status" command.
     void newestVersion(std::function<void(Result<std::uint64_t>)> callback)
     {
         fetch([callback = std::move(callback)](const Result<ConfigurationVersion>& version) {
--- a/Source/Ctl/CtlOptions.cpp
+++ b/Source/Ctl/CtlOptions.cpp
@@ -27,7 +27,7 @@
         { OutputFormat::Json, "json" },
     });
 
-    // "drain" and "undrain" add the number of the attempt to the apply id, which must stay a name.
+    // Leaves room for the "-N" attempt suffix that "drain" and "undrain" append to the apply id.
     constexpr std::size_t maxApplyIdLength = maxNameLength - 3;
     constexpr double maxDeadlineSeconds = 3600;
 
@@ -90,7 +90,7 @@
         return usage(fmt::format("--apply_id of 1 to {} letters, digits, '-', '_' or '.'", maxApplyIdLength));
     if (flags.author.size() > maxAuthorLength || !isPrintable(flags.author))
         return usage(fmt::format("--author of at most {} printable ASCII characters", maxAuthorLength));
-    // Not-a-number fails both comparisons.
+    // The negated form also rejects NaN.
     if (!(flags.deadlineSeconds > 0 && flags.deadlineSeconds <= maxDeadlineSeconds))
         return usage(fmt::format("--deadline_seconds above 0, at most {}", maxDeadlineSeconds));
 
--- a/Source/Ctl/CtlOptions.h
+++ b/Source/Ctl/CtlOptions.h
@@ -26,14 +26,14 @@
 
 std::string_view nameOf(CtlCommand);
 
-// The flags as the command line gives them.
+// Flag values before validation.
 struct CtlFlags {
     std::string platform;
     std::string balancers;
     std::string format = "text";
     std::string applyId;
     std::string author;
-    // Below 0 for "not given".
+    // Negative if not given.
     std::int64_t baseVersion = -1;
     std::uint64_t aboveVersion = 0;
     bool allowIdleService = false;
@@ -42,10 +42,10 @@
     double deadlineSeconds = 15;
 };
 
-// A command line that was understood and is complete.
+// A validated command line.
 struct CtlOptions {
     CtlCommand command = CtlCommand::Check;
-    // The file or the backend server.
+    // The configuration file, or the name of the backend server; empty for "get" and "status".
     std::string argument;
     std::optional<Endpoint> platform;
     std::vector<Endpoint> balancers;
@@ -56,11 +56,12 @@
     std::uint64_t aboveVersion = 0;
     ChangeFlags allowed;
     bool allowUnreadableBase = false;
+    // Time limit of the whole command.
     Duration timeLimit {};
 };
 
-// Reads the words after the program's name and the flags. Fails with InvalidArgument, which says what was expected. An
-// apply id that is not given is left empty.
+// Validates the positional arguments and the flags. Fails with InvalidArgument and a message that says what was
+// expected. The apply id stays empty if it was not given.
 Result<CtlOptions> parseCtlOptions(const std::vector<std::string>& words, const CtlFlags&);
 
 }
--- a/Source/Ctl/CtlProgram.cpp
+++ b/Source/Ctl/CtlProgram.cpp
@@ -20,14 +20,14 @@
 
 namespace {
 
-    // Different for every run, so that two applies are never taken for one.
+    // Random, so that two runs of ctl are not mistaken for the same apply.
     std::string randomApplyId()
     {
         std::random_device random;
         return fmt::format("ctl-{:08x}{:08x}", random(), random());
     }
 
-    // One run of the program.
+    // Owns the event loop, the platform client and the status reader while one command runs.
     class CtlRun {
     public:
         explicit CtlRun(CtlOptions options)
@@ -35,7 +35,7 @@
             , runtime_(context_)
             , statuses_(context_)
         {
-            // Sockets only look for their answers while the context runs; unset, every platform call would be refused.
+            // Stays null without --platform; only "check" and "status" run without it.
             if (options_.platform)
                 platform_ = std::make_unique<PlatformClient>(context_, *options_.platform);
         }
@@ -43,7 +43,7 @@
         CtlResult run()
         {
             start();
-            // Commands end by their deadline, and pending timers must not keep the process waiting after that.
+            // Stops at the first result, so that pending timers do not delay the exit.
             while (!result_ && context_.run_one() != 0) { }
             return result_ ? std::move(*result_)
                            : resultOf(Error { ErrorCode::Unknown, "the command ended without a result" });
@@ -75,8 +75,9 @@
             }
         }
 
-        // With --balancers given, a new version is above all that they run, also after the platform was restored from
-        // an older copy. Balancers that are not reached don't hold an apply up.
+        // With --balancers, the new version is numbered above every version that those balancers run, because balancers
+        // ignore lower versions after the platform was restored from an older copy. Unreachable balancers do not block
+        // the apply.
         void startAboveBalancers()
         {
             statuses_.read(options_.balancers, statusDeadline(), [this](const std::vector<StatusProbe>& probes) {
@@ -108,7 +109,7 @@
             });
         }
 
-        // Leaves the platform its share of the time when a balancer does not answer.
+        // Leaves time for the platform calls when a balancer does not respond.
         TimePoint statusDeadline() const { return runtime_.now() + options_.timeLimit / 3; }
 
         Commands commands() { return Commands(*platform_, runtime_, options_); }
@@ -132,7 +133,7 @@
 
 int runCtl(const std::vector<std::string>& words, const CtlFlags& flags)
 {
-    // A platform that closes the connection must not end the process; the write fails instead.
+    // A write to a connection that the platform has closed then fails and does not end the process.
     std::signal(SIGPIPE, SIG_IGN);
     auto options = parseCtlOptions(words, flags);
     if (!options) {
--- a/Source/Ctl/CtlProgram.h
+++ b/Source/Ctl/CtlProgram.h
@@ -7,8 +7,8 @@
 
 namespace wisteriadock {
 
-// Runs one command and prints its report: to standard output, or to standard error when the command line is wrong.
-// Returns the process's exit code.
+// Runs one command and prints its report to standard output; an invalid command line is reported on standard error.
+// Returns the exit code of the process.
 int runCtl(const std::vector<std::string>& words, const CtlFlags&);
 
 }
--- a/Source/Ctl/CtlRuntime.h
+++ b/Source/Ctl/CtlRuntime.h
@@ -12,14 +12,14 @@
 
 namespace wisteriadock {
 
-// The time and timers that ctl's commands run on: Boost.Asio's in the program, a manual one in tests.
+// Clock and timers of ctl's commands: AsioRuntime in the program, ManualRuntime in tests.
 template <typename T>
 concept CtlRuntime = requires(T& runtime, Duration delay, std::function<void()> callback)
 {
     {
         runtime.now()
         } -> std::same_as<TimePoint>;
-    // Runs the callback once, never inside this call.
+    // Runs the callback once after the delay, never before this call returns.
     runtime.runAfter(delay, callback);
 };
 
--- a/Source/Ctl/FileCommands.h
+++ b/Source/Ctl/FileCommands.h
@@ -11,20 +11,20 @@
 
 namespace wisteriadock {
 
-// A configuration from an operator's file, or the report on why there is none.
+// A configuration loaded from a file, or the report of the errors in it.
 using LoadedConfiguration
     = boost::outcome_v2::basic_result<Configuration, CtlResult, boost::outcome_v2::policy::terminate>;
 
-// Reads and checks the file; "-" stands for standard input.
+// Reads and validates the file; "-" reads standard input.
 LoadedConfiguration loadConfiguration(const std::string& path);
 
-// The "check" command: everything that is wrong with the file, without asking the platform.
+// The "check" command: reports all errors in the file without contacting the platform.
 CtlResult checkFile(const std::string& path);
 
-// The "diff" command's report on what the file would change. A version of 0 stands for "none yet".
+// Builds the report of the "diff" command. `version` is the number of `before`; 0 means that no version exists yet.
 CtlResult reportDiff(std::uint64_t version, const Configuration& before, const Configuration& after);
 
-// The "get" command's report. Its text is a file that can be applied again.
+// Builds the report of the "get" command. Its text is a valid configuration file that can be applied again.
 CtlResult reportVersion(const ConfigurationVersion&);
 
 }
--- a/Source/Ctl/FlagCheck.cpp
+++ b/Source/Ctl/FlagCheck.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    // Abseil answers these itself and does not list them among the flags.
+    // Abseil handles these itself and does not register them as flags.
     constexpr std::array<std::string_view, 5> usageFlags { "help", "helpfull", "helppackage", "helpshort", "version" };
 
     bool isUsageFlag(std::string_view name)
--- a/Source/Ctl/FlagCheck.h
+++ b/Source/Ctl/FlagCheck.h
@@ -5,8 +5,8 @@
 
 namespace wisteriadock {
 
-// What is wrong with the flags of a command line, if anything. Abseil ends the process with 1 for an unknown flag or a
-// bad value, which scripts would take for a refused configuration; so main asks this first and ends with 2.
+// Returns a message for the first unknown flag or bad flag value, if any. main() calls this before Abseil parses the
+// flags, because Abseil would exit with 1, which scripts read as a refused configuration, and not with CtlExit::Usage.
 std::optional<std::string> findBadFlag(int argc, const char* const* argv);
 
 }
--- a/Source/Ctl/StateChange.h
+++ b/Source/Ctl/StateChange.h
@@ -17,19 +17,21 @@
 
 namespace wisteriadock {
 
-// How often a state change that lost against another apply starts again on top of it.
+// Limit on attempts when other applies keep winning the race.
 constexpr unsigned maxStateChangeAttempts = 5;
 
-// What "drain" and "undrain" change.
+// The input of a StateChange.
 struct StateChangeRequest {
     std::string backendServer;
     BackendServerState state = BackendServerState::Draining;
-    // Its configuration and base version are set per attempt; its apply id gets the attempt's number.
+    // Each attempt sets the configuration and the base version and appends its number to the apply id.
     ApplyRequest apply;
 };
 
-// Reads the newest version, sets one backend server's state and applies the result on that base. A lost race is not
-// passed on to the operator, whose wish does not depend on the rest of the file; an unknown outcome is.
+// The "drain" and "undrain" commands: reads the newest version, sets the state of one backend server and applies the
+// result on that base. After a lost race it starts again on the new version, since the change does not depend on the
+// rest of the configuration. An unknown outcome is reported and not retried. The object keeps itself alive until it has
+// called the callback; the platform and the runtime must outlive it.
 template <PlatformService Platform, CtlRuntime Runtime>
 class StateChange : public std::enable_shared_from_this<StateChange<Platform, Runtime>> {
 public:
@@ -86,8 +88,8 @@
 
     void finish(const ApplyOutcome& outcome)
     {
-        const bool lost = outcome.reason == ApplyRefusal::LostRace || outcome.reason == ApplyRefusal::WrongBase;
-        if (lost && attempts_ < maxStateChangeAttempts)
+        const bool lostRace = outcome.reason == ApplyRefusal::LostRace || outcome.reason == ApplyRefusal::WrongBase;
+        if (lostRace && attempts_ < maxStateChangeAttempts)
             attempt();
         else
             callback_(reportApply(outcome));
--- a/Source/Ctl/StatusReader.cpp
+++ b/Source/Ctl/StatusReader.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    Result<BalancerStatus> notAsked() { return Error { ErrorCode::Unavailable, "not asked" }; }
+    Result<BalancerStatus> pendingStatus() { return Error { ErrorCode::Unavailable, "not asked" }; }
 
     Result<BalancerStatus> toStatus(const HttpOutcome& outcome)
     {
@@ -33,8 +33,8 @@
     clients_.clear();
     probes_.clear();
     for (const Endpoint& balancer : balancers)
-        probes_.push_back({ balancer, notAsked() });
-    open_ = balancers.size();
+        probes_.push_back({ balancer, pendingStatus() });
+    pendingRequests_ = balancers.size();
     if (balancers.empty()) {
         callback_({});
         return;
@@ -52,7 +52,7 @@
 void StatusReader::finish(std::size_t index, Result<BalancerStatus> status)
 {
     probes_[index].status = std::move(status);
-    if (--open_ == 0)
+    if (--pendingRequests_ == 0)
         callback_(std::move(probes_));
 }
 
--- a/Source/Ctl/StatusReader.h
+++ b/Source/Ctl/StatusReader.h
@@ -13,14 +13,15 @@
 
 namespace wisteriadock {
 
-// Asks balancers for their /status, all at once. The reader must outlive the calls.
+// Reads /status from several balancers in parallel, for CtlProgram. The reader must outlive the requests, and only one
+// read() may be in progress.
 class StatusReader {
 public:
     using Callback = std::function<void(std::vector<StatusProbe>)>;
 
     explicit StatusReader(boost::asio::io_context&);
 
-    // The callback gets one probe an address, in their order, at the latest when the deadline has passed.
+    // The callback receives one probe per address, in the order of the addresses, by the deadline.
     void read(const std::vector<Endpoint>& balancers, TimePoint deadline, Callback);
 
 private:
@@ -29,7 +30,7 @@
     boost::asio::io_context& context_;
     std::vector<std::unique_ptr<Http2Client>> clients_;
     std::vector<StatusProbe> probes_;
-    std::size_t open_ = 0;
+    std::size_t pendingRequests_ = 0;
     Callback callback_;
 };
 
--- a/Source/Ctl/StatusReport.cpp
+++ b/Source/Ctl/StatusReport.cpp
@@ -32,7 +32,7 @@
             Json zones = Json::array();
             for (const auto& [name, balancers] : zones_)
                 zones.push_back(addZone(name, balancers));
-            addOlderCopy();
+            addOlderCopyWarning();
             for (const std::string& line : unreachedLines_)
                 addLine(line);
             if (newest_)
@@ -75,28 +75,28 @@
 
         Json addZone(const std::string& name, const std::vector<const StatusProbe*>& probes)
         {
-            std::size_t behind = 0;
+            std::size_t onOtherVersion = 0;
             Json balancers = Json::array();
             std::string lines;
             for (const StatusProbe* probe : probes) {
                 const BalancerStatus& status = probe->status.value();
-                behind += newest_ && status.configurationVersion != *newest_ ? 1 : 0;
+                onOtherVersion += newest_ && status.configurationVersion != *newest_ ? 1 : 0;
                 lines += fmt::format("\n  {} ({}): version {}, {}", status.name, probe->address.toString(),
                     status.configurationVersion, status.state);
                 balancers.push_back({ { "name", status.name }, { "address", probe->address.toString() },
                     { "configuration_version", status.configurationVersion }, { "state", status.state } });
             }
             addLine(fmt::format("availability zone {}: {} balancers, {} on another version", name, probes.size(),
-                newest_ ? std::to_string(behind) : "unknown how many"));
+                newest_ ? std::to_string(onOtherVersion) : "unknown how many"));
             result_.text += lines;
-            if (behind != 0 && result_.exit == CtlExit::Done)
+            if (onOtherVersion != 0 && result_.exit == CtlExit::Done)
                 result_.exit = CtlExit::Refused;
-            return { { "name", name }, { "balancers", std::move(balancers) }, { "on_other_version", behind } };
+            return { { "name", name }, { "balancers", std::move(balancers) }, { "on_other_version", onOtherVersion } };
         }
 
-        // Balancers never go back, so after the platform was restored from an older copy they ignore it until its
-        // version is above theirs.
-        void addOlderCopy()
+        // Balancers ignore a lower version than their own. After the platform was restored from an older copy, the next
+        // apply needs a number above theirs.
+        void addOlderCopyWarning()
         {
             const bool isOlderCopy = newest_ && highest_ > *newest_;
             result_.json["older_copy_on_platform"] = isOlderCopy;
--- a/Source/Ctl/VersionFetch.h
+++ b/Source/Ctl/VersionFetch.h
@@ -14,11 +14,12 @@
 
 namespace wisteriadock {
 
-// The pause before a read that failed is tried again.
+// Delay before a failed read is retried.
 constexpr std::chrono::milliseconds fetchRetryDelay { 200 };
 
-// Reads the newest version from the platform, whole and verified, and tries again until the deadline when the platform
-// is not reached. NotFound means that there is no version yet. It keeps itself alive until the end.
+// Reads and verifies the newest version from the platform, and retries until the deadline while the platform cannot be
+// reached. Used by CtlCommands and StateChange. NotFound means that there is no version yet. The object keeps itself
+// alive until it has called the callback; the platform and the runtime must outlive it.
 template <PlatformService Platform, CtlRuntime Runtime>
 class VersionFetch : public std::enable_shared_from_this<VersionFetch<Platform, Runtime>> {
 public:
