--- a/Tests/Ctl/CtlCommandsTest.cpp
+++ b/Tests/Ctl/CtlCommandsTest.cpp
@@ -9,15 +9,15 @@
 
     class CtlCommandsTest : public CtlFixture { };
 
-    TEST_F(CtlCommandsTest, anOperatorsDay)
+    TEST_F(CtlCommandsTest, ApplyDiffDrainAndUndrain)
     {
         {
-            SCOPED_TRACE("nothing is there yet");
+            SCOPED_TRACE("no configuration exists");
             EXPECT_EQ(get().exit, CtlExit::Refused);
             EXPECT_THAT(diff(exampleText).text, HasSubstr("+ backend_server tryon-2"));
         }
         {
-            SCOPED_TRACE("the file is applied, and can be read back and applied again without a new version");
+            SCOPED_TRACE("the file is applied, read back and applied again without a new version");
             const CtlResult applied = apply(exampleText, "first");
             EXPECT_EQ(applied.exit, CtlExit::Done);
             EXPECT_EQ(applied.json["version"], 1);
@@ -26,14 +26,14 @@
             EXPECT_EQ(apply(got.text, "again").json["unchanged"], true);
         }
         {
-            SCOPED_TRACE("a backend server drains and comes back");
+            SCOPED_TRACE("a backend server is drained and undrained");
             EXPECT_EQ(setState("tryon-2", BackendServerState::Draining, "d1").json["version"], 2);
             EXPECT_THAT(diff(exampleText).text, HasSubstr("~ backend_server tryon-2: state draining -> active"));
             EXPECT_EQ(setState("tryon-2", BackendServerState::Draining, "d2").json["unchanged"], true);
             EXPECT_EQ(setState("tryon-2", BackendServerState::Active, "d3").json["version"], 3);
         }
         {
-            SCOPED_TRACE("refusals change nothing");
+            SCOPED_TRACE("refused commands leave the version unchanged");
             EXPECT_THAT(
                 setState("tryon-9", BackendServerState::Draining, "d4").text, HasSubstr("the nearest is 'tryon-1'"));
             EXPECT_THAT(setState("scan-1", BackendServerState::Draining, "d5").text, HasSubstr("--allow_idle_service"));
@@ -42,9 +42,8 @@
         }
     }
 
-    // Symptom: a drain was refused although nobody else touched that server. Sequence: ctl read version 1, another
-    // operator applied version 2, ctl's write lost. Cause: the wish was tied to one version.
-    TEST_F(CtlCommandsTest, aDrainThatLosesARaceStartsAgainOnTop)
+    // Guards against refusing a drain because another operator applied an unrelated change meanwhile.
+    TEST_F(CtlCommandsTest, DrainRetriesOnTheNewVersionAfterALostRace)
     {
         apply(exampleText, "first");
         const std::string wider = exampleWith("[backend_server tryon-2]", "[backend_server tryon-2]\nslots = 9");
@@ -55,26 +54,25 @@
         EXPECT_THAT(diff(wider).text, testing::EndsWith(": 1\n~ backend_server tryon-1: state draining -> active"));
     }
 
-    TEST_F(CtlCommandsTest, aDrainGivesUpAfterSomeLostRaces)
+    TEST_F(CtlCommandsTest, DrainFailsAfterTheMaximumOfLostRaces)
     {
         apply(exampleText, "first");
-        int others = 0;
+        int otherApplies = 0;
         const std::function<void()> interfere = [&] {
-            const std::string slots = "[backend_server tryon-2]\nslots = " + std::to_string(10 + others);
-            apply(exampleWith("[backend_server tryon-2]", slots), "other-" + std::to_string(others));
-            ++others;
+            const std::string slots = "[backend_server tryon-2]\nslots = " + std::to_string(10 + otherApplies);
+            apply(exampleWith("[backend_server tryon-2]", slots), "other-" + std::to_string(otherApplies));
+            ++otherApplies;
             platform_.beforeHeadSwap = interfere;
         };
         platform_.beforeHeadSwap = interfere;
         const CtlResult drained = setState("tryon-1", BackendServerState::Draining, "drain");
         EXPECT_EQ(drained.exit, CtlExit::Refused);
         EXPECT_EQ(drained.json["reason"], "lost_race");
-        EXPECT_EQ(others, static_cast<int>(maxStateChangeAttempts));
+        EXPECT_EQ(otherApplies, static_cast<int>(maxStateChangeAttempts));
     }
 
-    // Symptom: a file vanished without a word. Sequence: two operators applied at the same moment. Cause: the later
-    // write did not know of the earlier one.
-    TEST_F(CtlCommandsTest, theLoserOfARaceIsToldWhoWon)
+    // Guards against one of two concurrent applies silently overwriting the other.
+    TEST_F(CtlCommandsTest, LostRaceReportsTheWinner)
     {
         apply(exampleText, "first");
         platform_.beforeHeadSwap
@@ -86,9 +84,8 @@
         EXPECT_EQ(lost.json["base_version"], 1);
     }
 
-    // Symptom: an operator applied a file twice and got "refused" for a version in force. Sequence: the platform wrote,
-    // its answers were lost. Cause: a lost answer was taken for a failure.
-    TEST_F(CtlCommandsTest, lostAnswersAreFoundOut)
+    // Guards against reporting a successful write as a failure when only its answer was lost.
+    TEST_F(CtlCommandsTest, LostAnswersAreResolved)
     {
         {
             SCOPED_TRACE("the answers to the content and to the head are lost");
@@ -96,7 +93,8 @@
             EXPECT_EQ(apply(exampleText, "first").json["version"], 1);
         }
         {
-            SCOPED_TRACE("the platform goes down before ctl can look: unknown, and how to find out");
+            SCOPED_TRACE("the platform goes down before ctl can check: the outcome is unknown and the report names the "
+                         "flags for a retry");
             platform_.beforeHeadSwap = [&] { platform_.loseAnswers(1); };
             platform_.afterHeadSwap = [&] { platform_.setOutage(true); };
             const std::string changed = exampleWith("nabua", "laucala");
@@ -105,14 +103,14 @@
             EXPECT_THAT(unknown.text, HasSubstr("--apply_id second --base_version 1"));
 
             platform_.setOutage(false);
-            CtlOptions again = options(fileOf(changed), "second");
+            CtlOptions again = options(writeFile(changed), "second");
             again.baseVersion = 1;
             EXPECT_EQ(apply(again).json["version"], 2);
             EXPECT_EQ(get().json["version"], 2);
         }
     }
 
-    TEST_F(CtlCommandsTest, anOutageEndsWithUnavailableByTheDeadline)
+    TEST_F(CtlCommandsTest, OutageEndsWithUnavailableByTheDeadline)
     {
         apply(exampleText, "first");
         platform_.setOutage(true);
@@ -124,9 +122,8 @@
         EXPECT_EQ(get().json["version"], 1);
     }
 
-    // Symptom: after the platform was restored, applied files came into force nowhere. Sequence: balancers had version
-    // 3, the copy had version 1, the next apply gave version 2. Cause: balancers don't go back.
-    TEST_F(CtlCommandsTest, afterARestoreVersionsGoAboveWhatBalancersRun)
+    // Guards against a version number that balancers ignore after the platform was restored from an older copy.
+    TEST_F(CtlCommandsTest, VersionAfterARestoreIsAboveThoseOfTheBalancers)
     {
         apply(exampleText, "first");
         const auto copy = platform_.store().takeSnapshot(clock_.now());
@@ -135,7 +132,7 @@
         platform_.store().restore(copy, clock_.now());
         platform_.tick();
 
-        CtlOptions above = options(fileOf(exampleText), "fourth");
+        CtlOptions above = options(writeFile(exampleText), "fourth");
         above.aboveVersion = 3;
         EXPECT_EQ(apply(above).json["version"], 4);
     }
--- a/Tests/Ctl/CtlFixture.h
+++ b/Tests/Ctl/CtlFixture.h
@@ -18,7 +18,7 @@
 
 namespace wisteriadock {
 
-// Timers on a clock that only advances when a test waits for them.
+// A CtlRuntime on a manual clock: time advances only when runNext() runs a timer.
 class ManualRuntime {
 public:
     explicit ManualRuntime(ManualClock& clock)
@@ -52,13 +52,13 @@
     };
 
     ManualClock& clock_;
-    // A command waits for one timer at a time, so they are due in the order of their start.
+    // A command waits for one timer at a time, so the order of insertion is the order of due times.
     std::vector<Timer> timers_;
 };
 
 static_assert(CtlRuntime<ManualRuntime>);
 
-// The fake platform, with a place for other operators to act in the middle of a command.
+// The fake platform with hooks around the swap of the configuration head, in which a test acts as another operator.
 class InterceptedPlatform : public FakePlatform {
 public:
     using FakePlatform::FakePlatform;
@@ -81,7 +81,7 @@
     std::function<void()> afterHeadSwap;
 };
 
-// Runs ctl's commands against the fake platform.
+// Runs ctl's commands against the fake platform in virtual time.
 class CtlFixture : public testing::Test {
 protected:
     using Commands = CtlCommands<InterceptedPlatform, ManualRuntime>;
@@ -92,7 +92,7 @@
             std::remove(path.c_str());
     }
 
-    std::string fileOf(std::string_view text)
+    std::string writeFile(std::string_view text)
     {
         std::string path
             = testing::TempDir() + "ctl-" + std::to_string(::getpid()) + "-" + std::to_string(files_.size()) + ".ini";
@@ -129,7 +129,10 @@
         return run(options, [](Commands& commands, Commands::Callback done) { commands.apply(std::move(done)); });
     }
 
-    CtlResult apply(std::string_view text, const std::string& applyId) { return apply(options(fileOf(text), applyId)); }
+    CtlResult apply(std::string_view text, const std::string& applyId)
+    {
+        return apply(options(writeFile(text), applyId));
+    }
 
     CtlResult get()
     {
@@ -138,7 +141,7 @@
 
     CtlResult diff(std::string_view text)
     {
-        return run(options(fileOf(text), ""),
+        return run(options(writeFile(text), ""),
             [](Commands& commands, Commands::Callback done) { commands.diff(std::move(done)); });
     }
 
--- a/Tests/Ctl/CtlOptionsTest.cpp
+++ b/Tests/Ctl/CtlOptionsTest.cpp
@@ -10,7 +10,7 @@
 namespace wisteriadock {
 namespace {
 
-    TEST(CtlOptionsTest, readsACompleteCommandLine)
+    TEST(CtlOptionsTest, ReadsACompleteCommandLine)
     {
         CtlFlags flags;
         flags.platform = "127.0.0.1:80";
@@ -26,15 +26,15 @@
         EXPECT_TRUE(parseCtlOptions({ "check", "-" }, CtlFlags()));
     }
 
-    TEST(CtlOptionsTest, refusesAnIncompleteOrMalformedOne)
+    TEST(CtlOptionsTest, RefusesAnIncompleteOrMalformedCommandLine)
     {
         CtlFlags complete;
         complete.platform = "127.0.0.1:80";
         for (const std::vector<std::string>& words : std::vector<std::vector<std::string>> {
                  {}, { "aply", "f" }, { "apply" }, { "apply", "f", "g" }, { "get", "f" } })
             EXPECT_FALSE(parseCtlOptions(words, complete)) << testing::PrintToString(words);
-        EXPECT_FALSE(parseCtlOptions({ "get" }, CtlFlags())) << "without a platform";
-        EXPECT_FALSE(parseCtlOptions({ "status" }, CtlFlags())) << "with nobody to ask";
+        EXPECT_FALSE(parseCtlOptions({ "get" }, CtlFlags())) << "without --platform";
+        EXPECT_FALSE(parseCtlOptions({ "status" }, CtlFlags())) << "without --platform and --balancers";
 
         const std::vector<std::function<void(CtlFlags&)>> mistakes {
             [](CtlFlags& flags) { flags.platform = "here"; },
@@ -56,7 +56,7 @@
         }
     }
 
-    TEST(FlagCheckTest, findsWhatAbseilWouldEndTheProcessFor)
+    TEST(FlagCheckTest, FindsUnknownFlagsAndBadValues)
     {
         const auto check = [](std::vector<const char*> words) {
             words.insert(words.begin(), "program");
--- a/Tests/Ctl/FileCommandsTest.cpp
+++ b/Tests/Ctl/FileCommandsTest.cpp
@@ -10,7 +10,7 @@
 namespace wisteriadock {
 namespace {
 
-    TEST(FileCommandsTest, checkNamesEveryMistakeInBothFormats)
+    TEST(FileCommandsTest, CheckReportsEveryErrorAsTextAndJson)
     {
         const std::string path = testing::TempDir() + "FileCommandsTest.ini";
         std::ofstream(path) << exampleText;
@@ -28,7 +28,7 @@
         EXPECT_EQ(checkFile(path).exit, CtlExit::Refused);
     }
 
-    TEST(FileCommandsTest, everyOutcomeHasItsExitCode)
+    TEST(FileCommandsTest, ExitCodeOfEveryOutcome)
     {
         ApplyOutcome outcome;
         const std::pair<ApplyStatus, CtlExit> exits[]
--- a/Tests/Ctl/StatusTest.cpp
+++ b/Tests/Ctl/StatusTest.cpp
@@ -17,17 +17,17 @@
 
     Result<BalancerStatus> unreached() { return Error { ErrorCode::Unavailable, "refused" }; }
 
-    TEST(StatusTest, reportsByAvailabilityZone)
+    TEST(StatusTest, ReportByAvailabilityZone)
     {
         {
-            SCOPED_TRACE("everybody runs the newest version");
+            SCOPED_TRACE("every balancer runs the newest version");
             const CtlResult result = reportStatus(7, { probe(1, "walu", 7), probe(2, "nabua", 7) });
             EXPECT_EQ(result.exit, CtlExit::Done);
             EXPECT_EQ(result.json["status"], "in_force");
             EXPECT_EQ(result.json["availability_zones"].size(), 2U);
         }
         {
-            SCOPED_TRACE("one is behind, and one was not reached");
+            SCOPED_TRACE("one balancer runs an older version and one is unreachable");
             std::vector<StatusProbe> probes { probe(1, "walu", 7), probe(2, "walu", 6) };
             EXPECT_EQ(reportStatus(7, probes).exit, CtlExit::Refused);
             EXPECT_THAT(reportStatus(7, probes).text,
@@ -39,7 +39,7 @@
             EXPECT_EQ(result.json["unreached"].size(), 1U);
         }
         {
-            SCOPED_TRACE("the platform was not reached: what balancers say is shown all the same");
+            SCOPED_TRACE("the platform is unreachable, and the report still shows the balancers");
             const CtlResult result = reportStatus(Error { ErrorCode::Unavailable, "down" }, { probe(1, "walu", 7) });
             EXPECT_EQ(result.exit, CtlExit::Unavailable);
             EXPECT_EQ(result.json["highest_version_in_force"], 7);
@@ -47,16 +47,15 @@
         }
     }
 
-    // Symptom: an accepted file came into force nowhere. Sequence: the platform was restored from an older copy. Cause:
-    // balancers don't go back; status must say so and how to get on.
-    TEST(StatusTest, namesARestoredOlderCopy)
+    // Guards against a status report that hides why balancers ignore a platform restored from an older copy.
+    TEST(StatusTest, ReportsAnOlderCopyOnThePlatform)
     {
         const CtlResult result = reportStatus(5, { probe(1, "walu", 7) });
         EXPECT_EQ(result.json["older_copy_on_platform"], true);
         EXPECT_THAT(result.text, HasSubstr("--above_version 7"));
     }
 
-    TEST(StatusTest, refusesAnswersThatAreNoStatus)
+    TEST(StatusTest, RefusesMalformedStatus)
     {
         EXPECT_TRUE(BalancerStatus::parse(
             R"({"name":"b","availability_zone":"z","state":"live","configuration_version":3,"members":[]})"));
@@ -66,7 +65,7 @@
             EXPECT_FALSE(BalancerStatus::parse(text)) << text;
     }
 
-    TEST(StatusTest, asksRealServersAndOutlivesThoseThatAreGone)
+    TEST(StatusTest, ReadsFromAServerWhileAnotherIsClosed)
     {
         boost::asio::io_context context;
         const auto answer = [](const std::shared_ptr<Http2Exchange>& exchange) {
--- a/Tests/FlowStory/FlowStoryTest.cpp
+++ b/Tests/FlowStory/FlowStoryTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // Two balancers' lines, each in its own order, behind the prefixes of a collector.
+    // Lines of two balancers, each with the prefix of a log collector, and not sorted across balancers.
     constexpr const char* text = R"(
 vm-2 | {"steady_ms":1.0,"time_of_day_s":100.300000,"level":"info","part":"flow","event":"opened_elsewhere","vm":"vm-2","flow":"10.0.0.1:5>198.18.0.1:443","server":"i-2"}
 vm-2 | {"steady_ms":2.0,"time_of_day_s":100.400000,"level":"info","part":"flow","event":"request","vm":"vm-2","flow":"10.0.0.1:5>198.18.0.1:443","request":"abc","server":"i-2"}
@@ -39,7 +39,7 @@
 
     using Events = std::vector<std::string>;
 
-    TEST(FlowStoryTest, aRequestLeadsToItsFlowAtAllBalancersInTheOrderOfTime)
+    TEST(FlowStoryTest, RequestSelectsItsFlowAtAllBalancersInTimeOrder)
     {
         const Events expected { "vm-1 opened", "vm-2 opened_elsewhere", "vm-2 request", "vm-1 gone" };
         EXPECT_EQ(eventsOf({ .request = "abc" }), expected);
@@ -47,14 +47,14 @@
         EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5" }), expected);
     }
 
-    TEST(FlowStoryTest, circumstancesAreThoseOfTheFlowsServersAndNear)
+    TEST(FlowStoryTest, ContextIsLimitedToTheServersOfTheFlowAndTheContextTime)
     {
         EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .contextTime = std::chrono::milliseconds(0) }).size(), 3U);
         EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .contextTime = std::chrono::seconds(100) }).back(), "vm-1 ready");
         EXPECT_EQ(eventsOf({ .server = "i-3" }), Events { "vm-1 opened" });
     }
 
-    TEST(FlowStoryTest, whatIsNoLineIsCountedAndWhatFitsNothingIsSaid)
+    TEST(FlowStoryTest, CountsMalformedLinesAndReportsQueriesWithoutAMatch)
     {
         std::size_t unreadable = 0;
         const std::vector<LogLine> lines = linesOf(unreadable);
@@ -64,7 +64,7 @@
         EXPECT_EQ(selectFlowLines(lines, { .request = "unknown" }).error().code, ErrorCode::NotFound);
     }
 
-    TEST(FlowStoryTest, aLineIsDescribedShortly)
+    TEST(FlowStoryTest, DescriptionOfALine)
     {
         std::size_t unreadable = 0;
         EXPECT_EQ(describe(linesOf(unreadable).front(), 100.0),
--- a/Tests/Fuzz/CorpusTest.cpp
+++ b/Tests/Fuzz/CorpusTest.cpp
@@ -19,10 +19,10 @@
         return { std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>() };
     }
 
-    // Everything that was found worth keeping, and random changes of it, is taken or refused.
-    TEST(CorpusTest, eachTargetTakesOrRefusesItsCorpus)
+    // Guards against crashes of the decoders on the corpus and on random mutations of it.
+    TEST(CorpusTest, EachTargetSurvivesItsMutatedCorpus)
     {
-        constexpr int changesOfEach = 300;
+        constexpr int mutationsPerInput = 300;
         std::mt19937 random(17);
         for (const FuzzTarget& target : fuzzTargets()) {
             SCOPED_TRACE(target.name);
@@ -32,13 +32,13 @@
                 ++inputs;
                 const std::vector<std::uint8_t> bytes = bytesOf(entry.path());
                 target.run(bytes);
-                for (int i = 0; i < changesOfEach && !bytes.empty(); ++i) {
-                    std::vector<std::uint8_t> changed = bytes;
+                for (int i = 0; i < mutationsPerInput && !bytes.empty(); ++i) {
+                    std::vector<std::uint8_t> mutated = bytes;
                     for (std::uint32_t n = random() % 4; n > 0; --n)
-                        changed[random() % changed.size()] = static_cast<std::uint8_t>(random());
+                        mutated[random() % mutated.size()] = static_cast<std::uint8_t>(random());
                     if (random() % 8 == 0)
-                        changed.resize(random() % changed.size());
-                    target.run(changed);
+                        mutated.resize(random() % mutated.size());
+                    target.run(mutated);
                 }
             }
             EXPECT_GT(inputs, 0);
--- a/Tests/Fuzz/FuzzMain.cpp
+++ b/Tests/Fuzz/FuzzMain.cpp
@@ -1,11 +1,11 @@
-// The entry of libFuzzer for the target that the build names.
+// Entry point of libFuzzer for the target selected by the build.
 #include "Fuzz/FuzzTargets.h"
 
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
 
-// The build says which; a linter that reads the file alone does not.
+// The build defines the target name; the fallback lets tools parse the file without the build flags.
 #ifndef WISTERIADOCK_FUZZ_TARGET
 #define WISTERIADOCK_FUZZ_TARGET ""
 #endif
--- a/Tests/Fuzz/FuzzTargets.cpp
+++ b/Tests/Fuzz/FuzzTargets.cpp
@@ -20,9 +20,9 @@
 
     std::string textOf(std::span<const std::uint8_t> input) { return std::string(input.begin(), input.end()); }
 
-    void require(bool isTrue)
+    void require(bool condition)
     {
-        if (!isTrue)
+        if (!condition)
             std::abort();
     }
 
@@ -65,15 +65,15 @@
         (void)platform::StoreCodec::decode(ChangesCall {}, response);
     }
 
-    void runPeerNews(std::span<const std::uint8_t> input)
+    void runStoreDelta(std::span<const std::uint8_t> input)
     {
         const auto delta = decodeMessage<StoreDelta>(input, maxDeltaBytes);
         if (!delta)
             return;
         StoreReplica replica;
         const TimePoint now = TimePoint(std::chrono::hours(1));
-        for (const StoreUpdate& item : replica.merge(delta.value(), now))
-            (void)plainValue(item);
+        for (const StoreUpdate& update : replica.merge(delta.value(), now))
+            (void)plainValue(update);
         require(replica.merge(delta.value(), now).empty());
     }
 
@@ -82,9 +82,9 @@
         const auto page = decodeMessage<MembersPageMessage>(input);
         if (page)
             (void)rowsOf(page.value());
-        MembersPageMessage packed;
-        packed.compressedRows = textOf(input);
-        (void)rowsOf(packed);
+        MembersPageMessage compressed;
+        compressed.compressedRows = textOf(input);
+        (void)rowsOf(compressed);
     }
 
     void runSettings(std::span<const std::uint8_t> input) { (void)ForwarderSettings::parse("fuzz.ini", textOf(input)); }
@@ -94,7 +94,7 @@
         FuzzTarget { "server_entry", runServerEntry },
         FuzzTarget { "configuration", runConfiguration },
         FuzzTarget { "store_answer", runStoreAnswer },
-        FuzzTarget { "peer_news", runPeerNews },
+        FuzzTarget { "peer_news", runStoreDelta },
         FuzzTarget { "members_page", runMembersPage },
         FuzzTarget { "settings", runSettings },
     };
--- a/Tests/Fuzz/FuzzTargets.h
+++ b/Tests/Fuzz/FuzzTargets.h
@@ -6,13 +6,14 @@
 
 namespace wisteriadock {
 
-// A decoder of bytes that come from outside: it takes or refuses any input and never stops the process.
+// Runs one decoder of untrusted input, which must accept or reject any bytes without ending the process. Called by the
+// libFuzzer entry point and by CorpusTest.
 struct FuzzTarget {
     std::string_view name;
     void (*run)(std::span<const std::uint8_t> input);
 };
 
-// All of them, by name; the corpus of each lies in corpus/NAME.
+// All targets. The corpus of each is in corpus/NAME.
 std::span<const FuzzTarget> fuzzTargets();
 
 }
