--- a/Benchmarks/ConfigurationBenchmark.cpp
+++ b/Benchmarks/ConfigurationBenchmark.cpp
@@ -1,5 +1,5 @@
-// What one version of the configuration costs those who read it, by the number of backend servers. Five of them stand
-// behind each service, as at the size of docs/CAPACITY.md.
+// Processor time and memory for reading one version of the configuration, by the number of backend servers, with five
+// servers per service.
 #include "Configuration/ConfigurationContent.h"
 #include "Configuration/ConfigurationDiff.h"
 #include "Configuration/ConfigurationHead.h"
@@ -24,15 +24,15 @@
 
     constexpr std::size_t serversPerService = 5;
     constexpr std::size_t availabilityZones = 8;
-    constexpr std::uint32_t servicesFrom = 0xC6120000;
-    constexpr std::uint32_t serversFrom = 0x0A000000;
+    constexpr std::uint32_t firstServiceAddress = 0xC6120000;
+    constexpr std::uint32_t firstServerAddress = 0x0A000000;
     constexpr std::uint16_t servicePort = 443;
     constexpr std::uint16_t flowPort = 7000;
     constexpr std::uint16_t requestPort = 8000;
     constexpr std::uint64_t firstVersion = 1000;
     const std::string fileName = "benchmark.ini";
 
-    // Names are padded, so that the order of names is the order of numbers.
+    // Pads the numbers so that names sort in numeric order.
     Configuration makeConfiguration(std::size_t servers)
     {
         Configuration configuration;
@@ -41,10 +41,11 @@
                 Service service;
                 service.name = fmt::format("service-{:05}", i / serversPerService);
                 service.id = serviceIdOf(service.name);
-                service.address = { servicesFrom + static_cast<std::uint32_t>(i / serversPerService), servicePort };
+                service.address
+                    = { firstServiceAddress + static_cast<std::uint32_t>(i / serversPerService), servicePort };
                 configuration.services.push_back(service);
             }
-            const auto address = serversFrom + static_cast<std::uint32_t>(i);
+            const auto address = firstServerAddress + static_cast<std::uint32_t>(i);
             BackendServer server;
             server.name = fmt::format("{}-{}", configuration.services.back().name, i % serversPerService);
             server.id = backendServerIdOf(server.name);
@@ -76,7 +77,7 @@
         for (auto iteration : state) {
             const ConfigurationResult parsed = parseConfiguration(fileName, text);
             if (!parsed)
-                state.SkipWithError("the text does not pass the check");
+                state.SkipWithError("the configuration text is invalid");
         }
         const std::size_t before = heapBytes();
         const ConfigurationResult kept = parseConfiguration(fileName, text);
@@ -98,8 +99,8 @@
             bytes = found.empty() ? 0 : found.front().toString().size();
         }
         if (changes != 1)
-            state.SkipWithError("one change was made, and not one was found");
-        // What the change is as text: the least that a delta would have to carry.
+            state.SkipWithError("the diff does not contain exactly one change");
+        // Size of the change as text, a lower bound for a delta.
         state.counters["change_bytes"] = static_cast<double>(bytes);
     }
 
@@ -111,7 +112,7 @@
             ConfigurationHead made;
             made.applied = { version, fmt::format("apply-{}", version), contentHashOf(text), "benchmark" };
             made.baseVersion = version - 1;
-            // Heads in use remember as many applies as they may.
+            // Fills the list of previous applies to its limit.
             AppliedVersion earlier = made.applied;
             while (made.previousApplies.size() + 1 < maxRecordedApplies) {
                 earlier.applyId = fmt::format("apply-{}", --earlier.version);
@@ -137,7 +138,7 @@
         return std::holds_alternative<PutInForce>(action);
     }
 
-    // All that a balancer computes from the arrival of a head and its parts to the version that it hands on.
+    // The work of a balancer from the arrival of a head and its parts to the parsed version.
     void applyThroughHeadReader(benchmark::State& state)
     {
         const Configuration before = makeConfiguration(static_cast<std::size_t>(state.range(0)));
@@ -155,12 +156,12 @@
         state.counters["head_bytes"] = static_cast<double>(second.head.size());
     }
 
-    // The platform's list of VMs, which every balancer reads from time to time.
+    // Parses the VM list of the platform, which every balancer reads periodically.
     void listOfVms(benchmark::State& state)
     {
         std::vector<Vm> vms;
         for (std::int64_t i = 0; i < state.range(0); ++i) {
-            const Endpoint address { serversFrom + static_cast<std::uint32_t>(i), flowPort };
+            const Endpoint address { firstServerAddress + static_cast<std::uint32_t>(i), flowPort };
             vms.push_back({ fmt::format("balancer-{:05}", i),
                 fmt::format("zone-{}", static_cast<std::size_t>(i) % availabilityZones), address.toString(),
                 VmState::Live });
@@ -169,7 +170,7 @@
         for (auto iteration : state) {
             const auto read = vmsOfJson(nlohmann::json::parse(text));
             if (!read)
-                state.SkipWithError("the list was not read");
+                state.SkipWithError("the VM list could not be parsed");
         }
         state.counters["list_bytes"] = static_cast<double>(text.size());
     }
--- a/Benchmarks/ConfigurationSpreadBenchmark.cpp
+++ b/Benchmarks/ConfigurationSpreadBenchmark.cpp
@@ -1,5 +1,5 @@
-// What one change of the operators' configuration costs a forwarder, by the number of routes in force: reading the
-// store's answer, packing it for others, unpacking, decoding and taking it.
+// Cost of one configuration change at a forwarder, by the number of routes: reading the response of the store,
+// compressing it for peers, decompressing, decoding and applying it.
 #include "Forward/ForwardFixture.h"
 #include "News/CompressedValue.h"
 #include "platform/ConfigurationText.h"
@@ -26,52 +26,52 @@
         return configuration;
     }
 
-    StoreUpdate itemOf(std::uint64_t version, std::size_t routes)
+    StoreUpdate updateOf(std::uint64_t version, std::size_t routes)
     {
         return { "configuration", platform::encodeConfiguration(configurationOf(version, routes)), version, false };
     }
 
-    void readAnswerOfTheStore(benchmark::State& state)
+    void decodeStoreResponse(benchmark::State& state)
     {
         HttpResponse response;
         response.status = 200;
-        const StoreUpdate item = itemOf(7, static_cast<std::size_t>(state.range(0)));
-        response.body = platform::encodeChanges({ { { item.key, item.value, 7 } }, 7 });
+        const StoreUpdate update = updateOf(7, static_cast<std::size_t>(state.range(0)));
+        response.body = platform::encodeChanges({ { { update.key, update.value, 7 } }, 7 });
         const HttpOutcome outcome = response;
         for (auto _ : state)
             benchmark::DoNotOptimize(platform::StoreCodec::decode(ChangesCall {}, outcome));
         state.counters["bytes"] = static_cast<double>(response.body.size());
     }
 
-    void packForOthers(benchmark::State& state)
+    void compressForPeers(benchmark::State& state)
     {
-        const StoreUpdate item = itemOf(7, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate update = updateOf(7, static_cast<std::size_t>(state.range(0)));
         std::size_t bytes = 0;
         for (auto _ : state) {
-            StoreUpdate packed = item;
-            compressValue(packed);
-            bytes = packed.value.size();
+            StoreUpdate compressed = update;
+            compressValue(compressed);
+            bytes = compressed.value.size();
         }
         state.counters["bytes"] = static_cast<double>(bytes);
     }
 
-    void unpack(benchmark::State& state)
+    void decompress(benchmark::State& state)
     {
-        StoreUpdate item = itemOf(7, static_cast<std::size_t>(state.range(0)));
-        compressValue(item);
+        StoreUpdate update = updateOf(7, static_cast<std::size_t>(state.range(0)));
+        compressValue(update);
         for (auto _ : state)
-            benchmark::DoNotOptimize(plainValue(item));
+            benchmark::DoNotOptimize(plainValue(update));
     }
 
     void decode(benchmark::State& state)
     {
-        const StoreUpdate item = itemOf(7, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate update = updateOf(7, static_cast<std::size_t>(state.range(0)));
         for (auto _ : state)
-            benchmark::DoNotOptimize(platform::decodeConfiguration(item.value));
+            benchmark::DoNotOptimize(platform::decodeConfiguration(update.value));
     }
 
-    // Two versions by turns that differ in one route in the middle.
-    void readOneChanged(benchmark::State& state)
+    // Alternates between two versions that differ in one route.
+    void applyOneChangedRoute(benchmark::State& state)
     {
         ForwardingConfiguration configuration = configurationOf(7, static_cast<std::size_t>(state.range(0)));
         const std::string first = platform::encodeConfiguration(configuration);
@@ -87,7 +87,7 @@
         }
     }
 
-    void take(benchmark::State& state)
+    void replaceRoutes(benchmark::State& state)
     {
         RouteTable table;
         ForwardingConfiguration configuration = configurationOf(7, static_cast<std::size_t>(state.range(0)));
@@ -95,34 +95,34 @@
             table.replace(configuration);
     }
 
-    // The watcher's work for a change of one route, and a receiver's.
+    // makePatch is the work of the watcher for one changed version, applyOnePatch that of a receiver.
     void makePatch(benchmark::State& state)
     {
-        const StoreUpdate former = itemOf(7, static_cast<std::size_t>(state.range(0)));
-        const StoreUpdate item = itemOf(8, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate previous = updateOf(7, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate update = updateOf(8, static_cast<std::size_t>(state.range(0)));
         std::size_t bytes = 0;
         for (auto _ : state)
-            bytes = patchBytes(former.value, item.value)->size();
+            bytes = patchBytes(previous.value, update.value)->size();
         state.counters["bytes"] = static_cast<double>(bytes);
     }
 
-    void usePatch(benchmark::State& state)
+    void applyOnePatch(benchmark::State& state)
     {
-        const StoreUpdate former = itemOf(7, static_cast<std::size_t>(state.range(0)));
-        const StoreUpdate item = itemOf(8, static_cast<std::size_t>(state.range(0)));
-        const ValuePatch patch { item.key, 7, 8, *patchBytes(former.value, item.value) };
+        const StoreUpdate previous = updateOf(7, static_cast<std::size_t>(state.range(0)));
+        const StoreUpdate update = updateOf(8, static_cast<std::size_t>(state.range(0)));
+        const ValuePatch patch { update.key, 7, 8, *patchBytes(previous.value, update.value) };
         for (auto _ : state)
-            benchmark::DoNotOptimize(applyPatch(former.value, patch));
+            benchmark::DoNotOptimize(applyPatch(previous.value, patch));
     }
 
     BENCHMARK(makePatch)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
-    BENCHMARK(usePatch)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
-    BENCHMARK(readAnswerOfTheStore)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
-    BENCHMARK(packForOthers)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
-    BENCHMARK(unpack)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
+    BENCHMARK(applyOnePatch)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
+    BENCHMARK(decodeStoreResponse)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
+    BENCHMARK(compressForPeers)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
+    BENCHMARK(decompress)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
     BENCHMARK(decode)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
-    BENCHMARK(readOneChanged)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
-    BENCHMARK(take)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
+    BENCHMARK(applyOneChangedRoute)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
+    BENCHMARK(replaceRoutes)->Arg(100)->Arg(1400)->Arg(10000)->Unit(benchmark::kMicrosecond);
 
 }
 }
--- a/Benchmarks/FlowBenchmark.cpp
+++ b/Benchmarks/FlowBenchmark.cpp
@@ -1,4 +1,4 @@
-// Speed and memory of the flow decisions. Utilities/capacity prints these figures next to the budgets.
+// Speed and memory of routing decisions; read by Utilities/capacity.
 #include "Flow/BucketTable.h"
 #include "Flow/FlowEngine.h"
 
@@ -14,11 +14,10 @@
 namespace {
 
     constexpr std::uint32_t loopback = 0x7F000001;
-    constexpr std::uint32_t servicesFrom = 0xC6330000;
+    constexpr std::uint32_t firstServiceAddress = 0xC6330000;
     constexpr std::uint16_t servicePort = 443;
     constexpr std::size_t manyFlows = 1'600'000;
 
-    // So many services with so many backend servers each.
     std::shared_ptr<Configuration> makeConfiguration(std::size_t services, std::size_t serversPerService)
     {
         auto configuration = std::make_shared<Configuration>();
@@ -26,7 +25,7 @@
             Service service;
             service.name = "service-" + std::to_string(i);
             service.id = serviceIdOf(service.name);
-            service.address = { servicesFrom + static_cast<std::uint32_t>(i), servicePort };
+            service.address = { firstServiceAddress + static_cast<std::uint32_t>(i), servicePort };
             configuration->services.push_back(service);
             for (std::size_t j = 0; j < serversPerService; ++j) {
                 BackendServer server;
@@ -40,9 +39,9 @@
         return configuration;
     }
 
-    // An engine of a balancer that is alone, settled, and ready to decide.
-    struct LoneEngine {
-        LoneEngine(std::size_t services, std::size_t serversPerService)
+    // A settled engine of a fleet that has only this balancer.
+    struct SingleBalancerEngine {
+        SingleBalancerEngine(std::size_t services, std::size_t serversPerService)
             : engine(makeSettings(), balancerIdOf("alone"), 1)
             , configuration(makeConfiguration(services, serversPerService))
         {
@@ -80,11 +79,11 @@
         std::shared_ptr<Configuration> configuration;
     };
 
-    // The engine with many warm flows, shared by the threads of one benchmark.
-    LoneEngine& warmEngine()
+    // An engine that tracks manyFlows flows, shared by the threads of a benchmark.
+    SingleBalancerEngine& warmEngine()
     {
-        static LoneEngine* const engine = [] {
-            auto* made = new LoneEngine(2, 10);
+        static SingleBalancerEngine* const engine = [] {
+            auto* made = new SingleBalancerEngine(2, 10);
             for (std::size_t flow = 0; flow < manyFlows; ++flow)
                 made->engine.route(made->packetOf(flow), made->clock.now());
             return made;
@@ -92,19 +91,19 @@
         return *engine;
     }
 
-    // One packet of an established flow, drawn from 1.6 million of them.
+    // Routes a packet of a random established flow.
     void decidePerPacket(benchmark::State& state)
     {
-        LoneEngine& lone = warmEngine();
+        SingleBalancerEngine& single = warmEngine();
         std::mt19937_64 random(state.thread_index());
         std::vector<FlowPacket> packets(1 << 16);
         for (FlowPacket& packet : packets)
-            packet = lone.packetOf(std::uniform_int_distribution<std::size_t>(0, manyFlows - 1)(random));
-        const TimePoint now = lone.clock.now();
+            packet = single.packetOf(std::uniform_int_distribution<std::size_t>(0, manyFlows - 1)(random));
+        const TimePoint now = single.clock.now();
         std::size_t next = 0;
         std::uint64_t delivered = 0;
         for (auto _ : state) {
-            delivered += lone.engine.route(packets[next], now).kind == RouteKind::ToBackendServer;
+            delivered += single.engine.route(packets[next], now).kind == RouteKind::ToBackendServer;
             next = (next + 1) % packets.size();
         }
         if (delivered != static_cast<std::uint64_t>(state.iterations()))
@@ -113,27 +112,27 @@
     }
     BENCHMARK(decidePerPacket)->ThreadRange(1, 8)->UseRealTime();
 
-    // The first packet of a flow: look-up, decision and a new entry.
+    // Routes the first packet of a flow: lookup, decision and a new entry.
     void decideForNewFlow(benchmark::State& state)
     {
-        LoneEngine lone(2, 10);
+        SingleBalancerEngine single(2, 10);
         std::size_t flow = 0;
         for (auto _ : state)
-            benchmark::DoNotOptimize(lone.engine.route(lone.packetOf(flow++), lone.clock.now()));
+            benchmark::DoNotOptimize(single.engine.route(single.packetOf(flow++), single.clock.now()));
         state.SetItemsProcessed(state.iterations());
     }
     BENCHMARK(decideForNewFlow)->Iterations(manyFlows);
 
-    // Heap bytes per tracked flow, by the allocator's own count.
+    // Heap bytes per tracked flow, as counted by the allocator.
     void bytesPerTrackedFlow(benchmark::State& state)
     {
         const auto flows = static_cast<std::size_t>(state.range(0));
         double bytes = 0;
         for (auto _ : state) {
-            LoneEngine lone(2, 10);
+            SingleBalancerEngine single(2, 10);
             const std::size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
             for (std::size_t flow = 0; flow < flows; ++flow)
-                lone.engine.route(lone.packetOf(flow), lone.clock.now());
+                single.engine.route(single.packetOf(flow), single.clock.now());
             const std::size_t after = mallinfo2().uordblks + mallinfo2().hblkhd;
             bytes = double(after - before) / double(flows);
         }
@@ -146,22 +145,22 @@
         ->Iterations(1)
         ->Unit(benchmark::kMillisecond);
 
-    // One backend server begins to drain; everything else stays. Arguments: services, servers of each.
+    // One backend server starts draining. Arguments: services, servers per service.
     void rebuildAfterOneChange(benchmark::State& state)
     {
         const auto services = static_cast<std::size_t>(state.range(0));
         const auto servers = static_cast<std::size_t>(state.range(1));
-        LoneEngine lone(services, servers);
+        SingleBalancerEngine single(services, servers);
         std::uint64_t version = 1;
         for (auto _ : state) {
             state.PauseTiming();
-            auto changed = std::make_shared<Configuration>(*lone.configuration);
+            auto changed = std::make_shared<Configuration>(*single.configuration);
             BackendServer& server = changed->backendServers[version % changed->backendServers.size()];
             server.state = BackendServerState::Draining;
-            lone.clock.advance(std::chrono::milliseconds(50));
+            single.clock.advance(std::chrono::milliseconds(50));
             state.ResumeTiming();
-            lone.engine.applyConfiguration(changed, ++version, lone.clock.now());
-            lone.engine.tick(lone.clock.now());
+            single.engine.applyConfiguration(changed, ++version, single.clock.now());
+            single.engine.tick(single.clock.now());
         }
     }
     BENCHMARK(rebuildAfterOneChange)
@@ -171,18 +170,18 @@
         ->Args({ 2400, 5 })
         ->Unit(benchmark::kMillisecond);
 
-    // What an idle control tick costs as the number of services grows.
+    // A control tick without changes, by the number of services.
     void idleTick(benchmark::State& state)
     {
-        LoneEngine lone(static_cast<std::size_t>(state.range(0)), 5);
+        SingleBalancerEngine single(static_cast<std::size_t>(state.range(0)), 5);
         for (auto _ : state) {
-            lone.clock.advance(std::chrono::milliseconds(50));
-            benchmark::DoNotOptimize(lone.engine.tick(lone.clock.now()));
+            single.clock.advance(std::chrono::milliseconds(50));
+            benchmark::DoNotOptimize(single.engine.tick(single.clock.now()));
         }
     }
     BENCHMARK(idleTick)->Arg(2)->Arg(240)->Arg(1200)->Arg(2400)->Unit(benchmark::kMicrosecond);
 
-    // One table, by the number of servers.
+    // Builds one table, by the number of servers.
     void buildTable(benchmark::State& state)
     {
         std::vector<ServerShare> shares;
--- a/Benchmarks/FlowChangeBenchmark.cpp
+++ b/Benchmarks/FlowChangeBenchmark.cpp
@@ -1,5 +1,5 @@
-// What one drain costs in control bytes and processor time, by the flows of the server and by the number of balancers;
-// and what a new view of the members costs the flow engine. A small fleet of engines runs in virtual time.
+// Control bytes and processor time of one drain, by the flows of the server and the number of balancers, and the cost
+// of a new members view for the flow engine. The fleet of engines runs in virtual time.
 #include "Flow/FlowEngine.h"
 #include "Wire/PeerMessageCodec.h"
 
@@ -22,17 +22,17 @@
 
     using namespace std::chrono_literals;
 
-    constexpr std::uint32_t servicesFrom = 0xC6120000;
-    constexpr std::uint32_t serversFrom = 0x0A000000;
-    constexpr std::uint32_t clientsFrom = 0x0B000000;
-    constexpr std::uint32_t balancersFrom = 0x0C000000;
+    constexpr std::uint32_t firstServiceAddress = 0xC6120000;
+    constexpr std::uint32_t firstServerAddress = 0x0A000000;
+    constexpr std::uint32_t firstClientAddress = 0x0B000000;
+    constexpr std::uint32_t firstBalancerAddress = 0x0C000000;
     constexpr std::uint16_t port = 443;
     constexpr std::size_t serversPerService = 5;
     constexpr std::size_t availabilityZones = 8;
     constexpr auto tickPeriod = 50ms;
     constexpr auto messageDelay = 10ms;
     constexpr std::size_t ipAndUdpBytes = 28;
-    constexpr int longestChangeTicks = 20 * 600;
+    constexpr int maxChangeTicks = 20 * 600;
 
     std::shared_ptr<Configuration> makeConfiguration(std::size_t services)
     {
@@ -41,7 +41,7 @@
             Service service;
             service.name = fmt::format("service-{:05}", i);
             service.id = serviceIdOf(service.name);
-            service.address = { servicesFrom + static_cast<std::uint32_t>(i), port };
+            service.address = { firstServiceAddress + static_cast<std::uint32_t>(i), port };
             configuration->services.push_back(service);
             for (std::size_t j = 0; j < serversPerService; ++j) {
                 BackendServer server;
@@ -49,7 +49,7 @@
                 server.id = backendServerIdOf(server.name);
                 server.service = service.id;
                 server.flowAddress
-                    = { serversFrom + static_cast<std::uint32_t>(configuration->backendServers.size()), port };
+                    = { firstServerAddress + static_cast<std::uint32_t>(configuration->backendServers.size()), port };
                 configuration->backendServers.push_back(server);
             }
         }
@@ -66,7 +66,7 @@
             member.id = balancerIdOf(member.name);
             member.availabilityZone = fmt::format("zone-{}", i % availabilityZones);
             member.peerAddress = member.flowAddress = member.requestAddress
-                = { balancersFrom + static_cast<std::uint32_t>(i), port };
+                = { firstBalancerAddress + static_cast<std::uint32_t>(i), port };
             member.state = MemberState::Serving;
             view.members.push_back(member);
         }
@@ -90,7 +90,7 @@
         return heap.uordblks + heap.hblkhd;
     }
 
-    // Engines of one availability zone with one service, joined by a queue in which every message takes as long.
+    // Engines with one service, joined by a queue that delays every message by messageDelay.
     class Fleet {
     public:
         struct Node {
@@ -114,13 +114,13 @@
             runUntilSettled();
         }
 
-        // Every flow has sent a packet to every balancer. Returns how many flows are at the server that drains next.
+        // Opens flows by sending a packet of each to every balancer. Returns the number of flows at the first server.
         std::size_t openFlows(std::size_t count)
         {
             std::size_t atServer = 0;
             for (std::size_t flow = 0; flow < count; ++flow) {
                 FlowPacket packet;
-                packet.client = { clientsFrom + static_cast<std::uint32_t>(flow), port };
+                packet.client = { firstClientAddress + static_cast<std::uint32_t>(flow), port };
                 packet.serviceAddress = configuration_->services.front().address;
                 RouteDecision decision;
                 for (const Node& node : nodes_)
@@ -143,11 +143,11 @@
             apply();
         }
 
-        // Returns how long it took, or less than nothing if it did not end.
+        // Returns the time until settled, or a negative duration if the tick limit was reached.
         Duration runUntilSettled()
         {
             const TimePoint start = clock_.now();
-            for (int tick = 0; tick < longestChangeTicks; ++tick) {
+            for (int tick = 0; tick < maxChangeTicks; ++tick) {
                 step();
                 if (isSettled())
                     return clock_.now() - start;
@@ -181,7 +181,7 @@
             perform(node, actions);
         }
 
-        // Counts the bytes on the wire as the daemon's link sends them.
+        // Counts bytes on the wire as the daemon sends them, including IP and UDP headers.
         void perform(Node& node, const FlowActions& actions)
         {
             for (const SendFlowMessage& action : actions) {
@@ -228,8 +228,8 @@
         std::deque<Message> messages_;
     };
 
-    // One of the five servers of a service drains. Arguments: balancers, flows of each server. The arbiter is the node
-    // that sends most.
+    // Drains one server of a service. Arguments: balancers, flows per server. The arbiter is taken to be the node that
+    // sends the most bytes.
     void drainOfOneServer(benchmark::State& state)
     {
         const auto balancers = static_cast<std::size_t>(state.range(0));
@@ -240,7 +240,7 @@
             fleet.drainFirstServer();
             const Duration length = fleet.runUntilSettled();
             if (length < Duration::zero()) {
-                state.SkipWithError("the change did not end");
+                state.SkipWithError("the drain did not settle within the tick limit");
                 return;
             }
             const auto& nodes = fleet.nodes();
@@ -264,7 +264,7 @@
         }
     }
 
-    // A new view of the members, in which one balancer is new. Arguments: services, members.
+    // Applies a members view in which one member changed. Arguments: services, members.
     void newMembersView(benchmark::State& state)
     {
         MembersView view = makeView(static_cast<std::size_t>(state.range(1)));
@@ -282,8 +282,7 @@
         }
     }
 
-    // One control tick of a settled engine with 2,400 services, by the number of flows it tracks: most of it is the
-    // search for idle ones.
+    // A control tick of a settled engine, by the number of tracked flows, including the search for idle flows.
     void tickWithFlows(benchmark::State& state)
     {
         constexpr std::size_t services = 2400;
@@ -298,17 +297,17 @@
         engine.tick(clock.now());
         for (std::int64_t flow = 0; flow < state.range(0); ++flow) {
             FlowPacket packet;
-            packet.client = { clientsFrom + static_cast<std::uint32_t>(flow), port };
+            packet.client = { firstClientAddress + static_cast<std::uint32_t>(flow), port };
             packet.serviceAddress = configuration->services[static_cast<std::size_t>(flow) % services].address;
             engine.route(packet, clock.now());
         }
-        // Time stands still, so that no flow becomes idle and all ticks find the same number.
+        // The clock does not advance, so that no flow expires.
         for (auto iteration : state)
             benchmark::DoNotOptimize(engine.tick(clock.now()));
         state.counters["tracked_flows"] = static_cast<double>(engine.counters().trackedFlows);
     }
 
-    // Heap of an engine without flows, by the number of services.
+    // Heap bytes of an engine without flows, by the number of services.
     void heapOfServices(benchmark::State& state)
     {
         const auto configuration = makeConfiguration(static_cast<std::size_t>(state.range(0)));
@@ -323,7 +322,7 @@
         }
     }
 
-    // Heap of one view of the members.
+    // Heap bytes of one members view, by the number of members.
     void heapOfMembersView(benchmark::State& state)
     {
         const auto members = static_cast<std::size_t>(state.range(0));
--- a/Benchmarks/ForwarderBenchmark.cpp
+++ b/Benchmarks/ForwarderBenchmark.cpp
@@ -1,5 +1,5 @@
-// What a packet costs the forwarder with its log and without: usual traffic, a burst of openings, storms of bad
-// packets. A line beyond its kind's budget is only counted, which is what bounds a storm.
+// Cost of a packet at the forwarder with and without logging: open flows, many openings and floods of invalid packets.
+// Lines beyond the budget of their kind are only counted, which bounds the cost of a flood.
 #include "Forward/ForwardFixture.h"
 #include "Forwarder/ForwarderLog.h"
 #include "platform/Adapter.h"
@@ -14,9 +14,9 @@
 namespace wisteriadock {
 namespace {
 
-    // Lines are put together and handed to a device that takes them all.
-    struct Setting : ForwardFixture {
-        explicit Setting(LogLevel level, std::uint32_t budget)
+    // Formats log lines and writes them to /dev/null.
+    struct LoggingForwarder : ForwardFixture {
+        explicit LoggingForwarder(LogLevel level, std::uint32_t budget)
             : descriptor(::open("/dev/null", O_WRONLY | O_CLOEXEC))
             , events({ "edge-1", "walu", 1 }, descriptor, budget)
             , log(events)
@@ -26,9 +26,9 @@
             for (std::uint64_t number = 1; number <= 20; ++number)
                 put(server(number));
         }
-        ~Setting() { ::close(descriptor); }
-        Setting(const Setting&) = delete;
-        Setting& operator=(const Setting&) = delete;
+        ~LoggingForwarder() { ::close(descriptor); }
+        LoggingForwarder(const LoggingForwarder&) = delete;
+        LoggingForwarder& operator=(const LoggingForwarder&) = delete;
 
         void handle(const TokenPacket& packet)
         {
@@ -36,7 +36,7 @@
             log.packet(packet, decision, "", 3, 20, clock.now());
         }
 
-        // The daemon hands lines on four times a second; here after every thousand packets.
+        // Ticks and flushes the log once per 1000 packets.
         void afterPacket()
         {
             clock.advance(std::chrono::microseconds(100));
@@ -56,67 +56,67 @@
 
     LogLevel levelOf(const benchmark::State& state) { return state.range(0) ? LogLevel::Info : LogLevel::Error; }
 
-    // Each packet opens a flow: 10,000 a second, and every line is written.
+    // Each packet opens a flow, and every log line is written.
     void openings(benchmark::State& state)
     {
-        Setting setting(levelOf(state), unbounded);
+        LoggingForwarder forwarder(levelOf(state), unbounded);
         std::uint32_t caller = 0;
         for (auto _ : state) {
-            setting.handle(ForwardFixture::opening(++caller & 0xFFFFF));
-            setting.afterPacket();
+            forwarder.handle(ForwardFixture::opening(++caller & 0xFFFFF));
+            forwarder.afterPacket();
         }
-        state.counters["lines"] = static_cast<double>(setting.events.buffer().lines());
+        state.counters["lines"] = static_cast<double>(forwarder.events.buffer().lines());
     }
 
-    // The same with the usual budget of 200 lines a second.
+    // As openings(), with the default budget of log lines per second.
     void openingsWithinBudget(benchmark::State& state)
     {
-        Setting setting(levelOf(state), EventLog::defaultBudget);
+        LoggingForwarder forwarder(levelOf(state), EventLog::defaultBudget);
         std::uint32_t caller = 0;
         for (auto _ : state) {
-            setting.handle(ForwardFixture::opening(++caller & 0xFFFFF));
-            setting.afterPacket();
+            forwarder.handle(ForwardFixture::opening(++caller & 0xFFFFF));
+            forwarder.afterPacket();
         }
     }
 
     void packetsOfOpenFlows(benchmark::State& state)
     {
-        Setting setting(levelOf(state), EventLog::defaultBudget);
-        const std::uint32_t token = setting.openFlow(1);
+        LoggingForwarder forwarder(levelOf(state), EventLog::defaultBudget);
+        const std::uint32_t token = forwarder.openFlow(1);
         std::uint32_t sequence = 1001;
         for (auto _ : state) {
-            setting.handle(ForwardFixture::data(1, token, sequence += 100));
-            setting.afterPacket();
+            forwarder.handle(ForwardFixture::data(1, token, sequence += 100));
+            forwarder.afterPacket();
         }
     }
 
-    void stormOfUnknownTokens(benchmark::State& state)
+    void floodOfUnknownTokens(benchmark::State& state)
     {
-        Setting setting(levelOf(state), EventLog::defaultBudget);
+        LoggingForwarder forwarder(levelOf(state), EventLog::defaultBudget);
         std::uint32_t token = 0x10000000;
         for (auto _ : state) {
-            setting.handle(ForwardFixture::data(1, ++token));
-            setting.afterPacket();
+            forwarder.handle(ForwardFixture::data(1, ++token));
+            forwarder.afterPacket();
         }
     }
 
-    void stormOfMalformedPackets(benchmark::State& state)
+    void floodOfMalformedPackets(benchmark::State& state)
     {
-        Setting setting(levelOf(state), EventLog::defaultBudget);
+        LoggingForwarder forwarder(levelOf(state), EventLog::defaultBudget);
         const std::array<std::uint8_t, 20> datagram {};
         for (auto _ : state) {
             if (!platform::Adapter::decodePacket(datagram))
-                setting.log.malformed(datagram.size(), { 0x64400001, 40001 }, setting.clock.now());
-            setting.afterPacket();
+                forwarder.log.malformed(datagram.size(), { 0x64400001, 40001 }, forwarder.clock.now());
+            forwarder.afterPacket();
         }
     }
 
-    // Argument 1: with the log; 0: at a level that writes none of these lines.
+    // Argument: 1 with logging, 0 at a level that writes none of these lines.
     BENCHMARK(openings)->Arg(0)->Arg(1);
     BENCHMARK(openingsWithinBudget)->Arg(0)->Arg(1);
     BENCHMARK(packetsOfOpenFlows)->Arg(0)->Arg(1);
-    BENCHMARK(stormOfUnknownTokens)->Arg(0)->Arg(1);
-    BENCHMARK(stormOfMalformedPackets)->Arg(0)->Arg(1);
+    BENCHMARK(floodOfUnknownTokens)->Arg(0)->Arg(1);
+    BENCHMARK(floodOfMalformedPackets)->Arg(0)->Arg(1);
 
 }
 }
--- a/Benchmarks/MembershipBenchmark.cpp
+++ b/Benchmarks/MembershipBenchmark.cpp
@@ -1,5 +1,5 @@
-// Measures what membership costs one balancer as the fleet grows: whole fleets run in virtual time over a network in
-// memory, and processor time and bytes are divided by balancers and seconds of protocol time.
+// Cost of membership per balancer, by the size of the fleet. Whole fleets run in virtual time over an in-memory
+// network; processor time and bytes are divided by balancers and seconds of virtual time.
 #include "Support/MembershipNetwork.h"
 
 #include <benchmark/benchmark.h>
@@ -18,8 +18,8 @@
     using namespace std::chrono_literals;
 
     constexpr std::size_t availabilityZones = 8;
-    constexpr std::size_t rowsOfPage = 10;
-    // Long enough for both times that a newcomer reads the view.
+    constexpr std::size_t rowsPerPage = 10;
+    // Covers both reads of the view by a new balancer.
     constexpr std::chrono::seconds settlingTime { 240 };
 
     std::uint64_t bytesOf(MembershipNetwork& network)
@@ -35,8 +35,7 @@
         return { sender.peerAddress, { sender.id, sender.incarnation, kind, std::move(payload) } };
     }
 
-    // Tells every balancer of every other at once. Joining is measured elsewhere and takes longer than what is measured
-    // here.
+    // Makes every balancer known to every other at once, without the slower join protocol.
     void introduceAll(MembershipNetwork& network)
     {
         std::vector<MemberRow> rows;
@@ -46,8 +45,8 @@
             rows.push_back(rowOf(record, true));
         }
         std::vector<std::vector<std::uint8_t>> pages;
-        for (std::size_t first = 0; first < rows.size(); first += rowsOfPage) {
-            const std::size_t last = std::min(first + rowsOfPage, rows.size());
+        for (std::size_t first = 0; first < rows.size(); first += rowsPerPage) {
+            const std::size_t last = std::min(first + rowsPerPage, rows.size());
             MembersPageMessage page;
             page.rows.assign(rows.begin() + first, rows.begin() + last);
             pages.push_back(encodeMessage(page));
@@ -75,7 +74,7 @@
         return network;
     }
 
-    // One fleet a size, since starting one takes longer than what is measured.
+    // Keeps one started fleet per size, since starting a fleet takes longer than the benchmark.
     MembershipNetwork* fleetOf(std::size_t count)
     {
         static std::map<std::size_t, std::unique_ptr<MembershipNetwork>> fleets;
@@ -92,7 +91,7 @@
         return datagrams;
     }
 
-    // One second of a fleet at rest. The time includes that of the network in memory.
+    // Runs a fleet without changes for one second. The time includes the in-memory network.
     void fleetAtRest(benchmark::State& state)
     {
         const auto count = static_cast<std::size_t>(state.range(0));
--- a/Benchmarks/RequestBenchmark.cpp
+++ b/Benchmarks/RequestBenchmark.cpp
@@ -51,7 +51,7 @@
     return configuration;
 }
 
-// An owner and a backup whose messages arrive at once.
+// An owner and a backup that exchange messages without delay.
 struct Pair {
     explicit Pair(const ClaimLimits& limits)
     {
@@ -70,16 +70,16 @@
             runner->configure(makeConfiguration(2, 100, true), view, now);
             runner->learnTerm(term, now);
         }
-        for (bool isQuiet = false; !isQuiet;)
-            isQuiet = !exchange(0) && !exchange(1);
+        for (bool isIdle = false; !isIdle;)
+            isIdle = !exchange(0) && !exchange(1);
     }
 
     bool exchange(std::size_t from)
     {
         bool hasSent = false;
         for (const RequestAction& action : runners[from]->takeActions()) {
-            if (const auto* letter = std::get_if<OutgoingMessage>(&action)) {
-                runners[letter->to == holders[0] ? 0 : 1]->receive(holders[from], letter->message, now);
+            if (const auto* outgoing = std::get_if<OutgoingMessage>(&action)) {
+                runners[outgoing->to == holders[0] ? 0 : 1]->receive(holders[from], outgoing->message, now);
                 hasSent = true;
             } else if (const auto* start = std::get_if<StartWork>(&action))
                 started = start->work;
@@ -87,13 +87,13 @@
         return hasSent;
     }
 
-    // One request from its arrival to its answer, with all four events of the owner and both of the backup.
+    // Processes one request at the owner and the backup, from its arrival to its response.
     void run(const RequestKey& key)
     {
         const std::size_t owner
             = runners[0]->buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
         runners[owner]->arrive(
-            KeyedAttempt { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
+            KeyedAttempt { ++lastAttempt, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
         exchange(owner);
         exchange(1 - owner);
         exchange(owner);
@@ -101,14 +101,14 @@
         exchange(owner);
     }
 
-    // The same; returns the seconds that the owner took to decide that the work is sent.
+    // As run(); returns the seconds that the owner spent until the work was sent.
     double runTimed(const RequestKey& key)
     {
         const std::size_t owner
             = runners[0]->buckets().ownership(claimBucketOf(key.digest)) == Ownership::Active ? 0 : 1;
         const TimePoint start = Clock::now();
         runners[owner]->arrive(
-            KeyedAttempt { ++lastTry, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
+            KeyedAttempt { ++lastAttempt, key, 7, service, now + std::chrono::seconds(10), std::nullopt }, now);
         const TimePoint asked = Clock::now();
         exchange(owner);
         const TimePoint acknowledged = Clock::now();
@@ -125,7 +125,7 @@
     std::vector<std::unique_ptr<RequestRunner>> runners;
     SharedResponse answer = std::make_shared<HttpResponse>(HttpResponse { 200, {}, "confirmed" });
     WorkId started = 0;
-    AttemptId lastTry = 0;
+    AttemptId lastAttempt = 0;
 };
 
 std::vector<RequestKey> makeKeys(std::size_t count)
@@ -155,7 +155,7 @@
     }
 }
 
-// Items are claims: each is held by both balancers and answered.
+// Claims and answers one request per iteration; both balancers store the claim.
 void claimAndAnswer(benchmark::State& state)
 {
     const std::vector<RequestKey> keys = makeKeys(150'000);
@@ -173,7 +173,7 @@
     state.SetItemsProcessed(state.iterations());
 }
 
-// The owner's part until the work is sent: arrival, slot, claim, acknowledgement.
+// The time of the owner until the work is sent: arrival, slot, claim, acknowledgement.
 void decideAtOwner(benchmark::State& state)
 {
     const std::vector<RequestKey> keys = makeKeys(150'000);
@@ -198,7 +198,7 @@
         = pair.runners[0]->buckets().ownership(claimBucketOf(keys[0].digest)) == Ownership::Active ? 0 : 1;
     for (auto _ : state) {
         pair.runners[owner]->arrive(
-            KeyedAttempt { ++pair.lastTry, keys[0], 7, service, pair.now + std::chrono::seconds(10), std::nullopt },
+            KeyedAttempt { ++pair.lastAttempt, keys[0], 7, service, pair.now + std::chrono::seconds(10), std::nullopt },
             pair.now);
         benchmark::DoNotOptimize(pair.runners[owner]->takeActions());
     }
@@ -223,8 +223,8 @@
     }
 }
 
-// Six balancers before 15 servers of two slots, in virtual time. Work takes 20 to 180 ms besides the 2 ms that its
-// claim takes, callers wait 1 s, and whoever is refused comes back when told to, until 10 s have passed.
+// Six balancers and 15 servers of two slots in virtual time. A claim takes 2 ms and the work 20 to 180 ms. Callers wait
+// for 1 s and retry refused requests after 1 to 3 s, until 10 s after their first attempt.
 class LoadRun {
 public:
     LoadRun(double load, std::uint64_t seed)
@@ -274,20 +274,20 @@
     }
 
 private:
-    struct Asked {
-        TimePoint firstAsked;
-        TimePoint asked;
+    struct PendingRequest {
+        TimePoint firstArrival;
+        TimePoint arrival;
         TimePoint deadline;
     };
 
     void at(TimePoint time, std::function<void()> event) { events_.emplace(time, std::move(event)); }
 
-    void begin(TimePoint firstAsked)
+    void begin(TimePoint firstArrival)
     {
         const std::size_t index = random_() % admissions_.size();
         const WorkId work = ++lastWork_;
-        asked_[work] = { firstAsked, now_, now_ + std::chrono::seconds(1) };
-        admissions_[index].request(work, service, asked_[work].deadline, now_);
+        pendingRequests_[work] = { firstArrival, now_, now_ + std::chrono::seconds(1) };
+        admissions_[index].request(work, service, pendingRequests_[work].deadline, now_);
         collect(index);
     }
 
@@ -296,34 +296,34 @@
         for (const SlotGrant& grant : admissions_[index].takeGrants()) {
             const Duration time = milliseconds(2) + std::chrono::microseconds(20'000 + random_() % 160'000);
             at(now_ + time, [this, index, work = grant.work] {
-                (now_ <= asked_[work].deadline ? inTime_ : late_)++;
-                asked_.erase(work);
+                (now_ <= pendingRequests_[work].deadline ? inTime_ : late_)++;
+                pendingRequests_.erase(work);
                 admissions_[index].release(work, true, now_);
                 collect(index);
             });
         }
         for (const SlotRefusal& refusal : admissions_[index].takeRefusals()) {
-            const Asked asked = asked_[refusal.work];
-            asked_.erase(refusal.work);
-            refusalTimes_.push_back(std::chrono::duration<double, std::milli>(now_ - asked.asked).count());
-            const Duration back = milliseconds(1000 + random_() % 2000);
-            if (now_ + back < asked.firstAsked + std::chrono::seconds(10))
-                at(now_ + back, [this, asked] { begin(asked.firstAsked); });
+            const PendingRequest pending = pendingRequests_[refusal.work];
+            pendingRequests_.erase(refusal.work);
+            refusalTimes_.push_back(std::chrono::duration<double, std::milli>(now_ - pending.arrival).count());
+            const Duration retryDelay = milliseconds(1000 + random_() % 2000);
+            if (now_ + retryDelay < pending.firstArrival + std::chrono::seconds(10))
+                at(now_ + retryDelay, [this, pending] { begin(pending.firstArrival); });
         }
-        for (const OutgoingMessage& letter : admissions_[index].takeMessages())
-            at(now_ + milliseconds(1), [this, letter, index] { receive(letter, index); });
+        for (const OutgoingMessage& outgoing : admissions_[index].takeMessages())
+            at(now_ + milliseconds(1), [this, outgoing, index] { receive(outgoing, index); });
     }
 
-    void receive(const OutgoingMessage& letter, std::size_t from)
+    void receive(const OutgoingMessage& outgoing, std::size_t from)
     {
         ++messages_;
-        const std::size_t to = std::find(holders_.begin(), holders_.end(), letter.to) - holders_.begin();
+        const std::size_t to = std::find(holders_.begin(), holders_.end(), outgoing.to) - holders_.begin();
         std::visit(
             [&](const auto& message) {
                 if constexpr (requires { admissions_[to].handle(holders_[from], message, now_); })
                     admissions_[to].handle(holders_[from], message, now_);
             },
-            letter.message);
+            outgoing.message);
         collect(to);
     }
 
@@ -334,7 +334,7 @@
     std::vector<BalancerInstance> holders_;
     std::deque<Admission> admissions_;
     std::multimap<TimePoint, std::function<void()>> events_;
-    std::map<WorkId, Asked> asked_;
+    std::map<WorkId, PendingRequest> pendingRequests_;
     TimePoint now_ = TimePoint(std::chrono::hours(1));
     WorkId lastWork_ = 0;
     std::uint64_t inTime_ = 0;
@@ -343,7 +343,8 @@
     std::vector<double> refusalTimes_;
 };
 
-// The argument is the load in percent of capacity. Goodput is answered in time, as a part of capacity.
+// The argument is the load in percent of capacity. Goodput is the rate of requests answered in time, as a fraction of
+// capacity.
 void goodput(benchmark::State& state)
 {
     for (auto _ : state) {
--- a/Examples/EmbeddedFlowEngine.cpp
+++ b/Examples/EmbeddedFlowEngine.cpp
@@ -1,5 +1,5 @@
-// Embeds the flow engine in a program of its own: one balancer, one service, two backend servers. Shows that a flow
-// stays where it is while its server drains, and that new flows go elsewhere. docs/EMBEDDING.md walks through it.
+// Embeds the flow engine in a program with one balancer, one service and two backend servers. Shows that a flow stays
+// at its server while the server drains and that new flows go to the other one. docs/EMBEDDING.md explains the steps.
 #include "Flow/FlowEngine.h"
 
 #include <cstdio>
@@ -31,7 +31,7 @@
     return configuration;
 }
 
-// The embedder's membership: here, nobody but this balancer.
+// The members view, which the embedding program provides; it contains only this balancer.
 std::shared_ptr<const MembersView> makeView(BalancerId self)
 {
     auto view = std::make_shared<MembersView>();
@@ -58,7 +58,7 @@
     FlowEngine engine({}, self, 1);
     ManualClock clock;
 
-    // Events go in with the time. The actions that come back are messages for other balancers; there are none here.
+    // Each call takes the event and the current time and returns messages for other balancers; here there are none.
     Configuration configuration = makeConfiguration();
     engine.applyMembers(makeView(self), clock.now());
     engine.applyConfiguration(std::make_shared<Configuration>(configuration), 1, clock.now());
