--- a/Tests/Support/FakePlatform.h
+++ b/Tests/Support/FakePlatform.h
@@ -12,8 +12,8 @@
 
 namespace wisteriadock {
 
-// The platform in memory for unit tests; link PlatformStore. Callbacks run inside the call, except those of waiting
-// watches and of calls while the fake is slow. Time is the test's ManualClock: call tick() after advancing it.
+// In-memory platform for unit tests; link PlatformStore. Callbacks run inside the call, except those of pending watches
+// and of calls while answers are held. Time is the test's ManualClock: call tick() after advancing it.
 class FakePlatform {
 public:
     template <typename Value> using Callback = std::function<void(Result<Value>)>;
@@ -73,7 +73,7 @@
         answer<std::vector<Vm>>(false, deadline, std::move(callback), store_.listVms(clock_.now()));
     }
 
-    // While down, every call ends with Unavailable and nothing is done; waiting watches end so too.
+    // During an outage every call fails with Unavailable and has no effect; pending watches fail too.
     void setOutage(bool hasOutage)
     {
         hasOutage_ = hasOutage;
@@ -82,14 +82,14 @@
         answerWatches();
     }
 
-    // While slow, calls act at once but their answers wait for release(). A deadline that passes meanwhile ends the
-    // call at the next tick(), writes with Unknown and reads with DeadlineExceeded.
+    // While answers are held, calls take effect at once but their answers wait for releaseAnswers(). A deadline that
+    // passes meanwhile ends the call at the next tick(): writes with Unknown, reads with DeadlineExceeded.
     void setHoldsAnswers(bool holdsAnswers) { holdsAnswers_ = holdsAnswers; }
 
-    // The next successful writes take effect and end with Unknown.
+    // The next `count` successful writes take effect but end with Unknown.
     void loseAnswers(std::size_t count) { answersToLose_ = count; }
 
-    // Hands out the answers that wait now. Answers to calls made meanwhile wait in their turn.
+    // Delivers the answers held so far. Answers to calls made by their callbacks are held again.
     void releaseAnswers()
     {
         for (HeldAnswer& held : std::exchange(heldAnswers_, {}))
@@ -98,7 +98,7 @@
 
     std::size_t heldAnswers() const { return heldAnswers_.size(); }
 
-    // Lapses leases and ends watches and slow calls whose time is up.
+    // Expires leases, watches and held calls whose time is up.
     void tick()
     {
         store_.advance(clock_.now());
@@ -111,7 +111,7 @@
             held.end(true);
     }
 
-    // For tests to look inside, to set VMs and to restore older copies. Call tick() after a change.
+    // Lets tests inspect the store, set VMs and restore older copies. Call tick() after a change.
     PlatformStore& store() { return store_; }
 
 private:
--- a/Tests/Support/FlowFleetSimulation.cpp
+++ b/Tests/Support/FlowFleetSimulation.cpp
@@ -61,7 +61,7 @@
 void FlowFleetSimulation::pause(std::size_t balancer, Duration length)
 {
     balancers_[balancer].pausedUntil = now() + length;
-    // What membership does: on waking nothing is trusted until another balancer has answered.
+    // As membership does: after a pause the balancer counts as isolated until another balancer responds.
     auto isolated = std::make_shared<MembersView>(*balancers_[balancer].view);
     isolated->isolated = true;
     isolated->revision = ++viewRevision_;
@@ -208,7 +208,7 @@
 bool FlowFleetSimulation::runUntilSettled(Duration limit, double newFlowsPerSecond)
 {
     const TimePoint end = now() + limit;
-    // At least for as long as a change takes to reach everybody.
+    // Runs at least as long as a change takes to reach every balancer.
     run(std::max<Duration>(options_.configurationDelay, options_.viewDelay) + stepLength, newFlowsPerSecond);
     while (!isSettled() && now() < end)
         step(newFlowsPerSecond);
--- a/Tests/Support/FlowFleetSimulation.h
+++ b/Tests/Support/FlowFleetSimulation.h
@@ -11,21 +11,23 @@
 
 namespace wisteriadock {
 
-// A few flow engines with a small fake network between them: messages, views and configurations arrive late, unevenly
-// and, where a test asks for it, not at all. Time moves only when a test runs the fleet.
+// Flow engines joined by a simulated network in virtual time. Messages, views and configurations arrive after random
+// delays, and messages can be lost or blocked. Time advances only in run() and runUntilSettled().
 class FlowFleetSimulation {
 public:
     struct Options {
         std::size_t balancers = 7;
         std::uint64_t seed = 1;
         FlowSettings settings;
+        // Each delay is the maximum of a uniform distribution.
         std::chrono::milliseconds messageDelay { 20 };
         std::chrono::milliseconds viewDelay { 500 };
         std::chrono::milliseconds configurationDelay { 1000 };
+        // Probability that a message is lost, 0 to 1.
         double messageLoss = 0;
     };
 
-    // What became of the flows so far, as their clients saw it.
+    // Counts since the start, as seen by the clients.
     struct Outcome {
         std::size_t flows = 0;
         std::size_t brokenFlows = 0;
@@ -39,36 +41,37 @@
 
     void addBalancer();
     void kill(std::size_t balancer);
-    // Begins a planned stop; announce it once the engine lets it, as the daemon does.
+    // Begins a planned stop; call announceLeaving() once mayLeave() is true, as the daemon does.
     void beginLeave(std::size_t balancer) { balancers_[balancer].engine->beginLeave(); }
     void announceLeaving(std::size_t balancer);
     bool mayLeave(std::size_t balancer) const { return balancers_[balancer].engine->mayLeave(); }
-    // Stops a balancer for a while, without its knowing; the others notice nothing.
+    // Suspends a balancer without changing its state in the views of the others.
     void pause(std::size_t balancer, Duration);
-    // Stops all messages from one balancer to another.
+    // Blocks all messages from one balancer to another until heal().
     void cut(std::size_t from, std::size_t to) { cuts_.insert({ from, to }); }
     void heal() { cuts_.clear(); }
 
-    // Brings a configuration into force, unevenly; its version is one above the last.
+    // Sends a configuration to every balancer with a random delay each; its version is one above the last.
     void apply(const Configuration&);
 
-    // Runs for a while: time passes in steps, messages arrive, clients open flows at the rate and send on old ones.
+    // Advances time in steps: delivers messages, opens flows at the given rate and sends packets of open flows.
     void run(Duration, double newFlowsPerSecond = 0);
-    // Runs until every balancer holds the newest table of every service, or the limit is over.
+    // Runs until isSettled() or until the limit has passed; returns isSettled().
     bool runUntilSettled(Duration limit, double newFlowsPerSecond = 0);
 
-    // Opens one flow now, by its first packet.
+    // Opens one flow by sending its first packet; returns the index of the flow.
     std::size_t openFlow(const Service&);
-    // One more packet of an open flow through a balancer chosen by chance; returns the server it reached, if any.
+    // Sends a packet of an open flow through a random balancer. Returns the server that it reached, or id 0.
     BackendServerId sendPacket(std::size_t flow);
 
+    // Whether every live balancer is synchronized and has no unsettled service.
     bool isSettled() const;
     const Outcome& outcome() const { return outcome_; }
     FlowEngine& engine(std::size_t balancer) { return *balancers_[balancer].engine; }
     std::size_t size() const { return balancers_.size(); }
     std::size_t messagesSent() const { return messagesSent_; }
     std::map<BackendServerId, std::size_t> newFlowsByServer() const { return newFlowsByServer_; }
-    // New flows to a draining server count as wrong once the configuration has been known for this long.
+    // newFlowsToDraining counts a flow only when its server has been draining for longer than this.
     static constexpr std::chrono::seconds drainingGracePeriod { 5 };
 
 private:
@@ -86,7 +89,7 @@
         BackendServerId server;
         bool isBroken = false;
     };
-    // Something that happens to one balancer later.
+    // A scheduled delivery of a message, view or configuration to one balancer.
     struct Event {
         std::size_t balancer = 0;
         std::size_t from = 0;
@@ -124,7 +127,7 @@
     double fractionalNewFlows_ = 0;
 };
 
-// A configuration of services that each have so many backend servers, all active, with the same weight.
+// Makes a configuration from pairs of service name and number of backend servers; all are active with equal weight.
 Configuration makeConfiguration(const std::vector<std::pair<std::string, std::size_t>>& serversByService);
 BackendServer& serverNamed(Configuration&, const std::string& name);
 
--- a/Tests/Support/MembershipNetwork.h
+++ b/Tests/Support/MembershipNetwork.h
@@ -16,21 +16,22 @@
 
 namespace wisteriadock {
 
-// Carries datagrams between instances of Membership in virtual time, with seeded loss, delay and cuts.
+// Simulated network between Membership instances in virtual time, with seeded random loss and delay and with blocked
+// links.
 class MembershipNetwork {
 public:
     struct Node {
         Member self;
         std::unique_ptr<Membership> membership;
         bool isPaused = false;
-        std::vector<PeerMessageReceived> inbox; // Waits while the node is paused.
+        std::vector<PeerMessageReceived> inbox; // Datagrams that arrived while the node was paused.
         std::uint64_t bytesSent = 0;
         std::uint64_t datagramsSent = 0;
         std::uint64_t peakBytesPerSecond = 0;
         std::uint64_t bytesAtSecondStart = 0;
     };
 
-    // Adds the IPv4 and UDP headers to each datagram's size.
+    // Size of the IPv4 and UDP headers, added to the size of each datagram.
     static constexpr std::size_t headerBytes = 28;
     static constexpr std::chrono::milliseconds tickPeriod { 100 };
 
@@ -39,7 +40,7 @@
     {
     }
 
-    // Starts a new balancer that reads a VM list of all balancers so far.
+    // Starts a new balancer whose VM list names all balancers so far.
     std::size_t add(const std::string& availabilityZone)
     {
         const std::size_t index = addNode(availabilityZone);
@@ -47,7 +48,7 @@
         return index;
     }
 
-    // Starts a new balancer whose list names the first balancers only, also those that have not started yet.
+    // Starts a new balancer whose VM list names only the first `seeds` balancers, including those not yet started.
     std::size_t addWithSeeds(const std::string& availabilityZone, std::size_t seeds)
     {
         const std::size_t index = addNode(availabilityZone);
@@ -86,7 +87,7 @@
 
     void kill(std::size_t index) { nodes_[index].membership.reset(); }
     void pause(std::size_t index) { nodes_[index].isPaused = true; }
-    // The datagrams that waited are handled before the first tick, as a socket would give them.
+    // Handles the queued datagrams before the next tick, as a socket would deliver them.
     void resume(std::size_t index)
     {
         nodes_[index].isPaused = false;
@@ -117,7 +118,7 @@
         runUntil([] { return false; }, span);
     }
 
-    // Runs until the condition holds, looking at every tick; false when it never did.
+    // Runs until the condition holds, checked once per tick; returns false if the limit passed first.
     bool runUntil(const std::function<bool()>& condition, Duration limit)
     {
         const TimePoint end = now + limit;
@@ -146,9 +147,11 @@
     }
 
     MembershipSettings settings;
+    // Probability that a datagram is lost, 0 to 1.
     double loss = 0;
-    // Of the balancers that are added from now on.
+    // Link bandwidth of balancers that are added later, in Mbit/s.
     std::uint32_t linkMegabits = 0;
+    // Whether datagrams on a link are dropped.
     std::function<bool(std::size_t from, std::size_t to)> isCut;
     TimePoint now = ManualClock().now();
 
@@ -170,7 +173,7 @@
     static std::uint32_t hostOf(std::size_t index) { return static_cast<std::uint32_t>(0x0A000001 + index); }
     static Endpoint peerAddressOf(std::size_t index) { return { hostOf(index), 7000 }; }
 
-    // Makes room for a balancer, which has not started.
+    // Adds a node without starting its balancer.
     std::size_t addNode(const std::string& availabilityZone)
     {
         const std::size_t index = nodes_.size();
