--- a/Benchmarks/FlowChangeBenchmark.cpp
+++ b/Benchmarks/FlowChangeBenchmark.cpp
@@ -169,11 +169,11 @@
         {
             ++version_;
             for (Node& node : nodes_) {
-                timed(node, [&] { return node.engine->applyConfiguration(configuration_, version_, clock_.now()); });
+                measure(node, [&] { return node.engine->applyConfiguration(configuration_, version_, clock_.now()); });
             }
         }
 
-        template <typename Call> void timed(Node& node, Call call)
+        template <typename Call> void measure(Node& node, Call call)
         {
             const double before = processorSeconds();
             const FlowActions actions = call();
@@ -206,11 +206,11 @@
                 clock_.advance(message.arrival - clock_.now());
                 const auto node = std::lower_bound(nodes_.begin(), nodes_.end(), message.to,
                     [](const Node& candidate, BalancerId id) { return candidate.id < id; });
-                timed(*node, [&] { return node->engine->handle(message.from, message.message, clock_.now()); });
+                measure(*node, [&] { return node->engine->handle(message.from, message.message, clock_.now()); });
             }
             clock_.advance(end - clock_.now());
             for (Node& node : nodes_)
-                timed(node, [&] { return node.engine->tick(clock_.now()); });
+                measure(node, [&] { return node.engine->tick(clock_.now()); });
         }
 
         bool isSettled() const
--- a/Benchmarks/RequestBenchmark.cpp
+++ b/Benchmarks/RequestBenchmark.cpp
@@ -52,8 +52,8 @@
 }
 
 // An owner and a backup that exchange messages without delay.
-struct Pair {
-    explicit Pair(const ClaimLimits& limits)
+struct OwnerAndBackup {
+    explicit OwnerAndBackup(const ClaimLimits& limits)
     {
         const MembersView view = makeView(2, true);
         ClaimTerm term { zones[0], 1, {}, {}, true };
@@ -82,7 +82,7 @@
                 runners[outgoing->to == holders[0] ? 0 : 1]->receive(holders[from], outgoing->message, now);
                 hasSent = true;
             } else if (const auto* start = std::get_if<StartWork>(&action))
-                started = start->work;
+                startedWork = start->work;
         }
         return hasSent;
     }
@@ -97,7 +97,7 @@
         exchange(owner);
         exchange(1 - owner);
         exchange(owner);
-        runners[owner]->workAnswered(started, answer, now);
+        runners[owner]->workAnswered(startedWork, answer, now);
         exchange(owner);
     }
 
@@ -115,7 +115,7 @@
         exchange(1 - owner);
         const TimePoint sent = Clock::now();
         exchange(owner);
-        runners[owner]->workAnswered(started, answer, now);
+        runners[owner]->workAnswered(startedWork, answer, now);
         exchange(owner);
         return std::chrono::duration<double>((asked - start) + (sent - acknowledged)).count();
     }
@@ -124,7 +124,7 @@
     std::vector<BalancerInstance> holders;
     std::vector<std::unique_ptr<RequestRunner>> runners;
     SharedResponse answer = std::make_shared<HttpResponse>(HttpResponse { 200, {}, "confirmed" });
-    WorkId started = 0;
+    WorkId startedWork = 0;
     AttemptId lastAttempt = 0;
 };
 
@@ -159,12 +159,12 @@
 void claimAndAnswer(benchmark::State& state)
 {
     const std::vector<RequestKey> keys = makeKeys(150'000);
-    std::unique_ptr<Pair> pair;
+    std::unique_ptr<OwnerAndBackup> pair;
     std::size_t next = keys.size();
     for (auto _ : state) {
         if (next == keys.size()) {
             state.PauseTiming();
-            pair = std::make_unique<Pair>(ClaimLimits {});
+            pair = std::make_unique<OwnerAndBackup>(ClaimLimits {});
             next = 0;
             state.ResumeTiming();
         }
@@ -177,11 +177,11 @@
 void decideAtOwner(benchmark::State& state)
 {
     const std::vector<RequestKey> keys = makeKeys(150'000);
-    std::unique_ptr<Pair> pair;
+    std::unique_ptr<OwnerAndBackup> pair;
     std::size_t next = keys.size();
     for (auto _ : state) {
         if (next == keys.size()) {
-            pair = std::make_unique<Pair>(ClaimLimits {});
+            pair = std::make_unique<OwnerAndBackup>(ClaimLimits {});
             next = 0;
         }
         state.SetIterationTime(pair->runTimed(keys[next++]));
@@ -191,7 +191,7 @@
 void answerRetry(benchmark::State& state)
 {
     const std::vector<RequestKey> keys = makeKeys(1000);
-    Pair pair({});
+    OwnerAndBackup pair({});
     for (const RequestKey& key : keys)
         pair.run(key);
     const std::size_t owner
@@ -225,9 +225,9 @@
 
 // Six balancers and 15 servers of two slots in virtual time. A claim takes 2 ms and the work 20 to 180 ms. Callers wait
 // for 1 s and retry refused requests after 1 to 3 s, until 10 s after their first attempt.
-class LoadRun {
+class LoadSimulation {
 public:
-    LoadRun(double load, std::uint64_t seed)
+    LoadSimulation(double load, std::uint64_t seed)
         : load_(load)
         , random_(seed)
     {
@@ -246,10 +246,10 @@
         const TimePoint end = now_ + std::chrono::seconds(60);
         while (arrival < end) {
             arrival += std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap(random_)));
-            at(arrival, [this] { begin(now_); });
+            schedule(arrival, [this] { sendRequest(now_); });
         }
         for (TimePoint time = now_; time < end; time += milliseconds(20)) {
-            at(time, [this] {
+            schedule(time, [this] {
                 for (std::size_t i = 0; i < admissions_.size(); ++i) {
                     admissions_[i].tick(now_);
                     collect(i);
@@ -280,9 +280,9 @@
         TimePoint deadline;
     };
 
-    void at(TimePoint time, std::function<void()> event) { events_.emplace(time, std::move(event)); }
+    void schedule(TimePoint time, std::function<void()> event) { events_.emplace(time, std::move(event)); }
 
-    void begin(TimePoint firstArrival)
+    void sendRequest(TimePoint firstArrival)
     {
         const std::size_t index = random_() % admissions_.size();
         const WorkId work = ++lastWork_;
@@ -295,7 +295,7 @@
     {
         for (const SlotGrant& grant : admissions_[index].takeGrants()) {
             const Duration time = milliseconds(2) + std::chrono::microseconds(20'000 + random_() % 160'000);
-            at(now_ + time, [this, index, work = grant.work] {
+            schedule(now_ + time, [this, index, work = grant.work] {
                 (now_ <= pendingRequests_[work].deadline ? inTime_ : late_)++;
                 pendingRequests_.erase(work);
                 admissions_[index].release(work, true, now_);
@@ -308,10 +308,10 @@
             refusalTimes_.push_back(std::chrono::duration<double, std::milli>(now_ - pending.arrival).count());
             const Duration retryDelay = milliseconds(1000 + random_() % 2000);
             if (now_ + retryDelay < pending.firstArrival + std::chrono::seconds(10))
-                at(now_ + retryDelay, [this, pending] { begin(pending.firstArrival); });
+                schedule(now_ + retryDelay, [this, pending] { sendRequest(pending.firstArrival); });
         }
         for (const OutgoingMessage& outgoing : admissions_[index].takeMessages())
-            at(now_ + milliseconds(1), [this, outgoing, index] { receive(outgoing, index); });
+            schedule(now_ + milliseconds(1), [this, outgoing, index] { receive(outgoing, index); });
     }
 
     void receive(const OutgoingMessage& outgoing, std::size_t from)
@@ -348,7 +348,7 @@
 void goodput(benchmark::State& state)
 {
     for (auto _ : state) {
-        LoadRun run(static_cast<double>(state.range(0)) / 100, 1);
+        LoadSimulation run(static_cast<double>(state.range(0)) / 100, 1);
         run.run();
         state.counters["goodput"] = run.goodput();
         state.counters["late"] = static_cast<double>(run.late());
--- a/Tests/Support/FakePlatform.h
+++ b/Tests/Support/FakePlatform.h
@@ -140,7 +140,7 @@
             callback(std::move(result));
         } else {
             const Error late { isWrite ? ErrorCode::Unknown : ErrorCode::DeadlineExceeded,
-                "the fake platform was slow" };
+                "the fake platform held the answer" };
             heldAnswers_.push_back(
                 { deadline, [callback = std::move(callback), result = std::move(result), late](bool overdue) {
                      callback(overdue ? late : result);
