--- a/Source/FlowStory/FlowStory.h
+++ b/Source/FlowStory/FlowStory.h
@@ -35,7 +35,7 @@
 };
 
 // Reads log lines. Text before the JSON object, such as the prefix of a log collector, and lines without an object are
-// skipped. Adds the number of malformed objects to `unreadable`.
+// skipped. Adds the number of objects that are not valid log lines to `unreadable`.
 std::vector<LogLine> readLogLines(std::istream&, std::size_t& unreadable);
 
 // The number of lines that the log itself reports as left out or dropped.
--- a/Tests/Ctl/CtlCommandsTest.cpp
+++ b/Tests/Ctl/CtlCommandsTest.cpp
@@ -54,6 +54,7 @@
         EXPECT_THAT(diff(wider).text, testing::EndsWith(": 1\n~ backend_server tryon-1: state draining -> active"));
     }
 
+    // Guards against endless retries while other applies keep winning.
     TEST_F(CtlCommandsTest, DrainFailsAfterTheMaximumOfLostRaces)
     {
         apply(exampleText, "first");
@@ -110,6 +111,7 @@
         }
     }
 
+    // Guards against commands that wait beyond their deadline while the platform is down.
     TEST_F(CtlCommandsTest, OutageEndsWithUnavailableByTheDeadline)
     {
         apply(exampleText, "first");
--- a/Tests/Ctl/CtlOptionsTest.cpp
+++ b/Tests/Ctl/CtlOptionsTest.cpp
@@ -26,6 +26,7 @@
         EXPECT_TRUE(parseCtlOptions({ "check", "-" }, CtlFlags()));
     }
 
+    // Guards against running a command with missing, surplus or invalid arguments.
     TEST(CtlOptionsTest, RefusesAnIncompleteOrMalformedCommandLine)
     {
         CtlFlags complete;
@@ -56,6 +57,7 @@
         }
     }
 
+    // Guards against Abseil ending the process with the exit code of a refused configuration.
     TEST(FlagCheckTest, FindsUnknownFlagsAndBadValues)
     {
         const auto check = [](std::vector<const char*> words) {
--- a/Tests/Ctl/StatusTest.cpp
+++ b/Tests/Ctl/StatusTest.cpp
@@ -55,6 +55,7 @@
         EXPECT_THAT(result.text, HasSubstr("--above_version 7"));
     }
 
+    // Guards against incomplete responses and against control characters in names printed to the terminal.
     TEST(StatusTest, RefusesMalformedStatus)
     {
         EXPECT_TRUE(BalancerStatus::parse(
@@ -65,6 +66,7 @@
             EXPECT_FALSE(BalancerStatus::parse(text)) << text;
     }
 
+    // Guards against one unreachable balancer failing the whole read.
     TEST(StatusTest, ReadsFromAServerWhileAnotherIsClosed)
     {
         boost::asio::io_context context;
