--- a/Benchmarks/ConfigurationSpreadBenchmark.cpp
+++ b/Benchmarks/ConfigurationSpreadBenchmark.cpp
@@ -1,7 +1,7 @@
 // Cost of one configuration change at a forwarder, by the number of routes: reading the response of the store,
 // compressing it for peers, decompressing, decoding and applying it.
 #include "Forward/ForwardFixture.h"
-#include "News/CompressedValue.h"
+#include "StoreSync/CompressedValue.h"
 #include "platform/ConfigurationText.h"
 #include "platform/StoreCodec.h"
 #include "platform/StoredValues.h"
--- a/Source/Forwarder/ForwarderLog.h
+++ b/Source/Forwarder/ForwarderLog.h
@@ -2,7 +2,7 @@
 
 #include "Core/EventLog.h"
 #include "Forward/TokenRouter.h"
-#include "News/ReplicaSync.h"
+#include "StoreSync/ReplicaSync.h"
 
 #include <string>
 #include <string_view>
--- a/Source/Forwarder/PeerSync.h
+++ b/Source/Forwarder/PeerSync.h
@@ -7,10 +7,10 @@
 #include "Membership/Membership.h"
 #include "Net/Http2Client.h"
 #include "Net/Http2Server.h"
-#include "News/ReplicaSync.h"
-#include "News/StoreFeed.h"
 #include "Peers/PeerSocket.h"
 #include "Peers/WatcherRole.h"
+#include "StoreSync/ReplicaSync.h"
+#include "StoreSync/StoreFeed.h"
 
 #include <boost/asio/io_context.hpp>
 
--- a/Source/Forwarder/StoreFeedDriver.h
+++ b/Source/Forwarder/StoreFeedDriver.h
@@ -3,7 +3,7 @@
 #include "Forwarder/ForwarderMetrics.h"
 #include "KeyValue/KeyValueClient.h"
 #include "Net/Http1Client.h"
-#include "News/StoreFeed.h"
+#include "StoreSync/StoreFeed.h"
 
 #include <boost/asio/io_context.hpp>
 
--- a/Source/Forwarder/StoreUpdateApplier.h
+++ b/Source/Forwarder/StoreUpdateApplier.h
@@ -3,8 +3,8 @@
 #include "Forward/TokenRouter.h"
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
-#include "News/CompressedValue.h"
-#include "News/ReplicaSync.h"
+#include "StoreSync/CompressedValue.h"
+#include "StoreSync/ReplicaSync.h"
 
 #include <algorithm>
 #include <chrono>
--- a/Source/Forwarder/TokenPacketPath.h
+++ b/Source/Forwarder/TokenPacketPath.h
@@ -4,9 +4,9 @@
 #include "Forwarder/ForwarderLifecycle.h"
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
-#include "News/ReplicaSync.h"
 #include "PacketIo/PacketBatch.h"
 #include "PacketIo/PacketSocket.h"
+#include "StoreSync/ReplicaSync.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/posix/stream_descriptor.hpp>
--- a/Source/News/CompressedValue.h
+++ b/Source/StoreSync/CompressedValue.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Error.h"
-#include "News/StoreDelta.h"
+#include "StoreSync/StoreDelta.h"
 
 #include <cstddef>
 #include <string>
--- a/Source/News/ReplicaSync.cpp
+++ b/Source/StoreSync/ReplicaSync.cpp
@@ -1,4 +1,4 @@
-#include "News/ReplicaSync.h"
+#include "StoreSync/ReplicaSync.h"
 
 #include <algorithm>
 #include <utility>
--- a/Source/News/ReplicaSync.h
+++ b/Source/StoreSync/ReplicaSync.h
@@ -4,8 +4,8 @@
 #include "Core/Endpoint.h"
 #include "Core/Identifiers.h"
 #include "Membership/Member.h"
-#include "News/StoreDelta.h"
-#include "News/StoreReplica.h"
+#include "StoreSync/StoreDelta.h"
+#include "StoreSync/StoreReplica.h"
 
 #include <chrono>
 #include <cstdint>
--- a/Source/News/StoreDelta.h
+++ b/Source/StoreSync/StoreDelta.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "News/ValuePatch.h"
+#include "StoreSync/ValuePatch.h"
 
 #include <msgpack.hpp>
 
--- a/Source/News/StoreFeed.cpp
+++ b/Source/StoreSync/StoreFeed.cpp
@@ -1,6 +1,6 @@
-#include "News/StoreFeed.h"
+#include "StoreSync/StoreFeed.h"
 
-#include "News/CompressedValue.h"
+#include "StoreSync/CompressedValue.h"
 
 #include <algorithm>
 #include <random>
--- a/Source/News/StoreFeed.h
+++ b/Source/StoreSync/StoreFeed.h
@@ -3,8 +3,8 @@
 #include "Core/Clock.h"
 #include "Core/Error.h"
 #include "KeyValue/PlatformCalls.h"
-#include "News/StoreDelta.h"
 #include "Peers/Backoff.h"
+#include "StoreSync/StoreDelta.h"
 
 #include <chrono>
 #include <cstdint>
--- a/Source/News/StoreReplica.cpp
+++ b/Source/StoreSync/StoreReplica.cpp
@@ -1,6 +1,6 @@
-#include "News/StoreReplica.h"
+#include "StoreSync/StoreReplica.h"
 
-#include "News/CompressedValue.h"
+#include "StoreSync/CompressedValue.h"
 
 #include <absl/container/flat_hash_set.h>
 
--- a/Source/News/StoreReplica.h
+++ b/Source/StoreSync/StoreReplica.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "News/StoreDelta.h"
+#include "StoreSync/StoreDelta.h"
 
 #include <absl/container/flat_hash_map.h>
 
--- a/Source/News/ValuePatch.cpp
+++ b/Source/StoreSync/ValuePatch.cpp
@@ -1,6 +1,6 @@
-#include "News/ValuePatch.h"
+#include "StoreSync/ValuePatch.h"
 
-#include "News/StoreDelta.h"
+#include "StoreSync/StoreDelta.h"
 
 #include <fmt/format.h>
 #include <zstd.h>
--- a/Tests/Fuzz/FuzzTargets.cpp
+++ b/Tests/Fuzz/FuzzTargets.cpp
@@ -2,8 +2,8 @@
 
 #include "Forwarder/ForwarderSettings.h"
 #include "Membership/MembersPages.h"
-#include "News/CompressedValue.h"
-#include "News/StoreReplica.h"
+#include "StoreSync/CompressedValue.h"
+#include "StoreSync/StoreReplica.h"
 #include "Wire/PeerMessageCodec.h"
 #include "platform/ConfigurationText.h"
 #include "platform/PacketLayout.h"
--- a/Tests/News/CompressedValueTest.cpp
+++ b/Tests/StoreSync/CompressedValueTest.cpp
@@ -1,4 +1,4 @@
-#include "News/CompressedValue.h"
+#include "StoreSync/CompressedValue.h"
 
 #include <gtest/gtest.h>
 
--- a/Tests/News/ConfigurationSpreadTest.cpp
+++ b/Tests/StoreSync/ConfigurationSpreadTest.cpp
@@ -1,4 +1,4 @@
-#include "News/SlowLinkSimulation.h"
+#include "StoreSync/SlowLinkSimulation.h"
 
 #include <gtest/gtest.h>
 
--- a/Tests/News/FleetSimulation.cpp
+++ b/Tests/StoreSync/FleetSimulation.cpp
@@ -1,6 +1,6 @@
-#include "News/FleetSimulation.h"
+#include "StoreSync/FleetSimulation.h"
 
-#include "News/CompressedValue.h"
+#include "StoreSync/CompressedValue.h"
 
 #include <fmt/format.h>
 
--- a/Tests/News/RandomFaultsTest.cpp
+++ b/Tests/StoreSync/RandomFaultsTest.cpp
@@ -1,4 +1,4 @@
-#include "News/FleetSimulation.h"
+#include "StoreSync/FleetSimulation.h"
 
 #include <gtest/gtest.h>
 
--- a/Tests/News/ReplicaSyncTest.cpp
+++ b/Tests/StoreSync/ReplicaSyncTest.cpp
@@ -1,6 +1,6 @@
-#include "News/ReplicaSync.h"
+#include "StoreSync/ReplicaSync.h"
 
-#include "News/CompressedValue.h"
+#include "StoreSync/CompressedValue.h"
 
 #include <gtest/gtest.h>
 
--- a/Tests/News/SlowLinkSimulation.cpp
+++ b/Tests/StoreSync/SlowLinkSimulation.cpp
@@ -1,7 +1,7 @@
-#include "News/SlowLinkSimulation.h"
+#include "StoreSync/SlowLinkSimulation.h"
 
-#include "News/CompressedValue.h"
 #include "Peers/ConfigurationWatchers.h"
+#include "StoreSync/CompressedValue.h"
 #include "Wire/PeerMessageCodec.h"
 
 #include <fmt/format.h>
--- a/Tests/News/SlowLinkSimulation.h
+++ b/Tests/StoreSync/SlowLinkSimulation.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "News/ReplicaSync.h"
-#include "News/StoreFeed.h"
+#include "StoreSync/ReplicaSync.h"
+#include "StoreSync/StoreFeed.h"
 
 #include <cstdint>
 #include <map>
--- a/Tests/News/StoreFeedTest.cpp
+++ b/Tests/StoreSync/StoreFeedTest.cpp
@@ -1,4 +1,4 @@
-#include "News/StoreFeed.h"
+#include "StoreSync/StoreFeed.h"
 
 #include <gtest/gtest.h>
 
--- a/Tests/News/StoreReplicaTest.cpp
+++ b/Tests/StoreSync/StoreReplicaTest.cpp
@@ -1,4 +1,4 @@
-#include "News/StoreReplica.h"
+#include "StoreSync/StoreReplica.h"
 
 #include <gtest/gtest.h>
 
--- a/Tests/News/ValuePatchTest.cpp
+++ b/Tests/StoreSync/ValuePatchTest.cpp
@@ -1,5 +1,5 @@
-#include "News/CompressedValue.h"
-#include "News/StoreReplica.h"
+#include "StoreSync/CompressedValue.h"
+#include "StoreSync/StoreReplica.h"
 
 #include <gtest/gtest.h>
 
