--- a/Source/Experiment/BalancerFleet.cpp
+++ b/Source/Experiment/BalancerFleet.cpp
@@ -11,10 +11,10 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto servingLimit = 30s;
+    constexpr auto servingTimeout = 30s;
     constexpr auto pollInterval = 50ms;
     constexpr std::size_t seedCount = 2;
-    // Longer than the fabric ever takes to hear of a stop, so that a stop by plan loses no packet.
+    // Longer than the fabric takes to stop sending to a stopped balancer, so that a graceful stop loses no packets.
     constexpr int drainSeconds = 4;
 
     // Balancer 0 of zone 0 is 127.0.1.10.
@@ -26,8 +26,8 @@
 
 }
 
-BalancerFleet::BalancerFleet(BalancerSurroundings surroundings, const FleetPlan& plan, BalancerFleetOptions options)
-    : surroundings_(surroundings)
+BalancerFleet::BalancerFleet(BalancerEnvironment environment, const FleetPlan& plan, BalancerFleetOptions options)
+    : environment_(environment)
     , plan_(plan)
     , options_(std::move(options))
 {
@@ -44,18 +44,18 @@
     for (std::size_t i = 0; i < count; ++i) {
         BOOST_OUTCOME_TRYV(start(balancers_[first + i], first + i, settings[i]));
     }
-    BOOST_OUTCOME_TRYV(tellPlatform());
-    return tellFabric();
+    BOOST_OUTCOME_TRYV(updatePlatform());
+    return updateFabric();
 }
 
 Result<void> BalancerFleet::openLinks(Balancer& balancer, std::size_t index, std::string& settings)
 {
-    FaultProxyControl& proxy = surroundings_.proxy;
+    FaultProxyControl& proxy = environment_.proxy;
     BOOST_OUTCOME_TRY(peer, proxy.putLink(linkOf("peer", index), LinkProtocol::Udp));
     BOOST_OUTCOME_TRY(flow, proxy.putLink(linkOf("flow", index), LinkProtocol::Udp));
     BOOST_OUTCOME_TRY(request, proxy.putLink(linkOf("request", index), LinkProtocol::Tcp));
     BOOST_OUTCOME_TRY(
-        platform, proxy.putLink(linkOf("platform", index), LinkProtocol::Tcp, surroundings_.platform.address()));
+        platform, proxy.putLink(linkOf("platform", index), LinkProtocol::Tcp, environment_.platform.address()));
     balancer.peerAddress = peer;
 
     const std::string host = loopbackAddress(zoneOf(index), index);
@@ -66,7 +66,7 @@
         "[advertise]\nflow = {}\npeer = {}\nrequest = {}\n\n", flow.toString(), peer.toString(), request.toString());
     settings += fmt::format("[platform]\naddress = {}\n\n", platform.toString());
     settings += fmt::format("[flow]\npolicy = {}\n\n[drain]\nseconds = {}\n\n", options_.policy, drainSeconds);
-    settings += options_.furtherSettings;
+    settings += options_.extraSettings;
     return boost::outcome_v2::success();
 }
 
@@ -75,21 +75,21 @@
     std::string seeds;
     std::size_t listed = 0;
     for (const Balancer& other : balancers_) {
-        if (&other == &balancer || other.leaving || listed == seedCount)
+        if (&other == &balancer || other.stopRequested || listed == seedCount)
             continue;
         seeds += (listed == 0 ? "" : ", ") + other.peerAddress.toString();
         ++listed;
     }
     const std::string peers = seeds.empty() ? "" : fmt::format("[peers]\nseeds = {}\n", seeds);
-    BOOST_OUTCOME_TRY(file, surroundings_.starter.directory().write(balancer.name + ".ini", settings + peers));
+    BOOST_OUTCOME_TRY(file, environment_.starter.directory().write(balancer.name + ".ini", settings + peers));
     BOOST_OUTCOME_TRY(process,
-        surroundings_.starter.startListening(balancer.name, "wisteriadock-balancer", { "--settings=" + file.string() },
+        environment_.starter.startListening(balancer.name, "wisteriadock-balancer", { "--settings=" + file.string() },
             { "flow", "peer", "request", "metrics" }));
     balancer.process = std::move(process);
     balancer.requestAddress = balancer.process->listening("request").value();
     balancer.fabricAddress = balancer.process->listening("flow").value();
 
-    FaultProxyControl& proxy = surroundings_.proxy;
+    FaultProxyControl& proxy = environment_.proxy;
     BOOST_OUTCOME_TRYV(proxy.putLink(linkOf("peer", index), LinkProtocol::Udp, balancer.process->listening("peer")));
     BOOST_OUTCOME_TRYV(proxy.putLink(linkOf("flow", index), LinkProtocol::Udp, balancer.process->listening("flow")));
     BOOST_OUTCOME_TRYV(proxy.putLink(linkOf("request", index), LinkProtocol::Tcp, balancer.requestAddress));
@@ -102,26 +102,26 @@
 
 Result<void> BalancerFleet::waitUntilServing(std::uint64_t configurationVersion)
 {
-    const TimePoint deadline = Clock::now() + servingLimit;
+    const TimePoint deadline = Clock::now() + servingTimeout;
     while (true) {
         const auto serving = areServing(configurationVersion);
         if (serving && serving.value())
             return boost::outcome_v2::success();
-        const std::string ends = unexpectedEnds();
-        if (!ends.empty())
-            return Error { ErrorCode::Unavailable, ends };
+        const std::string exits = unexpectedExits();
+        if (!exits.empty())
+            return Error { ErrorCode::Unavailable, exits };
         if (Clock::now() > deadline) {
             return Error { ErrorCode::DeadlineExceeded,
-                "the balancers do not all serve: " + (serving ? "not ready yet" : serving.error().toString()) };
+                "not all balancers are serving: " + (serving ? "not ready yet" : serving.error().toString()) };
         }
-        BOOST_OUTCOME_TRYV(surroundings_.starter.loop().runUntil(Clock::now() + pollInterval));
+        BOOST_OUTCOME_TRYV(environment_.starter.loop().runUntil(Clock::now() + pollInterval));
     }
 }
 
 Result<bool> BalancerFleet::areServing(std::uint64_t configurationVersion)
 {
     for (const Balancer& balancer : balancers_) {
-        if (balancer.leaving)
+        if (balancer.stopRequested)
             continue;
         BOOST_OUTCOME_TRY(serving, isServing(balancer, configurationVersion));
         if (!serving)
@@ -132,26 +132,26 @@
 
 Result<bool> BalancerFleet::isServing(const Balancer& balancer, std::uint64_t configurationVersion)
 {
-    BOOST_OUTCOME_TRY(status, surroundings_.client.get(balancer.requestAddress, "/status"));
+    BOOST_OUTCOME_TRY(status, environment_.client.get(balancer.requestAddress, "/status"));
     if (status.value("state", "") != "serving" || status.value("configuration_version", 0ULL) < configurationVersion)
         return false;
     const auto members = status.value("members", nlohmann::json::array());
     const auto serving = std::count_if(
         members.begin(), members.end(), [](const auto& member) { return member.value("state", "") == "serving"; });
-    return static_cast<std::size_t>(serving) >= running();
+    return static_cast<std::size_t>(serving) >= runningCount();
 }
 
 Result<void> BalancerFleet::stop(std::size_t index)
 {
-    balancers_[index].leaving = true;
+    balancers_[index].stopRequested = true;
     balancers_[index].vmState = VmState::Leaving;
     balancers_[index].process->signal(SIGTERM);
-    return tellPlatform();
+    return updatePlatform();
 }
 
 void BalancerFleet::kill(std::size_t index)
 {
-    balancers_[index].leaving = true;
+    balancers_[index].stopRequested = true;
     balancers_[index].process->signal(SIGKILL);
 }
 
@@ -159,14 +159,14 @@
 
 void BalancerFleet::resume(std::size_t index) { balancers_[index].process->signal(SIGCONT); }
 
-Result<void> BalancerFleet::turnFabricAwayFrom(std::size_t index)
+Result<void> BalancerFleet::removeFromFabric(std::size_t index)
 {
     balancers_[index].inFabric = false;
-    BOOST_OUTCOME_TRYV(tellFabric());
-    return tellPlatform();
+    BOOST_OUTCOME_TRYV(updateFabric());
+    return updatePlatform();
 }
 
-Result<void> BalancerFleet::tellPlatform()
+Result<void> BalancerFleet::updatePlatform()
 {
     std::vector<Vm> vms;
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
@@ -176,30 +176,30 @@
                 balancer.vmState });
         }
     }
-    return surroundings_.platform.setVms(vms);
+    return environment_.platform.setVms(vms);
 }
 
-Result<void> BalancerFleet::tellFabric()
+Result<void> BalancerFleet::updateFabric()
 {
     std::vector<Endpoint> entries;
     for (const Balancer& balancer : balancers_) {
         if (balancer.inFabric)
             entries.push_back(balancer.fabricAddress);
     }
-    return surroundings_.fabric.setBalancers(entries);
+    return environment_.fabric.setBalancers(entries);
 }
 
-std::size_t BalancerFleet::running() const
+std::size_t BalancerFleet::runningCount() const
 {
     return static_cast<std::size_t>(std::count_if(
-        balancers_.begin(), balancers_.end(), [](const Balancer& balancer) { return !balancer.leaving; }));
+        balancers_.begin(), balancers_.end(), [](const Balancer& balancer) { return !balancer.stopRequested; }));
 }
 
 std::vector<RunningBalancer> BalancerFleet::runningBalancers() const
 {
     std::vector<RunningBalancer> result;
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
-        if (!balancers_[i].leaving)
+        if (!balancers_[i].stopRequested)
             result.push_back({ balancers_[i].name, zoneOf(i), balancers_[i].requestAddress });
     }
     return result;
@@ -220,7 +220,7 @@
 {
     std::vector<Endpoint> addresses;
     for (const Balancer& balancer : balancers_) {
-        if (!balancer.leaving)
+        if (!balancer.stopRequested)
             addresses.push_back(balancer.requestAddress);
     }
     return addresses;
@@ -230,18 +230,18 @@
 {
     double sum = 0;
     for (const Balancer& balancer : balancers_) {
-        if (!balancer.leaving)
+        if (!balancer.stopRequested)
             sum += balancer.process->processorSeconds();
     }
     return sum;
 }
 
-std::string BalancerFleet::unexpectedEnds() const
+std::string BalancerFleet::unexpectedExits() const
 {
     std::string text;
     for (const Balancer& balancer : balancers_) {
-        if (balancer.process && !balancer.leaving && !balancer.process->running()) {
-            text += fmt::format("{} ended by itself with {}: {}\n", balancer.name, *balancer.process->exitCode(),
+        if (balancer.process && !balancer.stopRequested && !balancer.process->running()) {
+            text += fmt::format("{} exited unexpectedly with {}: {}\n", balancer.name, *balancer.process->exitCode(),
                 balancer.process->errorTail());
         }
     }
--- a/Source/Experiment/FlowsScenario.cpp
+++ b/Source/Experiment/FlowsScenario.cpp
@@ -1,6 +1,6 @@
 #include "Experiment/BalanceMeter.h"
 #include "Experiment/CallerRun.h"
-#include "Experiment/ControlMeter.h"
+#include "Experiment/ControlPlaneMeter.h"
 #include "Experiment/Scenario.h"
 #include "Experiment/ScenarioSchedule.h"
 #include "Experiment/StepRunner.h"
@@ -15,11 +15,11 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto quietWindow = 2s;
+    constexpr auto idleWindow = 2s;
     constexpr auto sampleInterval = 1s;
     constexpr auto pollInterval = 20ms;
 
-    // One run: the system, its load, its steps and what is measured meanwhile.
+    // One run of the scenario: executes the steps while load runs, and collects the results.
     class FlowsRun {
     public:
         FlowsRun(const ScenarioContext& context, Deployment& deployment, std::vector<Step> steps, CallerRun& caller)
@@ -30,7 +30,7 @@
         {
         }
 
-        Result<void> drive(ControlMeter& control)
+        Result<void> drive(ControlPlaneMeter& control)
         {
             TimePoint nextSample = Clock::now();
             while (!caller_.isOver()) {
@@ -48,7 +48,7 @@
             return caller_.readResults(deployment_.loop());
         }
 
-        Result<Verdict> judge(const ControlMeter& control)
+        Result<Verdict> check(const ControlPlaneMeter& control)
         {
             BOOST_OUTCOME_TRY(records, deployment_.backendServers().records(true));
             std::uint64_t wrongService = caller_.row("wrong_service_packets");
@@ -56,13 +56,13 @@
             std::uint64_t droppedRecords = 0;
             for (const auto& [name, record] : records) {
                 wrongService += record.wrongServicePackets;
-                lateNewFlows += steps_.drains().lateNewFlows(name, record.newFlowTimes);
+                lateNewFlows += steps_.drainChecker().lateNewFlows(name, record.newFlowTimes);
                 droppedRecords += record.droppedRecords;
             }
             const std::uint64_t established = caller_.row("flows_established");
             const std::uint64_t broken = caller_.row("flows_broken");
 
-            Rows& rows = context_.rows;
+            ResultRows& rows = context_.rows;
             rows.set("flows_established", established);
             rows.set("flows_broken", broken);
             rows.set("wrong_service_packets", wrongService);
@@ -73,7 +73,7 @@
                 static_cast<double>(established) / static_cast<double>(context_.options.length.count()));
             rows.set("faults_injected", steps_.failures() + control.proxyFaults());
             rows.set("planned_changes", steps_.plannedChanges());
-            rows.set("drains_judged", std::uint64_t(steps_.drains().judgedDrains(end_)));
+            rows.set("drains_judged", std::uint64_t(steps_.drainChecker().checkedDrains(end_)));
             rows.set("flows_not_established", caller_.row("flows_not_established"));
             rows.set("openings_elsewhere", caller_.row("openings_elsewhere"));
             control.report(rows);
@@ -84,13 +84,13 @@
             verdict.require(established > 0, "no flow was established");
             verdict.require(broken == 0 || mode == FaultMode::All, "flows broke without an unplanned failure");
             verdict.require(wrongService == 0, "packets reached the wrong service");
-            verdict.require(lateNewFlows == 0, "leaving servers got new flows after the grace time");
+            verdict.require(lateNewFlows == 0, "draining servers received new flows after the grace time");
             verdict.require(mode == FaultMode::None || steps_.plannedChanges() > 0, "no change was made");
             verdict.require(mode != FaultMode::All || steps_.failures() > 0, "no failure was injected");
-            verdict.require(control.overflowed() == 0, "the fault proxy ran out of room");
-            verdict.require(droppedRecords == 0, "the backend servers ran out of room for records");
-            const std::string ends = deployment_.balancers().unexpectedEnds();
-            verdict.require(ends.empty(), ends);
+            verdict.require(control.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
+            verdict.require(droppedRecords == 0, "the backend servers dropped records because their memory was full");
+            const std::string exits = deployment_.balancers().unexpectedExits();
+            verdict.require(exits.empty(), exits);
             return verdict;
         }
 
@@ -111,8 +111,8 @@
             return boost::outcome_v2::success();
         }
 
-        // Why flows broke: what the callers saw, and which step came last before it.
-        void reportBreaks(Rows& rows) const
+        // Counts broken flows by the kind of break and by the last step before it.
+        void reportBreaks(ResultRows& rows) const
         {
             std::map<std::string, std::uint64_t> counts;
             const auto breaks = caller_.records().value("breaks", nlohmann::json::array());
@@ -140,13 +140,13 @@
     auto steps = scheduleOf(context.options);
     BOOST_OUTCOME_TRY(deployment,
         Deployment::start(context.loop, context.directory, { context.options, addedServers(steps), false }));
-    ControlMeter control(*deployment);
-    BOOST_OUTCOME_TRYV(control.measureQuietWindow(quietWindow));
+    ControlPlaneMeter control(*deployment);
+    BOOST_OUTCOME_TRYV(control.measureIdleProcessorUse(idleWindow));
     BOOST_OUTCOME_TRY(caller, CallerRun::start(*deployment, context.options, {}));
 
     FlowsRun run(context, *deployment, std::move(steps), *caller);
     BOOST_OUTCOME_TRYV(run.drive(control));
-    return run.judge(control);
+    return run.check(control);
 }
 
 }
--- a/Source/News/CompressedValue.h
+++ b/Source/StoreSync/CompressedValue.h
@@ -1,14 +1,14 @@
 #pragma once
 
 #include "Core/Error.h"
-#include "News/StoreDelta.h"
+#include "StoreSync/StoreDelta.h"
 
 #include <cstddef>
 #include <string>
 
 namespace wisteriadock {
 
-// Values of at least this many bytes are compressed for other balancers. Smaller ones would save little.
+// Values of at least this many bytes are compressed for other balancers.
 inline constexpr std::size_t compressionThreshold = 2048;
 
 // Compresses the update's value (zstd) if that makes it smaller. Values below compressionThreshold and values that are
--- a/Tests/Membership/MembershipFaultTest.cpp
+++ b/Tests/Membership/MembershipFaultTest.cpp
@@ -33,7 +33,7 @@
         bool seesExactlyDead(std::size_t observer, const std::set<std::size_t>& dead)
         {
             for (std::size_t subject = 0; subject < network_.nodes().size(); ++subject) {
-                const Member* const member = network_.seen(observer, subject);
+                const Member* const member = network_.viewedMember(observer, subject);
                 if (!member || (member->state == MemberState::Dead) != dead.contains(subject))
                     return false;
             }
@@ -50,7 +50,7 @@
         MembershipNetwork network_ { 5 };
     };
 
-    TEST_F(MembershipFaultTest, killedBalancerIsDeclaredDeadEverywhere)
+    TEST_F(MembershipFaultTest, KilledBalancerIsDeclaredDeadEverywhere)
     {
         startFleet(7, 3);
         network_.loss = 0.05;
@@ -62,7 +62,7 @@
 
     // Guards against a resumed balancer that acts on its stale view, or declares all others dead because the time of
     // the pause counts as unanswered.
-    TEST_F(MembershipFaultTest, pausedBalancerIsIsolatedUntilAnswered)
+    TEST_F(MembershipFaultTest, PausedBalancerIsIsolatedUntilAnswered)
     {
         startFleet(7, 3);
         network_.pause(0);
@@ -81,7 +81,7 @@
     }
 
     // Guards against declaring members dead for the time of a pause if they became unreachable during it.
-    TEST_F(MembershipFaultTest, resumedBalancerWithoutPeersServesAfterTimeout)
+    TEST_F(MembershipFaultTest, ResumedBalancerWithoutPeersServesAfterTimeout)
     {
         startFleet(7, 3);
         network_.pause(0);
@@ -98,7 +98,7 @@
     }
 
     // Guards against a member that alternates between dead and alive while packets are lost in one direction only.
-    TEST_F(MembershipFaultTest, oneWayLossKeepsBothMembersAlive)
+    TEST_F(MembershipFaultTest, OneWayLossKeepsBothMembersAlive)
     {
         SCOPED_TRACE("both stay alive through indirect probes");
         startFleet(7, 3);
@@ -109,7 +109,7 @@
         EXPECT_EQ(network_.view(4).revision, revision);
     }
 
-    TEST_F(MembershipFaultTest, oneWayLossBetweenTwoIsAPartition)
+    TEST_F(MembershipFaultTest, OneWayLossBetweenTwoIsAPartition)
     {
         startFleet(2, 2);
         network_.isCut = [](std::size_t from, std::size_t to) { return from == 0 && to == 1; };
@@ -123,7 +123,7 @@
         EXPECT_TRUE(network_.runUntil([&] { return allSeeExactlyDead({}); }, 5s));
     }
 
-    TEST_F(MembershipFaultTest, partitionedAvailabilityZoneServesAndRejoins)
+    TEST_F(MembershipFaultTest, PartitionedAvailabilityZoneServesAndRejoins)
     {
         startFleet(7, 3);
         const auto isInside = [](std::size_t index) { return index % 3 == 0; };
@@ -146,12 +146,12 @@
     }
 
     // Guards against a traffic spike among the remaining balancers when many fail at the same time.
-    TEST_F(MembershipFaultTest, lostRackCausesNoTrafficSpike)
+    TEST_F(MembershipFaultTest, LostRackCausesNoTrafficSpike)
     {
         startFleet(200, 4);
         network_.run(30s);
         for (auto& node : network_.nodes())
-            node.mostBytesInSecond = 0;
+            node.peakBytesPerSecond = 0;
         std::set<std::size_t> rack;
         for (std::size_t i = 40; i < 80; ++i) {
             network_.kill(i);
@@ -162,12 +162,12 @@
         EXPECT_TRUE(allSeeExactlyDead(rack));
         std::uint64_t most = 0;
         for (const auto& node : network_.nodes())
-            most = std::max(most, node.mostBytesInSecond);
+            most = std::max(most, node.peakBytesPerSecond);
         EXPECT_LT(most, 6000U) << "bytes that one balancer sent in one second, headers included";
         RecordProperty("mostBytesInSecond", std::to_string(most));
     }
 
-    TEST_F(MembershipFaultTest, malformedMessagesCauseBoundedTraffic)
+    TEST_F(MembershipFaultTest, MalformedMessagesCauseBoundedTraffic)
     {
         startFleet(7, 3);
         std::mt19937_64 random(9);
--- a/Tests/Membership/MembershipTest.cpp
+++ b/Tests/Membership/MembershipTest.cpp
@@ -24,7 +24,7 @@
             for (std::size_t observer = 0; observer < network_.nodes().size(); ++observer) {
                 if (observer == subject || !network_.isRunning(observer))
                     continue;
-                const Member* const member = network_.seen(observer, subject);
+                const Member* const member = network_.viewedMember(observer, subject);
                 if ((member ? std::optional(member->state) : std::nullopt) != state)
                     return false;
             }
@@ -43,7 +43,7 @@
         MembershipNetwork network_ { 1 };
     };
 
-    TEST_F(MembershipTest, fleetJoinsAndSharesConfigurationVersions)
+    TEST_F(MembershipTest, FleetJoinsAndSharesConfigurationVersions)
     {
         EXPECT_TRUE(network_.view(0).isolated) << "no balancer has answered yet";
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
@@ -58,7 +58,7 @@
         network_.perform(3, network_.nodes()[3].membership->setConfigurationVersion(12, network_.now));
         const auto allKnowVersion = [&] {
             for (std::size_t observer = 0; observer < 7; ++observer) {
-                if (network_.seen(observer, 3)->configurationVersion != 12)
+                if (network_.viewedMember(observer, 3)->configurationVersion != 12)
                     return false;
             }
             return true;
@@ -72,7 +72,7 @@
         EXPECT_EQ(network_.view(0).revision, revision);
     }
 
-    TEST_F(MembershipTest, loneBalancerServesAfterStartupTimeout)
+    TEST_F(MembershipTest, LoneBalancerServesAfterStartupTimeout)
     {
         MembershipNetwork alone(2);
         alone.add("walu");
@@ -82,7 +82,7 @@
         EXPECT_FALSE(alone.view(0).isolated);
     }
 
-    TEST_F(MembershipTest, stoppedBalancerIsLeavingAndThenRemoved)
+    TEST_F(MembershipTest, StoppedBalancerIsLeavingAndThenRemoved)
     {
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         network_.perform(2, network_.nodes()[2].membership->leave(network_.now));
@@ -93,14 +93,14 @@
         EXPECT_TRUE(network_.runUntil([&] { return allSee(2, std::nullopt); }, 5s));
     }
 
-    TEST_F(MembershipTest, restartReplacesTheOldIncarnation)
+    TEST_F(MembershipTest, RestartReplacesTheOldIncarnation)
     {
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         const std::uint64_t first = network_.nodes()[4].self.incarnation;
         const auto allSeeIncarnationAbove = [&](std::uint64_t old) {
             for (std::size_t observer = 0; observer < 7; ++observer) {
-                if (network_.seen(observer, 4)->incarnation <= old
-                    || network_.seen(observer, 4)->state != MemberState::Serving)
+                if (network_.viewedMember(observer, 4)->incarnation <= old
+                    || network_.viewedMember(observer, 4)->state != MemberState::Serving)
                     return false;
             }
             return true;
@@ -116,7 +116,7 @@
         EXPECT_GT(network_.nodes()[4].membership->selfIncarnation(), first + 5000);
     }
 
-    TEST_F(MembershipTest, sameSeedGivesTheSameTraffic)
+    TEST_F(MembershipTest, SameSeedGivesTheSameTraffic)
     {
         std::vector<std::uint64_t> totals;
         for (int i = 0; i < 2; ++i) {
