--- a/Source/Balancer/OpenTries.cpp
+++ b/Source/Balancer/ActiveAttempts.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/OpenTries.h"
+#include "Balancer/ActiveAttempts.h"
 
 #include "Balancer/RequestRefusal.h"
 #include "Balancer/ServiceLookup.h"
@@ -10,7 +10,7 @@
 
     constexpr int notFound = 404;
 
-    // A key belongs to one content.
+    // Identifies the content of a request, to detect a key that is reused for other content.
     std::uint64_t fingerprintOf(const HttpRequest& request, ServiceId service)
     {
         std::uint64_t hash = hashString(request.method, service.value);
@@ -20,17 +20,17 @@
 
 }
 
-OpenTries::OpenTries(const Holder& self, CancelHandler onCancelled)
+ActiveAttempts::ActiveAttempts(const BalancerInstance& self, CancelHandler onCancelled)
     : self_(self)
     , onCancelled_(std::move(onCancelled))
 {
 }
 
-OpenTry& OpenTries::open(const std::shared_ptr<Http2Exchange>& exchange, const CheckedRequest& checked,
+ActiveAttempt& ActiveAttempts::open(const std::shared_ptr<Http2Exchange>& exchange, const CheckedRequest& checked,
     const Configuration& configuration, std::shared_ptr<const HttpRequest> forwarded)
 {
-    const TryId id = ++last_;
-    const auto opened = std::make_shared<OpenTry>();
+    const AttemptId id = ++lastId_;
+    const auto opened = std::make_shared<ActiveAttempt>();
     opened->exchange = exchange;
     opened->forwarded = std::move(forwarded);
     opened->since = Clock::now();
@@ -39,18 +39,18 @@
     opened->detail = checked.detail;
     opened->isKeyed = checked.key.has_value();
 
-    KeyedTry& attempt = opened->attempt;
+    KeyedAttempt& attempt = opened->attempt;
     attempt.id = id;
     attempt.key = checked.key.value_or(RequestKey {});
     attempt.service = service ? service->id : ServiceId {};
     attempt.fingerprint = fingerprintOf(opened->request(), attempt.service);
     attempt.deadline = opened->since + checked.timeLeft;
     attempt.problem = checked.problem;
-    // Another balancer may know the service already and have run the key: only the owner can say "not run".
+    // Another balancer may already know the service and have run the key, so only the owner may answer "not run".
     if (!service && !attempt.problem)
         attempt.problem = RefusalReason::NoServer;
 
-    tries_.emplace(id, opened);
+    attempts_.emplace(id, opened);
     exchange->onCancelled([this, alive = std::weak_ptr<int>(alive_), id] {
         if (!alive.expired())
             cancel(id);
@@ -58,70 +58,70 @@
     return *opened;
 }
 
-OpenTry* OpenTries::find(TryId id)
+ActiveAttempt* ActiveAttempts::find(AttemptId id)
 {
-    const auto found = tries_.find(id);
-    return found == tries_.end() ? nullptr : found->second.get();
+    const auto found = attempts_.find(id);
+    return found == attempts_.end() ? nullptr : found->second.get();
 }
 
-void OpenTries::cancel(TryId id)
+void ActiveAttempts::cancel(AttemptId id)
 {
     const auto closed = close(id);
     if (!closed)
         return;
     if (!closed->forwarded)
-        count(RequestEnding::Cancelled);
+        count(RequestOutcomeKind::Cancelled);
     onCancelled_(id);
 }
 
-void OpenTries::answer(TryId id, HttpResponse response)
+void ActiveAttempts::answer(AttemptId id, HttpResponse response)
 {
     const auto closed = close(id);
     if (!closed)
         return;
     if (closed->forwarded) {
         closed->exchange->respond(writeHopAnswer(
-            { .owner = self_, .ending = HopEnding::Answer, .refusal = {}, .response = std::move(response) }));
+            { .owner = self_, .outcome = HopOutcome::Answer, .refusal = {}, .response = std::move(response) }));
         return;
     }
-    count(RequestEnding::Answered);
+    count(RequestOutcomeKind::Answered);
     closed->exchange->respond(std::move(response));
 }
 
-void OpenTries::refuse(TryId id, const Refusal& refusal)
+void ActiveAttempts::refuse(AttemptId id, const Refusal& refusal)
 {
     const auto closed = close(id);
     if (!closed)
         return;
     if (closed->forwarded) {
         closed->exchange->respond(
-            writeHopAnswer({ .owner = self_, .ending = HopEnding::Refusal, .refusal = refusal, .response = {} }));
+            writeHopAnswer({ .owner = self_, .outcome = HopOutcome::Refusal, .refusal = refusal, .response = {} }));
         return;
     }
     RequestProblem problem = problemOf(refusal, closed->detail);
     if (closed->namesNoService && refusal.reason == RefusalReason::NoServer) {
         problem.status = notFound;
         problem.title = "The request names no known service";
-        problem.ending = RequestEnding::UnknownService;
+        problem.outcome = RequestOutcomeKind::UnknownService;
     }
-    count(problem.ending);
+    count(problem.outcome);
     closed->exchange->respond(problem.toResponse());
 }
 
-void OpenTries::redirect(TryId id)
+void ActiveAttempts::redirect(AttemptId id)
 {
     if (const auto closed = close(id))
         closed->exchange->respond(
-            writeHopAnswer({ .owner = self_, .ending = HopEnding::Redirect, .refusal = {}, .response = {} }));
+            writeHopAnswer({ .owner = self_, .outcome = HopOutcome::Redirect, .refusal = {}, .response = {} }));
 }
 
-std::shared_ptr<OpenTry> OpenTries::close(TryId id)
+std::shared_ptr<ActiveAttempt> ActiveAttempts::close(AttemptId id)
 {
-    const auto found = tries_.find(id);
-    if (found == tries_.end())
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end())
         return nullptr;
     auto closed = std::move(found->second);
-    tries_.erase(found);
+    attempts_.erase(found);
     return closed;
 }
 
--- a/Source/Balancer/BalancerDaemon.cpp
+++ b/Source/Balancer/BalancerDaemon.cpp
@@ -17,11 +17,11 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto upkeepPeriod = 100ms;
-    // The prefix under which the balancer's own pages also stand, apart from any path of a service.
-    constexpr std::string_view ownPrefix = "/wisteriadock";
+    constexpr auto maintenancePeriod = 100ms;
+    // A prefix under which the built-in pages are served as well, to keep them apart from the paths of services.
+    constexpr std::string_view builtInPagePrefix = "/wisteriadock";
 
-    // VMs keep nothing, so the wall clock at the start is the only number that rises with each start.
+    // VMs keep no state, so the wall clock in milliseconds is the only number that grows with each start.
     std::uint64_t currentIncarnation()
     {
         const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -35,7 +35,7 @@
 
     RequestTimes requestTimesOf(const BalancerSettings& settings)
     {
-        return { .defaultDeadline = settings.defaultDeadline, .longestDeadline = settings.longestDeadline };
+        return { .defaultDeadline = settings.defaultDeadline, .maxDeadline = settings.maxDeadline };
     }
 
     StopTimes stopTimesOf(const BalancerSettings& settings)
@@ -45,7 +45,8 @@
         return times;
     }
 
-    RequestControlSettings controlSettingsOf(const BalancerSettings& settings, const Holder& self, std::uint64_t seed)
+    RequestControlSettings controlSettingsOf(
+        const BalancerSettings& settings, const BalancerInstance& self, std::uint64_t seed)
     {
         RequestControlSettings control;
         control.self = self;
@@ -54,7 +55,7 @@
         control.limits.headerBytes = settings.requestLimits.headerBytes;
         control.limits.bodyBytes = settings.requestLimits.bodyBytes;
         control.limits.defaultDeadline = settings.defaultDeadline;
-        control.limits.maxDeadline = settings.longestDeadline;
+        control.limits.maxDeadline = settings.maxDeadline;
         control.http = settings.requestLimits;
         control.retryRule = settings.requestPolicy == RequestPolicy::BlindRetry ? RetryRule::Blind : RetryRule::Safe;
         control.seed = seed;
@@ -72,11 +73,11 @@
     , incarnation_(currentIncarnation())
     , seed_(seedOf(settings_, incarnation_))
     , signals_(context_, SIGTERM, SIGINT, SIGHUP)
-    , upkeepTimer_(context_)
+    , maintenanceTimer_(context_)
     , stop_(stopTimesOf(settings_))
     , engine_(settings_.flow, self_, seed_)
     , platform_(context_, settings_.platform)
-    , requestDecisions_(requestTimesOf(settings_), seed_)
+    , serverSelector_(requestTimesOf(settings_), seed_)
     , feed_(context_, platform_, seed_)
     , vms_(platform_, settings_.seeds, seed_)
 {
@@ -88,20 +89,22 @@
 {
     std::unique_ptr<BalancerDaemon> daemon(new BalancerDaemon(std::move(settings), std::move(settingsPath)));
     BOOST_OUTCOME_TRY(daemon->listen());
-    daemon->connectParts();
+    daemon->connectComponents();
     return daemon;
 }
 
 Result<void> BalancerDaemon::listen()
 {
     const auto onMessage = [this](const PeerEnvelope& envelope, Endpoint sender) { peers_->receive(envelope, sender); };
-    BOOST_OUTCOME_TRY(link, PeerLink::open(context_, settings_.listen.peer, onMessage));
-    link_ = std::move(link);
+    BOOST_OUTCOME_TRY(socket, PeerSocket::open(context_, settings_.listen.peer, onMessage));
+    peerSocket_ = std::move(socket);
 
-    const auto ownPages = [this](const std::shared_ptr<Http2Exchange>& exchange) { return serveOwnPage(exchange); };
-    BOOST_OUTCOME_TRY(requests,
-        RequestFront::listen(context_, settings_.listen.request, settings_.requestLimits, requestDecisions_, ownPages));
-    requests_ = std::move(requests);
+    const auto builtInPages
+        = [this](const std::shared_ptr<Http2Exchange>& exchange) { return serveBuiltInPage(exchange); };
+    BOOST_OUTCOME_TRY(frontend,
+        RequestFrontend::listen(
+            context_, settings_.listen.request, settings_.requestLimits, serverSelector_, builtInPages));
+    frontend_ = std::move(frontend);
 
     BOOST_OUTCOME_TRY(endpoint, MetricsEndpoint::serve(settings_.listen.metrics, metrics_.registry()));
     metricsEndpoint_ = std::move(endpoint);
@@ -113,7 +116,7 @@
 
 BalancerAddresses BalancerDaemon::addresses() const
 {
-    return { packets_->address(), link_->address(), requests_->address(), metricsEndpoint_->address() };
+    return { packets_->address(), peerSocket_->address(), frontend_->address(), metricsEndpoint_->address() };
 }
 
 Member BalancerDaemon::describeSelf() const
@@ -130,28 +133,28 @@
     return self;
 }
 
-void BalancerDaemon::connectParts()
+void BalancerDaemon::connectComponents()
 {
-    peers_ = std::make_unique<PeerControl>(context_, *link_, engine_, describeSelf(), seed_);
+    peers_ = std::make_unique<PeerControl>(context_, *peerSocket_, engine_, describeSelf(), seed_);
     if (settings_.isAtMostOnce)
         startRequestControl(incarnation_);
     else if (settings_.requestPolicy == RequestPolicy::BlindRetry)
-        requests_->retryBlindly();
+        frontend_->retryBlindly();
     const auto onRequestMessage = [this](const PeerEnvelope& envelope) {
         if (control_)
             control_->receive(envelope);
     };
     peers_->start([this](const std::shared_ptr<const MembersView>& view) { applyMembers(view); }, onRequestMessage);
-    vms_.start([this](const std::vector<VmAdvice>& vms) { peers_->applyVms(vms); });
+    vms_.start([this](const std::vector<ListedVm>& vms) { peers_->applyVms(vms); });
     feed_.start(peers_->view(), [this](const ConfigurationVersion& version) { applyConfiguration(version); });
     awaitSignal();
-    scheduleUpkeep();
+    scheduleMaintenance();
 }
 
 void BalancerDaemon::run()
 {
     log_.info(
-        fmt::format("{} of {} starts as incarnation {}", settings_.name, settings_.availabilityZone, incarnation_));
+        fmt::format("starting {} in {} as incarnation {}", settings_.name, settings_.availabilityZone, incarnation_));
     context_.run();
     log_.info("stopped");
 }
@@ -160,22 +163,22 @@
 {
     configuration_ = std::make_shared<const Configuration>(version.configuration);
     peers_->applyConfiguration(configuration_, version.head.applied.version);
-    requests_->applyConfiguration(configuration_);
+    frontend_->applyConfiguration(configuration_);
     if (control_)
         control_->applyConfiguration(configuration_);
 }
 
 void BalancerDaemon::startRequestControl(std::uint64_t incarnation)
 {
-    requests_->setControl(nullptr);
+    frontend_->setControl(nullptr);
     control_ = std::make_unique<RequestControl>(
-        context_, *link_, platform_, controlSettingsOf(settings_, { self_, incarnation }, seed_));
+        context_, *peerSocket_, platform_, controlSettingsOf(settings_, { self_, incarnation }, seed_));
     control_->applyConfiguration(configuration_);
-    requests_->setControl(control_.get());
+    frontend_->setControl(control_.get());
 }
 
-// Membership raises the own incarnation when the fleet knows a higher one, because the clock was set back. Claims are
-// then held in the name of another start of this balancer, so all that was known goes.
+// Membership raises the own incarnation when the fleet knows a higher one because the clock was set back. The claims
+// held so far belong to the old incarnation, so request handling starts again without them.
 void BalancerDaemon::applyMembers(const std::shared_ptr<const MembersView>& view)
 {
     feed_.applyMembers(view);
@@ -187,12 +190,12 @@
     control_->applyMembers(view);
 }
 
-bool BalancerDaemon::serveOwnPage(const std::shared_ptr<Http2Exchange>& exchange)
+bool BalancerDaemon::serveBuiltInPage(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const HttpRequest& request = exchange->request();
     std::string_view path = request.path;
-    if (path.starts_with(ownPrefix))
-        path.remove_prefix(ownPrefix.size());
+    if (path.starts_with(builtInPagePrefix))
+        path.remove_prefix(builtInPagePrefix.size());
     if (request.method != "GET")
         return false;
     if (path == "/ticket" && control_) {
@@ -227,7 +230,7 @@
         reloadLogLevel();
         return;
     }
-    log_.info(stop_.isRequested() ? "stopping at once" : "planned stop begins");
+    log_.info(stop_.isRequested() ? "stopping immediately" : "starting a planned stop");
     engine_.beginLeave();
     stop_.request(Clock::now());
     advanceStop();
@@ -237,23 +240,23 @@
 {
     const auto settings = BalancerSettings::load(settingsPath_);
     if (!settings) {
-        log_.warning(fmt::format("keeping the log level: {}", settings.error().detail));
+        log_.warning(fmt::format("log level not changed: {}", settings.error().detail));
         return;
     }
     configureLog(settings.value().logLevel);
     log_.info(fmt::format("log level is {}", nameOf(settings.value().logLevel)));
 }
 
-void BalancerDaemon::scheduleUpkeep()
+void BalancerDaemon::scheduleMaintenance()
 {
-    upkeepTimer_.expires_after(upkeepPeriod);
-    upkeepTimer_.async_wait([this](const boost::system::error_code& error) {
+    maintenanceTimer_.expires_after(maintenancePeriod);
+    maintenanceTimer_.async_wait([this](const boost::system::error_code& error) {
         if (error)
             return;
         vms_.poll(*peers_->view(), Clock::now());
         updateMetrics();
         advanceStop();
-        scheduleUpkeep();
+        scheduleMaintenance();
     });
 }
 
@@ -275,7 +278,7 @@
         peers_->leave();
         break;
     case StopStep::DrainRequests:
-        requests_->drain([this] { areRequestsDrained_ = true; });
+        frontend_->drain([this] { areRequestsDrained_ = true; });
         break;
     case StopStep::Exit:
         context_.stop();
@@ -285,26 +288,27 @@
 
 void BalancerDaemon::updateMetrics()
 {
-    BalancerFigures figures;
-    figures.packets = packets_->totals();
-    figures.flow = engine_.counters();
-    figures.requests = requests_->counts();
+    BalancerStatistics statistics;
+    statistics.packets = packets_->totals();
+    statistics.flow = engine_.counters();
+    statistics.requests = frontend_->counts();
     if (control_)
-        figures.control = control_->figures();
-    figures.openRequests = requests_->openRequests();
-    figures.controlBytes = {
-        .peers = link_->bytesTransferred(),
+        statistics.control = control_->statistics();
+    statistics.openRequests = frontend_->openRequests();
+    statistics.controlBytes = {
+        .peers = peerSocket_->bytesTransferred(),
         .platform = platform_.bytesTransferred(),
         .configuration = feed_.peerBytes() + configurationBytesServed_,
-        .requests = figures.control.longMessageBytes,
+        .requests = statistics.control.longMessageBytes,
     };
-    figures.malformedPeerMessages = link_->malformed() + peers_->droppedMessages() + figures.control.droppedMessages;
-    figures.httpProtocolErrors = requests_->protocolErrors();
-    figures.configurationVersion = feed_.version();
-    figures.processCpuSeconds = processCpuSeconds();
-    figures.controlThreadCpuSeconds = threadCpuSeconds();
-    figures.members = peers_->view();
-    metrics_.update(figures);
+    statistics.malformedPeerMessages
+        = peerSocket_->malformed() + peers_->droppedMessages() + statistics.control.droppedMessages;
+    statistics.httpProtocolErrors = frontend_->protocolErrors();
+    statistics.configurationVersion = feed_.version();
+    statistics.processCpuSeconds = processCpuSeconds();
+    statistics.controlThreadCpuSeconds = threadCpuSeconds();
+    statistics.members = peers_->view();
+    metrics_.update(statistics);
 }
 
 }
--- a/Source/Balancer/ClaimTermText.cpp
+++ b/Source/Balancer/ClaimTermText.cpp
@@ -8,17 +8,17 @@
 
     using Json = nlohmann::json;
 
-    Json toJson(const std::vector<Holder>& holders)
+    Json toJson(const std::vector<BalancerInstance>& holders)
     {
         Json rows = Json::array();
-        for (const Holder& holder : holders)
+        for (const BalancerInstance& holder : holders)
             rows.push_back(Json::array({ holder.id.value, holder.incarnation }));
         return rows;
     }
 
-    std::vector<Holder> holdersOf(const Json& rows)
+    std::vector<BalancerInstance> holdersOf(const Json& rows)
     {
-        std::vector<Holder> holders;
+        std::vector<BalancerInstance> holders;
         for (const Json& row : rows)
             holders.push_back({ BalancerId { row.at(0).get<std::uint32_t>() }, row.at(1).get<std::uint64_t>() });
         return holders;
@@ -38,14 +38,14 @@
         { "epoch", term.epoch },
         { "holders", toJson(term.holders) },
         { "previous", previous },
-        { "history_whole", term.isHistoryWhole },
+        { "history_whole", term.isHistoryComplete },
     }
         .dump();
 }
 
 Result<ClaimTerm> readClaimTerm(std::string_view text)
 {
-    // The library reports by exceptions, which end here.
+    // The JSON library reports errors by exceptions.
     try {
         const Json json = Json::parse(text);
         ClaimTerm term;
@@ -54,10 +54,10 @@
         term.holders = holdersOf(json.at("holders"));
         for (const Json& past : json.at("previous"))
             term.previous.push_back({ past.at("epoch").get<std::uint64_t>(), holdersOf(past.at("holders")) });
-        term.isHistoryWhole = json.at("history_whole").get<bool>();
+        term.isHistoryComplete = json.at("history_whole").get<bool>();
         return term;
     } catch (const Json::exception& failure) {
-        return Error { ErrorCode::InvalidArgument, std::string("ownership record: ") + failure.what() };
+        return Error { ErrorCode::InvalidArgument, std::string("invalid ownership record: ") + failure.what() };
     }
 }
 
--- a/Source/Balancer/PeerConfiguration.cpp
+++ b/Source/Balancer/PeerConfiguration.cpp
@@ -15,9 +15,9 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto shortestPause = 300ms;
-    constexpr auto longestPause = 8000ms;
-    constexpr auto fetchDeadline = 3000ms;
+    constexpr auto minPause = 300ms;
+    constexpr auto maxPause = 8000ms;
+    constexpr auto fetchTimeout = 3000ms;
 
     Error toError(const HttpFailure& failure)
     {
@@ -39,7 +39,7 @@
 PeerConfiguration::PeerConfiguration(boost::asio::io_context& context, std::uint64_t seed, Handler onHead)
     : context_(context)
     , onHead_(std::move(onHead))
-    , backoff_(shortestPause, longestPause, seed)
+    , backoff_(minPause, maxPause, seed)
     , random_(seed)
 {
 }
@@ -72,21 +72,21 @@
 
 std::uint64_t PeerConfiguration::bytesTransferred() const
 {
-    return bytesOfFormerClients_ + (client_ ? client_->bytesTransferred() : 0);
+    return closedClientBytes_ + (client_ ? client_->bytesTransferred() : 0);
 }
 
 const Member* PeerConfiguration::choose(const MembersView& view, std::uint64_t version)
 {
     const Member* self = view.findSelf();
-    std::vector<const Member*> near;
-    std::vector<const Member*> far;
+    std::vector<const Member*> sameZone;
+    std::vector<const Member*> otherZones;
     for (const Member& member : view.members) {
         if (member.id == view.self || member.state == MemberState::Dead || member.configurationVersion <= version)
             continue;
-        const bool isNear = self && member.availabilityZone == self->availabilityZone;
-        (isNear ? near : far).push_back(&member);
+        const bool isSameZone = self && member.availabilityZone == self->availabilityZone;
+        (isSameZone ? sameZone : otherZones).push_back(&member);
     }
-    const auto& candidates = near.empty() ? far : near;
+    const auto& candidates = sameZone.empty() ? otherZones : sameZone;
     return candidates.empty() ? nullptr : candidates[random_() % candidates.size()];
 }
 
@@ -94,7 +94,7 @@
 {
     isAsking_ = true;
     if (client_)
-        bytesOfFormerClients_ += client_->bytesTransferred();
+        closedClientBytes_ += client_->bytesTransferred();
     client_ = std::make_unique<Http2Client>(context_, member.requestAddress);
     log_.debug(fmt::format("asking {} for version {}", member.name, member.configurationVersion));
 
@@ -106,7 +106,7 @@
             onHead_(head.value(), fetchPart);
             return;
         }
-        log_.warning(fmt::format("{} did not give its configuration: {}", name, head.error().toString()));
+        log_.warning(fmt::format("{} did not return its configuration: {}", name, head.error().toString()));
         finish(false, Clock::now());
     });
 }
@@ -116,7 +116,7 @@
     HttpRequest request;
     request.path = configurationPathOf(key);
     request.authority = "balancer";
-    client_->send(std::move(request), Clock::now() + fetchDeadline,
+    client_->send(std::move(request), Clock::now() + fetchTimeout,
         [onValue = std::move(onValue)](HttpOutcome outcome) { onValue(readAnswer(std::move(outcome))); });
 }
 
--- a/Source/Balancer/PlatformWatch.cpp
+++ b/Source/Balancer/PlatformWatch.cpp
@@ -11,14 +11,14 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto shortestPause = 500ms;
-    constexpr auto longestPause = 8000ms;
-    // A watch without news ends after at most this time and the key is read outright. It bounds how long a connection
-    // that died without a word, or a platform that was restored, goes unnoticed; for two calls in that time.
-    constexpr auto longestWatch = 5000ms;
-    constexpr auto readDeadline = 2000ms;
-    // Even where nothing fails, calls never follow each other faster than this.
-    constexpr auto shortestGap = 100ms;
+    constexpr auto minPause = 500ms;
+    constexpr auto maxPause = 8000ms;
+    // A watch without a change ends after at most this time, and the key is read. This limits how long a dead
+    // connection or a restored platform goes unnoticed.
+    constexpr auto maxWatchDuration = 5000ms;
+    constexpr auto readTimeout = 2000ms;
+    // The minimum time between calls, even without failures.
+    constexpr auto minCallInterval = 100ms;
 
 }
 
@@ -26,9 +26,9 @@
     : platform_(platform)
     , key_(std::move(key))
     , onEntry_(std::move(onEntry))
-    , outages_(shortestPause, longestPause, seed)
-    , retries_(shortestPause, longestPause, seed)
-    , lengths_(longestWatch, longestWatch, seed)
+    , outageBackoff_(minPause, maxPause, seed)
+    , retryBackoff_(minPause, maxPause, seed)
+    , watchDuration_(maxWatchDuration, maxWatchDuration, seed)
 {
 }
 
@@ -37,7 +37,7 @@
     if (isWaiting_ || now < nextCall_)
         return;
     isWaiting_ = true;
-    nextCall_ = now + shortestGap;
+    nextCall_ = now + minCallInterval;
     if (readsNext_)
         read(now);
     else
@@ -47,25 +47,24 @@
 void PlatformWatch::retry(TimePoint now)
 {
     revision_ = 0;
-    nextCall_ = now + retries_.next();
+    nextCall_ = now + retryBackoff_.next();
 }
 
 void PlatformWatch::watch(TimePoint now)
 {
     const std::weak_ptr<int> alive = alive_;
-    platform_.watch(key_, revision_, now + lengths_.next(), [this, alive](const Result<PlatformEntry>& entry) {
+    platform_.watch(key_, revision_, now + watchDuration_.next(), [this, alive](const Result<PlatformEntry>& entry) {
         if (!alive.expired())
             finishWatch(entry);
     });
 }
 
-// A platform that was restored from an older copy counts its revisions from a lower one. A watch for what comes after
-// the revision that was seen before would then stay silent for a long time, whatever is written; one would notice it as
-// a configuration that is accepted but never in force. Reading the key outright shows what it holds now.
+// A platform that was restored from an older copy continues from a lower revision, so a watch for revisions above the
+// last known one may not return although the key changes. Reading the key detects this.
 void PlatformWatch::read(TimePoint now)
 {
     const std::weak_ptr<int> alive = alive_;
-    platform_.get(key_, now + readDeadline, [this, alive](const Result<PlatformEntry>& entry) {
+    platform_.get(key_, now + readTimeout, [this, alive](const Result<PlatformEntry>& entry) {
         if (!alive.expired())
             finishRead(entry);
     });
@@ -76,12 +75,12 @@
     isWaiting_ = false;
     if (entry) {
         noteReachable();
-        takeEntry(entry.value());
+        handleEntry(entry.value());
     } else if (entry.error().code == ErrorCode::NotFound) {
         readsNext_ = true;
         noteReachable();
     } else {
-        noteOut(entry.error());
+        noteUnreachable(entry.error());
     }
 }
 
@@ -89,7 +88,7 @@
 {
     isWaiting_ = false;
     if (!entry && entry.error().code != ErrorCode::NotFound) {
-        noteOut(entry.error());
+        noteUnreachable(entry.error());
         return;
     }
     readsNext_ = false;
@@ -98,15 +97,15 @@
         revision_ = 0;
         return;
     }
-    // A restored platform also gives the same revision again for another value.
+    // A restored platform may reuse a revision for another value.
     if (entry.value().revision != revision_ || entry.value().value != value_)
-        takeEntry(entry.value());
+        handleEntry(entry.value());
 }
 
-void PlatformWatch::takeEntry(const PlatformEntry& entry)
+void PlatformWatch::handleEntry(const PlatformEntry& entry)
 {
     if (entry.value != value_)
-        retries_.reset();
+        retryBackoff_.reset();
     readsNext_ = false;
     revision_ = entry.revision;
     value_ = entry.value;
@@ -115,18 +114,18 @@
 
 void PlatformWatch::noteReachable()
 {
-    if (std::exchange(isOut_, false))
-        log_.info("answers again");
-    outages_.reset();
+    if (std::exchange(isUnreachable_, false))
+        log_.info("reachable again");
+    outageBackoff_.reset();
 }
 
-void PlatformWatch::noteOut(const Error& error)
+void PlatformWatch::noteUnreachable(const Error& error)
 {
-    if (!std::exchange(isOut_, true))
-        log_.warning(fmt::format("is out: {}", error.toString()));
-    // It may come back as an older copy of itself.
+    if (!std::exchange(isUnreachable_, true))
+        log_.warning(fmt::format("unreachable: {}", error.toString()));
+    // The platform may come back as an older copy.
     readsNext_ = true;
-    nextCall_ = Clock::now() + outages_.next();
+    nextCall_ = Clock::now() + outageBackoff_.next();
 }
 
 }
--- a/Source/Balancer/RequestControl.cpp
+++ b/Source/Balancer/RequestControl.cpp
@@ -1,6 +1,6 @@
 #include "Balancer/RequestControl.h"
 
-#include "Balancer/HolderText.h"
+#include "Balancer/BalancerInstanceText.h"
 #include "Balancer/RequestRefusal.h"
 #include "Request/RequestRouter.h"
 #include "Request/RetryAfter.h"
@@ -17,18 +17,18 @@
     using namespace std::chrono_literals;
 
     constexpr auto tickPeriod = 20ms;
-    // The home of all keys where the settings list no availability zones.
-    constexpr std::string_view wholeFleet = "fleet";
-    constexpr int mostHops = 4;
-    // News of a new owner takes about this long.
-    constexpr auto rerouteAfter = 100ms;
-    // How long a try waits for the first ownership record, at the start of a balancer.
-    constexpr auto firstRecordPatience = 2000ms;
-    constexpr auto comeBackIn = 1000ms;
-    // Within the time after which the forwarding balancer gives the try up.
-    constexpr auto receiptPeriod = 200ms;
-    constexpr int receiptRepeats = 2;
-    constexpr auto loanSlack = 5000ms;
+    // The home zone of all keys when the settings list no availability zones.
+    constexpr std::string_view fleetZone = "fleet";
+    constexpr int maxHops = 4;
+    // About the time that a new ownership record takes to spread.
+    constexpr auto rerouteDelay = 100ms;
+    // How long an attempt waits for the first ownership record after the start of the balancer.
+    constexpr auto firstRecordTimeout = 2000ms;
+    constexpr auto retryDelay = 1000ms;
+    // All repeats fit within the time after which the forwarding balancer gives up the attempt.
+    constexpr auto acknowledgementPeriod = 200ms;
+    constexpr int acknowledgementRepeats = 2;
+    constexpr auto loanMargin = 5000ms;
 
     RunnerSettings runnerSettingsOf(const RequestControlSettings& settings)
     {
@@ -36,14 +36,14 @@
         runner.self = settings.self;
         runner.retries.rule = settings.retryRule;
         runner.maxDeadline = settings.limits.maxDeadline;
-        runner.admission.longestLoan = settings.limits.maxDeadline + loanSlack;
+        runner.admission.longestLoan = settings.limits.maxDeadline + loanMargin;
         runner.seed = settings.seed;
         return runner;
     }
 
     std::vector<std::string> zonesOf(const RequestControlSettings& settings)
     {
-        return settings.zones.empty() ? std::vector<std::string> { std::string(wholeFleet) } : settings.zones;
+        return settings.zones.empty() ? std::vector<std::string> { std::string(fleetZone) } : settings.zones;
     }
 
     std::size_t headerBytesOf(const HttpRequest& request)
@@ -54,7 +54,7 @@
         return bytes;
     }
 
-    bool saysNotRun(const HttpResponse& response) { return response.header("x-executed") == "no"; }
+    bool reportsNotExecuted(const HttpResponse& response) { return response.header("x-executed") == "no"; }
 
     std::chrono::milliseconds retryAfterOf(const HttpResponse& response)
     {
@@ -64,26 +64,26 @@
 
 }
 
-RequestControl::RequestControl(
-    boost::asio::io_context& context, PeerLink& link, PlatformClient& platform, const RequestControlSettings& settings)
+RequestControl::RequestControl(boost::asio::io_context& context, PeerSocket& socket, PlatformClient& platform,
+    const RequestControlSettings& settings)
     : settings_(settings)
-    , homeZone_(settings.zones.empty() ? std::string(wholeFleet) : settings.availabilityZone)
+    , homeZone_(settings.zones.empty() ? std::string(fleetZone) : settings.availabilityZone)
     , timer_(context)
     , random_(settings.seed)
-    , tries_(settings.self, [this](TryId id) { cancelled(id); })
+    , attempts_(settings.self, [this](AttemptId id) { handleCancellation(id); })
     , runner_(runnerSettingsOf(settings))
     , router_(std::make_unique<RequestRouter>(settings.self, zonesOf(settings)))
-    , link_(context, link, settings.self, settings.http,
-          [this](const Holder& from, const BalancerMessage& message) { handle(from, message); })
-    , terms_(platform, *router_, link_, homeZone_, settings.self, settings.seed,
+    , transport_(context, socket, settings.self, settings.http,
+          [this](const BalancerInstance& from, const BalancerMessage& message) { handleMessage(from, message); })
+    , terms_(platform, *router_, transport_, homeZone_, settings.self, settings.seed,
           [this](const ClaimTerm& term) { adopt(term); })
-    , forwarder_(context, link_, settings.self, settings.http,
-          { .onAnswer = [this](TryId id, HttpResponse response) { tries_.answer(id, std::move(response)); },
-              .onRefusal = [this](TryId id, const Refusal& refusal) { tries_.refuse(id, refusal); },
-              .onLost = [this](TryId id, RefusalReason reason) { refuseUnknown(id, reason); },
+    , forwarder_(context, transport_, settings.self, settings.http,
+          { .onAnswer = [this](AttemptId id, HttpResponse response) { attempts_.answer(id, std::move(response)); },
+              .onRefusal = [this](AttemptId id, const Refusal& refusal) { attempts_.refuse(id, refusal); },
+              .onLost = [this](AttemptId id, RefusalReason reason) { refuseAsUnknown(id, reason); },
               .onRedirect =
-                  [this](TryId id, const Holder& owner) {
-                      terms_.ask(owner);
+                  [this](AttemptId id, const BalancerInstance& owner) {
+                      terms_.sendDigest(owner);
                       routeLater(id, Clock::now());
                   } })
     , sender_(context, settings.http, [this](WorkId work, BackendServerId server, HttpOutcome outcome) {
@@ -99,24 +99,24 @@
 {
     configuration_ = std::move(configuration);
     sender_.applyConfiguration(*configuration_);
-    runner_.configure(*configuration_, *link_.view(), Clock::now());
-    act();
+    runner_.configure(*configuration_, *transport_.view(), Clock::now());
+    performActions();
 }
 
 void RequestControl::applyMembers(const std::shared_ptr<const MembersView>& view)
 {
     const TimePoint now = Clock::now();
-    link_.applyMembers(view);
+    transport_.applyMembers(view);
     runner_.configure(*configuration_, *view, now);
     forwarder_.applyMembers();
-    terms_.applyMembers(homeView(), now);
-    act();
+    terms_.applyMembers(homeZoneView(), now);
+    performActions();
 }
 
-// Without a list of zones the ownership record names all balancers, wherever they stand.
-MembersView RequestControl::homeView() const
+// Without a list of zones, the ownership record covers all balancers regardless of their zone.
+MembersView RequestControl::homeZoneView() const
 {
-    MembersView view = *link_.view();
+    MembersView view = *transport_.view();
     if (settings_.zones.empty()) {
         for (Member& member : view.members)
             member.availabilityZone = homeZone_;
@@ -140,37 +140,37 @@
     terms_.tick(now);
     runner_.tick(now);
     forwarder_.tick(now);
-    routeDue(now);
-    repeatReceipts(now);
-    act();
+    performDelayedRoutes(now);
+    repeatAcknowledgements(now);
+    performActions();
 }
 
 void RequestControl::adopt(const ClaimTerm& term)
 {
     runner_.learnTerm(term, Clock::now());
-    if (figures().bucketsRecovering > 0)
+    if (statistics().bucketsRecovering > 0)
         ++recoveries_;
-    act();
+    performActions();
 }
 
-void RequestControl::handle(const Holder& from, const BalancerMessage& message)
+void RequestControl::handleMessage(const BalancerInstance& from, const BalancerMessage& message)
 {
     const TimePoint now = Clock::now();
-    if (const auto* received = std::get_if<TryReceived>(&message)) {
+    if (const auto* received = std::get_if<AttemptReceived>(&message)) {
         forwarder_.acknowledge(from, received->token);
     } else if (const auto* digest = std::get_if<TermDigest>(&message)) {
-        terms_.compare(from, *digest);
+        terms_.compareDigest(from, *digest);
     } else {
         const auto& request = std::get<RequestMessage>(message);
-        if (const auto* news = std::get_if<TermNews>(&request))
-            terms_.learn(news->term, now);
+        if (const auto* update = std::get_if<TermUpdate>(&request))
+            terms_.learnTerm(update->term, now);
         else
             runner_.receive(from, request, now);
     }
-    act();
+    performActions();
 }
 
-void RequestControl::take(const std::shared_ptr<Http2Exchange>& exchange)
+void RequestControl::handleCallerRequest(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const TimePoint now = Clock::now();
     const HttpRequest& request = exchange->request();
@@ -180,123 +180,125 @@
                                                     .headerBytes = headerBytesOf(request),
                                                     .bodyBytes = request.body.size() },
         router_->zones(), settings_.limits);
-    const OpenTry& opened = tries_.open(exchange, checked, *configuration_);
-    const TryId id = opened.attempt.id;
+    const ActiveAttempt& opened = attempts_.open(exchange, checked, *configuration_);
+    const AttemptId id = opened.attempt.id;
     if (opened.isKeyed)
         route(id, now);
     else if (opened.attempt.problem)
-        tries_.refuse(id, { *opened.attempt.problem, Executed::No, {} });
+        attempts_.refuse(id, { *opened.attempt.problem, Executed::No, {} });
     else
-        runner_.arrive(PlainTry { id, opened.attempt.service, opened.attempt.deadline }, now);
-    act();
+        runner_.arrive(UnkeyedAttempt { id, opened.attempt.service, opened.attempt.deadline }, now);
+    performActions();
 }
 
-void RequestControl::route(TryId id, TimePoint now)
+void RequestControl::route(AttemptId id, TimePoint now)
 {
-    OpenTry& opened = *tries_.find(id);
-    const KeyedTry& attempt = opened.attempt;
+    ActiveAttempt& opened = *attempts_.find(id);
+    const KeyedAttempt& attempt = opened.attempt;
     if (now >= attempt.deadline) {
-        refuseUnknown(id, RefusalReason::DeadlinePassed);
+        refuseAsUnknown(id, RefusalReason::DeadlinePassed);
         return;
     }
     const bool lacksRecord = !router_->termOf(router_->zones()[attempt.key.homeZone]);
-    if (lacksRecord && now - opened.since < firstRecordPatience) {
+    if (lacksRecord && now - opened.since < firstRecordTimeout) {
         routeLater(id, now);
         return;
     }
-    const Route found = router_->route(attempt.key, *link_.view());
-    if (found.kind == TryRouteKind::Unreachable || ++opened.hops > mostHops)
-        refuseUnknown(id, attempt.problem.value_or(RefusalReason::HomeUnreachable));
-    else if (found.kind == TryRouteKind::Local)
+    const Route found = router_->route(attempt.key, *transport_.view());
+    if (found.kind == AttemptRouteKind::Unreachable || ++opened.hops > maxHops)
+        refuseAsUnknown(id, attempt.problem.value_or(RefusalReason::HomeUnreachable));
+    else if (found.kind == AttemptRouteKind::Local)
         runner_.arrive(attempt, now);
     else
         forwarder_.forward(id, opened.request(), attempt.key.digest, attempt.problem, found.owner, attempt.deadline);
 }
 
-void RequestControl::routeLater(TryId id, TimePoint now)
+void RequestControl::routeLater(AttemptId id, TimePoint now)
 {
-    if (tries_.find(id))
-        later_.push_back({ id, now + rerouteAfter });
+    if (attempts_.find(id))
+        delayedRoutes_.push_back({ id, now + rerouteDelay });
 }
 
-void RequestControl::routeDue(TimePoint now)
+void RequestControl::performDelayedRoutes(TimePoint now)
 {
-    std::vector<TryId> due;
-    std::erase_if(later_, [&](const LaterRoute& later) {
+    std::vector<AttemptId> due;
+    std::erase_if(delayedRoutes_, [&](const DelayedRoute& later) {
         if (now < later.at)
             return false;
         due.push_back(later.id);
         return true;
     });
-    for (const TryId id : due) {
-        if (tries_.find(id))
+    for (const AttemptId id : due) {
+        if (attempts_.find(id))
             route(id, now);
     }
 }
 
-// What goes wrong without it: one lost datagram, and a try whose work is under way is answered "unknown".
-void RequestControl::repeatReceipts(TimePoint now)
+// Without repeats, one lost datagram would answer an attempt with "unknown" while its work is running.
+void RequestControl::repeatAcknowledgements(TimePoint now)
 {
-    for (LaterReceipt& receipt : receipts_) {
-        if (now < receipt.at)
+    for (PendingAcknowledgement& acknowledgement : acknowledgements_) {
+        if (now < acknowledgement.at)
             continue;
-        receipt.at = now + receiptPeriod;
-        receipt.left = tries_.find(receipt.id) ? receipt.left - 1 : -1;
-        if (receipt.left >= 0)
-            link_.send(receipt.token.entry, TryReceived { receipt.token });
+        acknowledgement.at = now + acknowledgementPeriod;
+        acknowledgement.repeatsLeft = attempts_.find(acknowledgement.id) ? acknowledgement.repeatsLeft - 1 : -1;
+        if (acknowledgement.repeatsLeft >= 0)
+            transport_.send(acknowledgement.token.entry, AttemptReceived { acknowledgement.token });
     }
-    std::erase_if(receipts_, [](const LaterReceipt& receipt) { return receipt.left <= 0; });
+    std::erase_if(acknowledgements_,
+        [](const PendingAcknowledgement& acknowledgement) { return acknowledgement.repeatsLeft <= 0; });
 }
 
-bool RequestControl::takeFromBalancer(const std::shared_ptr<Http2Exchange>& exchange)
+bool RequestControl::handlePeerRequest(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const std::string& path = exchange->request().path;
     if (path == longMessagePath)
-        link_.receive(*exchange);
+        transport_.receive(*exchange);
     else if (path == workPath)
-        takeHop(exchange);
+        handleHop(exchange);
     else
         return false;
     return true;
 }
 
-void RequestControl::takeHop(const std::shared_ptr<Http2Exchange>& exchange)
+void RequestControl::handleHop(const std::shared_ptr<Http2Exchange>& exchange)
 {
     const TimePoint now = Clock::now();
     auto hop = readHop(exchange->request());
-    const bool isFromMember = hop && link_.view()->find(hop.value().token.entry.id);
+    const bool isFromMember = hop && transport_.view()->find(hop.value().token.entry.id);
     const auto key = hop ? RequestKey::parse(hop.value().request.header("idempotency-key"), router_->zones())
                          : Result<RequestKey>(hop.error());
     if (!isFromMember || !key) {
         exchange->respond({ .status = 400, .headers = {}, .body = {} });
         return;
     }
-    // Meant for an earlier start of this balancer, which knew what this one has lost.
+    // Meant for an earlier incarnation, whose claims this one does not have.
     if (hop.value().owner != settings_.self) {
         exchange->respond(writeHopAnswer(
-            { .owner = hop.value().owner, .ending = HopEnding::Redirect, .refusal = {}, .response = {} }));
+            { .owner = hop.value().owner, .outcome = HopOutcome::Redirect, .refusal = {}, .response = {} }));
         return;
     }
-    link_.send(hop.value().token.entry, TryReceived { hop.value().token });
+    transport_.send(hop.value().token.entry, AttemptReceived { hop.value().token });
     CheckedRequest checked;
     checked.key = key.value();
     checked.timeLeft = std::min<Duration>(hop.value().timeLeft, settings_.limits.maxDeadline);
     checked.problem = hop.value().problem;
-    const OpenTry& opened = tries_.open(
+    const ActiveAttempt& opened = attempts_.open(
         exchange, checked, *configuration_, std::make_shared<const HttpRequest>(std::move(hop.value().request)));
-    receipts_.push_back({ opened.attempt.id, hop.value().token, now + receiptPeriod, receiptRepeats });
+    acknowledgements_.push_back(
+        { opened.attempt.id, hop.value().token, now + acknowledgementPeriod, acknowledgementRepeats });
     runner_.arrive(opened.attempt, now);
-    act();
+    performActions();
 }
 
-void RequestControl::cancelled(TryId id)
+void RequestControl::handleCancellation(AttemptId id)
 {
     forwarder_.cancel(id);
     runner_.cancel(id, Clock::now());
-    act();
+    performActions();
 }
 
-void RequestControl::act()
+void RequestControl::performActions()
 {
     for (auto actions = runner_.takeActions(); !actions.empty(); actions = runner_.takeActions()) {
         for (const RequestAction& action : actions)
@@ -306,7 +308,7 @@
 
 void RequestControl::perform(const StartWork& start)
 {
-    const OpenTry* content = tries_.find(start.content);
+    const ActiveAttempt* content = attempts_.find(start.content);
     const BackendServer* server = configuration_->findBackendServer(start.server);
     if (!content || !server)
         runner_.workFailed(start.work, HttpFailureKind::NotSent, Clock::now());
@@ -321,45 +323,45 @@
         if (outcome.error().kind == HttpFailureKind::Refused)
             runner_.serverShed(server, 0ms, now);
         runner_.workFailed(work, outcome.error().kind, now);
-        act();
+        performActions();
         return;
     }
     const HttpResponse& response = outcome.value();
     const bool isShed = response.status == 503 || response.status == 429;
     if (isShed)
         runner_.serverShed(server, retryAfterOf(response), now);
-    // A server without room that does not say "not run" may have run it: its answer is then the caller's to judge.
-    if (isShed && saysNotRun(response))
+    // An overloaded server that does not say "not run" may have run the work, so its response goes to the caller.
+    if (isShed && reportsNotExecuted(response))
         runner_.workFailed(work, HttpFailureKind::Refused, now);
     else
         runner_.workAnswered(work, std::make_shared<const HttpResponse>(std::move(outcome.value())), now);
-    act();
+    performActions();
 }
 
-void RequestControl::perform(const RedirectTry& redirect)
+void RequestControl::perform(const RedirectAttempt& redirect)
 {
-    const OpenTry* opened = tries_.find(redirect.id);
+    const ActiveAttempt* opened = attempts_.find(redirect.id);
     if (opened && opened->forwarded) {
-        tries_.redirect(redirect.id);
+        attempts_.redirect(redirect.id);
         return;
     }
-    terms_.want(Clock::now());
+    terms_.fetchNewer(Clock::now());
     routeLater(redirect.id, Clock::now());
 }
 
-void RequestControl::refuseUnknown(TryId id, RefusalReason reason)
+void RequestControl::refuseAsUnknown(AttemptId id, RefusalReason reason)
 {
-    tries_.refuse(id, { reason, Executed::Unknown, drawRetryAfter(comeBackIn, random_) });
+    attempts_.refuse(id, { reason, Executed::Unknown, drawRetryAfter(retryDelay, random_) });
 }
 
 HttpResponse RequestControl::issueTicket()
 {
-    // Callers must not be able to guess each other's tickets.
+    // Tickets must not be predictable for other callers.
     std::random_device source;
     const auto word = [&] { return (std::uint64_t(source()) << 32) | source(); };
     const auto ticket = runner_.issueTicket(word(), word());
     if (!ticket) {
-        return problemOf({ RefusalReason::NotReady, Executed::No, drawRetryAfter(comeBackIn, random_) },
+        return problemOf({ RefusalReason::NotReady, Executed::No, drawRetryAfter(retryDelay, random_) },
             "This balancer knows no ownership epoch yet")
             .toResponse();
     }
@@ -367,30 +369,30 @@
     return { .status = 200, .headers = { { "content-type", "application/json" } }, .body = body.dump() };
 }
 
-// The last balancer of a zone has nobody to whom its claims could go.
+// The last serving balancer of a zone has no successor for its claims.
 bool RequestControl::isReleased(TimePoint now) const
 {
-    const MembersView view = homeView();
-    const bool hasHeir = std::ranges::any_of(view.members, [&](const Member& member) {
+    const MembersView view = homeZoneView();
+    const bool hasSuccessor = std::ranges::any_of(view.members, [&](const Member& member) {
         return member.id != view.self && member.state == MemberState::Serving && member.availabilityZone == homeZone_;
     });
-    return !hasHeir || runner_.keeper().isReleased(now);
+    return !hasSuccessor || runner_.buckets().isReleased(now);
 }
 
-RequestFigures RequestControl::figures() const
+RequestStatistics RequestControl::statistics() const
 {
-    RequestFigures figures;
-    figures.endings = tries_.counts();
-    figures.claimsHeld = runner_.keeper().table().size();
-    figures.bucketsLost = runner_.keeper().lostBuckets();
+    RequestStatistics statistics;
+    statistics.outcomes = attempts_.counts();
+    statistics.claimsHeld = runner_.buckets().table().size();
+    statistics.bucketsLost = runner_.buckets().lostBuckets();
     for (std::uint32_t bucket = 0; bucket < claimBucketCount; ++bucket)
-        figures.bucketsRecovering += runner_.keeper().ownership(bucket) == Ownership::Recovering ? 1 : 0;
-    figures.recoveries = recoveries_;
+        statistics.bucketsRecovering += runner_.buckets().ownership(bucket) == Ownership::Recovering ? 1 : 0;
+    statistics.recoveries = recoveries_;
     for (const Service& service : configuration_->services)
-        figures.queued += runner_.admission().queued(service.id);
-    figures.longMessageBytes = link_.longMessageBytes();
-    figures.droppedMessages = link_.droppedMessages();
-    return figures;
+        statistics.queued += runner_.admission().queued(service.id);
+    statistics.longMessageBytes = transport_.longMessageBytes();
+    statistics.droppedMessages = transport_.droppedMessages();
+    return statistics;
 }
 
 }
--- a/Source/Balancer/RequestControl.h
+++ b/Source/Balancer/RequestControl.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "Balancer/HolderLink.h"
-#include "Balancer/OpenTries.h"
+#include "Balancer/ActiveAttempts.h"
+#include "Balancer/AttemptForwarder.h"
+#include "Balancer/RequestMessageTransport.h"
 #include "Balancer/TermControl.h"
-#include "Balancer/TryForwarder.h"
 #include "Balancer/WorkSender.h"
 #include "Configuration/Configuration.h"
 #include "Net/Http2Server.h"
@@ -23,11 +23,11 @@
 
 class RequestRouter;
 
-// What a RequestControl is set up with.
+// The parameters of a RequestControl.
 struct RequestControlSettings {
-    Holder self;
+    BalancerInstance self;
     std::string availabilityZone;
-    // The fixed list of availability zones, equal on all balancers. Empty makes the fleet one home for all keys.
+    // All availability zones; must be equal on all balancers. If empty, the whole fleet is the home zone of all keys.
     std::vector<std::string> zones;
     RequestLimits limits;
     Http2Limits http;
@@ -35,9 +35,9 @@
     std::uint64_t seed = 0;
 };
 
-// Figures for the metrics.
-struct RequestFigures {
-    RequestCounts endings {};
+// Counters and gauges of request handling, for the metrics. Counters run from the start of the RequestControl.
+struct RequestStatistics {
+    RequestCounts outcomes {};
     std::size_t claimsHeld = 0;
     std::size_t bucketsRecovering = 0;
     std::size_t bucketsLost = 0;
@@ -47,91 +47,93 @@
     std::uint64_t droppedMessages = 0;
 };
 
-// Answers requests at most once: takes them from callers and other balancers, gives those whose keys this balancer owns
-// to the RequestRunner and forwards the others, and carries out what the runner decides. RequestFront hands exchanges
-// over, the daemon everything else. Everything runs on the thread of the io_context.
+// Runs each request at most once: receives requests from callers and other balancers, passes those whose keys this
+// balancer owns to the RequestRunner, forwards the others to the owners, and carries out the runner's actions.
+// RequestFrontend passes it exchanges; BalancerDaemon passes it everything else. Everything runs on the thread of the
+// io_context.
 class RequestControl {
 public:
-    // Link and platform outlive the control.
-    RequestControl(boost::asio::io_context&, PeerLink&, PlatformClient&, const RequestControlSettings&);
-    // What still ends afterwards is told to nobody.
+    // Socket and platform client must outlive this object.
+    RequestControl(boost::asio::io_context&, PeerSocket&, PlatformClient&, const RequestControlSettings&);
+    // Callbacks that are still pending have no effect.
     ~RequestControl();
     RequestControl(const RequestControl&) = delete;
     RequestControl& operator=(const RequestControl&) = delete;
 
     void applyConfiguration(std::shared_ptr<const Configuration>);
     void applyMembers(const std::shared_ptr<const MembersView>&);
-    // A datagram of the kind Request.
-    void receive(const PeerEnvelope& envelope) { link_.receive(envelope); }
+    // Handles a datagram of kind Request.
+    void receive(const PeerEnvelope& envelope) { transport_.receive(envelope); }
 
-    // Takes what only balancers send; false for anything else.
-    bool takeFromBalancer(const std::shared_ptr<Http2Exchange>&);
-    void take(const std::shared_ptr<Http2Exchange>&);
-    // The answer to a request for a ticket.
+    // Handles a request that only balancers send. Returns false, without answering, for any other.
+    bool handlePeerRequest(const std::shared_ptr<Http2Exchange>&);
+    void handleCallerRequest(const std::shared_ptr<Http2Exchange>&);
+    // The response to a caller that requests a ticket, an idempotency key made by the balancer.
     HttpResponse issueTicket();
 
-    const Holder& self() const { return settings_.self; }
-    // For a planned stop: nothing is under way, and the claims held here have gone over to others, if there are any.
+    const BalancerInstance& self() const { return settings_.self; }
+    // Conditions of a planned stop: no work is running, and other balancers, if any, hold the claims that this one
+    // held.
     bool isIdle() const { return runner_.workUnderWay() == 0; }
     bool isReleased(TimePoint now) const;
-    RequestFigures figures() const;
+    RequestStatistics statistics() const;
 
 private:
-    // The word that a forwarded try has come, to be said again: datagrams get lost.
-    struct LaterReceipt {
-        TryId id = 0;
+    // The acknowledgement of a forwarded attempt, repeated because datagrams get lost.
+    struct PendingAcknowledgement {
+        AttemptId id = 0;
         ForwardToken token;
         TimePoint at;
-        int left = 0;
+        int repeatsLeft = 0;
     };
-    struct LaterRoute {
-        TryId id = 0;
+    struct DelayedRoute {
+        AttemptId id = 0;
         TimePoint at;
     };
 
     void adopt(const ClaimTerm&);
     void scheduleTick();
     void tick(TimePoint now);
-    void routeDue(TimePoint now);
-    void repeatReceipts(TimePoint now);
-    void handle(const Holder& from, const BalancerMessage&);
-    void takeHop(const std::shared_ptr<Http2Exchange>&);
+    void performDelayedRoutes(TimePoint now);
+    void repeatAcknowledgements(TimePoint now);
+    void handleMessage(const BalancerInstance& from, const BalancerMessage&);
+    void handleHop(const std::shared_ptr<Http2Exchange>&);
 
-    void route(TryId, TimePoint now);
-    void routeLater(TryId, TimePoint now);
-    void cancelled(TryId);
+    void route(AttemptId, TimePoint now);
+    void routeLater(AttemptId, TimePoint now);
+    void handleCancellation(AttemptId);
 
-    // Carries out what the runner decided.
-    void act();
+    // Carries out the runner's pending actions.
+    void performActions();
     void perform(const StartWork&);
     void perform(const CancelWork& cancel) { sender_.cancel(cancel.work); }
-    void perform(const AnswerTry& answer) { tries_.answer(answer.id, *answer.answer); }
-    void perform(const RefuseTry& refusal) { tries_.refuse(refusal.id, refusal.refusal); }
-    void perform(const RedirectTry&);
-    void perform(const OutgoingMessage& message) { link_.send(message.to, message.message); }
-    void perform(const WantTerm&) { terms_.want(Clock::now()); }
+    void perform(const AnswerAttempt& answer) { attempts_.answer(answer.id, *answer.answer); }
+    void perform(const RefuseAttempt& refusal) { attempts_.refuse(refusal.id, refusal.refusal); }
+    void perform(const RedirectAttempt&);
+    void perform(const OutgoingMessage& message) { transport_.send(message.to, message.message); }
+    void perform(const FetchTerm&) { terms_.fetchNewer(Clock::now()); }
     void finishWork(WorkId, BackendServerId, HttpOutcome);
 
-    void refuseUnknown(TryId, RefusalReason);
-    MembersView homeView() const;
+    void refuseAsUnknown(AttemptId, RefusalReason);
+    MembersView homeZoneView() const;
 
     RequestControlSettings settings_;
     std::string homeZone_;
     boost::asio::steady_timer timer_;
     std::mt19937_64 random_;
     std::shared_ptr<const Configuration> configuration_ = std::make_shared<const Configuration>();
-    OpenTries tries_;
-    std::vector<LaterRoute> later_;
-    std::vector<LaterReceipt> receipts_;
+    ActiveAttempts attempts_;
+    std::vector<DelayedRoute> delayedRoutes_;
+    std::vector<PendingAcknowledgement> acknowledgements_;
     std::uint64_t recoveries_ = 0;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 
     RequestRunner runner_;
     std::unique_ptr<RequestRouter> router_;
-    // Destroyed first: their open requests end inside their destructors.
-    HolderLink link_;
+    // Destroyed first: their destructors end open requests, whose callbacks use the members above.
+    RequestMessageTransport transport_;
     TermControl terms_;
-    TryForwarder forwarder_;
+    AttemptForwarder forwarder_;
     WorkSender sender_;
 };
 
--- a/Source/Balancer/RequestHop.cpp
+++ b/Source/Balancer/RequestHop.cpp
@@ -1,6 +1,6 @@
 #include "Balancer/RequestHop.h"
 
-#include "Balancer/HolderText.h"
+#include "Balancer/BalancerInstanceText.h"
 #include "Core/NameTable.h"
 
 #include <string>
@@ -18,16 +18,16 @@
     constexpr std::string_view methodHeader = "x-wisteriadock-method";
     constexpr std::string_view pathHeader = "x-wisteriadock-path";
     constexpr std::string_view authorityHeader = "x-wisteriadock-authority";
-    constexpr std::string_view endingHeader = "x-wisteriadock-ending";
+    constexpr std::string_view outcomeHeader = "x-wisteriadock-ending";
     constexpr std::string_view reasonHeader = "x-wisteriadock-reason";
     constexpr std::string_view executedHeader = "x-wisteriadock-executed";
     constexpr std::string_view retryHeader = "x-wisteriadock-retry-after";
     constexpr std::string_view bytesHeader = "x-wisteriadock-body-bytes";
 
-    constexpr auto endingNames = makeNameTable<HopEnding>({
-        { HopEnding::Answer, "answer" },
-        { HopEnding::Refusal, "refusal" },
-        { HopEnding::Redirect, "redirect" },
+    constexpr auto outcomeNames = makeNameTable<HopOutcome>({
+        { HopOutcome::Answer, "answer" },
+        { HopOutcome::Refusal, "refusal" },
+        { HopOutcome::Redirect, "redirect" },
     });
 
     constexpr auto lastReason = RefusalReason::BackupUnreachable;
@@ -38,7 +38,8 @@
             if (nameOf(static_cast<RefusalReason>(i)) == text)
                 return static_cast<RefusalReason>(i);
         }
-        return Error { ErrorCode::InvalidArgument, "\"" + std::string(text.substr(0, 32)) + "\" is no reason" };
+        return Error { ErrorCode::InvalidArgument,
+            "\"" + std::string(text.substr(0, 32)) + "\" is not a refusal reason" };
     }
 
     void add(std::vector<HttpHeader>& headers, std::string_view name, std::string_view value)
@@ -58,7 +59,7 @@
     HttpRequest request = std::move(hop.request);
     removeHopHeaders(request.headers);
     add(request.headers, tokenHeader, writeToken(hop.token));
-    add(request.headers, ownerHeader, writeHolder(hop.owner));
+    add(request.headers, ownerHeader, writeInstance(hop.owner));
     add(request.headers, timeHeader, std::to_string(hop.timeLeft.count()));
     if (hop.problem)
         add(request.headers, problemHeader, nameOf(*hop.problem));
@@ -74,7 +75,7 @@
 {
     HopRequest hop;
     BOOST_OUTCOME_TRY(token, readToken(request.header(tokenHeader)));
-    BOOST_OUTCOME_TRY(owner, readHolder(request.header(ownerHeader)));
+    BOOST_OUTCOME_TRY(owner, readInstance(request.header(ownerHeader)));
     BOOST_OUTCOME_TRY(timeLeft, readNumber(request.header(timeHeader)));
     hop.token = token;
     hop.owner = owner;
@@ -96,10 +97,10 @@
 {
     HttpResponse response = std::move(answer.response);
     removeHopHeaders(response.headers);
-    add(response.headers, ownerHeader, writeHolder(answer.owner));
-    add(response.headers, endingHeader, endingNames.name(answer.ending));
+    add(response.headers, ownerHeader, writeInstance(answer.owner));
+    add(response.headers, outcomeHeader, outcomeNames.name(answer.outcome));
     add(response.headers, bytesHeader, std::to_string(response.body.size()));
-    if (answer.ending == HopEnding::Refusal) {
+    if (answer.outcome == HopOutcome::Refusal) {
         add(response.headers, reasonHeader, nameOf(answer.refusal.reason));
         add(response.headers, executedHeader, nameOf(answer.refusal.executed));
         add(response.headers, retryHeader, std::to_string(answer.refusal.retryAfter.count()));
@@ -110,15 +111,16 @@
 Result<HopAnswer> readHopAnswer(HttpResponse response)
 {
     HopAnswer answer;
-    const auto ending = endingNames.value(response.header(endingHeader));
-    if (!ending)
-        return Error { ErrorCode::InvalidArgument, "not an owner's answer, status " + std::to_string(response.status) };
-    answer.ending = *ending;
-    BOOST_OUTCOME_TRY(owner, readHolder(response.header(ownerHeader)));
+    const auto outcome = outcomeNames.value(response.header(outcomeHeader));
+    if (!outcome)
+        return Error { ErrorCode::InvalidArgument,
+            "response is not from an owner of keys, status " + std::to_string(response.status) };
+    answer.outcome = *outcome;
+    BOOST_OUTCOME_TRY(owner, readInstance(response.header(ownerHeader)));
     BOOST_OUTCOME_TRY(bytes, readNumber(response.header(bytesHeader)));
     answer.owner = owner;
     answer.declaredBytes = bytes;
-    if (answer.ending == HopEnding::Refusal) {
+    if (answer.outcome == HopOutcome::Refusal) {
         BOOST_OUTCOME_TRY(reason, readReason(response.header(reasonHeader)));
         BOOST_OUTCOME_TRY(seconds, readNumber(response.header(retryHeader)));
         answer.refusal.reason = reason;
--- a/Source/Balancer/WorkSender.cpp
+++ b/Source/Balancer/WorkSender.cpp
@@ -12,7 +12,7 @@
 
     constexpr std::string_view deadlineHeader = "x-deadline-milliseconds";
 
-    // What the caller asked for, less the time that has passed since.
+    // Replaces the caller's deadline by the time that is left, in milliseconds.
     void writeDeadline(HttpRequest& request, TimePoint deadline)
     {
         const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(deadline - Clock::now()).count();
@@ -44,17 +44,17 @@
     const auto onOutcome = [this, alive, work = start.work, serverId = server.id](HttpOutcome outcome) {
         if (alive.expired())
             return;
-        sent_.erase(work);
+        sentRequests_.erase(work);
         onEnded_(work, serverId, std::move(outcome));
     };
-    const auto id = clients_.of(server.requestAddress).send(std::move(request), start.deadline, onOutcome);
-    sent_[start.work] = { server.requestAddress, id };
+    const auto id = clients_.clientOf(server.requestAddress).send(std::move(request), start.deadline, onOutcome);
+    sentRequests_[start.work] = { server.requestAddress, id };
 }
 
 void WorkSender::cancel(WorkId work)
 {
-    const auto found = sent_.find(work);
-    if (found != sent_.end())
+    const auto found = sentRequests_.find(work);
+    if (found != sentRequests_.end())
         clients_.cancel(found->second.address, found->second.request);
 }
 
--- a/Source/Configuration/ApplyOperation.cpp
+++ b/Source/Configuration/ApplyOperation.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-    constexpr Duration firstRetryDelay = std::chrono::milliseconds(50);
-    constexpr Duration longestRetryDelay = std::chrono::milliseconds(1600);
+    constexpr Duration minRetryDelay = std::chrono::milliseconds(50);
+    constexpr Duration maxRetryDelay = std::chrono::milliseconds(1600);
 
     std::uint64_t versionOf(const std::optional<ConfigurationHead>& head) { return head ? head->applied.version : 0; }
 
-    // Errors that the same call can't get over.
+    // Errors that a retry of the same call can't resolve.
     bool isPermanent(ErrorCode code)
     {
         return code == ErrorCode::InvalidArgument || code == ErrorCode::ResourceExhausted;
@@ -36,7 +36,7 @@
 ApplyAction ApplyOperation::start(TimePoint now)
 {
     now_ = now;
-    // Every key written out can make the canonical text longer than the operator's file.
+    // The canonical text writes every key out, so it can be longer than the operator's file.
     if (parts_.size() > maxContentParts)
         return refuse(ApplyRefusal::BadStore,
             { fmt::format("the canonical text is longer than {} bytes", maxConfigurationBytes) });
@@ -48,40 +48,40 @@
     now_ = now;
     if (const auto* got = std::get_if<GetEnded>(&event))
         return handleGet(got->result);
-    if (const auto* swapped = std::get_if<SwapEnded>(&event))
+    if (const auto* swapped = std::get_if<CompareAndSwapEnded>(&event))
         return handleSwap(swapped->result);
-    return callOf(step_);
+    return actionFor(step_);
 }
 
-ApplyAction ApplyOperation::callOf(Step step)
+ApplyAction ApplyOperation::actionFor(Step step)
 {
     switch (step) {
     case Step::ReadHead:
-    case Step::FindOut:
+    case Step::RereadHead:
         return GetKey { std::string(configurationHeadKey) };
     case Step::ReadBase:
         return GetKey { baseReader_->nextKey() };
     case Step::WritePart:
-        return SwapKey { contentPartKey(contentHash_, partsWritten_), 0, parts_[partsWritten_] };
+        return CompareAndSwapKey { contentPartKey(contentHash_, partsWritten_), 0, parts_[partsWritten_] };
     case Step::ComparePart:
         return GetKey { contentPartKey(contentHash_, partsWritten_) };
     case Step::SwapHead:
-        return SwapKey { std::string(configurationHeadKey), headRevision_, newHead_->toJson() };
+        return CompareAndSwapKey { std::string(configurationHeadKey), headRevision_, newHead_->toJson() };
     }
-    return remainUnknown("the operation is in no step");
+    return concludeUnknown("internal error: invalid step");
 }
 
 ApplyAction ApplyOperation::goTo(Step step)
 {
     step_ = step;
     failures_ = 0;
-    return callOf(step);
+    return actionFor(step);
 }
 
 ApplyAction ApplyOperation::retry(const Error& error)
 {
     lastFailure_ = error.toString();
-    const Duration delay = std::min(longestRetryDelay, firstRetryDelay * (1U << std::min(failures_, 10U)));
+    const Duration delay = std::min(maxRetryDelay, minRetryDelay * (1U << std::min(failures_, 10U)));
     ++failures_;
     if (now_ + delay >= request_.deadline)
         return giveUp();
@@ -91,7 +91,7 @@
 ApplyAction ApplyOperation::giveUp()
 {
     if (mayBeApplied_)
-        return remainUnknown(lastFailure_);
+        return concludeUnknown(lastFailure_);
     ApplyOutcome outcome;
     outcome.status = ApplyStatus::Unavailable;
     outcome.applyId = request_.applyId;
@@ -108,31 +108,31 @@
     const StoredValue* value = result ? &result.value() : nullptr;
     switch (step_) {
     case Step::ReadHead:
-        return useHead(value);
+        return handleHead(value);
     case Step::ReadBase:
-        return useBasePart(value);
+        return handleBasePart(value);
     case Step::ComparePart:
-        return useStoredPart(value);
-    case Step::FindOut:
-        return useHeadFoundOut(value);
+        return handleStoredPart(value);
+    case Step::RereadHead:
+        return handleRereadHead(value);
     case Step::WritePart:
     case Step::SwapHead:
         break;
     }
-    return remainUnknown("a read was answered that nobody sent");
+    return concludeUnknown("internal error: unexpected answer to a read");
 }
 
 ApplyAction ApplyOperation::handleSwap(const Result<std::uint64_t>& result)
 {
     if (!result && isPermanent(result.error().code)) {
         if (mayBeApplied_)
-            return remainUnknown(result.error().toString());
+            return concludeUnknown(result.error().toString());
         return refuse(ApplyRefusal::BadStore, { result.error().toString() });
     }
     return step_ == Step::WritePart ? handlePartSwap(result) : handleHeadSwap(result);
 }
 
-ApplyAction ApplyOperation::useHead(const StoredValue* stored)
+ApplyAction ApplyOperation::handleHead(const StoredValue* stored)
 {
     if (stored) {
         auto head = ConfigurationHead::parse(stored->value);
@@ -140,13 +140,13 @@
             return refuse(ApplyRefusal::UnreadableBase, { head.error().detail });
         base_ = std::move(head).value();
         headRevision_ = stored->revision;
-        // An earlier run of this apply got through.
-        if (const AppliedVersion* mine = base_->findApply(request_.applyId))
-            return recognise(*mine);
+        // An earlier run of this apply was accepted.
+        if (const AppliedVersion* recorded = base_->findApply(request_.applyId))
+            return concludeFromRecord(*recorded);
     }
     if (request_.baseVersion && *request_.baseVersion != versionOf(base_)) {
         if (base_)
-            return refuseForWinner(ApplyRefusal::WrongBase, *base_);
+            return refuseSuperseded(ApplyRefusal::WrongBase, *base_);
         return refuse(ApplyRefusal::WrongBase,
             { fmt::format("base version {} does not exist; there is no version yet", *request_.baseVersion) });
     }
@@ -154,31 +154,32 @@
         return checkAgainst(Configuration());
 
     isUnchanged_ = base_->applied.contentHash == contentHash_ && request_.aboveVersion <= base_->applied.version;
-    // The parts are written all the same: should one be missing, this mends it.
+    // The parts are written even so, which restores a missing one.
     if (isUnchanged_)
         return goTo(Step::WritePart);
     baseReader_.emplace(*base_);
     return goTo(Step::ReadBase);
 }
 
-ApplyAction ApplyOperation::useBasePart(const StoredValue* part)
+ApplyAction ApplyOperation::handleBasePart(const StoredValue* part)
 {
     if (!part)
-        return skipUnreadableBase(fmt::format("{} is missing", baseReader_->nextKey()));
+        return handleUnreadableBase(fmt::format("{} is missing", baseReader_->nextKey()));
     baseReader_->addPart(part->value);
     if (!baseReader_->isComplete())
         return goTo(Step::ReadBase);
     const auto version = baseReader_->finish();
     if (!version)
-        return skipUnreadableBase(version.error().detail);
+        return handleUnreadableBase(version.error().detail);
     return checkAgainst(version.value().configuration);
 }
 
-ApplyAction ApplyOperation::skipUnreadableBase(const std::string& why)
+ApplyAction ApplyOperation::handleUnreadableBase(const std::string& cause)
 {
     if (!request_.allowUnreadableBase)
         return refuse(ApplyRefusal::UnreadableBase,
-            { why, "the change can't be checked against the version in force; --allow_unreadable_base skips that" });
+            { cause,
+                "the change can't be checked against the version in force; --allow_unreadable_base skips the check" });
     return checkAgainst(Configuration());
 }
 
@@ -205,7 +206,7 @@
     newHead_ = std::move(head);
 }
 
-// Content never changes, so writing a part twice is harmless: the second write finds the first.
+// Stored content never changes, so on a conflict the existing part is compared with the one to be written.
 ApplyAction ApplyOperation::handlePartSwap(const Result<std::uint64_t>& result)
 {
     if (result)
@@ -215,12 +216,12 @@
     return retry(result.error());
 }
 
-ApplyAction ApplyOperation::useStoredPart(const StoredValue* part)
+ApplyAction ApplyOperation::handleStoredPart(const StoredValue* part)
 {
     if (part && part->value == parts_[partsWritten_])
         return writeNextPart();
     return refuse(ApplyRefusal::BadStore,
-        { fmt::format("{} holds another text than the one that its name stands for",
+        { fmt::format("the content stored under {} does not match the hash in its key",
             contentPartKey(contentHash_, partsWritten_)) });
 }
 
@@ -243,49 +244,51 @@
     if (result.error().code != ErrorCode::Conflict)
         mayBeApplied_ = true;
     lastFailure_ = result.error().toString();
-    // Not goTo(): writing and finding out may take turns, and their delays should go on growing.
-    step_ = Step::FindOut;
-    return callOf(step_);
+    // Not goTo(), which resets the retry delay: writes and reads of the head may alternate, and the delay must keep
+    // growing.
+    step_ = Step::RereadHead;
+    return actionFor(step_);
 }
 
-ApplyAction ApplyOperation::useHeadFoundOut(const StoredValue* stored)
+ApplyAction ApplyOperation::handleRereadHead(const StoredValue* stored)
 {
     const std::uint64_t revision = stored ? stored->revision : 0;
     std::optional<ConfigurationHead> head;
     if (stored) {
         auto parsed = ConfigurationHead::parse(stored->value);
         if (!parsed)
-            return remainUnknown(parsed.error().detail);
+            return concludeUnknown(parsed.error().detail);
         head = std::move(parsed).value();
     }
-    // Both are compared, because a platform restored from an older copy gives revisions again for other values.
+    // The head is compared too, since a platform restored from an older copy may assign a revision again to another
+    // value.
     if (revision == headRevision_ && head == base_) {
-        // Our write has not taken effect, or not yet. It may go out again: both carry the same revision, so the
-        // platform takes one of them at most.
+        // The write has not taken effect, or not yet. It can be repeated: both writes expect the same revision, so at
+        // most one takes effect.
         step_ = Step::SwapHead;
-        return retry({ ErrorCode::Unknown, "the head was still the old one after: " + lastFailure_ });
+        return retry({ ErrorCode::Unknown, "the head is unchanged after: " + lastFailure_ });
     }
     if (!head)
-        return remainUnknown("the head is gone");
-    if (const AppliedVersion* mine = head->findApply(request_.applyId))
-        return recognise(*mine);
+        return concludeUnknown("the head no longer exists");
+    if (const AppliedVersion* recorded = head->findApply(request_.applyId))
+        return concludeFromRecord(*recorded);
     if (!mayBeApplied_)
-        return refuseForWinner(ApplyRefusal::LostRace, *head);
-    // Absent from a head that remembers everything since our base: another version took its place, and the write's
-    // revision is gone for good. Any other head proves nothing.
-    if (head->applied.version > versionOf(base_) && head->remembersSince(versionOf(base_)))
-        return refuseForWinner(ApplyRefusal::LostRace, *head);
-    return remainUnknown(fmt::format(
-        "the head, now version {}, does not reach back to base version {}", head->applied.version, versionOf(base_)));
+        return refuseSuperseded(ApplyRefusal::LostRace, *head);
+    // A head that records all applies since the base but not this one proves that another version replaced the base, so
+    // the write can no longer take effect. Any other head proves nothing.
+    if (head->applied.version > versionOf(base_) && head->recordsAllSince(versionOf(base_)))
+        return refuseSuperseded(ApplyRefusal::LostRace, *head);
+    return concludeUnknown(fmt::format("the head, now version {}, no longer records the applies since base version {}",
+        head->applied.version, versionOf(base_)));
 }
 
-ApplyAction ApplyOperation::recognise(const AppliedVersion& mine)
+ApplyAction ApplyOperation::concludeFromRecord(const AppliedVersion& recorded)
 {
-    if (mine.contentHash == contentHash_)
-        return accept(mine.version);
+    if (recorded.contentHash == contentHash_)
+        return accept(recorded.version);
     return refuse(ApplyRefusal::ReusedApplyId,
-        { fmt::format(
-            "apply id {} was used for version {} already, which has other content", mine.applyId, mine.version) });
+        { fmt::format("apply id {} was already used for version {}, which has different content", recorded.applyId,
+            recorded.version) });
 }
 
 ApplyAction ApplyOperation::accept(std::uint64_t version, bool isUnchanged)
@@ -310,7 +313,7 @@
     return outcome;
 }
 
-ApplyAction ApplyOperation::refuseForWinner(ApplyRefusal reason, const ConfigurationHead& head)
+ApplyAction ApplyOperation::refuseSuperseded(ApplyRefusal reason, const ConfigurationHead& head)
 {
     const std::uint64_t base = request_.baseVersion.value_or(versionOf(base_));
     const AppliedVersion* successor = head.successorOf(base);
@@ -319,23 +322,23 @@
         { fmt::format("against base version {}, version {} of {} (apply id {}) was accepted first; the newest version "
                       "is {}",
             base, winner.version, winner.author, winner.applyId, head.applied.version) });
-    if (!head.remembersSince(base))
+    if (!head.recordsAllSince(base))
         std::get<ApplyOutcome>(action).details.push_back(fmt::format(
-            "the head no longer remembers whether an earlier run with apply id {} was accepted", request_.applyId));
+            "the head no longer records whether an earlier run with apply id {} was accepted", request_.applyId));
     std::get<ApplyOutcome>(action).winner = winner;
     std::get<ApplyOutcome>(action).baseVersion = base;
     return action;
 }
 
-ApplyAction ApplyOperation::remainUnknown(const std::string& why)
+ApplyAction ApplyOperation::concludeUnknown(const std::string& cause)
 {
     ApplyOutcome outcome;
     outcome.status = ApplyStatus::Unknown;
     outcome.applyId = request_.applyId;
     outcome.baseVersion = versionOf(base_);
-    outcome.details = { "the version may be accepted or not: " + why,
-        fmt::format("to find out, run the same command again with --apply_id {} --base_version {}; it never applies "
-                    "twice",
+    outcome.details = { "it is unknown whether the version was accepted: " + cause,
+        fmt::format("to find out, run the same command again with --apply_id {} --base_version {}; it "
+                    "is applied at most once",
             request_.applyId, versionOf(base_)) };
     return outcome;
 }
--- a/Source/Configuration/ConfigurationHead.cpp
+++ b/Source/Configuration/ConfigurationHead.cpp
@@ -16,7 +16,7 @@
 
     using Json = nlohmann::json;
 
-    // Raised when the format changes so that an older reader would misread it; such a reader refuses the head instead.
+    // Increased on incompatible changes, so that older readers refuse the head.
     constexpr std::uint64_t headFormat = 1;
 
     Error malformedHead(std::string_view expected)
@@ -61,13 +61,14 @@
     Result<std::vector<AppliedVersion>> readPrevious(const Json& object, std::uint64_t version)
     {
         const auto list = object.find("previous_applies");
-        if (list == object.end() || !list->is_array() || list->size() >= maxRememberedApplies)
-            return malformedHead(fmt::format("previous_applies, a list shorter than {}", maxRememberedApplies));
+        if (list == object.end() || !list->is_array() || list->size() >= maxRecordedApplies)
+            return malformedHead(fmt::format("previous_applies, a list of fewer than {} entries", maxRecordedApplies));
         std::vector<AppliedVersion> previous;
         for (const Json& entry : *list) {
             auto applied = readApplied(entry);
             if (!applied || applied->version >= version)
-                return malformedHead("previous_applies with falling versions, apply ids and content hashes");
+                return malformedHead(
+                    "previous_applies with decreasing versions and valid apply ids and content hashes");
             version = applied->version;
             previous.push_back(std::move(*applied));
         }
@@ -95,9 +96,9 @@
     return successor;
 }
 
-bool ConfigurationHead::remembersSince(std::uint64_t version) const
+bool ConfigurationHead::recordsAllSince(std::uint64_t version) const
 {
-    const bool isWholeHistory = previousApplies.size() + 1 < maxRememberedApplies;
+    const bool isWholeHistory = previousApplies.size() + 1 < maxRecordedApplies;
     const std::uint64_t oldest = previousApplies.empty() ? applied.version : previousApplies.back().version;
     return isWholeHistory || oldest <= version;
 }
@@ -105,7 +106,7 @@
 std::vector<AppliedVersion> ConfigurationHead::appliesForNext() const
 {
     std::vector<AppliedVersion> applies { applied };
-    const std::size_t kept = std::min(previousApplies.size(), maxRememberedApplies - 2);
+    const std::size_t kept = std::min(previousApplies.size(), maxRecordedApplies - 2);
     applies.insert(applies.end(), previousApplies.begin(), previousApplies.begin() + static_cast<std::ptrdiff_t>(kept));
     return applies;
 }
--- a/Source/Experiment/ConfigurationRun.cpp
+++ b/Source/Experiment/ConfigurationRun.cpp
@@ -14,23 +14,23 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto calmStart = 3s;
+    constexpr auto faultFreeStart = 3s;
     constexpr auto sampleInterval = 1s;
     constexpr auto pollInterval = 10ms;
-    constexpr auto applyLimit = 70s;
+    constexpr auto applyTimeout = 70s;
     constexpr auto inForceLimit = 5s;
-    // Applies run on for this long while a fault holds, so that it meets them at different moments.
-    constexpr auto faultLead = 100ms;
-    constexpr const char* copyName = "older";
+    // Time from the beginning of a fault to the first apply.
+    constexpr auto faultLeadTime = 100ms;
+    constexpr const char* snapshotName = "older";
 
 }
 
-ConfigurationRun::ConfigurationRun(const ScenarioContext& context, Deployment& deployment, ControlMeter& control)
+ConfigurationRun::ConfigurationRun(const ScenarioContext& context, Deployment& deployment, ControlPlaneMeter& control)
     : context_(context)
     , deployment_(deployment)
     , control_(control)
     , client_(context.loop)
-    , watcher_(client_, deployment.balancers(), judge_)
+    , watcher_(client_, deployment.balancers(), checker_)
     , schedule_(context.options.seed, context.options.availabilityZones)
     , configuration_(deployment.configurationOperator().configuration())
 {
@@ -40,22 +40,22 @@
 {
     begin_ = Clock::now();
     nextSample_ = begin_;
-    watcher_.noticeProcesses();
-    judge_.accepted(version_, contentHashOf(writeConfiguration(configuration_)), begin_);
+    watcher_.updateProcesses();
+    checker_.accepted(version_, contentHashOf(writeConfiguration(configuration_)), begin_);
     BOOST_OUTCOME_TRY(before, deployment_.platform().counters());
     countersBefore_ = before;
-    BOOST_OUTCOME_TRYV(goOn(calmStart));
+    BOOST_OUTCOME_TRYV(monitor(faultFreeStart));
     stepsBegan_ = true;
     while (Clock::now() < begin_ + context_.options.length) {
         const ConfigurationStep step = schedule_.next();
         log_.info(fmt::format("{}{}{}", nameOf(step.fault), step.races ? ", two operators" : "",
             step.restarts ? ", a balancer is replaced" : ""));
         BOOST_OUTCOME_TRYV(perform(step));
-        BOOST_OUTCOME_TRYV(settle());
-        BOOST_OUTCOME_TRYV(goOn(step.pause));
+        BOOST_OUTCOME_TRYV(waitUntilInForce());
+        BOOST_OUTCOME_TRYV(monitor(step.pause));
     }
-    // So that the balancers that started last are judged too.
-    BOOST_OUTCOME_TRYV(goOn(ConfigurationJudge::settleTime));
+    // Gives the balancers that started last enough time to be checked.
+    BOOST_OUTCOME_TRYV(monitor(ConfigurationChecker::settleTime));
     end_ = Clock::now();
     BOOST_OUTCOME_TRY(after, deployment_.platform().counters());
     platformCallsPerSecond_ = static_cast<double>(after.calls - countersBefore_.calls)
@@ -69,19 +69,20 @@
     if (step.fault == ConfigurationFault::LoseAnswers)
         return loseAnswers(step);
     if (step.fault == ConfigurationFault::Restore)
-        return restoreOlderCopy(step);
+        return restoreOlderSnapshot(step);
 
-    const bool lasts = step.fault != ConfigurationFault::Race && step.fault != ConfigurationFault::RestartBalancer;
+    const bool hasDuration
+        = step.fault != ConfigurationFault::Race && step.fault != ConfigurationFault::RestartBalancer;
     const TimePoint faultEnd = Clock::now() + step.length;
-    if (lasts) {
+    if (hasDuration) {
         ++faults_;
         BOOST_OUTCOME_TRYV(beginFault(step));
-        BOOST_OUTCOME_TRYV(goOn(faultLead));
+        BOOST_OUTCOME_TRYV(monitor(faultLeadTime));
     }
     BOOST_OUTCOME_TRYV(startApplies(step.races));
-    if (lasts) {
+    if (hasDuration) {
         while (Clock::now() < faultEnd) {
-            BOOST_OUTCOME_TRYV(goOn(pollInterval));
+            BOOST_OUTCOME_TRYV(monitor(pollInterval));
             BOOST_OUTCOME_TRYV(pollApplies(step));
         }
         BOOST_OUTCOME_TRYV(endFault(step));
@@ -89,8 +90,8 @@
     return finishApplies(step);
 }
 
-// Every apply writes one part with a content of its own, and of those that run together one gets its head through: with
-// that many answers lost, the answer to the deciding write is among them.
+// Each apply writes one part of its own content, and one of the concurrent applies succeeds in writing the head. Losing
+// that many answers therefore includes the answer to the head write.
 Result<void> ConfigurationRun::loseAnswers(const ConfigurationStep& step)
 {
     const std::uint64_t writes = step.races ? 3 : 2;
@@ -106,22 +107,22 @@
     return boost::outcome_v2::success();
 }
 
-// What is accepted after the copy was taken is in force on all balancers before the platform forgets it.
-Result<void> ConfigurationRun::restoreOlderCopy(const ConfigurationStep& step)
+// Versions accepted after the snapshot are in force on all balancers before the platform is restored.
+Result<void> ConfigurationRun::restoreOlderSnapshot(const ConfigurationStep& step)
 {
-    BOOST_OUTCOME_TRYV(deployment_.platform().takeSnapshot(copyName));
+    BOOST_OUTCOME_TRYV(deployment_.platform().takeSnapshot(snapshotName));
     for (int i = 0; i < 2; ++i) {
         BOOST_OUTCOME_TRYV(startApplies(false));
         BOOST_OUTCOME_TRYV(finishApplies(step));
     }
-    BOOST_OUTCOME_TRYV(settle());
+    BOOST_OUTCOME_TRYV(waitUntilInForce());
     ++faults_;
-    BOOST_OUTCOME_TRYV(deployment_.platform().restore(copyName));
+    BOOST_OUTCOME_TRYV(deployment_.platform().restore(snapshotName));
     restartIsDue_ = step.restarts;
     if (restartIsDue_) {
         BOOST_OUTCOME_TRYV(restartBalancer(step));
     }
-    BOOST_OUTCOME_TRYV(goOn(step.length));
+    BOOST_OUTCOME_TRYV(monitor(step.length));
     BOOST_OUTCOME_TRYV(startApplies(false));
     return finishApplies(step);
 }
@@ -130,9 +131,9 @@
 {
     switch (step.fault) {
     case ConfigurationFault::PlatformOutage:
-        return deployment_.platform().setDown(true);
+        return deployment_.platform().setOutage(true);
     case ConfigurationFault::SlowPlatform:
-        return deployment_.platform().setSlow(step.delay);
+        return deployment_.platform().setCallDelay(step.delay);
     case ConfigurationFault::CutZone:
         watcher_.cutBegan(step.zone);
         return setZoneFaults(deployment_, step.zone, { .cut = true });
@@ -145,11 +146,11 @@
 {
     switch (step.fault) {
     case ConfigurationFault::PlatformOutage:
-        return deployment_.platform().setDown(false);
+        return deployment_.platform().setOutage(false);
     case ConfigurationFault::SlowPlatform:
-        return deployment_.platform().setSlow(0ms);
+        return deployment_.platform().setCallDelay(0ms);
     case ConfigurationFault::CutZone:
-        // Ends for the judge as soon as it ends for the balancers, but for the proxy's answer.
+        // The checker must see the end of the cut no later than the balancers do.
         watcher_.cutEnded(step.zone);
         return setZoneFaults(deployment_, step.zone, {});
     default:
@@ -167,8 +168,8 @@
     return boost::outcome_v2::success();
 }
 
-// Every apply writes a weight that none wrote before, so that no two have the same content.
-Result<void> ConfigurationRun::startApply(bool namesBase)
+// Each apply writes a weight that no earlier one wrote, so that all contents differ.
+Result<void> ConfigurationRun::startApply(bool setsBaseVersion)
 {
     ++sent_;
     ConfigurationApplyRequest request;
@@ -177,7 +178,7 @@
     request.configuration = configuration_;
     auto& servers = request.configuration.backendServers;
     servers[sent_ % servers.size()].weight = static_cast<std::uint32_t>(BackendServer().weight + sent_);
-    if (namesBase)
+    if (setsBaseVersion)
         request.baseVersion = version_;
     request.platform = deployment_.platform().address();
     request.balancers = deployment_.balancers().requestAddresses();
@@ -194,7 +195,7 @@
         BOOST_OUTCOME_TRYV(apply->poll());
         if (!apply->isAccepted())
             continue;
-        takeAccepted(*apply);
+        recordAccepted(*apply);
         if (restartIsDue_) {
             BOOST_OUTCOME_TRYV(restartBalancer(step));
         }
@@ -207,11 +208,11 @@
     const auto areSettled = [this] {
         return std::all_of(applies_.begin(), applies_.end(), [](const auto& apply) { return apply->isSettled(); });
     };
-    const TimePoint limit = Clock::now() + applyLimit;
+    const TimePoint limit = Clock::now() + applyTimeout;
     while (!areSettled()) {
         if (Clock::now() > limit)
-            return Error { ErrorCode::DeadlineExceeded, "the applies do not end" };
-        BOOST_OUTCOME_TRYV(goOn(pollInterval));
+            return Error { ErrorCode::DeadlineExceeded, "the applies did not finish in time" };
+        BOOST_OUTCOME_TRYV(monitor(pollInterval));
         BOOST_OUTCOME_TRYV(pollApplies(step));
     }
     for (const auto& apply : applies_) {
@@ -230,9 +231,9 @@
 {
     const auto winners
         = std::count_if(applies_.begin(), applies_.end(), [](const auto& apply) { return apply->isAccepted(); });
-    const bool losersKnow = std::all_of(applies_.begin(), applies_.end(),
+    const bool losersKnowWinner = std::all_of(applies_.begin(), applies_.end(),
         [](const auto& apply) { return apply->isAccepted() || apply->namesWinner(); });
-    if (winners == 1 && losersKnow)
+    if (winners == 1 && losersKnowWinner)
         return;
     ++unfairRaces_;
     for (const auto& apply : applies_) {
@@ -241,10 +242,10 @@
     }
 }
 
-void ConfigurationRun::takeAccepted(const ConfigurationApply& apply)
+void ConfigurationRun::recordAccepted(const ConfigurationApply& apply)
 {
     ++acceptedCount_;
-    judge_.accepted(apply.version(), apply.contentHash(), Clock::now());
+    checker_.accepted(apply.version(), apply.contentHash(), Clock::now());
     log_.info(fmt::format("version {} was accepted", apply.version()));
     configuration_ = apply.configuration();
     version_ = apply.version();
@@ -255,32 +256,32 @@
     restartIsDue_ = false;
     BalancerFleet& balancers = deployment_.balancers();
     std::vector<std::size_t> running;
-    for (std::size_t i = 0; i < balancers.started(); ++i) {
+    for (std::size_t i = 0; i < balancers.startedCount(); ++i) {
         if (balancers.isRunning(i))
             running.push_back(i);
     }
-    const std::size_t subject = running[step.draw % running.size()];
+    const std::size_t subject = running[step.balancerSelector % running.size()];
     ++faults_;
     ++restarts_;
     balancers.kill(subject);
-    watcher_.noticeProcesses();
-    BOOST_OUTCOME_TRYV(balancers.turnFabricAwayFrom(subject));
+    watcher_.updateProcesses();
+    BOOST_OUTCOME_TRYV(balancers.removeFromFabric(subject));
     BOOST_OUTCOME_TRYV(balancers.add(1));
-    watcher_.noticeProcesses();
+    watcher_.updateProcesses();
     return boost::outcome_v2::success();
 }
 
-Result<void> ConfigurationRun::settle()
+Result<void> ConfigurationRun::waitUntilInForce()
 {
-    return goOn(Clock::now() + inForceLimit, [this] { return judge_.isInForceEverywhere(version_); });
+    return monitor(Clock::now() + inForceLimit, [this] { return checker_.isInForceEverywhere(version_); });
 }
 
-Result<void> ConfigurationRun::goOn(Duration length)
+Result<void> ConfigurationRun::monitor(Duration length)
 {
-    return goOn(Clock::now() + length, [] { return false; });
+    return monitor(Clock::now() + length, [] { return false; });
 }
 
-Result<void> ConfigurationRun::goOn(TimePoint end, const Condition& condition)
+Result<void> ConfigurationRun::monitor(TimePoint end, const Condition& condition)
 {
     while (!condition() && Clock::now() < end) {
         if (Clock::now() >= nextSample_) {
@@ -293,12 +294,12 @@
     return boost::outcome_v2::success();
 }
 
-Verdict ConfigurationRun::judge()
+Verdict ConfigurationRun::check()
 {
-    const std::uint64_t partial = judge_.partialApplies();
-    const std::uint64_t reversions = judge_.reversions(end_);
-    const double inForce = judge_.inForceSecondsMax(end_);
-    Rows& rows = context_.rows;
+    const std::uint64_t partial = checker_.partialApplies();
+    const std::uint64_t reversions = checker_.reversions(end_);
+    const double inForce = checker_.inForceSecondsMax(end_);
+    ResultRows& rows = context_.rows;
     rows.set("applies_sent", sent_);
     rows.set("applies_accepted", acceptedCount_);
     rows.set("applies_refused", refused_);
@@ -318,18 +319,19 @@
 
     Verdict verdict;
     verdict.require(acceptedCount_ > 0, "no apply was accepted");
-    verdict.require(lostOutcomes_ > 0, "no apply lost the answer to its deciding write");
+    verdict.require(lostOutcomes_ > 0, "no apply lost the answer to its head write");
     verdict.require(faults_ > 0, "no fault was injected");
-    verdict.require(watcher_.answers() > 0, "no balancer showed its version");
-    verdict.require(partial == 0, "balancers served contents that were not accepted under that version");
+    verdict.require(watcher_.answers() > 0, "no balancer reported its version");
+    verdict.require(partial == 0, "balancers served contents that were not accepted as that version");
     verdict.require(reversions == 0, "balancers went back to lower versions");
     verdict.require(inForce < std::chrono::duration<double>(inForceLimit).count(),
-        "an accepted version was not in force within 5 s on a balancer in reach");
-    verdict.require(unfairRaces_ == 0, "a race did not end with one winner and a loser who was told");
-    verdict.require(refusedAlone_ == 0, "an apply without a rival was refused");
-    verdict.require(control_.overflowed() == 0, "the fault proxy ran out of room");
-    const std::string ends = deployment_.balancers().unexpectedEnds();
-    verdict.require(ends.empty(), ends);
+        "an accepted version was not in force within 5 s on a reachable balancer");
+    verdict.require(
+        unfairRaces_ == 0, "a race did not end with exactly one winner and a loser that was told the winner");
+    verdict.require(refusedAlone_ == 0, "an apply was refused although no other was running");
+    verdict.require(control_.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
+    const std::string exits = deployment_.balancers().unexpectedExits();
+    verdict.require(exits.empty(), exits);
     return verdict;
 }
 
--- a/Source/Experiment/PathScenario.cpp
+++ b/Source/Experiment/PathScenario.cpp
@@ -1,5 +1,5 @@
 #include "Experiment/CallerRun.h"
-#include "Experiment/ControlMeter.h"
+#include "Experiment/ControlPlaneMeter.h"
 #include "Experiment/Scenario.h"
 
 #include <fmt/format.h>
@@ -10,7 +10,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto quietWindow = 1s;
+    constexpr auto idleWindow = 1s;
     constexpr auto sampleInterval = 1s;
     constexpr int requestsPerSecond = 20;
 
@@ -22,7 +22,7 @@
         return "--balancers=" + text;
     }
 
-    Result<void> runLoad(CallerRun& caller, Deployment& deployment, ControlMeter& control)
+    Result<void> runLoad(CallerRun& caller, Deployment& deployment, ControlPlaneMeter& control)
     {
         while (!caller.isOver()) {
             BOOST_OUTCOME_TRYV(control.sample(false));
@@ -41,12 +41,12 @@
 {
     const ExperimentOptions& options = context.options;
     const FaultSettings faults { .delay = options.delay, .loss = options.loss };
-    const bool asksForFaults = faults != FaultSettings();
-    BOOST_OUTCOME_TRY(deployment, Deployment::start(context.loop, context.directory, { options, 0, asksForFaults }));
+    const bool hasFaults = faults != FaultSettings();
+    BOOST_OUTCOME_TRY(deployment, Deployment::start(context.loop, context.directory, { options, 0, hasFaults }));
     BOOST_OUTCOME_TRYV(deployment->proxy().setFaults({ "fabric/*" }, faults));
 
-    ControlMeter control(*deployment);
-    BOOST_OUTCOME_TRYV(control.measureQuietWindow(quietWindow));
+    ControlPlaneMeter control(*deployment);
+    BOOST_OUTCOME_TRYV(control.measureIdleProcessorUse(idleWindow));
     BOOST_OUTCOME_TRY(caller,
         CallerRun::start(*deployment, options,
             { requestArguments(deployment->balancers().requestAddresses()),
@@ -57,7 +57,7 @@
     std::uint64_t wrongService = caller->row("wrong_service_packets");
     for (const auto& [name, record] : records)
         wrongService += record.wrongServicePackets;
-    Rows& rows = context.rows;
+    ResultRows& rows = context.rows;
     for (const char* name :
         { "flows_established", "flows_broken", "requests_sent", "requests_answered", "requests_refused" })
         rows.set(name, caller->row(name));
@@ -71,10 +71,10 @@
     verdict.require(caller->row("requests_sent") > 0, "no request was sent");
     verdict.require(caller->row("requests_answered") == caller->row("requests_sent"), "requests went unanswered");
     verdict.require(wrongService == 0, "packets reached the wrong service");
-    verdict.require(!asksForFaults || control.proxyFaults() > 0, "no fault was injected");
-    verdict.require(control.overflowed() == 0, "the fault proxy ran out of room");
-    const std::string ends = deployment->balancers().unexpectedEnds();
-    verdict.require(ends.empty(), ends);
+    verdict.require(!hasFaults || control.proxyFaults() > 0, "no fault was injected");
+    verdict.require(control.overflowed() == 0, "the fault proxy dropped data because its buffers were full");
+    const std::string exits = deployment->balancers().unexpectedExits();
+    verdict.require(exits.empty(), exits);
     return verdict;
 }
 
--- a/Source/Experiment/Schedule.cpp
+++ b/Source/Experiment/Schedule.cpp
@@ -28,17 +28,17 @@
         { StepKind::PlatformOutage, "platform_outage" },
     });
 
-    // Load runs undisturbed for this long first, so that there are established flows to break.
-    constexpr milliseconds calmStart = 3s;
-    // Nothing new begins in the last part, so that what a step breaks is still seen.
-    constexpr milliseconds calmEnd = 3s;
-    constexpr milliseconds shortestGap = 700ms;
-    constexpr milliseconds longestGap = 2500ms;
+    // Time without steps at the start, during which flows are established.
+    constexpr milliseconds faultFreeStart = 3s;
+    // Time without new steps at the end, so that the effects of the last steps are detected.
+    constexpr milliseconds faultFreeEnd = 3s;
+    constexpr milliseconds minGap = 700ms;
+    constexpr milliseconds maxGap = 2500ms;
 
-    // Draws steps one after another and remembers what they leave behind.
-    class ScheduleMaker {
+    // Generates steps one after another and tracks the state of the fleet that they lead to.
+    class ScheduleGenerator {
     public:
-        explicit ScheduleMaker(const ScheduleOptions& options)
+        explicit ScheduleGenerator(const ScheduleOptions& options)
             : options_(options)
             , random_(options.seed)
             , servers_(options.serviceOfServer.size())
@@ -50,13 +50,13 @@
         {
             if (options_.mode == FaultMode::None)
                 return {};
-            for (milliseconds now = calmStart; now < options_.length - calmEnd;
-                 now += between(shortestGap, longestGap)) {
-                takeBack(now);
-                takeNext(now);
-                // Two changes at once are harder than one after the other.
-                if (drawBelow(3) == 0)
-                    takeNext(now);
+            for (milliseconds now = faultFreeStart; now < options_.length - faultFreeEnd;
+                 now += randomBetween(minGap, maxGap)) {
+                addUndrainSteps(now);
+                addNextStep(now);
+                // Sometimes adds a second, simultaneous step.
+                if (randomBelow(3) == 0)
+                    addNextStep(now);
             }
             std::stable_sort(steps_.begin(), steps_.end(),
                 [](const Step& first, const Step& second) { return first.at < second.at; });
@@ -73,53 +73,53 @@
             milliseconds disturbedUntil { 0 };
         };
 
-        std::size_t drawBelow(std::size_t bound) { return bound == 0 ? 0 : random_() % bound; }
+        std::size_t randomBelow(std::size_t bound) { return bound == 0 ? 0 : random_() % bound; }
 
-        milliseconds between(milliseconds low, milliseconds high)
+        milliseconds randomBetween(milliseconds low, milliseconds high)
         {
-            return low + milliseconds(drawBelow(static_cast<std::size_t>((high - low).count()) + 1));
+            return low + milliseconds(randomBelow(static_cast<std::size_t>((high - low).count()) + 1));
         }
 
-        // Every kind comes up once, in random order, before any comes up again.
-        StepKind drawKind()
+        // Returns every kind once, in random order, before any repeats.
+        StepKind nextKind()
         {
-            if (deck_.empty()) {
+            if (remainingKinds_.empty()) {
                 for (const auto& [kind, name] : stepNames.rows()) {
-                    const bool drawn = kind != StepKind::UndrainServer;
-                    if (drawn && (options_.mode == FaultMode::All || isPlannedChange(kind)))
-                        deck_.push_back(kind);
+                    const bool isRandomKind = kind != StepKind::UndrainServer;
+                    if (isRandomKind && (options_.mode == FaultMode::All || isPlannedChange(kind)))
+                        remainingKinds_.push_back(kind);
                 }
-                // std::shuffle is not the same in every standard library.
-                for (std::size_t i = deck_.size(); i > 1; --i)
-                    std::swap(deck_[i - 1], deck_[drawBelow(i)]);
+                // The result of std::shuffle depends on the standard library.
+                for (std::size_t i = remainingKinds_.size(); i > 1; --i)
+                    std::swap(remainingKinds_[i - 1], remainingKinds_[randomBelow(i)]);
             }
-            const StepKind kind = deck_.back();
-            deck_.pop_back();
+            const StepKind kind = remainingKinds_.back();
+            remainingKinds_.pop_back();
             return kind;
         }
 
-        void takeNext(milliseconds now)
+        void addNextStep(milliseconds now)
         {
             Step step;
             step.at = now;
-            step.kind = drawKind();
-            if (choose(step))
+            step.kind = nextKind();
+            if (chooseSubject(step))
                 steps_.push_back(step);
         }
 
-        // Servers return some time after they were drained.
-        void takeBack(milliseconds now)
+        // Adds steps that undrain servers after minDrainTime, at random.
+        void addUndrainSteps(milliseconds now)
         {
             for (std::size_t i = 0; i < servers_.size(); ++i) {
-                if (!servers_[i].drainedAt || now < *servers_[i].drainedAt + shortestDrain || drawBelow(2) == 0)
+                if (!servers_[i].drainedAt || now < *servers_[i].drainedAt + minDrainTime || randomBelow(2) == 0)
                     continue;
                 servers_[i].drainedAt.reset();
                 steps_.push_back({ .at = now, .kind = StepKind::UndrainServer, .subject = i });
             }
         }
 
-        // Completes the step, or returns false when the fleet has no subject for it now.
-        bool choose(Step& step)
+        // Completes the step, or returns false if the fleet currently has no suitable subject.
+        bool chooseSubject(Step& step)
         {
             switch (step.kind) {
             case StepKind::DrainServer:
@@ -127,8 +127,8 @@
             case StepKind::UndrainServer:
                 return false;
             case StepKind::ChangeWeight:
-                step.subject = drawBelow(options_.serviceOfServer.size());
-                step.weight = 50 + 25 * static_cast<std::uint32_t>(drawBelow(5));
+                step.subject = randomBelow(options_.serviceOfServer.size());
+                step.weight = 50 + 25 * static_cast<std::uint32_t>(randomBelow(5));
                 return true;
             case StepKind::AddServer:
                 step.subject = servers_.size();
@@ -136,27 +136,27 @@
                 return true;
             case StepKind::JoinBalancer:
                 step.subject = balancers_.size();
-                balancers_.push_back({ true, step.at + between(1s, 2s) });
+                balancers_.push_back({ true, step.at + randomBetween(1s, 2s) });
                 return true;
             case StepKind::StopBalancer:
             case StepKind::KillBalancer:
-                step.length = between(500ms, 2s);
+                step.length = randomBetween(500ms, 2s);
                 return chooseBalancer(step) && end(step.subject);
             case StepKind::DelayVersions:
-                step.length = between(2s, 6s);
+                step.length = randomBetween(2s, 6s);
                 return chooseBalancer(step);
             case StepKind::FreezeBalancer:
-                step.length = between(1s, 4s);
-                return chooseBalancer(step) && disturb(step);
+                step.length = randomBetween(1s, 4s);
+                return chooseBalancer(step) && markDisturbed(step);
             case StepKind::CutOneWay:
-                step.length = between(2s, 4s);
-                return chooseBalancer(step) && chooseOther(step);
+                step.length = randomBetween(2s, 4s);
+                return chooseBalancer(step) && chooseUnreachableBalancer(step);
             case StepKind::CutZone:
-                step.length = between(2s, 5s);
-                step.subject = drawBelow(options_.availabilityZones);
+                step.length = randomBetween(2s, 5s);
+                step.subject = randomBelow(options_.availabilityZones);
                 return options_.availabilityZones > 1;
             case StepKind::PlatformOutage:
-                step.length = between(2s, 6s);
+                step.length = randomBetween(2s, 6s);
                 return true;
             }
             return false;
@@ -166,17 +166,17 @@
         {
             std::vector<std::size_t> candidates;
             for (std::size_t i = 0; i < options_.serviceOfServer.size(); ++i) {
-                if (!servers_[i].drainedAt && mayDrainOneMoreOf(options_.serviceOfServer[i]))
+                if (!servers_[i].drainedAt && canDrainAnotherOf(options_.serviceOfServer[i]))
                     candidates.push_back(i);
             }
             if (candidates.empty())
                 return false;
-            step.subject = candidates[drawBelow(candidates.size())];
+            step.subject = candidates[randomBelow(candidates.size())];
             servers_[step.subject].drainedAt = step.at;
             return true;
         }
 
-        bool mayDrainOneMoreOf(std::size_t service) const
+        bool canDrainAnotherOf(std::size_t service) const
         {
             std::size_t all = 0;
             std::size_t drained = 0;
@@ -201,11 +201,11 @@
                 balancers_.begin(), balancers_.end(), [](const Balancer& balancer) { return balancer.runs; }));
             if (candidates.empty() || (ends && (running - 1) * 2 <= options_.balancers))
                 return false;
-            step.subject = candidates[drawBelow(candidates.size())];
+            step.subject = candidates[randomBelow(candidates.size())];
             return true;
         }
 
-        bool chooseOther(Step& step)
+        bool chooseUnreachableBalancer(Step& step)
         {
             std::vector<std::size_t> others;
             for (std::size_t i = 0; i < balancers_.size(); ++i) {
@@ -214,11 +214,11 @@
             }
             if (others.empty())
                 return false;
-            step.other = others[drawBelow(others.size())];
+            step.other = others[randomBelow(others.size())];
             return true;
         }
 
-        bool disturb(const Step& step)
+        bool markDisturbed(const Step& step)
         {
             balancers_[step.subject].disturbedUntil = step.at + step.length;
             return true;
@@ -234,7 +234,7 @@
         std::mt19937_64 random_;
         std::vector<Server> servers_;
         std::vector<Balancer> balancers_;
-        std::vector<StepKind> deck_;
+        std::vector<StepKind> remainingKinds_;
         std::vector<Step> steps_;
     };
 
@@ -263,6 +263,6 @@
     return false;
 }
 
-std::vector<Step> makeSchedule(const ScheduleOptions& options) { return ScheduleMaker(options).make(); }
+std::vector<Step> makeSchedule(const ScheduleOptions& options) { return ScheduleGenerator(options).make(); }
 
 }
--- a/Source/Experiment/StepRunner.cpp
+++ b/Source/Experiment/StepRunner.cpp
@@ -12,7 +12,7 @@
 
     using namespace std::chrono_literals;
 
-    // Long enough to bring versions out of step, short enough that calls to the platform still end in time.
+    // Long enough that balancers have different versions, short enough that calls to the platform do not time out.
     constexpr std::chrono::milliseconds versionDelay = 1200ms;
 
     BackendServer* find(Configuration& configuration, const std::string& name)
@@ -32,7 +32,7 @@
     , begin_(begin)
 {
     const FleetPlan& plan = deployment.plan();
-    for (std::size_t i = 0; i < plan.firstServers(); ++i)
+    for (std::size_t i = 0; i < plan.initialServerCount(); ++i)
         active_[plan.servers[i].name] = BackendServer().weight;
 }
 
@@ -111,7 +111,7 @@
     case StepKind::CutZone:
         return setZoneFaults(deployment_, step.subject, { .cut = true });
     case StepKind::PlatformOutage:
-        return deployment_.platform().setDown(true);
+        return deployment_.platform().setOutage(true);
     }
     return boost::outcome_v2::success();
 }
@@ -122,7 +122,7 @@
     switch (step.kind) {
     case StepKind::StopBalancer:
     case StepKind::KillBalancer:
-        return balancers.turnFabricAwayFrom(step.subject);
+        return balancers.removeFromFabric(step.subject);
     case StepKind::DelayVersions:
         return deployment_.proxy().setFaults({ balancers.linkOf("platform", step.subject) }, {}, Direction::ToSource);
     case StepKind::FreezeBalancer:
@@ -133,7 +133,7 @@
     case StepKind::CutZone:
         return setZoneFaults(deployment_, step.subject, {});
     case StepKind::PlatformOutage:
-        return deployment_.platform().setDown(false);
+        return deployment_.platform().setOutage(false);
     default:
         return boost::outcome_v2::success();
     }
@@ -151,9 +151,9 @@
     if (state == BackendServerState::Draining) {
         active_.erase(name);
         deployment_.configurationOperator().change(
-            apply, [this, name](TimePoint accepted) { drains_.drainAccepted(name, accepted); });
+            apply, [this, name](TimePoint accepted) { drainChecker_.drainAccepted(name, accepted); });
     } else {
-        drains_.returnStarted(name, Clock::now());
+        drainChecker_.undrainRequested(name, Clock::now());
         deployment_.configurationOperator().change(apply);
     }
 }
--- a/Source/FaultProxy/TcpLink.cpp
+++ b/Source/FaultProxy/TcpLink.cpp
@@ -10,7 +10,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// A connection from a source, and the one to the target that belongs to it.
+// A connection accepted from a source and its connection to the target.
 class TcpLink::Connection : public std::enable_shared_from_this<Connection> {
 public:
     Connection(TcpLink& link, tcp::socket socket, const Endpoint& source)
@@ -56,7 +56,7 @@
         asio::post(link_.context_, [self = shared_from_this()] { self->link_.connections_.erase(self); });
     }
 
-    // Ends both connections with RST: what waited is lost.
+    // Ends both connections with RST; data that still waits is lost.
     void close()
     {
         ended_ = true;
@@ -70,7 +70,7 @@
     }
 
 private:
-    // Not before a hold is over: across a cut network no connection is made.
+    // Called only when delivery is not suspended, since no connection can be established during a cut.
     void connect()
     {
         connecting_ = true;
@@ -136,7 +136,7 @@
 
 Endpoint TcpLink::address() const { return fromAsio(acceptor_.local_endpoint()); }
 
-void TcpLink::rulesChanged()
+void TcpLink::applyRules()
 {
     const std::vector<std::shared_ptr<Connection>> connections(connections_.begin(), connections_.end());
     for (const auto& connection : connections)
@@ -149,12 +149,12 @@
         if (error == asio::error::operation_aborted)
             return;
         if (!error)
-            takeIn(std::move(socket));
+            handleConnection(std::move(socket));
         accept();
     });
 }
 
-void TcpLink::takeIn(tcp::socket socket)
+void TcpLink::handleConnection(tcp::socket socket)
 {
     boost::system::error_code error;
     const auto source = socket.remote_endpoint(error);
--- a/Source/FaultProxy/UdpLink.h
+++ b/Source/FaultProxy/UdpLink.h
@@ -10,7 +10,8 @@
 
 namespace wisteriadock {
 
-// A link for datagrams. Each source gets a socket of its own towards the target, so that answers find their way back.
+// A link for UDP datagrams. Each source has a session with its own socket to the target, so that replies can be
+// returned to that source.
 class UdpLink : public Link {
 public:
     // Fails with Unavailable when the address can't be bound.
@@ -18,10 +19,10 @@
     ~UdpLink() override;
 
     Endpoint address() const override;
-    void rulesChanged() override;
+    void applyRules() override;
 
-    // A further source takes the place of the one that was silent for longest.
-    static constexpr std::size_t largestSessionCount = 1024;
+    // Above this number of sessions, a new source replaces the least recently used one.
+    static constexpr std::size_t maxSessionCount = 1024;
 
 private:
     class Session;
@@ -30,8 +31,8 @@
 
     void receive();
     void drainSocket();
-    Session* sessionOf(const Endpoint& source);
-    void forgetIdlestSession();
+    Session* findOrOpenSession(const Endpoint& source);
+    void evictLeastRecentSession();
 
     boost::asio::io_context& context_;
     boost::asio::ip::udp::socket socket_;
--- a/Source/Flow/FlowParts.cpp
+++ b/Source/Flow/FlowParts.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-    constexpr std::size_t bytesPerMessage = 90; // Envelope, header fields and UDP/IP headers.
+    constexpr std::size_t overheadBytes = 90; // Envelope, header fields and UDP/IP headers.
     constexpr std::size_t bytesPerGroup = 9;
     constexpr std::size_t bytesPerFlow = 9;
 
 }
 
-std::shared_ptr<const FlowParts> cutIntoParts(const std::vector<KnownFlow>& flows)
+std::shared_ptr<const FlowParts> splitIntoParts(const std::vector<KnownFlow>& flows)
 {
     std::vector<KnownFlow> sorted = flows;
     std::sort(sorted.begin(), sorted.end(),
@@ -46,7 +46,7 @@
 
 std::size_t estimatedBytes(const std::vector<FlowGroup>& groups)
 {
-    std::size_t bytes = bytesPerMessage;
+    std::size_t bytes = overheadBytes;
     for (const FlowGroup& group : groups)
         bytes += bytesPerGroup + group.flows.size() * bytesPerFlow;
     return bytes;
@@ -76,7 +76,7 @@
 
 PartSender::PartSender(std::shared_ptr<const FlowParts> parts, TimePoint now)
     : parts_(std::move(parts))
-    , list_(static_cast<std::uint64_t>(now.time_since_epoch().count()))
+    , listId_(static_cast<std::uint64_t>(now.time_since_epoch().count()))
     , progress_(parts_->size())
     , unacknowledged_(parts_->size())
 {
@@ -98,15 +98,15 @@
 
 void PartSender::fill(FlowMessage& message, std::uint32_t part) const
 {
-    message.list = list_;
+    message.listId = listId_;
     message.part = part;
     message.partCount = static_cast<std::uint32_t>(parts_->size());
     message.groups = (*parts_)[part];
 }
 
-void PartSender::acknowledge(std::uint64_t list, std::uint32_t part)
+void PartSender::acknowledge(std::uint64_t listId, std::uint32_t part)
 {
-    if (list != list_ || part >= progress_.size() || progress_[part].acknowledged)
+    if (listId != listId_ || part >= progress_.size() || progress_[part].acknowledged)
         return;
     progress_[part].acknowledged = true;
     --unacknowledged_;
@@ -114,12 +114,12 @@
 
 bool PartReceiver::accept(const FlowMessage& message)
 {
-    if (message.partCount == 0 || message.partCount > mostParts || message.part >= message.partCount)
+    if (message.partCount == 0 || message.partCount > maxParts || message.part >= message.partCount)
         return false;
-    if (message.list < list_)
+    if (message.listId < listId_)
         return false;
-    if (seen_.empty() || message.list > list_) {
-        list_ = message.list;
+    if (seen_.empty() || message.listId > listId_) {
+        listId_ = message.listId;
         seen_.assign(message.partCount, false);
         missing_ = message.partCount;
     }
--- a/Source/Forward/FlowBook.cpp
+++ b/Source/Forward/OpenFlowTable.cpp
@@ -1,4 +1,4 @@
-#include "Forward/FlowBook.h"
+#include "Forward/OpenFlowTable.h"
 
 #include <algorithm>
 
@@ -6,105 +6,107 @@
 
 namespace {
 
-    // Sequence numbers wrap around: true when a lies behind b by less than half of the range.
+    // Compares sequence numbers, which wrap around: returns whether a follows b by less than half of the range.
     bool isAfter(std::uint32_t a, std::uint32_t b) { return static_cast<std::int32_t>(a - b) > 0; }
 
-    void noteLife(ServerObservation& seen, TimePoint now)
+    void noteResponse(ServerObservation& seen, TimePoint now)
     {
         seen.lastProgress = now;
         seen.waitingSince = TimePoint::max();
-        seen.silentSince = TimePoint::max();
+        seen.unansweredSince = TimePoint::max();
         seen.failures = 0;
-        seen.leftOutUntil = TimePoint::min();
+        seen.ejectedUntil = TimePoint::min();
     }
 
 }
 
-FlowMemory* FlowBook::find(const FlowEnds& ends)
+FlowRecord* OpenFlowTable::find(const FlowEnds& ends)
 {
     const auto found = flows_.find(ends);
     return found == flows_.end() ? nullptr : &found->second;
 }
 
-void FlowBook::noteTry(const FlowEnds& ends, KnownServer& server, std::uint32_t copies, TimePoint now)
+void OpenFlowTable::noteAttempt(const FlowEnds& ends, KnownServer& server, std::uint32_t copies, TimePoint now)
 {
     if (server.seen.waitingSince == TimePoint::max())
         server.seen.waitingSince = now;
-    if (server.seen.silentSince == TimePoint::max())
-        server.seen.silentSince = now;
-    if (flows_.size() >= limit)
+    if (server.seen.unansweredSince == TimePoint::max())
+        server.seen.unansweredSince = now;
+    if (flows_.size() >= maxFlows)
         return;
     const auto [entry, isNew] = flows_.try_emplace(ends);
-    FlowMemory& flow = entry->second;
+    FlowRecord& flow = entry->second;
     if (isNew)
         flow.openedAt = now;
     else if (flow.token != server.token)
-        flow.formerTries = { flow.token, flow.formerTries[0] };
+        flow.previousTokens = { flow.token, flow.previousTokens[0] };
     if (flow.token != server.token) {
-        count(flow.token, -1, flow.isBusy ? -1 : 0);
-        count(server.token, 1, 0);
+        adjustCounters(flow.token, -1, flow.isBusy ? -1 : 0);
+        adjustCounters(server.token, 1, 0);
         flow.isBusy = false;
     }
     flow.token = server.token;
     flow.isOpen = false;
     flow.copies = copies;
-    flow.triedAt = now;
+    flow.lastAttemptAt = now;
     flow.lastSeen = now;
 }
 
-FlowProgress FlowBook::noteTraffic(const TokenPacket& packet, KnownServer& server, TimePoint now)
+FlowProgress OpenFlowTable::noteTraffic(const TokenPacket& packet, KnownServer& server, TimePoint now)
 {
     FlowProgress progress;
-    FlowMemory* flow = rememberOpen(packet, server);
+    FlowRecord* flow = findOrAddOpen(packet, server);
     if (!flow)
         return progress;
     flow->lastSeen = now;
-    learnAnswer(*flow, packet, progress, now);
+    trackAcknowledgement(*flow, packet, progress, now);
     if (progress.hasAnswered) {
-        progress.isBack = server.seen.failures > 0;
-        noteLife(server.seen, now);
+        progress.hasRecovered = server.seen.failures > 0;
+        noteResponse(server.seen, now);
     }
-    learnSent(*flow, packet, progress, now);
+    trackSentBytes(*flow, packet, progress, now);
     if (packet.finishes || packet.resets) {
-        // A caller that ends the flow without an answer has given up.
+        // The caller ended the flow without waiting for the answer.
         if (flow->isBusy)
             noteOutcome(*flow, false, now);
-        forget(*flow);
+        uncount(*flow);
         flows_.erase(packet.ends);
     }
     return progress;
 }
 
-// The packet's server is the one that holds the flow, whatever was tried last: null when the flow is not remembered.
-FlowMemory* FlowBook::rememberOpen(const TokenPacket& packet, const KnownServer& server)
+// Returns the flow's record, assigned to the packet's server even if another one got the latest opening packet. Returns
+// null for a flow that is not tracked.
+FlowRecord* OpenFlowTable::findOrAddOpen(const TokenPacket& packet, const KnownServer& server)
 {
-    FlowMemory* flow = find(packet.ends);
+    FlowRecord* flow = find(packet.ends);
     if (!flow) {
-        if (flows_.size() >= limit || packet.finishes || packet.resets)
+        if (flows_.size() >= maxFlows || packet.finishes || packet.resets)
             return nullptr;
         flow = &flows_[packet.ends];
         flow->token = server.token;
         flow->isOpen = true;
         flow->acknowledged = packet.acknowledgement;
         flow->sequenceEnd = packet.sequence;
-        count(server.token, 1, 0);
+        adjustCounters(server.token, 1, 0);
     }
     if (flow->token != server.token) {
-        count(flow->token, -1, flow->isBusy ? -1 : 0);
-        count(server.token, 1, flow->isBusy ? 1 : 0);
+        adjustCounters(flow->token, -1, flow->isBusy ? -1 : 0);
+        adjustCounters(server.token, 1, flow->isBusy ? 1 : 0);
         flow->token = server.token;
     }
     return flow;
 }
 
-void FlowBook::learnAnswer(FlowMemory& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
+void OpenFlowTable::trackAcknowledgement(
+    FlowRecord& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
 {
     if (!flow.isOpen) {
         flow.isOpen = true;
         flow.acknowledged = packet.acknowledgement;
         flow.sequenceEnd = packet.sequence;
         progress.hasAnswered = true;
-        // A copy in between leaves open which of the tries was answered.
+        // After a copy it is unknown which of the opening packets was answered.
         if (flow.copies == 0)
             progress.openingTime = now - flow.openedAt;
         return;
@@ -120,7 +122,7 @@
     }
 }
 
-void FlowBook::learnSent(FlowMemory& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
+void OpenFlowTable::trackSentBytes(FlowRecord& flow, const TokenPacket& packet, FlowProgress& progress, TimePoint now)
 {
     const std::uint32_t end = packet.sequence + packet.payloadBytes;
     if (isAfter(end, flow.sequenceEnd)) {
@@ -130,38 +132,38 @@
         if (packet.payloadBytes > 0)
             setBusy(flow, true, now);
     } else if (packet.payloadBytes > 0) {
-        const bool isOutOfOrder = now - flow.lastNewBytes < reorderedFor;
-        progress.mayBeHead = isOutOfOrder;
-        progress.repeats = !isOutOfOrder;
+        const bool isOutOfOrder = now - flow.lastNewBytes < reorderingWindow;
+        progress.mayBeRequestHead = isOutOfOrder;
+        progress.isRetransmission = !isOutOfOrder;
     }
 }
 
-void FlowBook::forgetFlowsOf(std::uint32_t token)
+void OpenFlowTable::forgetFlowsOf(std::uint32_t token)
 {
     absl::erase_if(flows_, [&](const auto& row) { return row.second.token == token; });
 }
 
-std::vector<FailingChange> FlowBook::tick(TimePoint now)
+std::vector<FailingChange> OpenFlowTable::tick(TimePoint now)
 {
     absl::erase_if(flows_, [&](auto& row) {
-        FlowMemory& flow = row.second;
-        if (flow.isBusy && now - flow.busySince > overdueAfter)
+        FlowRecord& flow = row.second;
+        if (flow.isBusy && now - flow.busySince > answerTimeout)
             noteOutcome(flow, false, now);
-        const auto lifetime = flow.isOpen ? activeFor : openingFor;
+        const auto lifetime = flow.isOpen ? activeTimeout : openingLifetime;
         if (now - flow.lastSeen < lifetime)
             return false;
-        forget(flow);
+        uncount(flow);
         return true;
     });
-    return reviewOutcomes(now);
+    return updateFailingServers(now);
 }
 
-std::vector<FailingChange> FlowBook::reviewOutcomes(TimePoint now)
+std::vector<FailingChange> OpenFlowTable::updateFailingServers(TimePoint now)
 {
     std::vector<FailingChange> changes;
     directory_.forEach([&](KnownServer& server) {
         const float share = server.seen.outcomes.failingShare(now);
-        const bool isFailing = share >= (server.seen.isFailing ? failingUntil : failingFrom);
+        const bool isFailing = share >= (server.seen.isFailing ? recoveryThreshold : failingThreshold);
         if (isFailing == server.seen.isFailing)
             return;
         server.seen.isFailing = isFailing;
@@ -170,7 +172,7 @@
     return changes;
 }
 
-void FlowBook::count(std::uint32_t token, int flows, int busy)
+void OpenFlowTable::adjustCounters(std::uint32_t token, int flows, int busy)
 {
     KnownServer* server = token == 0 ? nullptr : directory_.findByToken(token);
     if (!server)
@@ -179,19 +181,19 @@
     server->seen.busy = static_cast<std::uint32_t>(std::max(0, static_cast<int>(server->seen.busy) + busy));
 }
 
-void FlowBook::setBusy(FlowMemory& flow, bool isBusy, TimePoint now)
+void OpenFlowTable::setBusy(FlowRecord& flow, bool isBusy, TimePoint now)
 {
     if (isBusy && !flow.isBusy) {
         flow.busySince = now;
         flow.isOverdue = false;
     }
     if (isBusy != flow.isBusy)
-        count(flow.token, 0, isBusy ? 1 : -1);
+        adjustCounters(flow.token, 0, isBusy ? 1 : -1);
     flow.isBusy = isBusy;
 }
 
-// A late answer does not take back that it was late.
-void FlowBook::noteOutcome(FlowMemory& flow, bool isAnswered, TimePoint now)
+// A request that was counted as unanswered is not counted again if its answer arrives late.
+void OpenFlowTable::noteOutcome(FlowRecord& flow, bool isAnswered, TimePoint now)
 {
     KnownServer* server = directory_.findByToken(flow.token);
     if (!server || flow.isOverdue)
@@ -200,6 +202,6 @@
     server->seen.outcomes.note(isAnswered, now);
 }
 
-void FlowBook::forget(FlowMemory& flow) { count(flow.token, -1, flow.isBusy ? -1 : 0); }
+void OpenFlowTable::uncount(FlowRecord& flow) { adjustCounters(flow.token, -1, flow.isBusy ? -1 : 0); }
 
 }
--- /dev/null
+++ b/Source/Forward/OpenFlowTable.h
@@ -0,0 +1,122 @@
+#pragma once
+
+#include "Core/Clock.h"
+#include "Forward/ServerDirectory.h"
+#include "Forward/TokenPacket.h"
+
+#include <absl/container/flat_hash_map.h>
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace wisteriadock {
+
+// The state of one flow whose packets passed this balancer recently. It only informs the choice of servers: packets of
+// open flows are routed by their token, even by a balancer that has never seen the flow.
+struct FlowRecord {
+    // The token of the flow's server; until the flow is open, of the server that got the latest opening packet.
+    std::uint32_t token = 0;
+    // The sequence number after the last byte that the caller sent, and the caller's highest acknowledgement.
+    std::uint32_t sequenceEnd = 0;
+    std::uint32_t acknowledged = 0;
+    bool isOpen = false;
+    // A request was sent, and no part of its answer has been acknowledged yet.
+    bool isBusy = false;
+    // The request in progress has already been counted as unanswered.
+    bool isOverdue = false;
+    TimePoint lastSeen;
+    // When the opening packet was forwarded first and last.
+    TimePoint openedAt;
+    TimePoint lastAttemptAt;
+    // When the request in progress was sent.
+    TimePoint busySince;
+    // When the caller last sent bytes that were not a retransmission.
+    TimePoint lastNewBytes;
+    // Tokens of servers that got earlier copies of the opening packet and did not answer, latest first; 0: none.
+    std::array<std::uint32_t, 2> previousTokens {};
+    // How many copies of the opening packet the caller had sent before the latest one.
+    std::uint32_t copies = 0;
+};
+
+// What a packet of an open flow shows about its server; for the log, the metrics and the server's liveness.
+struct FlowProgress {
+    // The caller acknowledged new data, so the server answers.
+    bool hasAnswered = false;
+    // The server had unanswered openings and now answers again.
+    bool hasRecovered = false;
+    // How long the flow took to open and a request to be answered, if the packet shows it.
+    std::optional<Duration> openingTime;
+    std::optional<Duration> answerTime;
+    // The packet is the first of a request.
+    bool beginsRequest = false;
+    // The packet arrived out of order and may hold the head of the request that began just before.
+    bool mayBeRequestHead = false;
+    // The packet retransmits bytes that the caller sent before.
+    bool isRetransmission = false;
+};
+
+// A server started to leave requests unanswered or answers again; for the log.
+struct FailingChange {
+    std::string server;
+    std::string service;
+    bool isFailing = false;
+    // The share of its recent requests without an answer, 0 to 1.
+    float share = 0;
+};
+
+// The flows whose packets passed this balancer recently. TokenRouter reports every forwarded packet to it. It maintains
+// the ServerObservation of each server: its flow counters, unanswered openings and request outcomes.
+class OpenFlowTable {
+public:
+    // Bounds the memory. Flows beyond this number are routed but not tracked.
+    static constexpr std::size_t maxFlows = 200000;
+    // An open flow without packets for this time no longer counts as load. Longer than callers usually pause.
+    static constexpr std::chrono::milliseconds activeTimeout { 3000 };
+    // A flow that does not open is dropped after this time, which is longer than callers repeat opening packets.
+    static constexpr std::chrono::milliseconds openingLifetime { 2000 };
+    // A request without an answer after this time counts as unanswered.
+    static constexpr std::chrono::milliseconds answerTimeout { 600 };
+    // A server counts as failing from the first share of unanswered requests on, until it is below the second.
+    static constexpr float failingThreshold = 0.3F;
+    static constexpr float recoveryThreshold = 0.1F;
+    // Old bytes that arrive within this time after new ones count as out of order, later ones as a retransmission.
+    static constexpr std::chrono::milliseconds reorderingWindow { 100 };
+
+    explicit OpenFlowTable(ServerDirectory& directory)
+        : directory_(directory)
+    {
+    }
+
+    // Returns null for a flow that is not tracked.
+    FlowRecord* find(const FlowEnds&);
+    // Records that an opening packet was sent to the server. copies: see FlowRecord.
+    void noteAttempt(const FlowEnds&, KnownServer&, std::uint32_t copies, TimePoint now);
+    // Updates the flow and its server from a packet of an open flow that is forwarded to the server.
+    FlowProgress noteTraffic(const TokenPacket&, KnownServer&, TimePoint now);
+    // Drops all flows of a server whose process has ended, so that they are not counted for its successor.
+    void forgetFlowsOf(std::uint32_t token);
+    // Drops flows without recent packets. Returns the servers that started or stopped failing.
+    std::vector<FailingChange> tick(TimePoint now);
+
+    std::size_t size() const { return flows_.size(); }
+
+private:
+    FlowRecord* findOrAddOpen(const TokenPacket&, const KnownServer&);
+    void trackAcknowledgement(FlowRecord&, const TokenPacket&, FlowProgress&, TimePoint now);
+    void trackSentBytes(FlowRecord&, const TokenPacket&, FlowProgress&, TimePoint now);
+    // Adds the differences to the counters of the token's server.
+    void adjustCounters(std::uint32_t token, int flows, int busy);
+    void setBusy(FlowRecord&, bool, TimePoint now);
+    void noteOutcome(FlowRecord&, bool isAnswered, TimePoint now);
+    void uncount(FlowRecord&);
+    std::vector<FailingChange> updateFailingServers(TimePoint now);
+
+    ServerDirectory& directory_;
+    absl::flat_hash_map<FlowEnds, FlowRecord> flows_;
+};
+
+}
--- a/Source/Forward/OpeningPolicy.cpp
+++ b/Source/Forward/OpeningPolicy.cpp
@@ -10,87 +10,88 @@
 
 namespace {
 
-    bool wasTried(const FlowMemory* former, std::uint32_t token)
+    bool wasTried(const FlowRecord* previous, std::uint32_t token)
     {
-        if (!former)
+        if (!previous)
             return false;
-        return former->token == token || std::ranges::count(former->formerTries, token) > 0;
+        return previous->token == token || std::ranges::count(previous->previousTokens, token) > 0;
     }
 
     struct Candidate {
         KnownServer* server = nullptr;
         float cost = 0;
-        std::uint64_t rank = 0;
+        // The higher one wins among candidates of equal cost.
+        std::uint64_t tieBreaker = 0;
 
         bool isBetterThan(const Candidate& other) const
         {
             if (!other.server || cost != other.cost)
                 return !other.server || cost < other.cost;
-            return rank > other.rank;
+            return tieBreaker > other.tieBreaker;
         }
     };
 
 }
 
-const ColdStart* OpeningPolicy::coldStartOf(const std::string& service) const
+const ColdStartLimit* OpeningPolicy::coldStartLimitOf(const std::string& service) const
 {
-    if (coldStarts_.empty())
+    if (coldStartLimits_.empty())
         return nullptr;
-    const auto found = coldStarts_.find(service);
-    return found == coldStarts_.end() ? nullptr : &found->second;
+    const auto found = coldStartLimits_.find(service);
+    return found == coldStartLimits_.end() ? nullptr : &found->second;
 }
 
-OpeningPolicy::Standing OpeningPolicy::standingOf(const KnownServer& server, const FlowMemory* former, TimePoint now)
+OpeningPolicy::Rank OpeningPolicy::rankOf(const KnownServer& server, const FlowRecord* previous, TimePoint now)
 {
-    const ZoneReach::Reach reach = reach_.reachOf(server.entry.availabilityZone, now);
-    if (reach == ZoneReach::Reach::Away || SilentServers::isSilent(server, now)
-        || GroupSilence::isLeftOut(*server.group, now))
-        return Standing::Silent;
-    if (reach == ZoneReach::Reach::Unproven)
-        return Standing::Unproven;
-    return wasTried(former, server.token) ? Standing::Tried : Standing::Good;
+    const ZoneReachability::State zoneState = reachability_.stateOf(server.entry.availabilityZone, now);
+    if (zoneState == ZoneReachability::State::Unreachable || ServerLiveness::isUnresponsive(server, now)
+        || GroupLiveness::isEjected(*server.group, now))
+        return Rank::Unresponsive;
+    if (zoneState == ZoneReachability::State::Unproven)
+        return Rank::Unproven;
+    return wasTried(previous, server.token) ? Rank::Tried : Rank::Responsive;
 }
 
-OpeningChoice OpeningPolicy::choose(const std::vector<KnownServer*>& servers, const EmptiedZones& emptied,
-    const FlowEnds& ends, const FlowMemory* former, TimePoint now)
+OpeningChoice OpeningPolicy::choose(const std::vector<KnownServer*>& servers, const EvacuatedZones& evacuated,
+    const FlowEnds& ends, const FlowRecord* previous, TimePoint now)
 {
     OpeningChoice choice;
-    std::array<Candidate, standings> best;
+    std::array<Candidate, rankCount> best;
     const std::uint64_t flowHash
         = hashPair((std::uint64_t(ends.caller.address) << 16) | ends.caller.port, ends.route.address);
     const float usualFailingShare = ServerCost::failingShareOf(servers, now);
-    const ColdStart* coldStart = servers.empty() ? nullptr : coldStartOf(servers.front()->entry.service);
-    groups_.review(servers, now);
+    const ColdStartLimit* coldStart = servers.empty() ? nullptr : coldStartLimitOf(servers.front()->entry.service);
+    groupLiveness_.review(servers, now);
     for (KnownServer* server : servers) {
         if (!server->mayTakeFlows())
             continue;
-        if (emptied.contains(server->entry.availabilityZone)) {
-            ++choice.emptied;
+        if (evacuated.contains(server->entry.availabilityZone)) {
+            ++choice.evacuated;
             continue;
         }
-        if (coldStart && coldUntil(*server, *coldStart, emptied) > now
-            && !coldShares_.mayTake(server->entry, *coldStart, now)) {
-            ++choice.coldAndFull;
+        if (coldStart && coldUntil(*server, *coldStart, evacuated) > now
+            && !coldStartLimiter_.mayOpenFlow(server->entry, *coldStart, now)) {
+            ++choice.coldLimited;
             continue;
         }
         ++choice.eligible;
         if (review(*server, now))
-            choice.leftOut.push_back(server);
-        const Standing standing = standingOf(*server, former, now);
-        choice.silent += standing == Standing::Unproven || standing == Standing::Silent;
+            choice.ejected.push_back(server);
+        const Rank rank = rankOf(*server, previous, now);
+        choice.unresponsive += rank == Rank::Unproven || rank == Rank::Unresponsive;
         const Candidate candidate { server, cost_.costOf(*server, usualFailingShare, now),
             hashPair(flowHash, server->entry.number) };
-        Candidate& rival = best[static_cast<std::size_t>(standing)];
-        if (candidate.isBetterThan(rival))
-            rival = candidate;
+        Candidate& bestOfRank = best[static_cast<std::size_t>(rank)];
+        if (candidate.isBetterThan(bestOfRank))
+            bestOfRank = candidate;
     }
     const auto chosen = std::ranges::find_if(best, [](const Candidate& candidate) { return candidate.server; });
     if (chosen == best.end())
         return choice;
     choice.server = chosen->server;
-    choice.isDesperate = chosen - best.begin() >= static_cast<std::ptrdiff_t>(Standing::Unproven);
+    choice.isLastResort = chosen - best.begin() >= static_cast<std::ptrdiff_t>(Rank::Unproven);
     choice.load = cost_.loadOf(*choice.server);
-    choice.failing = choice.server->seen.outcomes.failingShare(now);
+    choice.failingShare = choice.server->seen.outcomes.failingShare(now);
     choice.isTrial = choice.server->seen.failures > 0 || choice.server->group->failures > 0;
     return choice;
 }
--- a/Source/Forward/TokenRouter.cpp
+++ b/Source/Forward/TokenRouter.cpp
@@ -23,7 +23,7 @@
         { PacketReason::Overloaded, "overloaded" },
         { PacketReason::NoServer, "no_server" },
         { PacketReason::ColdServersFull, "cold_servers_full" },
-        { PacketReason::ZonesEmptied, "zones_emptied" },
+        { PacketReason::ZonesEvacuated, "zones_emptied" },
         { PacketReason::NoRoute, "no_route" },
         { PacketReason::NoConfiguration, "no_configuration" },
         { PacketReason::TokenMissing, "token_missing" },
@@ -50,7 +50,7 @@
 TokenRouter::TokenRouter(RouterSettings settings)
     : settings_(std::move(settings))
     , admission_(settings_.admission)
-    , policy_(settings_.availabilityZone, openingTimes_, settings_.opening, settings_.coldStart)
+    , policy_(settings_.availabilityZone, openingLatency_, settings_.opening, settings_.coldStart)
     , directory_(settings_.directory)
     , flows_(directory_)
 {
@@ -61,7 +61,7 @@
     if (configuration.version <= version_)
         return false;
     routes_.replace(configuration);
-    policy_.setColdStarts(configuration.coldStarts);
+    policy_.setColdStartLimits(configuration.coldStartLimits);
     version_ = configuration.version;
     return true;
 }
@@ -71,7 +71,7 @@
     if (change.version <= version_)
         return false;
     version_ = change.version;
-    policy_.setColdStarts(std::move(change.coldStarts));
+    policy_.setColdStartLimits(std::move(change.coldStartLimits));
     routes_.apply(std::move(change));
     return true;
 }
@@ -87,14 +87,14 @@
     return transitions;
 }
 
-ServerDirectory::Transitions TokenRouter::disuseServer(const std::string& id, std::uint64_t revision, TimePoint now)
+ServerDirectory::Transitions TokenRouter::invalidateServer(const std::string& id, std::uint64_t revision, TimePoint now)
 {
-    return directory_.disuse(id, revision, now);
+    return directory_.invalidate(id, revision, now);
 }
 
-ServerDirectory::Transitions TokenRouter::removeServer(const std::string& id, bool inDoubt, TimePoint now)
+ServerDirectory::Transitions TokenRouter::removeServer(const std::string& id, bool isUncertain, TimePoint now)
 {
-    return directory_.remove(id, inDoubt, now);
+    return directory_.remove(id, isUncertain, now);
 }
 
 ServerDirectory::Transitions TokenRouter::tick(TimePoint now)
@@ -123,59 +123,60 @@
     if (!service)
         return refuse(packet, PacketReason::NoServer);
 
-    const FlowMemory* former = flows_.find(packet.ends);
+    const FlowRecord* previous = flows_.find(packet.ends);
     PacketDecision decision;
     decision.verdict = PacketVerdict::Forward;
     decision.service = service;
     decision.copies = packet.acknowledgement;
-    // Copies are never refused: the flow may be open at a server that another balancer chose.
-    if (!former && packet.acknowledgement == 0) {
-        decision.admission = admission_.admit(*service, route->aim, packet.ends, now);
+    // Copies are never refused: the flow may already be open at a server that another balancer chose.
+    if (!previous && packet.acknowledgement == 0) {
+        decision.admission = admission_.admit(*service, route->targetLatency, packet.ends, now);
         if (decision.admission.isRefused) {
             decision.verdict = PacketVerdict::Reset;
             decision.reason = PacketReason::Overloaded;
             return decision;
         }
     }
-    if (KnownServer* again = formerServerFor(former, *service, now)) {
+    if (KnownServer* sameServer = previousServerFor(previous, *service, now)) {
         decision.reason = PacketReason::OpenedAgain;
-        decision.server = again;
-        if (!former->isOpen)
-            flows_.noteTry(packet.ends, *again, packet.acknowledgement, now);
+        decision.server = sameServer;
+        if (!previous->isOpen)
+            flows_.noteAttempt(packet.ends, *sameServer, packet.acknowledgement, now);
         return decision;
     }
-    const KnownServer* leftOut = nullptr;
-    if (former && !former->isOpen) {
-        KnownServer* silent = directory_.findByToken(former->token);
-        if (silent && silent->seen.lastProgress < former->triedAt && policy_.review(*silent, now))
-            leftOut = silent;
+    const KnownServer* ejected = nullptr;
+    if (previous && !previous->isOpen) {
+        KnownServer* previousServer = directory_.findByToken(previous->token);
+        if (previousServer && previousServer->seen.lastProgress < previous->lastAttemptAt
+            && policy_.review(*previousServer, now))
+            ejected = previousServer;
     }
-    decision.choice = policy_.choose(directory_.serversOf(*service), emptiedZones_, packet.ends, former, now);
-    if (leftOut)
-        decision.choice.leftOut.push_back(leftOut);
+    decision.choice = policy_.choose(directory_.serversOf(*service), evacuatedZones_, packet.ends, previous, now);
+    if (ejected)
+        decision.choice.ejected.push_back(ejected);
     if (!decision.choice.server)
-        return refuseChoice(packet, decision.choice, former);
-    decision.reason = former ? PacketReason::OpenedElsewhere : PacketReason::Opened;
+        return refuseChoice(packet, decision.choice, previous);
+    decision.reason = previous ? PacketReason::OpenedElsewhere : PacketReason::Opened;
     decision.server = decision.choice.server;
-    policy_.noteTry(*decision.choice.server, emptiedZones_, now);
-    flows_.noteTry(packet.ends, *decision.choice.server, packet.acknowledgement, now);
+    policy_.noteAttempt(*decision.choice.server, evacuatedZones_, now);
+    flows_.noteAttempt(packet.ends, *decision.choice.server, packet.acknowledgement, now);
     return decision;
 }
 
-// Two servers that both answer one opening leave the caller with the token of one and the sequence of the other, and
-// the flow never works. So a copy goes to the same server for as long as that one gives signs of life, or the flow is
-// open there already and the copy was only late.
-KnownServer* TokenRouter::formerServerFor(const FlowMemory* former, const std::string& service, TimePoint)
+// If two servers answer one opening, the caller may combine the token of one with the sequence number of the other, and
+// the flow never works. So a copy goes to the same server if the flow is already open there or the server has answered
+// any packet since the previous attempt.
+KnownServer* TokenRouter::previousServerFor(const FlowRecord* previous, const std::string& service, TimePoint)
 {
-    KnownServer* server = former ? directory_.findByToken(former->token) : nullptr;
+    KnownServer* server = previous ? directory_.findByToken(previous->token) : nullptr;
     if (!server)
         return nullptr;
-    if (former->isOpen)
+    if (previous->isOpen)
         return server;
-    const bool isStillRight = server->mayTakeFlows() && server->entry.service == service
-        && !emptiedZones_.contains(server->entry.availabilityZone);
-    const bool hasLivedSince = server->seen.lastProgress >= former->triedAt;
-    return isStillRight && hasLivedSince ? server : nullptr;
+    const bool isStillEligible = server->mayTakeFlows() && server->entry.service == service
+        && !evacuatedZones_.contains(server->entry.availabilityZone);
+    const bool hasAnsweredSince = server->seen.lastProgress >= previous->lastAttemptAt;
+    return isStillEligible && hasAnsweredSince ? server : nullptr;
 }
 
 PacketDecision TokenRouter::routeEstablished(const TokenPacket& packet, TimePoint now)
@@ -196,7 +197,7 @@
     decision.reason = PacketReason::Established;
     decision.progress = flows_.noteTraffic(packet, *server, now);
     if (decision.progress.openingTime)
-        openingTimes_.note(*decision.progress.openingTime);
+        openingLatency_.note(*decision.progress.openingTime);
     if (decision.progress.answerTime)
         admission_.noteAnswer(server->entry.service, *decision.progress.answerTime, now);
     if (decision.progress.hasAnswered)
@@ -204,15 +205,15 @@
     return decision;
 }
 
-// The former process of a server that changed its service with a restart is proven to be over, so the caller may be
-// told. Flows of the new process come by routes that lead to its service, or did when they were opened.
+// If a server changed its service with a restart, flows of its previous process can be reset. They are recognised by
+// their route: flows of the new process use routes that send new flows to its service, or did so when they were opened.
 bool TokenRouter::isOfFormerProcess(const TokenPacket& packet, const KnownServer& server) const
 {
-    return server.hasChangedService && !routes_.hasLedTo(packet.ends.route, server.entry.service);
+    return server.hasChangedService && !routes_.hasRoutedTo(packet.ends.route, server.entry.service);
 }
 
-// The first copies are answered with silence: news of a route or a server may be on its way, and the caller asks again
-// by itself. With its last copy it is told at once, instead of being left to wait for its own time limit.
+// Drops the first copies without an answer: an update of the routes or the servers may be on its way, and the caller
+// retries by itself. The last copy is answered with a reset, so that the caller need not wait for its own timeout.
 PacketDecision TokenRouter::refuse(const TokenPacket& packet, PacketReason reason) const
 {
     PacketDecision decision;
@@ -222,18 +223,18 @@
     return decision;
 }
 
-// What certainly can't be served is refused with the first packet. A copy may belong to a flow that another balancer
-// opened before, so it is refused as late as any other that finds no server.
+// Resets the first packet if the reason is certain, that is, evacuated zones or cold servers. Copies are refused as in
+// refuse(), since the flow may already be open at a server that another balancer chose.
 PacketDecision TokenRouter::refuseChoice(
-    const TokenPacket& packet, const OpeningChoice& choice, const FlowMemory* former) const
+    const TokenPacket& packet, const OpeningChoice& choice, const FlowRecord* previous) const
 {
-    const bool isCertain = choice.coldAndFull > 0 || choice.emptied > 0;
-    const PacketReason reason = choice.coldAndFull > 0 ? PacketReason::ColdServersFull
-        : choice.emptied > 0                           ? PacketReason::ZonesEmptied
+    const bool isCertain = choice.coldLimited > 0 || choice.evacuated > 0;
+    const PacketReason reason = choice.coldLimited > 0 ? PacketReason::ColdServersFull
+        : choice.evacuated > 0                         ? PacketReason::ZonesEvacuated
                                                        : PacketReason::NoServer;
     PacketDecision decision = refuse(packet, reason);
     decision.choice = choice;
-    if (isCertain && !former && packet.acknowledgement == 0)
+    if (isCertain && !previous && packet.acknowledgement == 0)
         decision.verdict = PacketVerdict::Reset;
     return decision;
 }
--- a/Source/Forwarder/Forwarder.h
+++ b/Source/Forwarder/Forwarder.h
@@ -2,15 +2,15 @@
 
 #include "Core/EventLog.h"
 #include "Forward/TokenRouter.h"
-#include "Forwarder/ForwarderAnswers.h"
-#include "Forwarder/ForwarderLife.h"
+#include "Forwarder/ForwarderHttpHandler.h"
+#include "Forwarder/ForwarderLifecycle.h"
 #include "Forwarder/ForwarderLog.h"
 #include "Forwarder/ForwarderMetrics.h"
 #include "Forwarder/ForwarderSettings.h"
-#include "Forwarder/NewsApplier.h"
-#include "Forwarder/PeerNews.h"
-#include "Forwarder/SettingsReload.h"
-#include "Forwarder/StoreLink.h"
+#include "Forwarder/PeerSync.h"
+#include "Forwarder/SettingsReloader.h"
+#include "Forwarder/StoreFeedDriver.h"
+#include "Forwarder/StoreUpdateApplier.h"
 #include "Forwarder/TokenPacketPath.h"
 #include "Net/Http1Server.h"
 
@@ -27,9 +27,10 @@
 
 namespace wisteriadock {
 
-// The forwarder: takes flow packets with a return token on an entry VM and hands them to backend servers that register
-// themselves in the platform's store. It decides nothing itself; it gives packets, answers, messages and ticks to the
-// parts that do, and does what they say. Everything runs on one thread: these VMs have a fraction of one core.
+// The forwarder of an entry VM: receives flow packets with a return token and sends them to the backend servers that
+// register themselves in the platform's store. This class creates its parts, passes events, timer ticks and signals
+// between them, and performs the actions that they return. Everything runs on one thread, since these VMs have a
+// fraction of one core. Adapter supplies the platform's formats; ForwarderProgram.h runs it.
 template <typename Adapter> class Forwarder {
 public:
     // Fails with Unavailable when an address can't be bound.
@@ -55,18 +56,18 @@
                 .add("seeds", std::uint64_t(settings_.seeds.size())),
             now);
         awaitSignal();
-        awaitBeat(firstBeat);
+        scheduleTick(firstTickDelay);
         context_.run();
     }
 
 private:
-    // Membership asks for a tick at least each 250 ms; log lines wait no longer either.
-    static constexpr std::chrono::milliseconds beat { 250 };
-    // The others are met once packets flow, or after so long: the store answers within some milliseconds, and after a
-    // loss of power callers wait for whatever is done before.
-    static constexpr std::chrono::milliseconds firstBeat { 60 };
-    // The same while nothing is known yet, and callers wait.
-    static constexpr std::chrono::milliseconds uninformedBeat { 100 };
+    // Membership needs a tick at least every 250 ms. Log lines are flushed at each tick.
+    static constexpr std::chrono::milliseconds tickInterval { 250 };
+    // Peers are contacted once packets are forwarded, or after this time. The store usually answers first, and callers
+    // wait for it after a power failure.
+    static constexpr std::chrono::milliseconds firstTickDelay { 60 };
+    // Interval of the ticks until the routes and the servers have been loaded, while callers wait.
+    static constexpr std::chrono::milliseconds unsyncedTickInterval { 100 };
 
     Forwarder(const ForwarderSettings& settings, std::string settingsPath)
         : settings_(settings)
@@ -76,17 +77,17 @@
                   .count()))
         , seed_(balancerIdOf(settings.vm).value ^ incarnation_)
         , log_({ settings.vm, settings.availabilityZone, incarnation_ }, STDOUT_FILENO, settings.logBudget)
-        , lines_(log_)
-        , traffic_(log_, startedAt_)
-        , reload_(settings_, std::move(settingsPath), log_,
-              [this](const std::vector<Endpoint>& seeds, TimePoint now) { peers_->setSeeds(seeds, now); })
+        , forwarderLog_(log_)
+        , trafficReport_(log_, startedAt_)
+        , settingsReloader_(settings_, std::move(settingsPath), log_,
+              [this](const std::vector<Endpoint>& seeds, TimePoint now) { peerSync_->setSeeds(seeds, now); })
         , router_(routerSettings(settings))
-        , life_({ .grace = settings.grace })
-        , applier_(router_, lines_, metrics_)
+        , lifecycle_({ .grace = settings.grace })
+        , applier_(router_, forwarderLog_, metrics_)
         , signals_(context_, SIGTERM, SIGINT, SIGHUP)
-        , timer_(context_)
+        , tickTimer_(context_)
         , logTimer_(context_)
-        , store_(context_, settings.store, seed_, feedSettings(settings), metrics_,
+        , storeDriver_(context_, settings.store, seed_, feedSettings(settings), metrics_,
               [this](const StoreFeedAction& action) { perform(action); })
     {
         log_.setLevel(settings.logLevel);
@@ -98,7 +99,7 @@
         router.availabilityZone = settings.availabilityZone;
         router.opening = settings.opening;
         router.coldStart = settings.coldStart;
-        // A quarter more than a flow lasts, for packets that are still on their way.
+        // Longer than a flow lasts, for packets that are still in flight.
         router.directory.retention = settings.longestFlow * 5 / 4;
         return router;
     }
@@ -112,24 +113,26 @@
 
     Result<void> open()
     {
-        // The store's answer is on its way while the rest is made ready.
-        store_.start(startedAt_);
+        // Sent first, so that the store answers while the rest is set up.
+        storeDriver_.start(startedAt_);
         BOOST_OUTCOME_TRY(socket, PacketSocket::open(settings_.flow));
         BOOST_OUTCOME_TRY(peers,
-            PeerNews::open(context_, self(), settings_.seeds, seed_, log_, metrics_,
-                [this](const NewsChanged& news) { handleNews(news); }));
-        peers_ = std::move(peers);
-        packets_ = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peers_->exchange(),
-            life_, lines_, metrics_, [this](TimePoint now) { store_.noteContradiction(now); });
-        answers_ = std::make_unique<ForwarderAnswers<Adapter>>(router_, *peers_, store_, life_, log_, metrics_);
+            PeerSync::open(context_, self(), settings_.seeds, seed_, log_, metrics_,
+                [this](const ReplicaChanged& changed) { handleReplicaChange(changed); }));
+        peerSync_ = std::move(peers);
+        packetPath_
+            = std::make_unique<TokenPacketPath<Adapter>>(context_, std::move(socket), router_, peerSync_->replicaSync(),
+                lifecycle_, forwarderLog_, metrics_, [this](TimePoint now) { storeDriver_.noteContradiction(now); });
+        httpHandler_ = std::make_unique<ForwarderHttpHandler<Adapter>>(
+            router_, *peerSync_, storeDriver_, lifecycle_, log_, metrics_);
         const auto onRequest = [this](const std::shared_ptr<Http1Exchange>& exchange) {
-            exchange->respond(answers_->answer(exchange->request(), Clock::now()));
+            exchange->respond(httpHandler_->answer(exchange->request(), Clock::now()));
         };
         BOOST_OUTCOME_TRY(ready, Http1Server::listen(context_, settings_.ready, onRequest));
-        ready_ = std::move(ready);
+        readinessServer_ = std::move(ready);
         if (!settings_.metrics.isSet())
             return boost::outcome_v2::success();
-        // Flows matter more than figures about them: without a free port the forwarder serves all the same.
+        // The metrics are optional: the forwarder serves without them when their port is taken.
         auto metrics = Http1Server::listen(context_, settings_.metrics, onRequest);
         if (metrics)
             metricsServer_ = std::move(metrics).value();
@@ -153,102 +156,104 @@
         return member;
     }
 
-    void handleNews(const NewsChanged& news)
+    void handleReplicaChange(const ReplicaChanged& changed)
     {
         const TimePoint now = Clock::now();
-        applier_.apply(news, now);
-        const bool isInformed = router_.configurationVersion() > 0 && peers_->exchange().book().completeTo() > 0;
-        if (isInformed && life_.noteInformed()) {
-            // Packets that came before wait in the socket's buffer. Nothing could be done with them but drop them, and
-            // callers would send them again only after 200 ms.
-            packets_->start();
+        applier_.apply(changed, now);
+        const bool hasSynced
+            = router_.configurationVersion() > 0 && peerSync_->replicaSync().replica().completeTo() > 0;
+        if (hasSynced && lifecycle_.noteSynced()) {
+            // Earlier packets have waited in the socket's buffer. Dropping them would delay callers until they
+            // retransmit.
+            packetPath_->start();
             log_.write(LogLevel::Info, "process", "ready",
                 Event()
                     .add("after_ms", now - startedAt_)
                     .add("configuration_version", router_.configurationVersion())
-                    .add("revision", news.revision)
+                    .add("revision", changed.revision)
                     .add("servers", std::uint64_t(router_.directory().size()))
-                    .add("source", news.source),
+                    .add("source", changed.source),
                 now);
             flushLog(now);
-            meetPeers(now);
+            startPeerSync(now);
         }
     }
 
-    void meetPeers(TimePoint now)
+    void startPeerSync(TimePoint now)
     {
-        if (!std::exchange(hasMetPeers_, true))
-            peers_->start(now);
+        if (!std::exchange(hasStartedPeerSync_, true))
+            peerSync_->start(now);
     }
 
     void perform(const StoreFeedAction& action)
     {
         const TimePoint now = Clock::now();
-        if (const auto* news = std::get_if<StoreNews>(&action)) {
-            peers_->handleStore(*news, now);
-        } else if (const auto* lost = std::get_if<StoreLost>(&action)) {
-            peers_->noteStore(true, now);
+        if (const auto* received = std::get_if<DeltaReceived>(&action)) {
+            peerSync_->handleStoreDelta(*received, now);
+        } else if (const auto* lost = std::get_if<StoreUnreachable>(&action)) {
+            peerSync_->noteStoreReachability(true, now);
             log_.write(LogLevel::Warning, "store", "lost", Event().add("error", lost->error.toString()), now);
-        } else if (const auto* regained = std::get_if<StoreRegained>(&action)) {
-            peers_->noteStore(false, now);
-            log_.write(LogLevel::Info, "store", "regained", Event().add("away_ms", regained->away), now);
+        } else if (const auto* regained = std::get_if<StoreReachable>(&action)) {
+            peerSync_->noteStoreReachability(false, now);
+            log_.write(LogLevel::Info, "store", "regained", Event().add("away_ms", regained->outage), now);
         }
     }
 
-    void awaitBeat(std::chrono::milliseconds after)
+    void scheduleTick(std::chrono::milliseconds after)
     {
-        timer_.expires_after(after);
-        timer_.async_wait([this](const boost::system::error_code& error) {
+        tickTimer_.expires_after(after);
+        tickTimer_.async_wait([this](const boost::system::error_code& error) {
             if (error)
                 return;
-            onBeat(Clock::now());
+            onTick(Clock::now());
         });
     }
 
-    void onBeat(TimePoint now)
+    void onTick(TimePoint now)
     {
-        meetPeers(now);
-        peers_->noteStore(store_.feed().isLost(), now);
-        peers_->setAsksAtOnce(store_.feed().asksNeighbours());
-        peers_->tick(now);
-        store_.update(peers_->exchange().book().completeTo(), peers_->shallWatch(now) && !life_.isStopping(),
-            peers_->exchange().behindSince(), now);
-        store_.tick(peers_->exchange().knowsMuchWider(), now);
-        router_.noteStoreHeard(peers_->exchange().storeHeardAt());
-        router_.setBalancers(balancerIdOf(settings_.vm).value, peers_->balancersOfZone(), peers_->isSettled(now), now);
-        lines_.transitions(router_.tick(now), peers_->exchange().book().completeTo(), "time", now);
+        startPeerSync(now);
+        peerSync_->noteStoreReachability(storeDriver_.feed().isUnreachable(), now);
+        peerSync_->setFetchesImmediately(storeDriver_.feed().asksPeers());
+        peerSync_->tick(now);
+        storeDriver_.update(peerSync_->replicaSync().replica().completeTo(),
+            peerSync_->isWatcher(now) && !lifecycle_.isStopping(), peerSync_->replicaSync().behindSince(), now);
+        storeDriver_.tick(peerSync_->replicaSync().knowsFasterPeer(), now);
+        router_.noteStoreContact(peerSync_->replicaSync().lastStoreContact());
+        router_.setBalancers(
+            balancerIdOf(settings_.vm).value, peerSync_->liveBalancersOfZone(), peerSync_->isSettled(now), now);
+        forwarderLog_.transitions(router_.tick(now), peerSync_->replicaSync().replica().completeTo(), "time", now);
         for (const FailingChange& change : router_.takeFailingChanges())
-            lines_.failing(change, now);
-        for (const ZoneChange& change : router_.takeZoneChanges())
-            lines_.zone(change, now);
-        for (const GroupChange& change : router_.takeGroupChanges())
-            lines_.group(change, now);
-        reload_.tick(now);
-        if (traffic_.isDue(now))
-            traffic_.write(answers_->traffic(), now);
-        if (life_.isOver(now)) {
-            end(now);
+            forwarderLog_.failingChange(change, now);
+        for (const ZoneReachabilityChange& change : router_.takeZoneChanges())
+            forwarderLog_.zoneReachability(change, now);
+        for (const GroupLivenessChange& change : router_.takeGroupChanges())
+            forwarderLog_.groupLiveness(change, now);
+        settingsReloader_.tick(now);
+        if (trafficReport_.isDue(now))
+            trafficReport_.write(httpHandler_->traffic(), now);
+        if (lifecycle_.isStopped(now)) {
+            finish(now);
             return;
         }
         flushLog(now);
-        awaitBeat(life_.isInformed() ? beat : uninformedBeat);
+        scheduleTick(lifecycle_.hasSynced() ? tickInterval : unsyncedTickInterval);
     }
 
-    // What is left goes in pieces, so that no burst of lines is more than its reader takes at once.
+    // Writes the rest of the lines in chunks, so that a burst does not exceed what the log's reader accepts at once.
     void flushLog(TimePoint now)
     {
         if (!log_.flush(now))
             return;
-        logTimer_.expires_after(LineBuffer::pause);
+        logTimer_.expires_after(LineBuffer::chunkInterval);
         logTimer_.async_wait([this](const boost::system::error_code& error) {
             if (!error)
                 flushLog(Clock::now());
         });
     }
 
-    void end(TimePoint now)
+    void finish(TimePoint now)
     {
-        traffic_.write(answers_->traffic(), now);
+        trafficReport_.write(httpHandler_->traffic(), now);
         log_.write(LogLevel::Info, "process", "stopped", Event().add("ran_ms", now - startedAt_), now);
         log_.buffer().flushAll();
         context_.stop();
@@ -261,7 +266,7 @@
                 return;
             const TimePoint now = Clock::now();
             if (signal == SIGHUP)
-                reload_.reload("signal", now);
+                settingsReloader_.reload("signal", now);
             else
                 stop(now);
             awaitSignal();
@@ -270,10 +275,10 @@
 
     void stop(TimePoint now)
     {
-        if (!life_.stop(now))
+        if (!lifecycle_.stop(now))
             return;
         log_.write(LogLevel::Info, "process", "stopping", Event().add("grace_ms", Duration(settings_.grace)), now);
-        peers_->leave(now);
+        peerSync_->leave(now);
     }
 
     ForwarderSettings settings_;
@@ -282,23 +287,23 @@
     const std::uint64_t seed_;
     boost::asio::io_context context_ { 1 };
     EventLog log_;
-    ForwarderLog lines_;
-    TrafficReport traffic_;
-    SettingsReload reload_;
+    ForwarderLog forwarderLog_;
+    TrafficReport trafficReport_;
+    SettingsReloader settingsReloader_;
     ForwarderMetrics metrics_;
     TokenRouter router_;
-    ForwarderLife life_;
-    NewsApplier<Adapter> applier_;
+    ForwarderLifecycle lifecycle_;
+    StoreUpdateApplier<Adapter> applier_;
     boost::asio::signal_set signals_;
-    boost::asio::steady_timer timer_;
+    boost::asio::steady_timer tickTimer_;
     boost::asio::steady_timer logTimer_;
-    std::unique_ptr<PeerNews> peers_;
-    StoreLink<Adapter> store_;
-    std::unique_ptr<TokenPacketPath<Adapter>> packets_;
-    std::unique_ptr<ForwarderAnswers<Adapter>> answers_;
-    std::unique_ptr<Http1Server> ready_;
+    std::unique_ptr<PeerSync> peerSync_;
+    StoreFeedDriver<Adapter> storeDriver_;
+    std::unique_ptr<TokenPacketPath<Adapter>> packetPath_;
+    std::unique_ptr<ForwarderHttpHandler<Adapter>> httpHandler_;
+    std::unique_ptr<Http1Server> readinessServer_;
     std::unique_ptr<Http1Server> metricsServer_;
-    bool hasMetPeers_ = false;
+    bool hasStartedPeerSync_ = false;
 };
 
 }
--- a/Source/Forwarder/MembersLog.h
+++ b/Source/Forwarder/MembersLog.h
@@ -12,14 +12,15 @@
 
 namespace wisteriadock {
 
-// The log lines about other balancers: who was met, lost, regained or changed, and whether any answers. Who has just
-// started meets hundreds within seconds; these are told in one line once the view has settled.
+// Writes the log lines about other balancers: those discovered, lost, regained or changed, and whether this balancer is
+// isolated. The balancers discovered after the start are logged in one line, once the view has settled. Called by
+// PeerSync.
 class MembersLog {
 public:
-    // More alike changes in one view are told in one line.
-    static constexpr std::size_t mostSingleLines = 16;
-    // A view that has not settled by then is told all the same.
-    static constexpr std::chrono::milliseconds longestMeeting { 10000 };
+    // More changes of one kind in one view are logged in one line.
+    static constexpr std::size_t maxSeparateLines = 16;
+    // After this time the balancers discovered are logged even if the view has not settled.
+    static constexpr std::chrono::milliseconds maxDiscoveryTime { 10000 };
 
     explicit MembersLog(EventLog& log)
         : log_(log)
@@ -27,31 +28,31 @@
     }
 
     void start(TimePoint now) { startedAt_ = now; }
-    // Another view was published.
-    void note(const MembersView&, bool isSettled, TimePoint now);
-    // Time has passed.
+    // Membership published a new view.
+    void handleView(const MembersView&, bool isSettled, TimePoint now);
+    // Call it every 100 to 250 ms.
     void tick(const MembersView&, bool isSettled, TimePoint now);
 
 private:
-    struct Known {
+    struct KnownState {
         MemberState state = MemberState::Joining;
         TimePoint since;
     };
     struct Change {
         const Member* member = nullptr;
-        Duration formerFor {};
+        Duration previousStateTime {};
     };
     using Changes = std::map<std::string_view, std::vector<Change>>;
 
     Changes changesOf(const MembersView&, TimePoint now);
-    void tell(std::string_view event, const std::vector<Change>&, TimePoint now);
+    void logChanges(std::string_view event, const std::vector<Change>&, TimePoint now);
 
     EventLog& log_;
     TimePoint startedAt_ = TimePoint::min();
-    // Since when each known balancer is in its state.
-    std::map<BalancerId, Known> known_;
+    // The last logged state of each known balancer.
+    std::map<BalancerId, KnownState> knownStates_;
     bool isIsolated_ = false;
-    bool hasToldMeeting_ = false;
+    bool hasLoggedDiscovery_ = false;
 };
 
 }
--- /dev/null
+++ b/Source/Forwarder/PeerSync.cpp
@@ -0,0 +1,353 @@
+#include "Forwarder/PeerSync.h"
+
+#include "Wire/PeerMessageCodec.h"
+
+#include <boost/asio/post.hpp>
+#include <fmt/format.h>
+
+#include <charconv>
+#include <utility>
+
+namespace wisteriadock {
+
+namespace {
+
+    // A fetch requests this path followed by the revision after which changes are wanted.
+    constexpr std::string_view deltaPath = "/news/";
+    // Sent by balancers that accept patches of large values. Earlier versions neither send nor read it.
+    constexpr const char* acceptsPatchesHeader = "wisteriadock-takes-patches";
+    constexpr std::chrono::milliseconds connectTimeout { 800 };
+    // Limit for a whole answer, even while its bytes keep arriving. ReplicaSync abandons a stalled one sooner.
+    constexpr std::chrono::milliseconds fetchTimeout { 4000 };
+    // A longer lag behind other balancers is logged.
+    constexpr std::chrono::milliseconds lagWarningThreshold { 1000 };
+
+    // One watcher per zone, since calls to the store are costly and other zones stand in for a lost watcher. At least
+    // three in total, so that changes spread while one of them has failed.
+    constexpr WatcherCounts watcherCounts { 1, 3, 3 };
+
+    Http2Limits fetchLimits()
+    {
+        Http2Limits limits;
+        limits.bodyBytes = maxDeltaBytes;
+        limits.connectTimeout = connectTimeout;
+        // All balancers of a large zone may fetch at the same time after a start.
+        limits.connections = 256;
+        return limits;
+    }
+
+    const char* boolName(bool value) { return value ? "true" : "false"; }
+
+}
+
+Result<std::unique_ptr<PeerSync>> PeerSync::open(boost::asio::io_context& context, const Member& self,
+    std::vector<Endpoint> seeds, std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler,
+    ReplicaSyncSettings settings)
+{
+    std::unique_ptr<PeerSync> peerSync(
+        new PeerSync(context, self, std::move(seeds), seed, log, metrics, std::move(handler), settings));
+    PeerSync* target = peerSync.get();
+    BOOST_OUTCOME_TRY(link,
+        PeerSocket::open(context, self.peerAddress,
+            [target](const PeerEnvelope& envelope, const Endpoint& sender) { target->receive(envelope, sender); }));
+    peerSync->link_ = std::move(link);
+    BOOST_OUTCOME_TRY(server,
+        Http2Server::listen(
+            context, self.requestAddress, [target](const auto& exchange) { target->answerFetch(exchange); },
+            fetchLimits()));
+    peerSync->server_ = std::move(server);
+    return peerSync;
+}
+
+PeerSync::PeerSync(boost::asio::io_context& context, const Member& self, std::vector<Endpoint> seeds,
+    std::uint64_t seed, EventLog& log, ForwarderMetrics& metrics, Handler handler, ReplicaSyncSettings settings)
+    : context_(context)
+    , address_(self.peerAddress)
+    , seeds_(std::move(seeds))
+    , log_(log)
+    , membersLog_(log)
+    , metrics_(metrics)
+    , handler_(std::move(handler))
+    , membership_({}, self, seed, Clock::now())
+    , watcherRole_({ .counts = watcherCounts })
+    , replicaSync_(self.availabilityZone, seed, settings)
+{
+}
+
+PeerSync::~PeerSync()
+{
+    // The outcome of a fetch that is still open arrives when its client is destroyed, and must be ignored.
+    ++fetchNumber_;
+}
+
+void PeerSync::start(TimePoint now)
+{
+    watcherRole_.start(!seeds_.empty(), now);
+    membersLog_.start(now);
+    passSeedsToMembership(now);
+    // Serving from the start: watchers are chosen among serving members, and without a watcher no balancer becomes
+    // ready. Routing packets by their tokens needs no state of other balancers.
+    perform(membership_.setSelfState(MemberState::Serving, now), now);
+    tick(now);
+}
+
+void PeerSync::passSeedsToMembership(TimePoint now)
+{
+    VmListReceived seedList;
+    for (const Endpoint& seed : seeds_) {
+        if (seed.address != address_.address)
+            seedList.vms.push_back({ { seed.address, address_.port }, false });
+    }
+    perform(membership_.handle(seedList, now), now);
+}
+
+void PeerSync::setSeeds(std::vector<Endpoint> seeds, TimePoint now)
+{
+    seeds_ = std::move(seeds);
+    passSeedsToMembership(now);
+}
+
+std::vector<std::uint32_t> PeerSync::liveBalancersOfZone() const
+{
+    const auto view = membership_.view();
+    const Member* self = view->findSelf();
+    std::vector<std::uint32_t> ids;
+    for (const Member& member : view->members) {
+        const bool isAlive = member.state != MemberState::Dead && member.state != MemberState::Leaving;
+        if (isAlive && self && member.availabilityZone == self->availabilityZone)
+            ids.push_back(member.id.value);
+    }
+    return ids;
+}
+
+void PeerSync::tick(TimePoint now)
+{
+    if (replicaSync_.replica().completeTo() > announcedRevision_) {
+        announcedRevision_ = replicaSync_.replica().completeTo();
+        perform(membership_.setConfigurationVersion(announcedRevision_, now), now);
+    }
+    perform(membership_.tick(now), now);
+    membersLog_.tick(*membership_.view(), membership_.isSettled(now), now);
+    noteFetchProgress(now);
+    perform(replicaSync_.tick(now), now);
+    logLag(now);
+}
+
+void PeerSync::logLag(TimePoint now)
+{
+    const auto since = replicaSync_.behindSince();
+    if (!since || now - *since < lagWarningThreshold) {
+        hasLoggedLag_ = hasLoggedLag_ && since;
+        return;
+    }
+    if (std::exchange(hasLoggedLag_, true))
+        return;
+    log_.write(LogLevel::Warning, "news", "behind",
+        Event()
+            .add("revision", replicaSync_.replica().completeTo())
+            .add("newest", replicaSync_.newestPeerRevision())
+            .add("behind_ms", now - *since)
+            .add("asking", fetchSource_)
+            .add("answer_bytes", fetchReceivedBytes_),
+        now);
+}
+
+void PeerSync::noteFetchProgress(TimePoint now)
+{
+    const std::uint64_t bytes = fetchClient_ ? fetchClient_->bytesTransferred() : 0;
+    if (bytes > fetchReceivedBytes_)
+        replicaSync_.noteFetchProgress(now);
+    fetchReceivedBytes_ = bytes;
+}
+
+void PeerSync::handleStoreDelta(const DeltaReceived& received, TimePoint now)
+{
+    perform(replicaSync_.handleStoreDelta(received.delta, now, received.isForOthers), now);
+}
+
+void PeerSync::leave(TimePoint now)
+{
+    isLeaving_ = true;
+    perform(membership_.leave(now), now);
+}
+
+void PeerSync::noteStoreReachability(bool isUnreachable, TimePoint now)
+{
+    const bool watches = isWatcher(now);
+    replicaSync_.setRole(watches, isUnreachable);
+    if (!isLeaving_)
+        perform(membership_.setSelfState(watches && isUnreachable ? MemberState::Detached : MemberState::Serving, now),
+            now);
+}
+
+bool PeerSync::isWatcher(TimePoint now) const { return watcherRole_.isWatcher(membership_, now); }
+
+std::uint64_t PeerSync::bytesTransferred() const
+{
+    return link_->bytesTransferred() + server_->bytesTransferred() + finishedFetchBytes_;
+}
+
+std::vector<TrafficRow> PeerSync::traffic() const
+{
+    const auto rowOf = [this](std::string_view cause, std::initializer_list<PeerMessageKind> kinds) {
+        DatagramTraffic sum;
+        for (const PeerMessageKind kind : kinds)
+            sum += link_->trafficOf(kind);
+        return TrafficRow { cause, sum.sent + sum.received, sum.sentBytes, sum.receivedBytes };
+    };
+    const std::uint64_t fetchBytes = finishedFetchBytes_ + (fetchClient_ ? fetchClient_->bytesTransferred() : 0);
+    return {
+        rowOf(
+            "membership", { PeerMessageKind::Heartbeat, PeerMessageKind::ProbeRequest, PeerMessageKind::ProbeResult }),
+        rowOf("member_pages", { PeerMessageKind::MembersRequest, PeerMessageKind::MembersPage }),
+        rowOf("pushes", { PeerMessageKind::ReplicaSync }),
+        { "fetches_asked", fetchNumber_, 0, fetchBytes },
+        { "fetches_served", fetchesServed_, server_->bytesTransferred(), 0 },
+    };
+}
+
+void PeerSync::receive(const PeerEnvelope& envelope, const Endpoint& sender)
+{
+    const TimePoint now = Clock::now();
+    if (envelope.kind != PeerMessageKind::ReplicaSync) {
+        perform(membership_.handle(PeerMessageReceived { sender, envelope }, now), now);
+        return;
+    }
+    if (const auto delta = decodeMessage<StoreDelta>(envelope.payload))
+        perform(replicaSync_.handlePush(envelope.sender, delta.value(), now), now);
+}
+
+void PeerSync::answerFetch(const std::shared_ptr<Http2Exchange>& exchange)
+{
+    const std::string& path = exchange->request().path;
+    std::uint64_t after = 0;
+    const char* end = path.data() + path.size();
+    const bool isKnown
+        = path.starts_with(deltaPath) && std::from_chars(path.data() + deltaPath.size(), end, after).ptr == end;
+    HttpResponse response;
+    if (!isKnown) {
+        response.status = 404;
+        exchange->respond(std::move(response));
+        return;
+    }
+    const auto encoding = exchange->request().header(acceptsPatchesHeader).empty() ? StoreReplica::Encoding::Full
+                                                                                   : StoreReplica::Encoding::Patched;
+    const std::vector<std::uint8_t> body
+        = encodeMessage(replicaSync_.replica().deltaSince(after, Clock::now(), encoding));
+    response.body.assign(body.begin(), body.end());
+    ++fetchesServed_;
+    exchange->respond(std::move(response));
+}
+
+void PeerSync::perform(const MembershipActions& actions, TimePoint now)
+{
+    for (const MembershipAction& action : actions) {
+        if (const auto* message = std::get_if<SendPeerMessage>(&action)) {
+            link_->send(message->to, message->envelope);
+            continue;
+        }
+        const auto& view = std::get<MembersViewChanged>(action).view;
+        membersLog_.handleView(*view, membership_.isSettled(now), now);
+        perform(replicaSync_.handleView(view, now), now);
+    }
+}
+
+void PeerSync::perform(const ReplicaSyncActions& actions, TimePoint now)
+{
+    for (const ReplicaSyncAction& action : actions) {
+        if (const auto* push = std::get_if<PushDelta>(&action)) {
+            this->push(*push);
+        } else if (const auto* fetch = std::get_if<FetchDelta>(&action)) {
+            this->fetch(*fetch);
+        } else {
+            const auto& changed = std::get<ReplicaChanged>(action);
+            if (changed.source != "store" && replicaSync_.behindSince())
+                metrics_.observeReplicaLag(now - *replicaSync_.behindSince());
+            handler_(changed);
+        }
+    }
+}
+
+void PeerSync::push(const PushDelta& push)
+{
+    link_->send(push.to,
+        { .sender = membership_.view()->self,
+            .senderIncarnation = membership_.selfIncarnation(),
+            .kind = PeerMessageKind::ReplicaSync,
+            .payload = encodeMessage(push.delta) });
+}
+
+void PeerSync::fetch(const FetchDelta& fetch)
+{
+    const Member* member = membership_.view()->find(fetch.from);
+    const std::string source = member ? member->name : "unknown";
+    const TimePoint now = Clock::now();
+    if (fetchClient_)
+        finishedFetchBytes_ += fetchClient_->bytesTransferred();
+    metrics_.countFetch("asked");
+    if (fetchClient_ && fetchClient_->openRequests() > 0)
+        log_.write(LogLevel::Warning, "news", "fetch_given_up",
+            Event()
+                .add("source", fetchSource_)
+                .add("after_ms", now - fetchSentAt_)
+                .add("answer_bytes", fetchClient_->bytesTransferred()),
+            now);
+    fetchSource_ = source;
+    fetchSentAt_ = now;
+    // Replacing the client below ends the previous request and reports its outcome. It must not count as a failure:
+    // that would start another fetch from here, and the number of requests would grow with each one abandoned.
+    ++fetchNumber_;
+    fetchClient_ = std::make_unique<Http2Client>(context_, fetch.address, fetchLimits());
+    fetchReceivedBytes_ = 0;
+    HttpRequest request;
+    request.path = fmt::format("{}{}", deltaPath, fetch.after);
+    request.authority = fetch.address.toString();
+    if (fetch.encoding == StoreReplica::Encoding::Patched)
+        request.headers.push_back({ acceptsPatchesHeader, "1" });
+    fetchClient_->send(
+        std::move(request), now + fetchTimeout, [this, source, number = fetchNumber_](const HttpOutcome& outcome) {
+            if (number == fetchNumber_)
+                handleFetchOutcome(source, outcome);
+        });
+}
+
+void PeerSync::handleFetchOutcome(const std::string& source, const HttpOutcome& outcome)
+{
+    const TimePoint now = Clock::now();
+    const bool isAnswer = outcome && outcome.value().status == 200;
+    if (!isAnswer) {
+        metrics_.countFetch("no_answer");
+        log_.write(LogLevel::Warning, "news", "fetch_failed",
+            Event()
+                .add("source", source)
+                .add("error", outcome ? fmt::format("status {}", outcome.value().status) : outcome.error().detail),
+            now);
+        perform(replicaSync_.handleFetchFailure(now), now);
+        return;
+    }
+    const std::string& body = outcome.value().body;
+    const auto delta = decodeMessage<StoreDelta>(
+        std::span(reinterpret_cast<const std::uint8_t*>(body.data()), body.size()), maxDeltaBytes);
+    if (!delta) {
+        metrics_.countFetch("unreadable");
+        log_.write(LogLevel::Error, "news", "fetch_unreadable",
+            Event().add("source", source).add("error", delta.error().toString()), now);
+        perform(replicaSync_.handleFetchFailure(now), now);
+        return;
+    }
+    metrics_.countFetch("ok");
+    log_.write(LogLevel::Info, "news", "fetched",
+        Event()
+            .add("source", source)
+            .add("after_ms", now - fetchSentAt_)
+            .add("bytes", std::uint64_t(body.size()))
+            .add("items", std::uint64_t(delta.value().items.size()))
+            .add("patches", std::uint64_t(delta.value().patches.size()))
+            .add("from", delta.value().completeFrom())
+            .add("to", delta.value().to)
+            .add("whole", boolName(delta.value().isSnapshot)),
+        now);
+    perform(replicaSync_.handleAnswer(source, delta.value(), now), now);
+}
+
+}
--- a/Source/Forwarder/StoreLink.h
+++ b/Source/Forwarder/StoreFeedDriver.h
@@ -3,7 +3,7 @@
 #include "Forwarder/ForwarderMetrics.h"
 #include "KeyValue/KeyValueClient.h"
 #include "Net/Http1Client.h"
-#include "News/StoreFeed.h"
+#include "StoreSync/StoreFeed.h"
 
 #include <boost/asio/io_context.hpp>
 
@@ -13,13 +13,15 @@
 
 namespace wisteriadock {
 
-// Sends what StoreFeed asks for to the platform's store, and gives it the answers.
-template <typename Adapter> class StoreLink {
+// Runs StoreFeed against the platform's store over HTTP/1.1: sends the listings and watches that StoreFeed requests,
+// hands it the answers and counts the calls in ForwarderMetrics. Forwarder owns it and calls tick() regularly.
+template <typename Adapter> class StoreFeedDriver {
 public:
-    // Runs with the actions that concern others: StoreNews, StoreLost, StoreRegained.
+    // Called with the actions that StoreFeedDriver does not perform itself: DeltaReceived, StoreUnreachable and
+    // StoreReachable.
     using Handler = std::function<void(const StoreFeedAction&)>;
 
-    StoreLink(boost::asio::io_context& context, Endpoint store, std::uint64_t seed, StoreFeedSettings settings,
+    StoreFeedDriver(boost::asio::io_context& context, Endpoint store, std::uint64_t seed, StoreFeedSettings settings,
         ForwarderMetrics& metrics, Handler handler)
         : client_(context, store, Http1Limits {})
         , feed_(seed, settings)
@@ -34,10 +36,10 @@
         perform(feed_.update(completeTo, shallWatch, behindSince, now));
     }
     void noteContradiction(TimePoint now) { perform(feed_.noteContradiction(now)); }
-    void tick(bool knowsWiderNeighbour, TimePoint now)
+    void tick(bool knowsFasterPeer, TimePoint now)
     {
         if (const auto progress = client_.http().progress())
-            perform(feed_.handlePageProgress(progress->received, progress->total, knowsWiderNeighbour, now));
+            perform(feed_.handlePageProgress(progress->received, progress->total, knowsFasterPeer, now));
         perform(feed_.tick(now));
     }
 
@@ -52,7 +54,7 @@
                 send(*list);
             else if (const auto* watch = std::get_if<SendWatch>(&action))
                 send(*watch);
-            else if (std::holds_alternative<LeaveListing>(action))
+            else if (std::holds_alternative<CancelListing>(action))
                 client_.http().cancelAll();
             else
                 handler_(action);
@@ -62,7 +64,7 @@
     void send(const SendList& list)
     {
         const TimePoint sent = Clock::now();
-        client_.send(list.call, sent + list.within, [this, sent](const Result<PlatformPage>& page) {
+        client_.send(list.call, sent + list.timeout, [this, sent](const Result<PlatformPage>& page) {
             const TimePoint now = Clock::now();
             count("list", page, now - sent);
             perform(feed_.handlePage(page, now));
@@ -72,7 +74,7 @@
     void send(const SendWatch& watch)
     {
         const TimePoint sent = Clock::now();
-        client_.send(watch.call, sent + watch.within,
+        client_.send(watch.call, sent + watch.timeout,
             [this, sent, number = watch.number](const Result<PlatformChanges>& changes) {
                 const TimePoint now = Clock::now();
                 count("watch", changes, now - sent);
@@ -80,15 +82,15 @@
             });
     }
 
-    template <typename Value> void count(const char* call, const Result<Value>& result, Duration took)
+    template <typename Value> void count(const char* call, const Result<Value>& result, Duration duration)
     {
-        // An idle connection of a store that stopped answering is as silent as the one that was just given up.
+        // The other connections to a store that stopped answering are probably dead too.
         if (!result)
             client_.http().closeIdle();
-        metrics_.countStoreCall(call, result ? "ok" : std::string(nameOf(result.error().code)), took);
+        metrics_.countStoreCall(call, result ? "ok" : std::string(nameOf(result.error().code)), duration);
     }
 
-    KeyValueClient<Http1Client, typename Adapter::StoreDialect> client_;
+    KeyValueClient<Http1Client, typename Adapter::StoreCodec> client_;
     StoreFeed feed_;
     ForwarderMetrics& metrics_;
     Handler handler_;
