--- a/Source/Membership/MemberTable.cpp
+++ b/Source/Membership/MemberTable.cpp
@@ -9,18 +9,20 @@
 
 namespace {
 
-    // What a row takes on the wire, in bytes: usually, and at most.
-    constexpr std::size_t usualRowBytes = 24;
-    constexpr std::size_t rowBytes = 34;
-    constexpr std::size_t detailsBytes = 32;
-    // What a message carries beside its rows.
-    constexpr std::size_t messageBytes = 32;
-    constexpr std::size_t fewestSends = 6;
-    constexpr std::size_t sendsPerMagnitude = 3;
+    // The typical and the largest size of a row on the wire without details.
+    constexpr std::size_t typicalRowBytes = 24;
+    constexpr std::size_t maxRowBytes = 34;
+    constexpr std::size_t detailsOverheadBytes = 32;
+    // The size of a message without its rows.
+    constexpr std::size_t messageOverheadBytes = 32;
+    // How often a change is sent as gossip: at least, and per power of ten of the number of members.
+    constexpr std::size_t minSends = 6;
+    constexpr std::size_t sendsPerDecade = 3;
 
     std::size_t bytesOf(const Member& member, bool withDetails)
     {
-        return rowBytes + (withDetails ? detailsBytes + member.name.size() + member.availabilityZone.size() : 0);
+        return maxRowBytes
+            + (withDetails ? detailsOverheadBytes + member.name.size() + member.availabilityZone.size() : 0);
     }
 
 }
@@ -39,7 +41,7 @@
     return found == records_.end() ? nullptr : &found->second;
 }
 
-std::vector<Endpoint> MemberTable::addressesOfAlive() const
+std::vector<Endpoint> MemberTable::aliveAddresses() const
 {
     std::vector<Endpoint> addresses;
     for (const auto& [id, record] : records_) {
@@ -49,7 +51,7 @@
     return addresses;
 }
 
-MergeOutcome MemberTable::merge(const MemberRow& row, TimePoint now, bool passOn)
+MergeOutcome MemberTable::merge(const MemberRow& row, TimePoint now, bool propagate)
 {
     if (!isWellFormed(row))
         return MergeOutcome::Ignored;
@@ -57,9 +59,9 @@
     if (record == self_)
         return MergeOutcome::AboutSelf;
     const bool isNew = !record || row.incarnation > record->member.incarnation;
-    const MergeOutcome outcome = isNew ? arrive(row, record, now) : mergeKnown(*record, row, now);
-    if (outcome == MergeOutcome::Applied && passOn)
-        spread(*find(BalancerId { row.id }), isNew);
+    const MergeOutcome outcome = isNew ? mergeNewIncarnation(row, record, now) : mergeKnown(*record, row, now);
+    if (outcome == MergeOutcome::Applied && propagate)
+        enqueueGossip(*find(BalancerId { row.id }), isNew);
     return outcome;
 }
 
@@ -71,19 +73,19 @@
         record.member.configurationVersion = row.configurationVersion;
         versionsChanged_ = true;
     }
-    return row.suspected || isGone(row) ? mergeClaim(record, row, now) : mergeLife(record, row);
+    return row.suspected || isDeadOrLeft(row) ? mergeFailureReport(record, row, now) : mergeAlive(record, row);
 }
 
-MergeOutcome MemberTable::arrive(const MemberRow& row, MemberRecord* old, TimePoint now)
+MergeOutcome MemberTable::mergeNewIncarnation(const MemberRow& row, MemberRecord* old, TimePoint now)
 {
-    if (isGone(row)) {
-        // The next incarnation has come and gone unseen, so the one known here is gone too.
+    if (isDeadOrLeft(row)) {
+        // A newer incarnation died unseen, so the known older one is dead too.
         if (!old)
             return MergeOutcome::Ignored;
         old->member.incarnation = row.incarnation;
         old->sequence = row.sequence;
         if (old->isAlive())
-            bury(*old, now);
+            markDead(*old, now);
         return MergeOutcome::Applied;
     }
     if (row.details.empty())
@@ -96,32 +98,32 @@
     record.suspected = row.suspected;
     record.changedAt = now;
     if (row.suspected)
-        watched_.insert(record.member.id);
+        unconfirmed_.insert(record.member.id);
     ++othersAlive_;
-    arrivals_.push_back(record.member.id);
+    newMembers_.push_back(record.member.id);
     membersChanged_ = true;
     return MergeOutcome::Applied;
 }
 
-MergeOutcome MemberTable::mergeLife(MemberRecord& record, const MemberRow& row)
+MergeOutcome MemberTable::mergeAlive(MemberRecord& record, const MemberRow& row)
 {
     if (row.sequence <= record.sequence)
         return MergeOutcome::Ignored;
     if (!record.isAlive()) {
         std::erase(tombstones_, record.member.id);
         ++othersAlive_;
-        arrivals_.push_back(record.member.id);
+        newMembers_.push_back(record.member.id);
     }
-    // A higher sequence alone, as after a refuted suspicion, does not show in views.
+    // Views do not contain the sequence, so a higher one alone, as after a refuted suspicion, is no change.
     membersChanged_ = membersChanged_ || record.member.state != stateOf(row);
     record.sequence = row.sequence;
     record.member.state = stateOf(row);
-    record.left = false;
+    record.hasLeft = false;
     clearSuspicion(record);
     return MergeOutcome::Applied;
 }
 
-MergeOutcome MemberTable::mergeClaim(MemberRecord& record, const MemberRow& row, TimePoint now)
+MergeOutcome MemberTable::mergeFailureReport(MemberRecord& record, const MemberRow& row, TimePoint now)
 {
     if (row.sequence < record.sequence)
         return MergeOutcome::Ignored;
@@ -129,24 +131,24 @@
     record.sequence = row.sequence;
     if (!record.isAlive())
         return MergeOutcome::Ignored;
-    if (!isGone(row) && record.member.state != stateOf(row)) {
+    if (!isDeadOrLeft(row) && record.member.state != stateOf(row)) {
         record.member.state = stateOf(row);
         membersChanged_ = true;
     }
-    // A death is taken over only from a member that was already suspected and has not answered since. Else a
-    // balancer that comes out of a cut, or has just woken, would bury everybody with the dead of its old view.
-    const bool isConfirmed = record.suspected && !record.disputed && record.lastProof < record.changedAt;
-    if (isGone(row) && isConfirmed) {
-        bury(record, now);
+    // A reported death is accepted only if the member was already suspected here and has not answered since. Otherwise
+    // the stale view of a balancer that was partitioned or paused would mark live members as dead everywhere.
+    const bool isConfirmed = record.suspected && !record.disputed && record.lastContact < record.changedAt;
+    if (isDeadOrLeft(row) && isConfirmed) {
+        markDead(record, now);
         return MergeOutcome::Applied;
     }
     if (isKnown)
         return MergeOutcome::Ignored;
     record.suspected = true;
-    record.disputed = isGone(row);
+    record.disputed = isDeadOrLeft(row);
     record.changedAt = now;
-    watched_.insert(record.member.id);
-    // A disputed death is not passed on: others would take it for a suspicion and bury the member on the next claim.
+    unconfirmed_.insert(record.member.id);
+    // A disputed death is not propagated: others would take it for a suspicion and accept the next report of the death.
     return record.disputed ? MergeOutcome::Ignored : MergeOutcome::Applied;
 }
 
@@ -165,53 +167,53 @@
     membersChanged_ = true;
 }
 
-void MemberTable::raiseSelf(std::uint64_t incarnation, std::uint32_t sequence)
+void MemberTable::setSelfIncarnation(std::uint64_t incarnation, std::uint32_t sequence)
 {
     membersChanged_ = membersChanged_ || self_->member.incarnation != incarnation;
     self_->member.incarnation = incarnation;
     self_->sequence = sequence;
-    spread(*self_, false);
+    enqueueGossip(*self_, false);
 }
 
 void MemberTable::suspect(MemberRecord& record, TimePoint now)
 {
-    record.suspectedHere = true;
+    record.suspectedLocally = true;
     record.disputed = false;
     record.suspected = true;
     record.changedAt = now;
-    watched_.insert(record.member.id);
-    spread(record, false);
+    unconfirmed_.insert(record.member.id);
+    enqueueGossip(record, false);
 }
 
 void MemberTable::clearSuspicion(MemberRecord& record)
 {
     record.suspected = false;
-    record.suspectedHere = false;
+    record.suspectedLocally = false;
     record.disputed = false;
-    if (!record.awaitingSince)
-        watched_.erase(record.member.id);
+    if (!record.unansweredSince)
+        unconfirmed_.erase(record.member.id);
 }
 
 void MemberTable::declareDead(MemberRecord& record, TimePoint now)
 {
-    bury(record, now);
-    spread(record, false);
+    markDead(record, now);
+    enqueueGossip(record, false);
 }
 
-void MemberTable::restartSuspicions(TimePoint now)
+void MemberTable::restartSuspicionTimeouts(TimePoint now)
 {
-    for (const BalancerId id : watched_) {
+    for (const BalancerId id : unconfirmed_) {
         MemberRecord& record = records_.at(id);
         if (record.suspected)
             record.changedAt = now;
     }
 }
 
-void MemberTable::bury(MemberRecord& record, TimePoint now)
+void MemberTable::markDead(MemberRecord& record, TimePoint now)
 {
-    record.left = record.member.state == MemberState::Leaving;
+    record.hasLeft = record.member.state == MemberState::Leaving;
     record.member.state = MemberState::Dead;
-    record.awaitingSince.reset();
+    record.unansweredSince.reset();
     clearSuspicion(record);
     record.changedAt = now;
     tombstones_.push_back(record.member.id);
@@ -219,11 +221,11 @@
     membersChanged_ = true;
 }
 
-void MemberTable::spread(MemberRecord& record, bool withDetails)
+void MemberTable::enqueueGossip(MemberRecord& record, bool withDetails)
 {
-    record.newsHasDetails = withDetails || (record.newsHasDetails && news_.contains(record.member.id));
-    const double magnitude = std::ceil(std::log10(static_cast<double>(records_.size() + 1)));
-    news_.push(record.member.id, std::max(fewestSends, sendsPerMagnitude * static_cast<std::size_t>(magnitude)));
+    record.gossipHasDetails = withDetails || (record.gossipHasDetails && gossip_.contains(record.member.id));
+    const double decades = std::ceil(std::log10(static_cast<double>(records_.size() + 1)));
+    gossip_.push(record.member.id, std::max(minSends, sendsPerDecade * static_cast<std::size_t>(decades)));
 }
 
 void MemberTable::erase(BalancerId id)
@@ -233,28 +235,28 @@
         --othersAlive_;
     else
         std::erase(tombstones_, id);
-    watched_.erase(id);
-    news_.erase(id);
+    unconfirmed_.erase(id);
+    gossip_.erase(id);
     records_.erase(found);
     membersChanged_ = true;
 }
 
-Duration MemberTable::suspicionTime() const
+Duration MemberTable::suspicionTimeout() const
 {
     const double factor = std::max(1.0, std::log2(static_cast<double>(othersAlive_ + 1)) / 3);
-    return std::chrono::duration_cast<Duration>(settings_.suspicion * factor);
+    return std::chrono::duration_cast<Duration>(settings_.suspicionTimeout * factor);
 }
 
-std::vector<BalancerId> MemberTable::takeArrivals() { return std::exchange(arrivals_, {}); }
+std::vector<BalancerId> MemberTable::takeNewMembers() { return std::exchange(newMembers_, {}); }
 
-std::optional<BalancerId> MemberTable::anyDead(std::mt19937_64& random) const
+std::optional<BalancerId> MemberTable::randomDead(std::mt19937_64& random) const
 {
     if (tombstones_.empty())
         return std::nullopt;
     const std::size_t start = random() % tombstones_.size();
     for (std::size_t i = 0; i < tombstones_.size(); ++i) {
         const BalancerId id = tombstones_[(start + i) % tombstones_.size()];
-        if (!records_.at(id).left)
+        if (!records_.at(id).hasLeft)
             return id;
     }
     return std::nullopt;
@@ -271,40 +273,40 @@
     }
 }
 
-std::vector<MemberRow> MemberTable::takeNews(std::size_t& bytes)
+std::vector<MemberRow> MemberTable::takeGossip(std::size_t& bytes)
 {
     std::vector<MemberRow> rows;
-    for (std::size_t left = news_.size(); left > 0 && bytes >= usualRowBytes; --left) {
-        const auto id = news_.pop();
+    for (std::size_t left = gossip_.size(); left > 0 && bytes >= typicalRowBytes; --left) {
+        const auto id = gossip_.pop();
         const MemberRecord& record = records_.at(*id);
-        bytes -= std::min(bytes, bytesOf(record.member, record.newsHasDetails) - (rowBytes - usualRowBytes));
-        rows.push_back(rowOf(record, record.newsHasDetails));
+        bytes -= std::min(bytes, bytesOf(record.member, record.gossipHasDetails) - (maxRowBytes - typicalRowBytes));
+        rows.push_back(rowOf(record, record.gossipHasDetails));
     }
     return rows;
 }
 
-std::vector<MemberRow> MemberTable::takeRotation(std::size_t count)
+std::vector<MemberRow> MemberTable::takeAntiEntropyRows(std::size_t count)
 {
     std::vector<MemberRow> rows;
     for (std::size_t i = 0; i < std::min(count, records_.size()); ++i) {
-        auto next = records_.upper_bound(rotation_);
+        auto next = records_.upper_bound(antiEntropyPosition_);
         if (next == records_.end())
             next = records_.begin();
-        rotation_ = next->first;
+        antiEntropyPosition_ = next->first;
         rows.push_back(rowOf(next->second, false));
     }
     return rows;
 }
 
-std::vector<MemberRow> MemberTable::page(std::uint32_t after, bool& isLast) const
+std::vector<MemberRow> MemberTable::page(std::uint32_t afterId, bool& isLast) const
 {
     std::vector<MemberRow> rows;
-    std::size_t used = messageBytes;
-    auto next = records_.upper_bound(BalancerId { after });
+    std::size_t used = messageOverheadBytes;
+    auto next = records_.upper_bound(BalancerId { afterId });
     for (; next != records_.end(); ++next) {
         const bool withDetails = next->second.isAlive();
         used += bytesOf(next->second.member, withDetails);
-        if (used > largestPeerPayload)
+        if (used > maxPeerPayloadBytes)
             break;
         rows.push_back(rowOf(next->second, withDetails));
     }
@@ -312,11 +314,11 @@
     return rows;
 }
 
-std::vector<MemberRow> MemberTable::rowsAbove(std::uint32_t after, std::size_t most, bool& isLast) const
+std::vector<MemberRow> MemberTable::rowsAfter(std::uint32_t afterId, std::size_t maxRows, bool& isLast) const
 {
     std::vector<MemberRow> rows;
-    auto next = records_.upper_bound(BalancerId { after });
-    for (; next != records_.end() && rows.size() < most; ++next)
+    auto next = records_.upper_bound(BalancerId { afterId });
+    for (; next != records_.end() && rows.size() < maxRows; ++next)
         rows.push_back(rowOf(next->second, next->second.isAlive()));
     isLast = next == records_.end();
     return rows;
@@ -325,13 +327,13 @@
 std::vector<MemberRow> MemberTable::rowsOf(const std::vector<std::uint32_t>& ids) const
 {
     std::vector<MemberRow> rows;
-    std::size_t used = messageBytes;
+    std::size_t used = messageOverheadBytes;
     for (const std::uint32_t id : ids) {
         const auto found = records_.find(BalancerId { id });
         if (found == records_.end())
             continue;
         used += bytesOf(found->second.member, true);
-        if (used > largestPeerPayload)
+        if (used > maxPeerPayloadBytes)
             break;
         rows.push_back(rowOf(found->second, true));
     }
@@ -346,8 +348,8 @@
     view->isolated = isolated;
     view->members.reserve(records_.size());
     for (const auto& [id, record] : records_) {
-        // Who left by plan is no loss to be shown.
-        if (!record.left)
+        // Members that left as planned are not listed as dead.
+        if (!record.hasLeft)
             view->members.push_back(record.member);
     }
     membersChanged_ = false;
--- a/Source/Membership/MembersPages.cpp
+++ b/Source/Membership/MembersPages.cpp
@@ -1,6 +1,6 @@
 #include "Membership/MembersPages.h"
 
-#include "Wire/PackedBytes.h"
+#include "Wire/Compression.h"
 #include "Wire/PeerMessageCodec.h"
 
 #include <algorithm>
@@ -10,31 +10,31 @@
 
 namespace {
 
-    // What a page carries beside its packed rows, in bytes.
-    constexpr std::size_t pageBytes = 24;
-    constexpr std::size_t mostPackedBytes = largestPeerPayload - pageBytes;
-    // As many as fit where names are short; fewer are tried when these don't.
-    constexpr std::size_t mostPackedRows = 96;
-    // The most that a page of so many rows unpacks to, with the longest names.
-    constexpr std::size_t mostUnpackedBytes = std::size_t(32) * 1024;
+    // The size of a page without its compressed rows.
+    constexpr std::size_t pageOverheadBytes = 24;
+    constexpr std::size_t maxCompressedBytes = maxPeerPayloadBytes - pageOverheadBytes;
+    // The first attempt; fewer rows are tried if these do not fit.
+    constexpr std::size_t maxCompressedRows = 96;
+    // The largest decompressed size of maxCompressedRows rows with the longest names.
+    constexpr std::size_t maxDecompressedBytes = std::size_t(32) * 1024;
 
-    std::string packedRows(const std::vector<MemberRow>& rows)
+    std::string compressedRows(const std::vector<MemberRow>& rows)
     {
         const std::vector<std::uint8_t> bytes = encodeMessage(rows);
-        return packBytes({ reinterpret_cast<const char*>(bytes.data()), bytes.size() });
+        return compressBytes({ reinterpret_cast<const char*>(bytes.data()), bytes.size() });
     }
 
-    MembersPageMessage packedPage(std::uint32_t after, const MemberTable& table)
+    MembersPageMessage compressedPage(std::uint32_t after, const MemberTable& table)
     {
         MembersPageMessage page { after, false, false, {} };
-        std::vector<MemberRow> rows = table.rowsAbove(after, mostPackedRows, page.last);
-        page.packedRows = packedRows(rows);
-        while (page.packedRows.size() > mostPackedBytes && rows.size() > 1) {
-            // A little fewer than the sizes suggest, since fewer rows are packed less well.
-            const std::size_t fitting = rows.size() * mostPackedBytes / page.packedRows.size();
+        std::vector<MemberRow> rows = table.rowsAfter(after, maxCompressedRows, page.last);
+        page.compressedRows = compressedRows(rows);
+        while (page.compressedRows.size() > maxCompressedBytes && rows.size() > 1) {
+            // Slightly fewer rows than the ratio of the sizes suggests, since fewer rows compress less well.
+            const std::size_t fitting = rows.size() * maxCompressedBytes / page.compressedRows.size();
             rows.resize(std::max<std::size_t>(1, std::min(rows.size() - 1, fitting * 15 / 16)));
             page.last = false;
-            page.packedRows = packedRows(rows);
+            page.compressedRows = compressedRows(rows);
         }
         return page;
     }
@@ -45,8 +45,8 @@
 {
     if (!request.ids.empty())
         return { request.after, true, false, table.rowsOf(request.ids) };
-    if (request.takesPacked)
-        return packedPage(request.after, table);
+    if (request.acceptsCompressed)
+        return compressedPage(request.after, table);
     MembersPageMessage page { request.after, false, false, {} };
     page.rows = table.page(request.after, page.last);
     return page;
@@ -54,11 +54,11 @@
 
 Result<std::vector<MemberRow>> rowsOf(const MembersPageMessage& page)
 {
-    if (page.packedRows.empty())
+    if (page.compressedRows.empty())
         return page.rows;
-    BOOST_OUTCOME_TRY(bytes, unpackBytes(page.packedRows, mostUnpackedBytes));
+    BOOST_OUTCOME_TRY(bytes, decompressBytes(page.compressedRows, maxDecompressedBytes));
     return decodeMessage<std::vector<MemberRow>>(
-        std::span(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()), mostUnpackedBytes);
+        std::span(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()), maxDecompressedBytes);
 }
 
 }
--- a/Source/Net/Http1Server.cpp
+++ b/Source/Net/Http1Server.cpp
@@ -16,25 +16,25 @@
 
 namespace http = boost::beast::http;
 using boost::asio::ip::tcp;
-using ErrorValue = boost::system::error_code;
+using BoostErrorCode = boost::system::error_code;
 
 namespace {
 
-    // Checks come every half second; a connection without a request for this long belongs to nobody any more.
-    constexpr auto idleLimit = std::chrono::seconds(15);
-    // Nothing that this server answers takes a body.
-    constexpr std::uint64_t bodyLimit = 4096;
-    constexpr std::uint32_t headerLimit = 8192;
-    // More connections than monitors and routers need; it bounds descriptors and memory.
-    constexpr std::size_t connectionLimit = 64;
-    constexpr auto acceptPause = std::chrono::milliseconds(100);
+    // Longer than the interval between readiness checks, so that their connections are reused.
+    constexpr auto idleTimeout = std::chrono::seconds(15);
+    // No request of this server needs a body.
+    constexpr std::uint64_t maxBodyBytes = 4096;
+    constexpr std::uint32_t maxHeaderBytes = 8192;
+    // Bounds the file descriptors and memory in use.
+    constexpr std::size_t maxConnections = 64;
+    constexpr auto acceptRetryDelay = std::chrono::milliseconds(100);
 
 }
 
 struct Http1Server::Shared {
     tcp::acceptor acceptor;
     Handler handler;
-    boost::asio::steady_timer pause;
+    boost::asio::steady_timer acceptTimer;
     std::set<std::shared_ptr<Connection>> connections {};
 };
 
@@ -50,29 +50,30 @@
     void read()
     {
         parser_.emplace();
-        parser_->header_limit(headerLimit);
-        parser_->body_limit(bodyLimit);
-        timer_.expires_after(idleLimit);
-        timer_.async_wait([self = shared_from_this()](const ErrorValue& error) {
+        parser_->header_limit(maxHeaderBytes);
+        parser_->body_limit(maxBodyBytes);
+        timer_.expires_after(idleTimeout);
+        timer_.async_wait([self = shared_from_this()](const BoostErrorCode& error) {
             if (!error)
                 self->close();
         });
-        http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](const ErrorValue& error, std::size_t) {
-            error ? self->close() : self->answer();
-        });
+        http::async_read(
+            socket_, buffer_, *parser_, [self = shared_from_this()](const BoostErrorCode& error, std::size_t) {
+                error ? self->close() : self->handleRequest();
+            });
     }
 
     void close()
     {
         timer_.cancel();
-        ErrorValue ignored;
+        BoostErrorCode ignored;
         socket_.close(ignored);
         if (const auto owner = owner_.lock())
             owner->connections.erase(shared_from_this());
     }
 
 private:
-    // Ties the answer to a connection that may have ended meanwhile.
+    // Passes the response to its connection, which may have closed in the meantime.
     class Exchange : public Http1Exchange {
     public:
         Exchange(std::shared_ptr<Connection> connection, HttpRequest request)
@@ -100,7 +101,7 @@
         HttpRequest request_;
     };
 
-    void answer()
+    void handleRequest()
     {
         timer_.cancel();
         const auto owner = owner_.lock();
@@ -125,7 +126,7 @@
         response_.body() = std::move(response.body);
         response_.keep_alive(parser_->get().keep_alive());
         response_.prepare_payload();
-        http::async_write(socket_, response_, [self = shared_from_this()](const ErrorValue& error, std::size_t) {
+        http::async_write(socket_, response_, [self = shared_from_this()](const BoostErrorCode& error, std::size_t) {
             error || !self->response_.keep_alive() ? self->close() : self->read();
         });
     }
@@ -142,7 +143,7 @@
     boost::asio::io_context& context, Endpoint endpoint, Handler handler)
 {
     tcp::acceptor acceptor(context);
-    ErrorValue error;
+    BoostErrorCode error;
     acceptor.open(tcp::v4(), error);
     if (!error)
         acceptor.set_option(tcp::acceptor::reuse_address(true), error);
@@ -166,7 +167,7 @@
 
 Http1Server::~Http1Server()
 {
-    ErrorValue ignored;
+    BoostErrorCode ignored;
     shared_->acceptor.close(ignored);
     const auto connections = shared_->connections;
     for (const auto& connection : connections)
@@ -175,19 +176,19 @@
 
 Endpoint Http1Server::address() const
 {
-    ErrorValue ignored;
+    BoostErrorCode ignored;
     return fromAsio(shared_->acceptor.local_endpoint(ignored));
 }
 
 void Http1Server::accept(const std::shared_ptr<Shared>& shared)
 {
-    shared->acceptor.async_accept([weak = std::weak_ptr(shared)](const ErrorValue& error, tcp::socket socket) {
+    shared->acceptor.async_accept([weak = std::weak_ptr(shared)](const BoostErrorCode& error, tcp::socket socket) {
         const auto owner = weak.lock();
         if (!owner || error == boost::asio::error::operation_aborted)
             return;
         if (error)
             return acceptLater(owner);
-        if (owner->connections.size() < connectionLimit) {
+        if (owner->connections.size() < maxConnections) {
             auto connection = std::make_shared<Connection>(owner, std::move(socket));
             owner->connections.insert(connection);
             connection->read();
@@ -196,12 +197,12 @@
     });
 }
 
-// While the process has no descriptor left, accepting fails again and again; without a pause that takes the whole
-// processor.
+// Retries accepting after a delay. Without it the loop would use a whole processor while the process is out of file
+// descriptors.
 void Http1Server::acceptLater(const std::shared_ptr<Shared>& shared)
 {
-    shared->pause.expires_after(acceptPause);
-    shared->pause.async_wait([weak = std::weak_ptr(shared)](const boost::system::error_code& error) {
+    shared->acceptTimer.expires_after(acceptRetryDelay);
+    shared->acceptTimer.async_wait([weak = std::weak_ptr(shared)](const boost::system::error_code& error) {
         if (const auto owner = weak.lock(); owner && !error)
             accept(owner);
     });
--- a/Source/Peers/ConfigurationWatchers.cpp
+++ b/Source/Peers/ConfigurationWatchers.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    // Sets this choice apart from other rendezvous choices among the same members.
+    // Makes this choice independent of other rendezvous choices among the same members.
     constexpr std::uint64_t choiceSeed = 0x636f6e66;
 
     bool mayWatch(const Member& member)
@@ -20,22 +20,23 @@
         return member.state == MemberState::Serving || member.state == MemberState::Detached;
     }
 
-    // Wide links first: the store's answer holds the whole configuration at each change of it, which takes 2 s on a
-    // link of 10 Mbit/s for 10,000 routes, and the zone's readiness checks and heartbeats wait behind it.
+    // Members of lower rank watch first. Fast links rank lowest: every change of the configuration transfers all of it,
+    // which blocks readiness checks and heartbeats on a slow link.
     std::tuple<int, std::uint64_t, BalancerId> rankOf(const Member& member)
     {
-        return { -widthClassOf(member.linkMegabits), hashPair(choiceSeed, member.id.value), member.id };
+        return { -bandwidthClassOf(member.linkMegabits), hashPair(choiceSeed, member.id.value), member.id };
     }
 
-    std::size_t watchersInZone(std::size_t availabilityZones, const WatcherNumbers& numbers)
+    std::size_t watchersPerZone(std::size_t availabilityZones, const WatcherCounts& counts)
     {
-        const std::size_t share = (numbers.inAll + availabilityZones - 1) / std::max<std::size_t>(availabilityZones, 1);
-        return std::max(numbers.perAvailabilityZone, share);
+        const std::size_t share
+            = (counts.minTotal + availabilityZones - 1) / std::max<std::size_t>(availabilityZones, 1);
+        return std::max(counts.perAvailabilityZone, share);
     }
 
 }
 
-bool shallWatchConfiguration(const MembersView& view, const WatcherNumbers& numbers)
+bool isConfigurationWatcher(const MembersView& view, const WatcherCounts& counts)
 {
     const Member* self = view.findSelf();
     if (!self)
@@ -54,10 +55,10 @@
             continue;
         ++(member.state == MemberState::Serving ? servingAhead : detachedAhead);
     }
-    if (known < fewestMembersToShareWatching)
+    if (known < minMembersToElectWatchers)
         return true;
-    return mayWatch(*self) && servingAhead < watchersInZone(availabilityZones.size(), numbers)
-        && detachedAhead < numbers.replacedPerAvailabilityZone;
+    return mayWatch(*self) && servingAhead < watchersPerZone(availabilityZones.size(), counts)
+        && detachedAhead < counts.maxDetachedPerAvailabilityZone;
 }
 
 }
--- a/Source/Request/RefusalWriter.h
+++ b/Source/Request/RefusalWriter.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "Request/BucketKeeper.h"
-#include "Request/RefusalFence.h"
+#include "Request/BucketManager.h"
+#include "Request/PendingRefusals.h"
 #include "Request/RequestActions.h"
 #include "Request/WorkTable.h"
 
@@ -12,34 +12,36 @@
 
 namespace wisteriadock {
 
-// Writes the refusals of one RequestRunner, whose parts it looks at, and makes sure that "not run" is true of the key.
+// Writes the refusals of one RequestRunner. Reads the runner's claims and work to make sure that "not run" is true of
+// the key.
 class RefusalWriter {
 public:
-    RefusalWriter(BucketKeeper&, WorkTable&, Duration backupTimeout, std::uint64_t seed);
+    RefusalWriter(BucketManager&, WorkTable&, Duration backupTimeout, std::uint64_t seed);
 
-    void refuse(TryId, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
-    void refuseAll(const std::vector<WorkWaiter>&, RefusalReason, Executed, std::chrono::milliseconds comeBackIn = {});
+    void refuse(AttemptId, RefusalReason, Executed, std::chrono::milliseconds retryDelay = {});
+    void refuseAll(const std::vector<WorkWaiter>&, RefusalReason, Executed, std::chrono::milliseconds retryDelay = {});
 
     // Refuses as not run after the bucket's backup confirmed that this balancer still owns the key.
-    void refuseFenced(const FencedRefusal&, TimePoint now);
-    // The same at once. For keys whose claim was held in this balancer's name: nobody else can have run them.
-    void refuseOwn(const FencedRefusal&, TimePoint now);
+    void refuseWhenConfirmed(const PendingRefusal&, TimePoint now);
+    // Refuses without asking the backup: as not run, or as in progress when another attempt uses the key. For keys
+    // whose claim the backup acknowledged: no other balancer can have run them.
+    void refuseAtOnce(const PendingRefusal&, TimePoint now);
 
-    void takeEpochChecked(const Holder& from, const EpochChecked&, TimePoint now);
-    // The epoch has changed: what waits can't be confirmed any more.
-    void abandonFenced();
-    void expireFenced(TimePoint now);
+    void handleEpochChecked(const BalancerInstance& from, const EpochChecked&, TimePoint now);
+    // The epoch has changed: pending refusals can't be confirmed any more and are sent as unknown.
+    void abandonPending();
+    void expirePending(TimePoint now);
 
-    // Refusals and questions to backups.
+    // Refusals and epoch checks to send.
     std::vector<RequestAction> takeActions(TimePoint now);
-    std::size_t waiting() const { return fence_.size(); }
+    std::size_t waiting() const { return pending_.size(); }
 
 private:
-    void refuseNotRun(const FencedRefusal&, TimePoint now);
+    void refuseNotRun(const PendingRefusal&, TimePoint now);
 
-    BucketKeeper& keeper_;
+    BucketManager& buckets_;
     WorkTable& works_;
-    RefusalFence fence_;
+    PendingRefusals pending_;
     std::mt19937_64 random_;
     std::vector<RequestAction> actions_;
 };
--- a/Source/Request/RequestRouter.cpp
+++ b/Source/Request/RequestRouter.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-    bool isReachable(const Holder& holder, const MembersView& view)
+    bool isReachable(const BalancerInstance& holder, const MembersView& view)
     {
         return std::any_of(view.members.begin(), view.members.end(), [&](const Member& member) {
             if (member.id != holder.id)
                 return false;
-            // A record that names a later start than the view knows is the newer word on that balancer.
+            // A record that names a later incarnation is newer than the view.
             const bool isViewBehind = member.incarnation < holder.incarnation;
             return isViewBehind || (member.incarnation == holder.incarnation && member.state != MemberState::Dead);
         });
@@ -19,7 +19,7 @@
 
 }
 
-RequestRouter::RequestRouter(const Holder& self, std::vector<std::string> zones)
+RequestRouter::RequestRouter(const BalancerInstance& self, std::vector<std::string> zones)
     : self_(self)
     , zones_(std::move(zones))
 {
@@ -49,10 +49,10 @@
     if (!pair)
         return {};
     if (pair->owner == self_)
-        return { TryRouteKind::Local, self_ };
+        return { AttemptRouteKind::Local, self_ };
     if (!isReachable(pair->owner, view))
-        return { TryRouteKind::Unreachable, pair->owner };
-    return { TryRouteKind::Forward, pair->owner };
+        return { AttemptRouteKind::Unreachable, pair->owner };
+    return { AttemptRouteKind::Forward, pair->owner };
 }
 
 }
--- a/Source/Request/WorkClaims.h
+++ b/Source/Request/WorkClaims.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Clock.h"
-#include "Request/BucketKeeper.h"
+#include "Request/BucketManager.h"
 #include "Request/ClaimMessages.h"
 #include "Request/WorkTable.h"
 
@@ -10,23 +10,23 @@
 
 namespace wisteriadock {
 
-// What became of the wish to claim a key.
-enum class ClaimStart {
+// The result of begin().
+enum class ClaimResult {
     Held, // The zone has one holder: the claim is held.
-    Asked, // The backup has been asked.
+    Pending, // The claim was sent to the backup.
     NotOwner,
-    NoRoom,
+    TableFull,
 };
 
-// Writes the claims of one RequestRunner's own work into its table and tells the other holders. For idempotent work,
-// which has no key, nothing happens.
+// Writes the claims of one RequestRunner's own work into its claim table and sends them to the other holders. Does
+// nothing for idempotent work, which has no key.
 class WorkClaims {
 public:
-    WorkClaims(const Holder& self, BucketKeeper&, WorkTable&);
+    WorkClaims(const BalancerInstance& self, BucketManager&, WorkTable&);
 
-    ClaimStart begin(Work&, TimePoint now);
+    ClaimResult begin(Work&, TimePoint now);
     void recordSent(const Work&, TimePoint now);
-    void recordEnd(const Work&, bool isAnswered, const WholeAnswer&, TimePoint now);
+    void recordOutcome(const Work&, bool isAnswered, const SharedResponse&, TimePoint now);
     // The claim will not be used (any more).
     void withdraw(const Work&);
 
@@ -34,10 +34,10 @@
 
 private:
     ClaimRecord recordOf(const Work&, ClaimState, TimePoint now) const;
-    void tellHolders(std::uint32_t bucket, const RequestMessage&);
+    void notifyHolders(std::uint32_t bucket, const RequestMessage&);
 
-    Holder self_;
-    BucketKeeper& keeper_;
+    BalancerInstance self_;
+    BucketManager& buckets_;
     WorkTable& works_;
     std::uint64_t lastSequence_ = 0;
     std::vector<OutgoingMessage> messages_;
--- a/Source/Settings/IniDocument.cpp
+++ b/Source/Settings/IniDocument.cpp
@@ -43,7 +43,7 @@
             [](unsigned char character) { return (character < ' ' && character != '\t') || character == 0x7f; });
     }
 
-    // Problems show the text as printable ASCII, so that garbage can't steer an operator's terminal.
+    // Returns an excerpt in printable ASCII, so that the text of a problem can't contain terminal escape sequences.
     std::string printable(std::string_view text)
     {
         constexpr std::size_t maxShownBytes = 60;
@@ -62,11 +62,11 @@
     return found == entries.end() ? nullptr : &*found;
 }
 
-// Feeds libinih line by line and takes its key-value pairs.
+// Passes the lines to libinih one by one and collects the key-value pairs that it finds.
 //
-// It reads section headers and refuses broken lines itself, because libinih would hide both: it says nothing of an
-// empty or repeated section, cuts section names at 49 bytes so that two names may become one, treats an indented line
-// as the continuation of the value before it, and reports only the first syntax error.
+// Parses section headers and checks lines itself, because libinih does not report empty or duplicate sections,
+// truncates section names to 49 bytes, takes an indented line as a continuation of the previous value, and reports only
+// the first syntax error.
 class IniLineReader {
 public:
     IniLineReader(IniDocument& document, std::string_view text)
@@ -80,7 +80,7 @@
     void run()
     {
         ini_parse_stream(&IniLineReader::readLine, this, &IniLineReader::handleEntry, this);
-        checkLastLineWasTaken();
+        checkLastLineWasParsed();
     }
 
 private:
@@ -91,13 +91,13 @@
 
     static int handleEntry(void* self, const char*, const char* key, const char* value)
     {
-        static_cast<IniLineReader*>(self)->takeEntry(key, value);
+        static_cast<IniLineReader*>(self)->addEntry(key, value);
         return 1;
     }
 
     char* nextLine(char* buffer, std::size_t size)
     {
-        checkLastLineWasTaken();
+        checkLastLineWasParsed();
         if (rest_.empty())
             return nullptr;
 
@@ -106,15 +106,15 @@
         rest_.remove_prefix(std::min(lineEnd + 1, rest_.size()));
         ++lineNumber_;
 
-        const bool isForIni = checkLine(line, size);
-        const std::size_t length = isForIni ? line.copy(buffer, line.size()) : 0;
+        const bool isKeyValueLine = checkLine(line, size);
+        const std::size_t length = isKeyValueLine ? line.copy(buffer, line.size()) : 0;
         buffer[length] = '\0';
-        if (isForIni)
+        if (isKeyValueLine)
             pendingLine_ = line;
         return buffer;
     }
 
-    // Whether the line should hold a key and value, for libinih to take apart.
+    // Returns whether the line should contain a key and a value, which libinih splits.
     bool checkLine(std::string_view line, std::size_t bufferSize)
     {
         if (line.empty() || isComment(line))
@@ -140,30 +140,30 @@
         const std::string name = close == std::string_view::npos ? std::string() : joinWords(line.substr(1, close - 1));
         const std::string_view rest = close == std::string_view::npos ? "" : trim(line.substr(close + 1));
         if (name.empty() || !(rest.empty() || isComment(rest))) {
-            // The keys below belong to a section nobody can name; they are read so that their syntax is checked.
-            isSkipping_ = true;
+            // The keys below the broken header are skipped, but their syntax is checked.
+            isSkippingSection_ = true;
             addProblem({}, line, "a section header such as [section], alone on its line");
             return;
         }
 
         const auto [known, isNew] = lineOfSection_.emplace(name, lineNumber_);
-        isSkipping_ = !isNew;
+        isSkippingSection_ = !isNew;
         if (isNew) {
             document_.sections_.push_back({ name, lineNumber_, {} });
             return;
         }
         document_.problems_.add({ document_.file_, lineNumber_, name, {}, {},
-            fmt::format("this section once; it stands on line {} already", known->second) });
+            fmt::format("this section only once; first defined on line {}", known->second) });
     }
 
-    void takeEntry(std::string_view key, std::string_view value)
+    void addEntry(std::string_view key, std::string_view value)
     {
         const std::string_view line = std::exchange(pendingLine_, {});
         if (key.empty()) {
             addProblem({}, line, "key = value");
             return;
         }
-        if (isSkipping_)
+        if (isSkippingSection_)
             return;
         if (document_.sections_.empty()) {
             addProblem(key, value, "a section header such as [section] before the first key");
@@ -172,7 +172,7 @@
 
         IniSection& section = document_.sections_.back();
         if (const IniEntry* earlier = section.find(key)) {
-            addProblem(key, value, fmt::format("this key once; it stands on line {} already", earlier->line));
+            addProblem(key, value, fmt::format("this key only once; first defined on line {}", earlier->line));
             return;
         }
         if (section.entries.size() >= maxIniKeysPerSection) {
@@ -182,8 +182,8 @@
         section.entries.push_back({ std::string(key), std::string(value), lineNumber_ });
     }
 
-    // libinih calls back for a line only if it could take it apart.
-    void checkLastLineWasTaken()
+    // libinih calls handleEntry() only for lines that it could split.
+    void checkLastLineWasParsed()
     {
         const std::string_view line = std::exchange(pendingLine_, {});
         if (!line.empty())
@@ -193,7 +193,7 @@
     void addProblem(std::string_view key, std::string_view value, std::string expected)
     {
         std::string section;
-        if (!isSkipping_ && !document_.sections_.empty())
+        if (!isSkippingSection_ && !document_.sections_.empty())
             section = document_.sections_.back().name;
         document_.problems_.add(
             { document_.file_, lineNumber_, section, printable(key), printable(value), std::move(expected) });
@@ -203,7 +203,7 @@
     std::string_view rest_;
     std::size_t lineNumber_ = 0;
     std::string_view pendingLine_;
-    bool isSkipping_ = false;
+    bool isSkippingSection_ = false;
     std::unordered_map<std::string, std::size_t> lineOfSection_;
 };
 
--- a/Source/Soak/SoakRun.h
+++ b/Source/Soak/SoakRun.h
@@ -6,7 +6,7 @@
 #include "FaultProxy/FaultProxy.h"
 #include "Net/Http1Client.h"
 #include "Soak/SoakCallers.h"
-#include "Soak/SoakJudge.h"
+#include "Soak/SoakChecker.h"
 #include "Soak/SoakSchedule.h"
 #include "Soak/SoakServer.h"
 #include "Soak/SoakStore.h"
@@ -25,16 +25,17 @@
 namespace wisteriadock {
 
 struct SoakOptions {
-    // wisteriadock-forwarder.
-    std::filesystem::path program;
+    // The path of wisteriadock-forwarder.
+    std::filesystem::path forwarderProgram;
     std::size_t availabilityZones = 3;
     std::size_t balancersPerZone = 2;
     std::size_t serversPerZone = 4;
     std::size_t flowsPerSecond = 60;
 };
 
-// One run of a plan: real forwarders as separate processes on loopback, and in this process the callers, routers,
-// backend servers and the store, all of them behind the fault proxy's links. Every address is of this run alone.
+// One run of a plan: forwarders as separate processes on loopback, and in this process the callers, routers, backend
+// servers and the store. Packets to the forwarders and their calls to the store pass through the fault proxy.
+// Concurrent runs use disjoint addresses. Used by the wisteriadock-soak program.
 class SoakRun {
 public:
     SoakRun(const SoakOptions&, const SoakPlan&, EventLoop&, const RunDirectory&);
@@ -42,49 +43,49 @@
     SoakRun(const SoakRun&) = delete;
     SoakRun& operator=(const SoakRun&) = delete;
 
-    // Fails when the run could not be made; what was broken stands in the judge.
+    // Returns an error if the run could not be performed. Broken guarantees are listed by the checker.
     Result<void> run();
 
-    const SoakJudge& judge() const { return judge_; }
+    const SoakChecker& checker() const { return checker_; }
 
 private:
-    // The platform's bound for a planned stop, shortened.
-    static constexpr std::chrono::milliseconds grace { 3000 };
+    // The time that a forwarder has for a planned stop, shorter than on the platform.
+    static constexpr std::chrono::milliseconds stopGracePeriod { 3000 };
     static constexpr std::array<const char*, 2> services { "tryon", "scanintake" };
 
-    // Routes are addresses that only stand in packets.
+    // Route addresses occur only inside packets; nothing is bound to them.
     static Endpoint routeOf(std::uint32_t number) { return { 0xC6120000 + number, 443 }; }
 
     struct Balancer {
         std::string name;
         std::string availabilityZone;
-        Endpoint address; // Its own, without a port.
+        Endpoint address; // The address of its own; the port is 0.
         std::string packetLink;
         std::string storeLink;
-        Endpoint packetEntry; // Where routers send.
-        Endpoint storeEntry; // Where it finds the store.
+        Endpoint packetProxyAddress; // The proxy link by which routers reach it.
+        Endpoint storeProxyAddress; // The proxy link by which it reaches the store.
         std::unique_ptr<ChildProcess> process;
         std::unique_ptr<Http1Client> readiness;
-        // Counts missed checks; two take it out of the rotation.
+        // Consecutive failed readiness checks; two remove it from rotation.
         int misses = 2;
-        bool isCheckOpen = false;
-        // Why it is expected to be down, and when it is started again.
-        bool isEndExpected = false;
+        bool isCheckPending = false;
+        // Whether its process is expected to end or is paused, and when it is started or resumed.
+        bool isExitExpected = false;
         bool isStopping = false;
         bool isPaused = false;
-        std::optional<TimePoint> startAt;
-        std::optional<TimePoint> wakeAt;
+        std::optional<TimePoint> restartAt;
+        std::optional<TimePoint> resumeAt;
         std::uint32_t starts = 0;
     };
 
-    // Things to be undone or done later.
-    struct Later {
+    // An action that a step scheduled, such as the end of a fault.
+    struct DelayedAction {
         TimePoint at;
         std::function<void()> action;
     };
 
     Result<void> build();
-    Result<void> claimNetwork();
+    Result<void> reserveNetwork();
     Result<void> buildBalancers();
     Result<void> startBalancer(Balancer&);
     Result<void> writeSettings(const Balancer&) const;
@@ -95,13 +96,13 @@
     void writeConfiguration();
 
     void tick(TimePoint now);
-    void performDue(TimePoint now);
+    void performDueActions(TimePoint now);
     void checkReadiness(Balancer&);
     void watchProcesses(TimePoint now);
     std::pair<Endpoint, std::string> routePacket(const FlowEnds&) const;
-    void perform(const SoakStep&, TimePoint now);
-    // Ends its process at once; another one starts at the time.
-    void kill(Balancer&, TimePoint startAt);
+    void performStep(const SoakStep&, TimePoint now);
+    // Kills the process with SIGKILL; a new one is started at the given time.
+    void kill(Balancer&, TimePoint restartAt);
     void performOnBalancer(const SoakStep&, Balancer&, TimePoint now);
     void performOnStore(const SoakStep&, TimePoint now);
     void performOnServer(const SoakStep&, TimePoint now);
@@ -109,37 +110,37 @@
     void performOnConfiguration(const SoakStep&, TimePoint now);
     static std::string zoneName(std::size_t zone);
     std::string zoneOf(const SoakStep&) const;
-    void emptyZone(const SoakStep&, TimePoint now);
-    void silenceZone(const SoakStep&, TimePoint now);
-    void setStore(SoakStore::Trouble, std::chrono::milliseconds, TimePoint now);
-    void setLink(
+    void evacuateZone(const SoakStep&, TimePoint now);
+    void restartZoneServers(const SoakStep&, TimePoint now);
+    void setStoreFault(SoakStore::Fault, std::chrono::milliseconds, TimePoint now);
+    void setLinkFaults(
         const std::string& link, const FaultSettings&, bool bothWays, std::chrono::milliseconds, TimePoint now);
-    // Does nothing when the server has ended meanwhile.
+    // Does nothing if the server no longer exists.
     void withServer(const std::string& id, const std::function<void(SoakServer&)>& action);
-    void crash(std::size_t server, TimePoint now);
-    void after(std::chrono::milliseconds, TimePoint now, std::function<void()>);
-    void keepLogs() const;
+    void crashServer(std::size_t server, TimePoint now);
+    void scheduleAfter(std::chrono::milliseconds, TimePoint now, std::function<void()>);
+    void saveLogs() const;
 
     const SoakOptions options_;
     const SoakPlan plan_;
     EventLoop& loop_;
     const RunDirectory& directory_;
     FaultProxy proxy_;
-    SoakJudge judge_;
+    SoakChecker checker_;
     SoakServerEvents serverEvents_;
     SoakCallerEvents callerEvents_;
     std::uint8_t network_ = 0;
-    std::unique_ptr<UdpSocket> claim_;
+    std::unique_ptr<UdpSocket> reservation_;
     std::unique_ptr<SoakStore> store_;
     std::vector<Balancer> balancers_;
     std::vector<std::unique_ptr<SoakServer>> servers_;
     std::vector<std::unique_ptr<SoakCallers>> callers_;
     ForwardingConfiguration configuration_;
-    std::set<Endpoint> everyRoute_;
-    std::vector<Later> later_;
+    std::set<Endpoint> allRoutes_;
+    std::vector<DelayedAction> delayedActions_;
     std::uint64_t nextServerNumber_ = 0x1000;
-    // When the last server started, as entries tell it: the order is all that matters.
-    std::uint64_t lastStart_ = 0;
+    // The startedAt of the latest server entry: a counter, since only the order matters.
+    std::uint64_t lastStartNumber_ = 0;
     std::uint32_t nextRoute_ = 10;
     SeededRandom random_;
     double flowsDue_ = 0;
--- a/Source/Soak/SoakServer.cpp
+++ b/Source/Soak/SoakServer.cpp
@@ -39,7 +39,7 @@
 {
 }
 
-bool SoakServer::holds(const FlowEnds& ends) const
+bool SoakServer::hasOpenFlow(const FlowEnds& ends) const
 {
     const auto entry = flows_.find(ends);
     return entry != flows_.end() && entry->second.isOpen;
@@ -48,19 +48,19 @@
 void SoakServer::receive(std::span<const std::uint8_t> datagram)
 {
     if (datagram.size() < platform::serverPrefixBytes)
-        return events_.onChangedPacket(entry_);
+        return events_.onCorruptedPacket(entry_);
     const auto own = platform::serverPrefix(entry_.number);
-    // Packets for an earlier server at this address are none of its business.
+    // Ignores packets for an earlier server at this address.
     if (!std::equal(own.begin(), own.end(), datagram.begin()))
         return;
     const auto bytes = datagram.subspan(platform::serverPrefixBytes);
     const auto packet = platform::decodePacket(bytes);
-    if (!packet || !isSealed(bytes))
-        return events_.onChangedPacket(entry_);
-    packet->opens ? takeOpening(*packet) : takeTraffic(*packet);
+    if (!packet || !hasValidChecksum(bytes))
+        return events_.onCorruptedPacket(entry_);
+    packet->opens ? handleOpening(*packet) : handleTraffic(*packet);
 }
 
-void SoakServer::takeOpening(const TokenPacket& packet)
+void SoakServer::handleOpening(const TokenPacket& packet)
 {
     if (isFull_)
         return;
@@ -78,7 +78,7 @@
     reply(packet.ends, flow, answer);
 }
 
-void SoakServer::takeTraffic(const TokenPacket& packet)
+void SoakServer::handleTraffic(const TokenPacket& packet)
 {
     const auto entry = flows_.find(packet.ends);
     if (entry == flows_.end()) {
@@ -96,14 +96,14 @@
     }
     if (packet.payloadBytes == 0)
         return;
-    if (manner_ == Manner::Mute)
+    if (requestBehaviour_ == RequestBehaviour::Ignore)
         return;
-    if (manner_ == Manner::Resets) {
+    if (requestBehaviour_ == RequestBehaviour::Reset) {
         reset(packet);
         flows_.erase(entry);
         return;
     }
-    // A request that was answered before is answered again alike, since the caller did not get it.
+    // A retransmitted request gets the same answer again: the caller did not receive the first one.
     flow.callerSequence = std::max(flow.callerSequence, packet.sequence + packet.payloadBytes);
     TokenPacket answer;
     answer.acknowledges = true;
@@ -127,7 +127,7 @@
     packet.token = flow.token;
     packet.acknowledgement = flow.callerSequence;
     packet.acknowledges = !packet.resets;
-    socket_->send({ ends.caller.address, callerPort_ }, sealPacket(packet, payload));
+    socket_->send({ ends.caller.address, callerPort_ }, encodeWithChecksum(packet, payload));
 }
 
 }
--- a/Source/Soak/SoakSteps.cpp
+++ b/Source/Soak/SoakSteps.cpp
@@ -1,4 +1,4 @@
-// What class SoakRun does at each step of its plan.
+// SoakRun: performs the steps of the plan.
 #include "Soak/SoakRun.h"
 
 #include "platform/StoredValues.h"
@@ -16,67 +16,67 @@
 
     using namespace std::chrono_literals;
 
-    // Three heartbeats of this length and a server's entry lapses.
+    // A server's entry expires after three heartbeats.
     constexpr auto heartbeat = 700ms;
 
 }
 
-void SoakRun::perform(const SoakStep& step, TimePoint now)
+void SoakRun::performStep(const SoakStep& step, TimePoint now)
 {
     switch (step.kind) {
     case SoakStepKind::KillBalancer:
     case SoakStepKind::StopBalancer:
     case SoakStepKind::PauseBalancer:
     case SoakStepKind::ReloadBalancer:
-    case SoakStepKind::StoreCutOff:
+    case SoakStepKind::StoreUnreachable:
     case SoakStepKind::StoreResets:
     case SoakStepKind::StoreOneWay:
     case SoakStepKind::PacketsLost:
-    case SoakStepKind::PacketsDoubled:
+    case SoakStepKind::PacketsDuplicated:
     case SoakStepKind::PacketsReordered:
         return performOnBalancer(step, balancers_[step.target % balancers_.size()], now);
     case SoakStepKind::KillAll:
-        judge_.disturbAll(now + step.length);
+        checker_.disturbAll(now + step.length);
         for (Balancer& balancer : balancers_)
             kill(balancer, now + step.length);
-        judge_.noteAllBack(now + step.length);
+        checker_.noteAllRestarted(now + step.length);
         return;
     case SoakStepKind::StoreBusy:
-    case SoakStepKind::StoreSilent:
+    case SoakStepKind::StoreUnresponsive:
     case SoakStepKind::StoreSlow:
-    case SoakStepKind::StoreForgets:
-    case SoakStepKind::StoreLapses:
+    case SoakStepKind::StoreHistoryCompacted:
+    case SoakStepKind::StoreEntriesExpire:
     case SoakStepKind::StoreStale:
         return performOnStore(step, now);
     case SoakStepKind::ServerCrashes:
     case SoakStepKind::ServerDrains:
     case SoakStepKind::ServerReplacedInPlace:
     case SoakStepKind::ServerFull:
-    case SoakStepKind::ServerMute:
+    case SoakStepKind::ServerUnresponsive:
     case SoakStepKind::ServerResets:
-    case SoakStepKind::ServerStartsAgain:
+    case SoakStepKind::ServerRestarts:
         return performOnServer(step, now);
     case SoakStepKind::ForeignEntries:
         return writeForeignEntries(step, now);
-    case SoakStepKind::ZoneEmptied:
-        return emptyZone(step, now);
-    case SoakStepKind::ZoneSilent:
-        return silenceZone(step, now);
+    case SoakStepKind::ZoneEvacuated:
+        return evacuateZone(step, now);
+    case SoakStepKind::ZoneServersRestart:
+        return restartZoneServers(step, now);
     case SoakStepKind::RouteAdded:
     case SoakStepKind::RouteRemoved:
-    case SoakStepKind::ConfigurationStorm:
+    case SoakStepKind::ConfigurationBurst:
         return performOnConfiguration(step, now);
     }
 }
 
-void SoakRun::kill(Balancer& balancer, TimePoint startAt)
+void SoakRun::kill(Balancer& balancer, TimePoint restartAt)
 {
     if (balancer.process)
         balancer.process->signal(SIGKILL);
-    balancer.isEndExpected = true;
+    balancer.isExitExpected = true;
     balancer.isStopping = false;
-    balancer.wakeAt.reset();
-    balancer.startAt = startAt;
+    balancer.resumeAt.reset();
+    balancer.restartAt = restartAt;
 }
 
 void SoakRun::performOnBalancer(const SoakStep& step, Balancer& balancer, TimePoint now)
@@ -84,45 +84,45 @@
     FaultSettings faults;
     switch (step.kind) {
     case SoakStepKind::KillBalancer:
-        judge_.disturb(balancer.name, now + step.length);
+        checker_.disturb(balancer.name, now + step.length);
         return kill(balancer, now + step.length);
     case SoakStepKind::StopBalancer:
-        judge_.disturb(balancer.name, now + grace);
-        if (!balancer.process || balancer.isEndExpected || balancer.wakeAt)
+        checker_.disturb(balancer.name, now + stopGracePeriod);
+        if (!balancer.process || balancer.isExitExpected || balancer.resumeAt)
             return;
         balancer.process->signal(SIGTERM);
-        balancer.isEndExpected = true;
+        balancer.isExitExpected = true;
         balancer.isStopping = true;
         return;
     case SoakStepKind::PauseBalancer:
-        judge_.disturb(balancer.name, now + step.length);
-        if (!balancer.process || balancer.isEndExpected)
+        checker_.disturb(balancer.name, now + step.length);
+        if (!balancer.process || balancer.isExitExpected)
             return;
         balancer.process->signal(SIGSTOP);
-        balancer.wakeAt = now + step.length;
+        balancer.resumeAt = now + step.length;
         return;
     case SoakStepKind::ReloadBalancer:
         (void)writeSettings(balancer);
-        if (balancer.process && !balancer.isEndExpected)
+        if (balancer.process && !balancer.isExitExpected)
             balancer.process->signal(SIGHUP);
         return;
-    case SoakStepKind::StoreCutOff:
+    case SoakStepKind::StoreUnreachable:
         faults.cut = true;
-        judge_.disturb(balancer.name, now + step.length);
-        return setLink(balancer.storeLink, faults, true, step.length, now);
+        checker_.disturb(balancer.name, now + step.length);
+        return setLinkFaults(balancer.storeLink, faults, true, step.length, now);
     case SoakStepKind::StoreResets:
         faults.cut = true;
         faults.reset = true;
-        judge_.disturb(balancer.name, now + step.length);
-        return setLink(balancer.storeLink, faults, true, step.length, now);
+        checker_.disturb(balancer.name, now + step.length);
+        return setLinkFaults(balancer.storeLink, faults, true, step.length, now);
     case SoakStepKind::StoreOneWay:
         faults.cut = true;
-        judge_.disturb(balancer.name, now + step.length);
-        return setLink(balancer.storeLink, faults, false, step.length, now);
+        checker_.disturb(balancer.name, now + step.length);
+        return setLinkFaults(balancer.storeLink, faults, false, step.length, now);
     case SoakStepKind::PacketsLost:
         faults.loss = 0.2;
         break;
-    case SoakStepKind::PacketsDoubled:
+    case SoakStepKind::PacketsDuplicated:
         faults.duplicate = 0.5;
         break;
     default:
@@ -130,55 +130,55 @@
         faults.jitter = 20ms;
         break;
     }
-    judge_.disturb(balancer.name, now + step.length);
-    setLink(balancer.packetLink, faults, true, step.length, now);
+    checker_.disturb(balancer.name, now + step.length);
+    setLinkFaults(balancer.packetLink, faults, true, step.length, now);
 }
 
-void SoakRun::setLink(const std::string& link, const FaultSettings& faults, bool bothWays,
+void SoakRun::setLinkFaults(const std::string& link, const FaultSettings& faults, bool bothWays,
     std::chrono::milliseconds length, TimePoint now)
 {
     proxy_.setFaults({ link }, Direction::ToSource, faults);
     if (bothWays)
         proxy_.setFaults({ link }, Direction::ToTarget, faults);
-    after(length, now, [this, link] {
+    scheduleAfter(length, now, [this, link] {
         proxy_.setFaults({ link }, Direction::ToSource, {});
         proxy_.setFaults({ link }, Direction::ToTarget, {});
     });
 }
 
-void SoakRun::setStore(SoakStore::Trouble trouble, std::chrono::milliseconds length, TimePoint now)
+void SoakRun::setStoreFault(SoakStore::Fault fault, std::chrono::milliseconds length, TimePoint now)
 {
-    judge_.disturbStore(now + length);
-    store_->setTrouble(trouble);
-    after(length, now, [this] { store_->setTrouble(SoakStore::Trouble::None); });
+    checker_.disturbStore(now + length);
+    store_->setFault(fault);
+    scheduleAfter(length, now, [this] { store_->setFault(SoakStore::Fault::None); });
 }
 
 void SoakRun::performOnStore(const SoakStep& step, TimePoint now)
 {
     switch (step.kind) {
     case SoakStepKind::StoreBusy:
-        return setStore(SoakStore::Trouble::Busy, step.length, now);
-    case SoakStepKind::StoreSilent:
-        return setStore(SoakStore::Trouble::Silent, step.length, now);
+        return setStoreFault(SoakStore::Fault::Busy, step.length, now);
+    case SoakStepKind::StoreUnresponsive:
+        return setStoreFault(SoakStore::Fault::Unresponsive, step.length, now);
     case SoakStepKind::StoreSlow:
-        return setStore(SoakStore::Trouble::Slow, step.length, now);
-    case SoakStepKind::StoreForgets:
-        store_->forgetHistory();
-        return judge_.disturbStore(now);
+        return setStoreFault(SoakStore::Fault::Slow, step.length, now);
+    case SoakStepKind::StoreHistoryCompacted:
+        store_->compactHistory();
+        return checker_.disturbStore(now);
     case SoakStepKind::StoreStale:
-        // The store may do that at any time, so nothing is excused by it.
-        store_->makeStale(true);
-        return after(step.length, now, [this] { store_->makeStale(false); });
+        // Stale listings are normal behaviour of the store and no disturbance: all bounds still apply.
+        store_->setStaleReads(true);
+        return scheduleAfter(step.length, now, [this] { store_->setStaleReads(false); });
     default:
         break;
     }
-    setStore(SoakStore::Trouble::Busy, step.length, now);
+    setStoreFault(SoakStore::Fault::Busy, step.length, now);
     for (std::size_t i = 0; i < servers_.size(); i += 3) {
         const std::string id = servers_[i]->entry().id;
-        after(step.length / 2, now, [this, id] { store_->remove(platform::serverKeyOf(id)); });
-        after(step.length + 1500ms, now, [this, id] { withServer(id, [this](auto& it) { writeEntry(it); }); });
+        scheduleAfter(step.length / 2, now, [this, id] { store_->remove(platform::serverKeyOf(id)); });
+        scheduleAfter(step.length + 1500ms, now, [this, id] { withServer(id, [this](auto& it) { writeEntry(it); }); });
     }
-    judge_.disturbStore(now + step.length + 1500ms);
+    checker_.disturbStore(now + step.length + 1500ms);
 }
 
 void SoakRun::withServer(const std::string& id, const std::function<void(SoakServer&)>& action)
@@ -189,13 +189,13 @@
     }
 }
 
-void SoakRun::crash(std::size_t index, TimePoint now)
+void SoakRun::crashServer(std::size_t index, TimePoint now)
 {
     const std::string id = servers_[index]->entry().id;
     servers_.erase(servers_.begin() + static_cast<std::ptrdiff_t>(index));
-    after(3 * heartbeat, now, [this, id] {
+    scheduleAfter(3 * heartbeat, now, [this, id] {
         store_->remove(platform::serverKeyOf(id));
-        judge_.noteServerLeaves(id, Clock::now());
+        checker_.noteServerDraining(id, Clock::now());
     });
 }
 
@@ -207,33 +207,36 @@
     switch (step.kind) {
     case SoakStepKind::ServerFull:
         server.setFull(true);
-        return after(step.length, now, [this, id = entry.id] { withServer(id, [](auto& it) { it.setFull(false); }); });
-    case SoakStepKind::ServerMute:
+        return scheduleAfter(
+            step.length, now, [this, id = entry.id] { withServer(id, [](auto& it) { it.setFull(false); }); });
+    case SoakStepKind::ServerUnresponsive:
     case SoakStepKind::ServerResets:
-        server.setManner(step.kind == SoakStepKind::ServerMute ? SoakServer::Manner::Mute : SoakServer::Manner::Resets);
-        return after(step.length, now,
-            [this, id = entry.id] { withServer(id, [](auto& it) { it.setManner(SoakServer::Manner::Answers); }); });
+        server.setRequestBehaviour(step.kind == SoakStepKind::ServerUnresponsive ? SoakServer::RequestBehaviour::Ignore
+                                                                                 : SoakServer::RequestBehaviour::Reset);
+        return scheduleAfter(step.length, now, [this, id = entry.id] {
+            withServer(id, [](auto& it) { it.setRequestBehaviour(SoakServer::RequestBehaviour::Respond); });
+        });
     case SoakStepKind::ServerCrashes:
-        crash(index, now);
-        return after(
+        crashServer(index, now);
+        return scheduleAfter(
             step.length + 2s, now, [this, entry] { openServer(entry.service, entry.availabilityZone, entry.address); });
-    case SoakStepKind::ServerStartsAgain: {
+    case SoakStepKind::ServerRestarts: {
         servers_.erase(servers_.begin() + static_cast<std::ptrdiff_t>(index));
         constexpr auto longestDown = 3 * heartbeat;
-        return after(std::min<std::chrono::milliseconds>(step.length, longestDown), now, [this, entry] {
-            RegisteredServer again = entry;
-            again.startedAt = ++lastStart_;
-            again.readiness = ServerReadiness::Ready;
-            openServer(again);
-            judge_.noteServerStartsAgain(again.id);
+        return scheduleAfter(std::min<std::chrono::milliseconds>(step.length, longestDown), now, [this, entry] {
+            RegisteredServer restarted = entry;
+            restarted.startedAt = ++lastStartNumber_;
+            restarted.readiness = ServerReadiness::Ready;
+            openServer(restarted);
+            checker_.noteServerRestarted(restarted.id);
         });
     }
     case SoakStepKind::ServerReplacedInPlace:
-        crash(index, now);
-        // The platform gives an address away after two seconds, to whichever service.
-        return after(2s, now, [this, entry] {
+        crashServer(index, now);
+        // The platform may assign an address to another service after two seconds.
+        return scheduleAfter(2s, now, [this, entry] {
             openServer(entry.service == services[0] ? services[1] : services[0], entry.availabilityZone, entry.address);
-            // The service that lost a server gets one elsewhere.
+            // Replaces the lost server at another address.
             openServer(entry.service, entry.availabilityZone, { entry.address.address + 50, entry.address.port });
         });
     default:
@@ -241,68 +244,68 @@
     }
     server.drain();
     writeEntry(server);
-    judge_.noteServerLeaves(entry.id, now);
+    checker_.noteServerDraining(entry.id, now);
     openServer(entry.service, entry.availabilityZone, { entry.address.address + 100, entry.address.port });
-    after(5s, now, [this, id = entry.id] {
+    scheduleAfter(5s, now, [this, id = entry.id] {
         std::erase_if(servers_, [&](const auto& other) { return other->entry().id == id; });
         store_->remove(platform::serverKeyOf(id));
     });
 }
 
-// What another writer leaves under the servers' keys names no server, and does no harm to the entries beside it.
+// Writes values that are not server entries, which balancers must ignore without affecting the other entries.
 void SoakRun::writeForeignEntries(const SoakStep& step, TimePoint now)
 {
-    const std::vector<std::string> values = platform::unusableServerEntries();
+    const std::vector<std::string> values = platform::invalidServerEntries();
     for (std::size_t i = 0; i < values.size(); ++i) {
         const std::string key = platform::serverKeyOf(fmt::format("foreign-{:x}", i + 1));
         store_->put(key, values[i]);
-        after(step.length, now, [this, key] { store_->remove(key); });
+        scheduleAfter(step.length, now, [this, key] { store_->remove(key); });
     }
     const std::string id = servers_[step.target % servers_.size()]->entry().id;
     store_->put(platform::serverKeyOf(id), values[step.target % values.size()]);
-    after(step.length, now, [this, id] { withServer(id, [this](auto& it) { writeEntry(it); }); });
+    scheduleAfter(step.length, now, [this, id] { withServer(id, [this](auto& it) { writeEntry(it); }); });
 }
 
 std::string SoakRun::zoneOf(const SoakStep& step) const { return zoneName(step.target % options_.availabilityZones); }
 
-// Longer than the bound, so that the judge sees what comes after it.
-void SoakRun::emptyZone(const SoakStep& step, TimePoint now)
+// The evacuation lasts longer than its bound, so that the checker sees openings after the bound.
+void SoakRun::evacuateZone(const SoakStep& step, TimePoint now)
 {
-    constexpr auto beyondTheBound = 4s;
+    constexpr auto timeBeyondBound = 4s;
     const std::string zone = zoneOf(step);
-    const std::string key = platform::emptiedZoneKeyOf(zone);
+    const std::string key = platform::evacuatedZoneKeyOf(zone);
     store_->put(key, "{}");
-    judge_.noteZoneEmptied(zone, now);
-    after(step.length + beyondTheBound, now, [this, zone, key] {
-        judge_.noteZoneTakenBack(zone);
+    checker_.noteZoneEvacuated(zone, now);
+    scheduleAfter(step.length + timeBeyondBound, now, [this, zone, key] {
+        checker_.noteEvacuationRevoked(zone);
         store_->remove(key);
     });
 }
 
-void SoakRun::silenceZone(const SoakStep& step, TimePoint now)
+void SoakRun::restartZoneServers(const SoakStep& step, TimePoint now)
 {
     std::vector<RegisteredServer> ended;
     std::erase_if(servers_, [&](const auto& server) {
-        const bool isThere = server->entry().availabilityZone == zoneOf(step);
-        if (isThere)
+        const bool isInZone = server->entry().availabilityZone == zoneOf(step);
+        if (isInZone)
             ended.push_back(server->entry());
-        return isThere;
+        return isInZone;
     });
-    after(step.length, now, [this, ended] {
+    scheduleAfter(step.length, now, [this, ended] {
         for (RegisteredServer entry : ended) {
-            entry.startedAt = ++lastStart_;
+            entry.startedAt = ++lastStartNumber_;
             entry.readiness = ServerReadiness::Ready;
             entry.warmupLeft = 2s;
             openServer(entry);
-            judge_.noteServerStartsAgain(entry.id);
+            checker_.noteServerRestarted(entry.id);
         }
     });
 }
 
 void SoakRun::performOnConfiguration(const SoakStep& step, TimePoint now)
 {
-    constexpr std::size_t fewestRoutes = 3;
-    constexpr int versionsOfStorm = 8;
+    constexpr std::size_t minRoutes = 3;
+    constexpr int versionsPerBurst = 8;
     const auto write = [this] {
         configuration_.version += 1 + random_.next() % 5;
         writeConfiguration();
@@ -314,13 +317,13 @@
             { fmt::format("route-{}", nextRoute_), routeOf(nextRoute_), { { services[step.target % 2], 1 } } });
         return write();
     case SoakStepKind::RouteRemoved:
-        if (configuration_.routes.size() > fewestRoutes)
+        if (configuration_.routes.size() > minRoutes)
             configuration_.routes.erase(configuration_.routes.begin()
                 + static_cast<std::ptrdiff_t>(step.target % configuration_.routes.size()));
         return write();
     default:
-        for (int i = 0; i < versionsOfStorm; ++i)
-            after(i * 150ms, now, write);
+        for (int i = 0; i < versionsPerBurst; ++i)
+            scheduleAfter(i * 150ms, now, write);
         return;
     }
 }
--- a/Source/Soak/SoakStore.h
+++ b/Source/Soak/SoakStore.h
@@ -15,14 +15,14 @@
 
 namespace wisteriadock {
 
-// A stand-in for the platform's store in its own protocol, with the faults that it may have.
+// A stand-in for the platform's store that speaks its protocol and can be set to fail. SoakRun writes the entries.
 class SoakStore {
 public:
-    enum class Trouble {
+    enum class Fault {
         None,
-        Busy, // Answers that nothing was done.
-        Silent, // Takes calls and never answers.
-        Slow,
+        Busy, // Answers every call with status 503.
+        Unresponsive, // Accepts calls and never answers.
+        Slow, // Answers with a delay.
     };
 
     static Result<std::unique_ptr<SoakStore>> open(boost::asio::io_context&, Endpoint);
@@ -33,15 +33,16 @@
 
     void put(const std::string& key, std::string value);
     void remove(const std::string& key);
-    // Answers of watches from before now say that their history is gone.
-    void forgetHistory() { forgottenTo_ = revision_; }
-    void setTrouble(Trouble trouble) { trouble_ = trouble; }
-    // From now on listings that may be old show what there is now; or again what there is then.
-    void makeStale(bool isStale);
+    // Watches from a revision before the current one fail from now on, as their history is gone.
+    void compactHistory() { compactedRevision_ = revision_; }
+    void setFault(Fault fault) { fault_ = fault; }
+    // While set, listings that may be stale show the items as of this call.
+    void setStaleReads(bool isStale);
     std::uint64_t calls() const { return calls_; }
 
 private:
-    struct Waiting {
+    // A watch that waits for a change or its timeout.
+    struct PendingWatch {
         std::shared_ptr<Http1Exchange> exchange;
         ChangesCall call;
         std::shared_ptr<boost::asio::steady_timer> timer;
@@ -56,7 +57,7 @@
     void answer(const std::shared_ptr<Http1Exchange>&);
     void watch(const std::shared_ptr<Http1Exchange>&, const ChangesCall&);
     PlatformChanges changesAfter(const ChangesCall&) const;
-    void answerWaiting();
+    void answerPendingWatches();
 
     boost::asio::io_context& context_;
     std::unique_ptr<Http1Server> server_;
@@ -65,15 +66,15 @@
         std::uint64_t revision = 0;
     };
     std::map<std::string, PlatformItem> items_;
-    std::optional<Snapshot> stale_;
+    std::optional<Snapshot> staleSnapshot_;
     std::vector<PlatformItem> history_;
     std::uint64_t revision_ = 1;
-    std::uint64_t forgottenTo_ = 0;
+    std::uint64_t compactedRevision_ = 0;
     std::uint64_t calls_ = 0;
-    Trouble trouble_ = Trouble::None;
-    std::map<std::uint64_t, Waiting> waiting_;
-    std::uint64_t nextWaiting_ = 0;
-    std::vector<std::shared_ptr<Http1Exchange>> neverAnswered_;
+    Fault fault_ = Fault::None;
+    std::map<std::uint64_t, PendingWatch> pendingWatches_;
+    std::uint64_t nextWatchId_ = 0;
+    std::vector<std::shared_ptr<Http1Exchange>> unanswered_;
 };
 
 }
--- a/Source/StandIns/BackendAdmin.cpp
+++ b/Source/StandIns/BackendAdmin.cpp
@@ -15,7 +15,7 @@
     using Json = nlohmann::json;
     using Change = std::function<void(BackendStandInServer&)>;
 
-    Json newFlowsOf(const BackendFlowBook& flows)
+    Json newFlowsOf(const BackendFlowTable& flows)
     {
         Json rows = Json::array();
         for (const NewFlowRecord& record : flows.newFlows())
@@ -23,7 +23,7 @@
         return rows;
     }
 
-    Json keysOf(const BackendRequestBook& requests)
+    Json keysOf(const BackendRequestTracker& requests)
     {
         Json keys = Json::object();
         for (const auto& [key, record] : requests.keys()) {
@@ -69,21 +69,21 @@
         return record;
     }
 
-    Error refused(const std::string& key, std::string_view expected)
+    Error invalidValue(const std::string& key, std::string_view expected)
     {
         return { ErrorCode::InvalidArgument, fmt::format("'{}'; expected {}", key, expected) };
     }
 
     template <typename Number> Result<Number> numberFrom(const std::string& key, const Json& value)
     {
-        constexpr double largest = 1e12;
-        if (!value.is_number() || value.get<double>() < 0 || value.get<double>() > largest)
-            return refused(key, "a number from 0");
+        constexpr double max = 1e12;
+        if (!value.is_number() || value.get<double>() < 0 || value.get<double>() > max)
+            return invalidValue(key, "a number from 0");
         return static_cast<Number>(value.get<double>());
     }
 
-    // The optional values of a lie are switched off by null.
-    Result<std::optional<std::size_t>> lieFrom(const std::string& key, const Json& value)
+    // null removes an override.
+    Result<std::optional<std::size_t>> countOverrideFrom(const std::string& key, const Json& value)
     {
         if (value.is_null())
             return std::optional<std::size_t>();
@@ -91,20 +91,20 @@
         return std::optional(number);
     }
 
-    Result<std::optional<BackendHealth>> healthLieFrom(const std::string& key, const Json& value)
+    Result<std::optional<BackendHealth>> healthOverrideFrom(const std::string& key, const Json& value)
     {
         if (value.is_null())
             return std::optional<BackendHealth>();
         const auto health = value.is_string() ? parseBackendHealth(value.get<std::string>()) : std::nullopt;
         if (!health)
-            return refused(key, "healthy, draining, failing or null");
+            return invalidValue(key, "healthy, draining, failing or null");
         return health;
     }
 
     Result<bool> flagFrom(const std::string& key, const Json& value)
     {
         if (!value.is_boolean())
-            return refused(key, "true or false");
+            return invalidValue(key, "true or false");
         return value.get<bool>();
     }
 
@@ -120,8 +120,8 @@
         }
         if (key == "refuse_streams") {
             BOOST_OUTCOME_TRY(on, flagFrom(key, value));
-            const ShedAnswer answer = on ? ShedAnswer::RefuseStream : ShedAnswer::Status;
-            return Change([answer](auto& server) { server.setShedAnswer(answer); });
+            const RejectionMode mode = on ? RejectionMode::RefuseStream : RejectionMode::Status;
+            return Change([mode](auto& server) { server.setRejectionMode(mode); });
         }
         if (key == "slots") {
             BOOST_OUTCOME_TRY(slots, numberFrom<std::size_t>(key, value));
@@ -135,26 +135,26 @@
             BOOST_OUTCOME_TRY(factor, numberFrom<double>(key, value));
             return Change([factor](auto& server) { server.requests().behaviour().coldFactor = factor; });
         }
-        return refused(key, "a known key");
+        return invalidValue(key, "a known key");
     }
 
     Result<Change> changeOf(const std::string& key, const Json& value)
     {
         if (key == "lag_milliseconds") {
             BOOST_OUTCOME_TRY(lag, numberFrom<std::int64_t>(key, value));
-            return Change([lag](auto& server) { server.status().deceit().lag = std::chrono::milliseconds(lag); });
+            return Change([lag](auto& server) { server.status().overrides().lag = std::chrono::milliseconds(lag); });
         }
         if (key == "health_lie") {
-            BOOST_OUTCOME_TRY(health, healthLieFrom(key, value));
-            return Change([health](auto& server) { server.status().deceit().health = health; });
+            BOOST_OUTCOME_TRY(health, healthOverrideFrom(key, value));
+            return Change([health](auto& server) { server.status().overrides().health = health; });
         }
         if (key == "running_requests_lie") {
-            BOOST_OUTCOME_TRY(running, lieFrom(key, value));
-            return Change([running](auto& server) { server.status().deceit().runningRequests = running; });
+            BOOST_OUTCOME_TRY(running, countOverrideFrom(key, value));
+            return Change([running](auto& server) { server.status().overrides().runningRequests = running; });
         }
         if (key == "live_flows_lie") {
-            BOOST_OUTCOME_TRY(live, lieFrom(key, value));
-            return Change([live](auto& server) { server.status().deceit().liveFlows = live; });
+            BOOST_OUTCOME_TRY(live, countOverrideFrom(key, value));
+            return Change([live](auto& server) { server.status().overrides().liveFlows = live; });
         }
         if (key == "reply_to") {
             BOOST_OUTCOME_TRY(replyTo, Endpoint::parse(value.is_string() ? value.get<std::string>() : value.dump()));
@@ -163,7 +163,7 @@
         return requestChange(key, value);
     }
 
-    Result<BackendServers> serversMeant(const BackendServers& servers, const Json& body)
+    Result<BackendServers> selectServers(const BackendServers& servers, const Json& body)
     {
         if (!body.contains("server"))
             return servers;
@@ -171,7 +171,7 @@
             if (body["server"] == server->spec().name)
                 return BackendServers { server };
         }
-        return Error { ErrorCode::InvalidArgument, fmt::format("no backend server {}", body["server"].dump()) };
+        return Error { ErrorCode::InvalidArgument, fmt::format("unknown backend server {}", body["server"].dump()) };
     }
 
 }
@@ -190,8 +190,8 @@
 {
     BOOST_OUTCOME_TRY(body, parseJson(text));
     if (!body.is_object())
-        return Error { ErrorCode::InvalidArgument, "the body is no JSON object" };
-    BOOST_OUTCOME_TRY(meant, serversMeant(servers, body));
+        return Error { ErrorCode::InvalidArgument, "the body is not a JSON object" };
+    BOOST_OUTCOME_TRY(selectedServers, selectServers(servers, body));
     std::vector<Change> changes;
     for (const auto& [key, value] : body.items()) {
         if (key == "server")
@@ -199,7 +199,7 @@
         BOOST_OUTCOME_TRY(change, changeOf(key, value));
         changes.push_back(std::move(change));
     }
-    for (const auto& server : meant) {
+    for (const auto& server : selectedServers) {
         for (const Change& change : changes)
             change(*server);
     }
--- a/Source/StandIns/BackendStandInServer.cpp
+++ b/Source/StandIns/BackendStandInServer.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-    constexpr std::size_t recordedKeyLimit = 200'000;
-    constexpr std::uint64_t largestAnswerBytes = 16ULL * 1024 * 1024;
-    constexpr std::uint64_t largestMilliseconds = 3'600'000;
+    constexpr std::size_t maxRecordedKeys = 200'000;
+    constexpr std::uint64_t maxAnswerBytes = 16ULL * 1024 * 1024;
+    constexpr std::uint64_t maxMilliseconds = 3'600'000;
 
-    // A number from a header; absent and malformed ones count as 0, larger ones as the limit.
+    // Parses the number of a header. An absent or malformed number is 0; a number above the limit is the limit.
     std::uint64_t numberIn(std::string_view text, std::uint64_t limit)
     {
         std::uint64_t value = 0;
@@ -33,7 +33,7 @@
 
     Duration millisecondsIn(std::string_view text)
     {
-        return std::chrono::milliseconds(numberIn(text, largestMilliseconds));
+        return std::chrono::milliseconds(numberIn(text, maxMilliseconds));
     }
 
     HttpResponse jsonResponse(const nlohmann::json& body)
@@ -48,7 +48,7 @@
     : context_(context)
     , spec_(spec)
     , flows_(spec.id, spec.service, limits)
-    , requests_(recordedKeyLimit)
+    , requests_(maxRecordedKeys)
 {
     requests_.behaviour().slots = spec.slots;
 }
@@ -91,11 +91,11 @@
     if (!reply || !replyTo_)
         return;
 
-    // Back the way it came: from the service's address to the client's.
-    const ProxyHeader back { packet.value().header.service, packet.value().header.client, std::nullopt };
-    std::array<std::uint8_t, largestProxyHeader> head;
-    const std::size_t headSize = encodeProxyHeader(back, head);
-    flowSocket_->send(*replyTo_, std::span(head).first(headSize), encodeFlowPayload(*reply));
+    // The reply goes from the service's address to the client's.
+    const ProxyHeader replyHeader { packet.value().header.service, packet.value().header.client, std::nullopt };
+    std::array<std::uint8_t, maxProxyHeaderBytes> header;
+    const std::size_t headerSize = encodeProxyHeader(replyHeader, header);
+    flowSocket_->send(*replyTo_, std::span(header).first(headerSize), encodeFlowPayload(*reply));
 }
 
 void BackendStandInServer::handleRequest(const std::shared_ptr<Http2Exchange>& exchange)
@@ -119,11 +119,11 @@
 }
 
 void BackendStandInServer::run(
-    const std::shared_ptr<Http2Exchange>& exchange, const BackendRequestBook::Admission& admission)
+    const std::shared_ptr<Http2Exchange>& exchange, const BackendRequestTracker::Admission& admission)
 {
     const auto timer = std::make_shared<boost::asio::steady_timer>(context_, admission.endsAt);
     const auto self = shared_from_this();
-    // The exchange holds this callback, which therefore must not hold the exchange.
+    // The exchange owns this callback, so the callback must not own the exchange.
     exchange->onCancelled([self, timer, run = admission.run] {
         self->requests_.end(run, RunOutcome::Cancelled, Clock::now());
         timer->cancel();
@@ -148,7 +148,7 @@
         response.status = 504;
         response.headers.push_back({ std::string(stand_in_headers::executed), "unknown" });
     } else {
-        const std::size_t size = numberIn(request.header(stand_in_headers::answerBytes), largestAnswerBytes);
+        const std::size_t size = numberIn(request.header(stand_in_headers::answerBytes), maxAnswerBytes);
         response.headers.push_back({ std::string(stand_in_headers::executed), "yes" });
         response.body = answerBodyOf(request.header(stand_in_headers::idempotencyKey), spec_.name, size);
     }
@@ -158,7 +158,7 @@
 
 void BackendStandInServer::shed(Http2Exchange& exchange) const
 {
-    if (shedAnswer_ == ShedAnswer::RefuseStream) {
+    if (rejectionMode_ == RejectionMode::RefuseStream) {
         exchange.refuse();
         return;
     }
@@ -171,7 +171,7 @@
 
 HttpResponse BackendStandInServer::healthResponse() const
 {
-    const BackendHealth health = status_.shown(Clock::now()).health;
+    const BackendHealth health = status_.reported(Clock::now()).health;
     HttpResponse response = jsonResponse({ { "server", spec_.name }, { "health", std::string(nameOf(health)) } });
     response.status = health == BackendHealth::Failing ? 503 : 200;
     return response;
@@ -179,12 +179,12 @@
 
 HttpResponse BackendStandInServer::loadResponse() const
 {
-    const BackendSample shown = status_.shown(Clock::now());
+    const BackendSample reported = status_.reported(Clock::now());
     return jsonResponse({
         { "server", spec_.name },
-        { "running_requests", shown.runningRequests },
+        { "running_requests", reported.runningRequests },
         { "slots", requests_.behaviour().slots },
-        { "live_flows", shown.liveFlows },
+        { "live_flows", reported.liveFlows },
         { "connections", spec_.connections },
     });
 }
--- a/Source/StandIns/CallerRecords.cpp
+++ b/Source/StandIns/CallerRecords.cpp
@@ -19,12 +19,12 @@
             { "sequence", broken.sequence },
             { "client", clientEndpointOf(broken.flow).toString() },
             { "service_id", broken.service.value },
-            { "holder_id", broken.holder.value },
-            { "answerer_id", broken.answerer.value },
+            { "holder_id", broken.expectedServer.value },
+            { "answerer_id", broken.answeringServer.value },
         };
     }
 
-    Json rowOf(const RequestTry& attempt)
+    Json rowOf(const RequestAttempt& attempt)
     {
         return {
             { "outcome", std::string(nameOf(attempt.outcome)) },
@@ -39,10 +39,10 @@
 
     Json rowOf(const RequestRecord& record)
     {
-        Json tries = Json::array();
-        for (const RequestTry& attempt : record.tries)
-            tries.push_back(rowOf(attempt));
-        return { { "key", record.key }, { "service", record.service }, { "tries", std::move(tries) } };
+        Json attempts = Json::array();
+        for (const RequestAttempt& attempt : record.attempts)
+            attempts.push_back(rowOf(attempt));
+        return { { "key", record.key }, { "service", record.service }, { "tries", std::move(attempts) } };
     }
 
 }
--- a/Source/StandIns/CallerStandIn.cpp
+++ b/Source/StandIns/CallerStandIn.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-    // How long replies to the last packets are waited for.
-    constexpr Duration replyTravelTime = std::chrono::milliseconds(500);
-    // Packets that fall due within one step leave together.
-    constexpr Duration shortestStep = std::chrono::milliseconds(1);
-    constexpr Duration longestStep = std::chrono::milliseconds(100);
+    // How long the run waits for the replies to the last packets.
+    constexpr Duration replyGracePeriod = std::chrono::milliseconds(500);
+    // Packets that are due within minTimerDelay are sent together.
+    constexpr Duration minTimerDelay = std::chrono::milliseconds(1);
+    constexpr Duration maxTimerDelay = std::chrono::milliseconds(100);
 
-    Error refused(std::string_view option, std::string_view expected)
+    Error invalidOption(std::string_view option, std::string_view expected)
     {
         return { ErrorCode::InvalidArgument, fmt::format("{}; expected {}", option, expected) };
     }
@@ -30,17 +30,17 @@
     {
         const CallerFlowOptions& flows = options.flows;
         if (flows.services.empty() && (flows.flowsPerSecond > 0 || options.requests.requestsPerSecond > 0))
-            return refused("services", "one service or more");
+            return invalidOption("services", "one service or more");
         if (flows.jitter < 0 || flows.jitter > 1)
-            return refused("jitter", "0 to 1");
+            return invalidOption("jitter", "0 to 1");
         if (flows.lifetimeExponent <= 0)
-            return refused("lifetime_exponent", "a number above 0");
-        if (flows.packetInterval <= Duration::zero() || flows.shortestLifetime <= Duration::zero())
-            return refused("packet_interval_milliseconds, shortest_flow_seconds", "numbers above 0");
-        if (options.requests.shortestWork > options.requests.longestWork)
-            return refused("shortest_work_milliseconds", "not above longest_work_milliseconds");
-        if (options.requests.largestAnswerBytes == 0)
-            return refused("answer_bytes", "a number above 0");
+            return invalidOption("lifetime_exponent", "a number above 0");
+        if (flows.packetInterval <= Duration::zero() || flows.minLifetime <= Duration::zero())
+            return invalidOption("packet_interval_milliseconds, shortest_flow_seconds", "numbers above 0");
+        if (options.requests.minWork > options.requests.maxWork)
+            return invalidOption("shortest_work_milliseconds", "not above longest_work_milliseconds");
+        if (options.requests.maxAnswerBytes == 0)
+            return invalidOption("answer_bytes", "a number above 0");
         return boost::outcome_v2::success();
     }
 
@@ -67,43 +67,43 @@
     caller->socket_ = std::move(socket);
     CallerStandIn* const self = caller.get();
     caller->socket_->receive([self](std::span<const std::uint8_t> datagram) { self->handleDatagram(datagram); });
-    caller->scheduleWork();
+    caller->scheduleNextEvent();
     return caller;
 }
 
 void CallerStandIn::printListeningLines() const { printListening("replies", replyAddress()); }
 
-void CallerStandIn::printFinalRows() const
+void CallerStandIn::printFinalCounts() const
 {
     const CallerFlowCounts& flows = flows_.counts();
-    printRow("flows_opened", flows.flowsOpened);
-    printRow("flows_established", flows.flowsEstablished);
-    printRow("flows_not_established", flows.flowsNotEstablished);
-    printRow("flows_ended", flows.flowsEnded);
-    printRow("flows_broken", flows.flowsBroken);
-    printRow("flows_stalled", flows.flowsStalled);
-    printRow("flows_skipped", flows.flowsSkipped);
-    printRow("wrong_service_packets", flows.wrongServicePackets);
-    printRow("openings_elsewhere", flows.openingsElsewhere);
-    printRow("packets_sent", flows.packetsSent);
-    printRow("replies", flows.replies);
-    printRow("late_replies", flows.lateReplies);
-    printRow("malformed_datagrams", malformedDatagrams_);
-    printRow("send_drops", socket_->sendDrops());
+    printCount("flows_opened", flows.flowsOpened);
+    printCount("flows_established", flows.flowsEstablished);
+    printCount("flows_not_established", flows.flowsNotEstablished);
+    printCount("flows_ended", flows.flowsEnded);
+    printCount("flows_broken", flows.flowsBroken);
+    printCount("flows_stalled", flows.flowsStalled);
+    printCount("flows_skipped", flows.flowsSkipped);
+    printCount("wrong_service_packets", flows.wrongServicePackets);
+    printCount("openings_elsewhere", flows.openingsAtOtherServers);
+    printCount("packets_sent", flows.packetsSent);
+    printCount("replies", flows.replies);
+    printCount("late_replies", flows.lateReplies);
+    printCount("malformed_datagrams", malformedDatagrams_);
+    printCount("send_drops", socket_->sendDrops());
 
     const CallerRequestCounts& requests = requests_.counts();
-    printRow("requests_sent", requests.requestsSent);
-    printRow("request_tries_sent", requests.triesSent);
-    printRow("requests_answered", requests.endedAs(RequestOutcome::Answered));
-    printRow("requests_refused", requests.endedAs(RequestOutcome::Refused));
-    printRow("requests_unknown", requests.endedAs(RequestOutcome::Unknown));
-    printRow("requests_lost", requests.endedAs(RequestOutcome::Lost));
-    // Only a run that was ended early leaves some.
-    printRow("requests_open", requests_.openRequests());
-    printRow("requests_cancelled", requests.endedAs(RequestOutcome::Cancelled));
-    printRow("requests_wrong_answer", requests.endedAs(RequestOutcome::WrongAnswer));
-    printRow("requests_wrong_service", requests.wrongServiceAnswers);
-    printRow("requests_skipped", requests.skipped);
+    printCount("requests_sent", requests.requestsSent);
+    printCount("request_tries_sent", requests.attemptsSent);
+    printCount("requests_answered", requests.endedAs(RequestOutcome::Answered));
+    printCount("requests_refused", requests.endedAs(RequestOutcome::Refused));
+    printCount("requests_unknown", requests.endedAs(RequestOutcome::Unknown));
+    printCount("requests_lost", requests.endedAs(RequestOutcome::Lost));
+    // Above 0 only after a run that was stopped early.
+    printCount("requests_open", requests_.openRequests());
+    printCount("requests_cancelled", requests.endedAs(RequestOutcome::Cancelled));
+    printCount("requests_wrong_answer", requests.endedAs(RequestOutcome::WrongAnswer));
+    printCount("requests_wrong_service", requests.wrongServiceAnswers);
+    printCount("requests_skipped", requests.skipped);
 }
 
 Result<void> CallerStandIn::writeRecords() const
@@ -126,7 +126,7 @@
         return;
     }
     const auto payload = decodeFlowPayload(packet.value().payload);
-    // The header's destination must be the client that the flow belongs to.
+    // The destination in the header must be the flow's client.
     if (!payload || packet.value().header.service != clientEndpointOf(payload.value().flow)) {
         ++malformedDatagrams_;
         return;
@@ -134,7 +134,7 @@
     flows_.handle(payload.value(), Clock::now());
 }
 
-void CallerStandIn::work()
+void CallerStandIn::processDueEvents()
 {
     const TimePoint now = Clock::now();
     if (now < end_)
@@ -145,17 +145,17 @@
     if (isOver(now))
         context_.stop();
     else
-        scheduleWork();
+        scheduleNextEvent();
 }
 
-void CallerStandIn::scheduleWork()
+void CallerStandIn::scheduleNextEvent()
 {
     const TimePoint now = Clock::now();
     const TimePoint wanted = std::min(flows_.nextEvent(), requests_.nextEvent());
-    timer_.expires_at(std::clamp(wanted, now + shortestStep, now + longestStep));
+    timer_.expires_at(std::clamp(wanted, now + minTimerDelay, now + maxTimerDelay));
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (!error)
-            work();
+            processDueEvents();
     });
 }
 
@@ -164,9 +164,9 @@
     packets_.clear();
     flows_.poll(now, packets_);
     for (const CallerPacket& packet : packets_) {
-        std::array<std::uint8_t, largestProxyHeader> head;
-        const std::size_t headSize = encodeProxyHeader(packet.header, head);
-        socket_->send(options_.fabric, std::span(head).first(headSize), encodeFlowPayload(packet.payload));
+        std::array<std::uint8_t, maxProxyHeaderBytes> header;
+        const std::size_t headerSize = encodeProxyHeader(packet.header, header);
+        socket_->send(options_.fabric, std::span(header).first(headerSize), encodeFlowPayload(packet.payload));
     }
     socket_->flush();
 }
@@ -193,10 +193,10 @@
     });
 }
 
-// Requests end by their deadlines at the latest.
+// Every request ends, since each attempt has a deadline.
 bool CallerStandIn::isOver(TimePoint now) const
 {
-    return now >= end_ + replyTravelTime && requests_.openRequests() == 0;
+    return now >= end_ + replyGracePeriod && requests_.openRequests() == 0;
 }
 
 }
--- /dev/null
+++ b/Source/StoreSync/StoreFeed.cpp
@@ -0,0 +1,302 @@
+#include "StoreSync/StoreFeed.h"
+
+#include "StoreSync/CompressedValue.h"
+
+#include <algorithm>
+#include <random>
+#include <utility>
+
+namespace wisteriadock {
+
+namespace {
+
+    StoreUpdate updateOf(const PlatformItem& item)
+    {
+        StoreUpdate update { item.key, item.value, item.revision, item.isRemoved };
+        compressValue(update);
+        return update;
+    }
+
+}
+
+StoreFeed::StoreFeed(std::uint64_t seed, StoreFeedSettings settings)
+    : settings_(settings)
+    , backoff_(settings.minBackoff, settings.maxBackoff, seed)
+    , keepsListingByChance_(std::mt19937_64(seed)() % settings.keepListingOneIn == 0)
+{
+}
+
+StoreFeedActions StoreFeed::start(TimePoint now)
+{
+    StoreFeedActions actions;
+    list(now, actions);
+    return actions;
+}
+
+void StoreFeed::list(TimePoint now, StoreFeedActions& actions)
+{
+    state_ = State::Listing;
+    pageSentAt_ = now;
+    pauseUntil_.reset();
+    if (!listRevision_)
+        listed_.clear();
+    const std::string after = listed_.empty() ? std::string() : listed_.back().key;
+    actions.emplace_back(SendList { { "", after, mayListStale_ }, settings_.listTimeout });
+}
+
+StoreFeedActions StoreFeed::handlePage(const Result<PlatformPage>& page, TimePoint now)
+{
+    StoreFeedActions actions;
+    if (state_ != State::Listing)
+        return actions;
+    if (!page) {
+        noteFailure(page.error(), now, actions);
+        listRevision_.reset();
+        pause(State::PausingBeforeList, backoff_.next(), now);
+        return actions;
+    }
+    noteSuccess(now, actions);
+    // The pages are read one after the other. Changes made meanwhile have a higher revision than the first page, and
+    // the watch that starts there returns them.
+    if (!listRevision_)
+        listRevision_ = page.value().revision;
+    for (const PlatformItem& item : page.value().items)
+        listed_.push_back(updateOf(item));
+    if (page.value().hasMore && !page.value().items.empty()) {
+        list(now, actions);
+        return actions;
+    }
+    StoreDelta delta { 0, *listRevision_, true, hadRecentOutage(now), std::move(listed_) };
+    delta.isFresh = !mayListStale_ && now >= freshFrom_;
+    if (delta.isInDoubt)
+        confirmAt_ = now + settings_.reregistrationTime;
+    completeTo_ = std::max(completeTo_, delta.to);
+    listed_.clear();
+    listRevision_.reset();
+    staleListingAt_ = mayListStale_ ? std::optional(now) : std::nullopt;
+    mayListStale_ = false;
+    actions.emplace_back(DeltaReceived { std::move(delta) });
+    state_ = State::Idle;
+    if (isWatcher_)
+        watch(now, actions);
+    return actions;
+}
+
+StoreFeedActions StoreFeed::handlePageProgress(
+    std::uint64_t received, std::uint64_t total, bool knowsFasterPeer, TimePoint now)
+{
+    StoreFeedActions actions;
+    const Duration elapsed = now - pageSentAt_;
+    const bool isFirst = state_ == State::Listing && completeTo_ == 0 && !hasCancelledListing_;
+    const bool isSlow = received < linkBytes(elapsed / 2);
+    if (!isFirst || elapsed < settings_.listingCheckDelay || !isSlow || keepsListing(total, knowsFasterPeer))
+        return actions;
+    const double remaining
+        = static_cast<double>(total - received) / static_cast<double>(std::max<std::uint64_t>(received, 1));
+    if (remaining * elapsed <= Duration(settings_.minRemainingToCancel))
+        return actions;
+    hasCancelledListing_ = true;
+    listRevision_.reset();
+    pause(State::PausingBeforeList, settings_.peersTimeout, now);
+    actions.emplace_back(CancelListing {});
+    return actions;
+}
+
+bool StoreFeed::keepsListing(std::uint64_t bytes, bool knowsFasterPeer) const
+{
+    const bool isFast = settings_.linkMegabits == 0 || bytes <= linkBytes(settings_.fastLinkListingTime);
+    return isFast || (keepsListingByChance_ && !knowsFasterPeer);
+}
+
+// How many bytes this balancer's own link carries in this time.
+std::uint64_t StoreFeed::linkBytes(Duration time) const
+{
+    constexpr std::uint64_t bytesPerMegabit = 125'000;
+    return static_cast<std::uint64_t>(
+        std::chrono::duration<double>(time).count() * settings_.linkMegabits * bytesPerMegabit);
+}
+
+void StoreFeed::watch(TimePoint now, StoreFeedActions& actions)
+{
+    isCheckingListing_ = false;
+    watch(nextWatchDuration(now), now, actions);
+}
+
+void StoreFeed::watch(std::chrono::milliseconds wait, TimePoint now, StoreFeedActions& actions)
+{
+    state_ = State::Watching;
+    pauseUntil_.reset();
+    watchedSince_ = now;
+    watchedRevision_ = completeTo_;
+    supersededSince_.reset();
+    ++watchNumber_;
+    actions.emplace_back(SendWatch { { "", completeTo_, wait }, wait + settings_.answerTimeout, watchNumber_ });
+}
+
+std::chrono::milliseconds StoreFeed::nextWatchDuration(TimePoint now) const
+{
+    if (!confirmAt_)
+        return settings_.watchDuration;
+    const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(*confirmAt_ - now);
+    return std::clamp(remaining, settings_.minWatchDuration, settings_.watchDuration);
+}
+
+StoreFeedActions StoreFeed::handleChanges(std::uint64_t number, const Result<PlatformChanges>& changes, TimePoint now)
+{
+    StoreFeedActions actions;
+    if (state_ != State::Watching || number != watchNumber_)
+        return handleLateAnswer(number, changes, now);
+    if (!changes && changes.error().code == ErrorCode::NotFound) {
+        // The store no longer has the changes since this revision. Removals show only in a listing, which must not be
+        // stale.
+        mayListStale_ = false;
+        list(now, actions);
+        return actions;
+    }
+    if (!changes) {
+        noteFailure(changes.error(), now, actions);
+        pause(State::PausingBeforeWatch, backoff_.next(), now);
+        return actions;
+    }
+    noteSuccess(now, actions);
+    const bool isConfirmation = confirmAt_ && now >= *confirmAt_;
+    if (isConfirmation)
+        confirmAt_.reset();
+    StoreDelta delta = deltaOf(changes.value(), completeTo_, now);
+    delta.isFresh = now >= freshFrom_;
+    completeTo_ = delta.to;
+    const bool hasChanges = !delta.items.empty();
+    const bool isForOthers = !std::exchange(isCheckingListing_, false);
+    if (hasChanges || delta.to > delta.from || isConfirmation)
+        actions.emplace_back(DeltaReceived { std::move(delta), isForOthers });
+    if (!isWatcher_)
+        state_ = State::Idle;
+    else if (hasChanges)
+        pause(State::PausingBeforeWatch, settings_.batchDelay, now);
+    else
+        watch(now, actions);
+    return actions;
+}
+
+// Makes a delta of the changes. If it holds removals in doubt, has the store asked once more later.
+StoreDelta StoreFeed::deltaOf(const PlatformChanges& changes, std::uint64_t from, TimePoint now)
+{
+    const auto removals = static_cast<std::size_t>(
+        std::ranges::count_if(changes.items, [](const PlatformItem& item) { return item.isRemoved; }));
+    StoreDelta delta;
+    delta.from = from;
+    delta.to = std::max(changes.revision, from);
+    delta.isInDoubt = hadRecentOutage(now) || removals >= settings_.massRemovalThreshold;
+    if (delta.isInDoubt && removals > 0)
+        confirmAt_ = now + settings_.reregistrationTime;
+    for (const PlatformItem& item : changes.items)
+        delta.items.push_back(updateOf(item));
+    return delta;
+}
+
+// A watch that counted as unresponsive may only have been slow, with a large answer on a slow link. Its answer is as
+// valid as that of the watch that replaced it, and arrives sooner.
+StoreFeedActions StoreFeed::handleLateAnswer(
+    std::uint64_t number, const Result<PlatformChanges>& changes, TimePoint now)
+{
+    StoreFeedActions actions;
+    const bool isReplaced = replacedWatch_ && replacedWatch_->number == number;
+    if (!isReplaced || !changes || changes.value().revision <= completeTo_)
+        return actions;
+    StoreDelta delta = deltaOf(changes.value(), replacedWatch_->revision, now);
+    replacedWatch_.reset();
+    completeTo_ = delta.to;
+    actions.emplace_back(DeltaReceived { std::move(delta) });
+    return actions;
+}
+
+// Without this check, a balancer that started from a stale listing drops packets of open flows to servers that the
+// listing lacks until a watcher of its zone pushes them.
+StoreFeedActions StoreFeed::noteContradiction(TimePoint now)
+{
+    StoreFeedActions actions;
+    const auto listedAt = std::exchange(staleListingAt_, std::nullopt);
+    if (!listedAt || state_ != State::Idle || now - *listedAt >= settings_.maxListingAge)
+        return actions;
+    isCheckingListing_ = true;
+    watch(settings_.minWatchDuration, now, actions);
+    return actions;
+}
+
+StoreFeedActions StoreFeed::update(
+    std::uint64_t completeTo, bool isWatcher, std::optional<TimePoint> behindSince, TimePoint now)
+{
+    StoreFeedActions actions;
+    completeTo_ = std::max(completeTo_, completeTo);
+    isWatcher_ = isWatcher;
+    if (state_ == State::Idle && isWatcher_ && completeTo_ > 0)
+        watch(now, actions);
+    if (completeTo_ > watchedRevision_ && !supersededSince_)
+        supersededSince_ = now;
+    if (isUnresponsive(behindSince, now)) {
+        noteFailure({ ErrorCode::DeadlineExceeded, "the watch does not answer, but other balancers received changes" },
+            now, actions);
+        replacedWatch_ = ReplacedWatch { watchNumber_, watchedRevision_ };
+        watch(now, actions);
+    }
+    return actions;
+}
+
+// A dead connection looks like a store without changes. The difference shows when other balancers have changes that the
+// watch should have returned, also after this balancer has received them from there.
+bool StoreFeed::isUnresponsive(std::optional<TimePoint> behindSince, TimePoint now) const
+{
+    if (state_ != State::Watching)
+        return false;
+    const bool isBehind = behindSince && now - std::max(*behindSince, watchedSince_) > settings_.unresponsiveAfter;
+    const bool isSuperseded = supersededSince_ && now - *supersededSince_ > settings_.unresponsiveAfter;
+    return isBehind || isSuperseded;
+}
+
+StoreFeedActions StoreFeed::tick(TimePoint now)
+{
+    StoreFeedActions actions;
+    if (!pauseUntil_ || now < *pauseUntil_)
+        return actions;
+    pauseUntil_.reset();
+    // Other balancers may have sent everything while the store did not answer, which makes the listing unnecessary.
+    const bool needsList = state_ == State::PausingBeforeList && (completeTo_ == 0 || !mayListStale_);
+    if (needsList)
+        list(now, actions);
+    else if (isWatcher_)
+        watch(now, actions);
+    else
+        state_ = State::Idle;
+    return actions;
+}
+
+bool StoreFeed::hadRecentOutage(TimePoint now) const { return unreachableSince_ || now < doubtUntil_; }
+
+void StoreFeed::pause(State state, std::chrono::milliseconds time, TimePoint now)
+{
+    state_ = state;
+    pauseUntil_ = now + time;
+}
+
+void StoreFeed::noteFailure(const Error& error, TimePoint now, StoreFeedActions& actions)
+{
+    if (unreachableSince_)
+        return;
+    unreachableSince_ = now;
+    actions.emplace_back(StoreUnreachable { error });
+}
+
+void StoreFeed::noteSuccess(TimePoint now, StoreFeedActions& actions)
+{
+    backoff_.reset();
+    if (!unreachableSince_)
+        return;
+    actions.emplace_back(StoreReachable { now - *unreachableSince_ });
+    unreachableSince_.reset();
+    doubtUntil_ = now + settings_.doubtAfterOutage;
+    freshFrom_ = now + settings_.reregistrationTime;
+    if (confirmAt_)
+        confirmAt_ = freshFrom_;
+}
+
+}
--- /dev/null
+++ b/Source/StoreSync/StoreFeed.h
@@ -0,0 +1,196 @@
+#pragma once
+
+#include "Core/Clock.h"
+#include "Core/Error.h"
+#include "KeyValue/PlatformCalls.h"
+#include "Peers/Backoff.h"
+#include "StoreSync/StoreDelta.h"
+
+#include <chrono>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+namespace wisteriadock {
+
+struct StoreFeedSettings {
+    // How long the store holds a watch open. A shorter time finds a dead connection sooner and costs more calls.
+    std::chrono::milliseconds watchDuration { 2500 };
+    // How much longer than its duration the answer to a watch may take.
+    std::chrono::milliseconds answerTimeout { 700 };
+    // How long the answer to a listing may take.
+    std::chrono::milliseconds listTimeout { 1500 };
+    // Pause after a watch that returned changes, so that a series of changes costs a single call.
+    std::chrono::milliseconds batchDelay { 300 };
+    // Bounds of the pause between two calls while the store does not answer.
+    std::chrono::milliseconds minBackoff { 150 };
+    std::chrono::milliseconds maxBackoff { 1000 };
+    // A watch that has not answered this long after others received changes counts as unresponsive.
+    std::chrono::milliseconds unresponsiveAfter { 700 };
+    // For how long after an outage of the store removed entries are in doubt.
+    std::chrono::milliseconds doubtAfterOutage { 5000 };
+    // How long entries that lapsed in an outage take to be registered again. After this time the store is asked once
+    // more, and entries that are still missing then are removed for certain.
+    std::chrono::milliseconds reregistrationTime { 2000 };
+    // Shortest duration of a watch, also of the one that asks whether entries are registered again.
+    std::chrono::milliseconds minWatchDuration { 50 };
+    // How old a stale listing can be at most.
+    std::chrono::milliseconds maxListingAge { 15000 };
+    // The progress of the first listing is checked this long after the request. If it arrives at less than half the
+    // rate of this balancer's own link, because the store's link is the bottleneck, and would take longer than
+    // minRemainingToCancel to complete, it is cancelled and its content fetched from peers.
+    std::chrono::milliseconds listingCheckDelay { 150 };
+    std::chrono::milliseconds minRemainingToCancel { 500 };
+    // A balancer whose own link carries the listing within this time completes it. Where no faster peer is known, one
+    // balancer in keepListingOneIn, chosen at random, completes it as well, so that others can fetch it from a peer.
+    std::chrono::milliseconds fastLinkListingTime { 250 };
+    std::uint32_t keepListingOneIn = 8;
+    // How long peers are asked before the store is listed again, this time to the end.
+    std::chrono::milliseconds peersTimeout { 2000 };
+    // Bandwidth of this balancer's link in Mbit/s; 0 when unknown, which counts as fast.
+    std::uint32_t linkMegabits = 0;
+    // When at least this many entries are removed at once, the removals are in doubt: they may result from an outage
+    // that this balancer did not notice.
+    std::size_t massRemovalThreshold = 3;
+};
+
+// Request a page of the listing. Pass the outcome to handlePage().
+struct SendList {
+    ListCall call;
+    std::chrono::milliseconds timeout { 0 };
+};
+
+// Request the changes after a revision, which the store answers once there are any. Pass the outcome to handleChanges()
+// with the same number.
+struct SendWatch {
+    ChangesCall call;
+    std::chrono::milliseconds timeout { 0 };
+    std::uint64_t number = 0;
+};
+
+// Cancel the listing in progress. Its outcome is ignored.
+struct CancelListing { };
+
+// The store sent a delta. Pass it to ReplicaSync::handleStoreDelta().
+struct DeltaReceived {
+    StoreDelta delta;
+    // False for a check that each balancer of a zone may make at the same time; pushing its result from each of them
+    // would fill their links.
+    bool isForOthers = true;
+};
+
+// The store stopped answering this balancer.
+struct StoreUnreachable {
+    Error error;
+};
+
+// The store answers this balancer again.
+struct StoreReachable {
+    Duration outage { 0 };
+};
+
+using StoreFeedAction
+    = std::variant<SendList, SendWatch, CancelListing, DeltaReceived, StoreUnreachable, StoreReachable>;
+using StoreFeedActions = std::vector<StoreFeedAction>;
+
+// Reads the platform's key-value store: lists it once at the start and then, on balancers that are watchers of their
+// zone, watches it for changes. StoreFeedDriver calls it and performs the actions that it returns. Answers may be lost,
+// late or refused to this balancer alone, and connections may stop answering without being closed, so every call has a
+// timeout and is repeated after a pause.
+class StoreFeed {
+public:
+    StoreFeed(std::uint64_t seed, StoreFeedSettings settings = {});
+
+    StoreFeedActions start(TimePoint now);
+    // The outcome of SendList.
+    StoreFeedActions handlePage(const Result<PlatformPage>&, TimePoint now);
+    // Bytes of the page in progress, and whether a peer with a much faster link is known. Decides whether to cancel a
+    // slow first listing: when many balancers start together, they share the bandwidth of the store's link.
+    StoreFeedActions handlePageProgress(
+        std::uint64_t received, std::uint64_t total, bool knowsFasterPeer, TimePoint now);
+    // The outcome of the SendWatch with this number.
+    StoreFeedActions handleChanges(std::uint64_t number, const Result<PlatformChanges>&, TimePoint now);
+    // Must be called regularly with the revision up to which the replica is complete, whether this balancer is to watch
+    // the store, and since when others are known to be ahead.
+    StoreFeedActions update(
+        std::uint64_t completeTo, bool isWatcher, std::optional<TimePoint> behindSince, TimePoint now);
+    StoreFeedActions tick(TimePoint now);
+    // Received packets show that the first listing, which may be stale, lacks entries, such as servers that registered
+    // again after a partition. Asks the store once for the changes since then. Has no effect when that was done, when
+    // this balancer watches anyway, and when the listing is older than maxListingAge.
+    StoreFeedActions noteContradiction(TimePoint now);
+    // When tick() should be called next; none when there is nothing to wait for.
+    std::optional<TimePoint> nextTick() const { return pauseUntil_; }
+
+    bool isUnreachable() const { return unreachableSince_.has_value(); }
+    bool isWatching() const { return state_ == State::Watching; }
+    // The first listing was cancelled and the replica is still empty, so peers are to be asked at once.
+    bool asksPeers() const { return hasCancelledListing_ && completeTo_ == 0; }
+    // Whether the store is unreachable or was until recently, so removed entries may be registered again soon.
+    bool hadRecentOutage(TimePoint now) const;
+
+private:
+    enum class State {
+        Idle, // This balancer does not watch the store.
+        Listing,
+        Watching,
+        PausingBeforeList,
+        PausingBeforeWatch,
+    };
+
+    // A watch that was replaced before it was answered.
+    struct ReplacedWatch {
+        std::uint64_t number = 0;
+        std::uint64_t revision = 0;
+    };
+
+    void list(TimePoint now, StoreFeedActions&);
+    bool keepsListing(std::uint64_t bytes, bool knowsFasterPeer) const;
+    std::uint64_t linkBytes(Duration) const;
+    void watch(TimePoint now, StoreFeedActions&);
+    void watch(std::chrono::milliseconds wait, TimePoint now, StoreFeedActions&);
+    bool isUnresponsive(std::optional<TimePoint> behindSince, TimePoint now) const;
+    StoreDelta deltaOf(const PlatformChanges&, std::uint64_t from, TimePoint now);
+    StoreFeedActions handleLateAnswer(std::uint64_t number, const Result<PlatformChanges>&, TimePoint now);
+    std::chrono::milliseconds nextWatchDuration(TimePoint now) const;
+    void pause(State, std::chrono::milliseconds, TimePoint now);
+    void noteFailure(const Error&, TimePoint now, StoreFeedActions&);
+    void noteSuccess(TimePoint now, StoreFeedActions&);
+
+    const StoreFeedSettings settings_;
+    Backoff backoff_;
+    State state_ = State::Idle;
+    bool isWatcher_ = false;
+    std::uint64_t completeTo_ = 0;
+    std::uint64_t watchNumber_ = 0;
+    TimePoint watchedSince_;
+    // The revision after which the watch waits for changes, and since when the replica is ahead of it by deltas of
+    // other balancers.
+    std::uint64_t watchedRevision_ = 0;
+    std::optional<TimePoint> supersededSince_;
+    std::optional<ReplacedWatch> replacedWatch_;
+    std::optional<TimePoint> pauseUntil_;
+    std::optional<TimePoint> unreachableSince_;
+    TimePoint doubtUntil_ = TimePoint::min();
+    // From when on an answer of the store counts as fresh (StoreDelta::isFresh).
+    TimePoint freshFrom_ = TimePoint::min();
+    // When to ask the store whether entries whose removal is in doubt are registered again; none when there are none.
+    std::optional<TimePoint> confirmAt_;
+    // Entries and revision of the listing in progress.
+    std::vector<StoreUpdate> listed_;
+    std::optional<std::uint64_t> listRevision_;
+    // Only the first listing may be stale: it can't replace anything newer.
+    bool mayListStale_ = true;
+    TimePoint pageSentAt_;
+    // Whether this balancer is one of those chosen at random to complete a slow listing.
+    const bool keepsListingByChance_;
+    bool hasCancelledListing_ = false;
+    // When a listing that may be stale arrived; none after it was checked.
+    std::optional<TimePoint> staleListingAt_;
+    // The watch in progress checks that listing.
+    bool isCheckingListing_ = false;
+};
+
+}
--- a/Source/Wire/PeerMessage.cpp
+++ b/Source/Wire/PeerMessage.cpp
@@ -16,7 +16,7 @@
         { PeerMessageKind::Configuration, "configuration" },
         { PeerMessageKind::FlowControl, "flow_control" },
         { PeerMessageKind::Request, "request" },
-        { PeerMessageKind::News, "news" },
+        { PeerMessageKind::ReplicaSync, "news" },
     });
 
     bool isKnown(PeerMessageKind kind)
@@ -28,7 +28,7 @@
         return false;
     }
 
-    // The envelope as it is on the wire.
+    // The wire format of the envelope.
     struct WireEnvelope {
         std::uint8_t version = 0;
         std::uint32_t sender = 0;
@@ -45,10 +45,10 @@
 
 Result<std::vector<std::uint8_t>> encodePeerEnvelope(const PeerEnvelope& envelope)
 {
-    if (envelope.payload.size() > largestPeerPayload) {
+    if (envelope.payload.size() > maxPeerPayloadBytes) {
         return Error { ErrorCode::ResourceExhausted,
             "payload of " + std::to_string(envelope.payload.size()) + " bytes, at most "
-                + std::to_string(largestPeerPayload) + " fit" };
+                + std::to_string(maxPeerPayloadBytes) + " fit" };
     }
     return encodeMessage(WireEnvelope { peerProtocolVersion, envelope.sender.value, envelope.senderIncarnation,
         static_cast<std::uint8_t>(envelope.kind), envelope.payload });
--- a/Tests/Balancer/BalancerDaemonTest.cpp
+++ b/Tests/Balancer/BalancerDaemonTest.cpp
@@ -20,7 +20,7 @@
 
     constexpr Endpoint tryonAddress { 0xc0000201, 443 };
 
-    // A whole balancer on a thread of its own, between a platform and one backend server.
+    // Runs a complete balancer on its own thread, with a platform and one backend server.
     class BalancerDaemonTest : public PlatformTest {
     protected:
         void SetUp() override
@@ -30,9 +30,9 @@
                 if (const auto packet = decodeProxiedPacket(bytes))
                     packets_.push_back(packet.value().header);
             };
-            flowDoor_ = std::move(UdpSocket::bind(context_, anyLoopbackPort, takePacket).value());
+            flowServer_ = std::move(UdpSocket::bind(context_, anyLoopbackPort, takePacket).value());
             const auto takeRequest = [this](const std::shared_ptr<Http2Exchange>& exchange) { exchange_ = exchange; };
-            requestDoor_ = std::move(Http2Server::listen(context_, anyLoopbackPort, takeRequest).value());
+            requestServer_ = std::move(Http2Server::listen(context_, anyLoopbackPort, takeRequest).value());
             apply(versionOf(1, configuration()));
 
             auto daemon = BalancerDaemon::start(settings(), "");
@@ -67,8 +67,8 @@
             server.id = backendServerIdOf("try1");
             server.service = service.id;
             server.availabilityZone = "walu";
-            server.flowAddress = flowDoor_->address();
-            server.requestAddress = requestDoor_->address();
+            server.flowAddress = flowServer_->address();
+            server.requestAddress = requestServer_->address();
             return { { service }, { server } };
         }
 
@@ -107,8 +107,8 @@
 
         std::vector<ProxyHeader> packets_;
         std::shared_ptr<Http2Exchange> exchange_;
-        std::unique_ptr<UdpSocket> flowDoor_;
-        std::unique_ptr<Http2Server> requestDoor_;
+        std::unique_ptr<UdpSocket> flowServer_;
+        std::unique_ptr<Http2Server> requestServer_;
         std::unique_ptr<BalancerDaemon> daemon_;
         BalancerAddresses addresses_;
         std::unique_ptr<Http2Client> client_;
@@ -117,21 +117,21 @@
         std::thread thread_;
     };
 
-    TEST_F(BalancerDaemonTest, servesFromEndToEndUntilToldToStop)
+    TEST_F(BalancerDaemonTest, ServesPacketsAndRequestsUntilStopped)
     {
         awaitServing();
         EXPECT_EQ(readStatus().at("configuration_version"), 1);
         {
-            SCOPED_TRACE("a packet of a flow");
+            SCOPED_TRACE("forward a packet of a flow");
             const ProxyHeader header { { 0xcb007101, 50000 }, tryonAddress, {} };
-            std::vector<std::uint8_t> datagram(largestProxyHeader);
+            std::vector<std::uint8_t> datagram(maxProxyHeaderBytes);
             datagram.resize(encodeProxyHeader(header, datagram));
-            flowDoor_->send(addresses_.flow, datagram);
+            flowServer_->send(addresses_.flow, datagram);
             runUntil([this] { return !packets_.empty(); });
             EXPECT_EQ(packets_.front(), header);
         }
         {
-            SCOPED_TRACE("a key of the balancer's own making, and work under it");
+            SCOPED_TRACE("request a ticket and use it as the key of a request");
             do {
                 call("/wisteriadock/ticket", "b1");
                 runUntil([this] { return answer_.has_value(); });
@@ -149,7 +149,7 @@
             EXPECT_EQ(answer_->value().body, "confirmed");
         }
         {
-            SCOPED_TRACE("a request, answered although the stop began meanwhile");
+            SCOPED_TRACE("a request that is open when the stop begins is still answered");
             call("/overlay", "tryon");
             runUntil([this] { return exchange_ != nullptr; });
             std::raise(SIGTERM);
@@ -162,18 +162,18 @@
         runUntil([this] { return isStopped_.load(); });
     }
 
-    TEST_F(BalancerDaemonTest, doesNotStartOnAnAddressInUse)
+    TEST_F(BalancerDaemonTest, StartFailsOnAddressInUse)
     {
-        const auto refusalOf = [this](Endpoint BalancerAddresses::*member) {
+        const auto startErrorOf = [this](Endpoint BalancerAddresses::*member) {
             BalancerSettings second = settings();
             second.listen.*member = addresses_.*member;
             const auto daemon = BalancerDaemon::start(second, "");
             return daemon ? std::string("started") : std::string(nameOf(daemon.error().code));
         };
-        EXPECT_EQ(refusalOf(&BalancerAddresses::flow), "unavailable");
-        EXPECT_EQ(refusalOf(&BalancerAddresses::peer), "unavailable");
-        EXPECT_EQ(refusalOf(&BalancerAddresses::request), "unavailable");
-        EXPECT_EQ(refusalOf(&BalancerAddresses::metrics), "unavailable");
+        EXPECT_EQ(startErrorOf(&BalancerAddresses::flow), "unavailable");
+        EXPECT_EQ(startErrorOf(&BalancerAddresses::peer), "unavailable");
+        EXPECT_EQ(startErrorOf(&BalancerAddresses::request), "unavailable");
+        EXPECT_EQ(startErrorOf(&BalancerAddresses::metrics), "unavailable");
     }
 
 }
--- a/Tests/Balancer/PacketPathTest.cpp
+++ b/Tests/Balancer/PacketPathTest.cpp
@@ -21,16 +21,16 @@
 
     std::vector<std::uint8_t> makeDatagram(const ProxyHeader& header, std::string_view payload)
     {
-        std::vector<std::uint8_t> datagram(largestProxyHeader);
+        std::vector<std::uint8_t> datagram(maxProxyHeaderBytes);
         datagram.resize(encodeProxyHeader(header, datagram));
         datagram.insert(datagram.end(), payload.begin(), payload.end());
         return datagram;
     }
 
-    // The packet path with a flow engine that has settled its tables, two backend servers and a fabric.
+    // A packet path whose flow engine has settled its tables, with two backend servers and a fabric.
     class PacketPathTest : public LoopbackTest {
     protected:
-        struct Receipt {
+        struct ReceivedPacket {
             std::string server;
             ProxyHeader header;
             std::string payload;
@@ -53,7 +53,7 @@
                 const auto packet = decodeProxiedPacket(bytes);
                 ASSERT_TRUE(packet);
                 const auto payload = packet.value().payload;
-                receipts_.push_back({ name, packet.value().header, std::string(payload.begin(), payload.end()) });
+                received_.push_back({ name, packet.value().header, std::string(payload.begin(), payload.end()) });
             };
             return std::move(UdpSocket::bind(context_, anyLoopbackPort, take).value());
         }
@@ -91,7 +91,7 @@
             configuration.backendServers.push_back(server);
         }
 
-        // The test does not tick the engine, which must not look like a pause of the process.
+        // The engine gets no ticks during a test, which must not count as a pause of the process.
         static FlowSettings settings()
         {
             FlowSettings settings;
@@ -104,52 +104,52 @@
             fabric_->send(path_->address(), makeDatagram(header, payload));
         }
 
-        void awaitReceipts(std::size_t count)
+        void awaitPackets(std::size_t count)
         {
-            runUntil([&] { return receipts_.size() >= count; });
-            ASSERT_EQ(receipts_.size(), count);
+            runUntil([&] { return received_.size() >= count; });
+            ASSERT_EQ(received_.size(), count);
         }
 
         FlowEngine engine_ { settings(), self, 11 };
-        std::vector<Receipt> receipts_;
+        std::vector<ReceivedPacket> received_;
         std::unique_ptr<UdpSocket> tryon_;
         std::unique_ptr<UdpSocket> scanintake_;
         std::unique_ptr<UdpSocket> fabric_;
         std::unique_ptr<PacketPath> path_;
     };
 
-    TEST_F(PacketPathTest, sendsEachPacketToItsOwnService)
+    TEST_F(PacketPathTest, PacketsAreSentToTheirService)
     {
         constexpr Endpoint client { 0xcb007101, 50000 };
         send({ client, tryonAddress, {} }, "frame");
-        awaitReceipts(1);
+        awaitPackets(1);
         send({ client, scanintakeAddress, {} }, "scan");
-        awaitReceipts(2);
+        awaitPackets(2);
 
-        EXPECT_EQ(receipts_[0].server, "try1");
-        EXPECT_EQ(receipts_[0].header, (ProxyHeader { client, tryonAddress, {} }));
-        EXPECT_EQ(receipts_[0].payload, "frame");
-        EXPECT_EQ(receipts_[1].server, "scan1");
-        EXPECT_EQ(receipts_[1].payload, "scan");
+        EXPECT_EQ(received_[0].server, "try1");
+        EXPECT_EQ(received_[0].header, (ProxyHeader { client, tryonAddress, {} }));
+        EXPECT_EQ(received_[0].payload, "frame");
+        EXPECT_EQ(received_[1].server, "scan1");
+        EXPECT_EQ(received_[1].payload, "scan");
     }
 
-    TEST_F(PacketPathTest, takesTheForwardMarkOffForTheBackendServer)
+    TEST_F(PacketPathTest, ForwardMarkIsRemovedForBackendServer)
     {
         const ForwardMark mark { balancerIdOf("b2"), 1 };
         send({ { 0xcb007101, 50000 }, tryonAddress, mark }, "frame");
-        awaitReceipts(1);
-        EXPECT_EQ(receipts_[0].header.forwardMark, std::nullopt);
-        EXPECT_EQ(receipts_[0].payload, "frame");
+        awaitPackets(1);
+        EXPECT_EQ(received_[0].header.forwardMark, std::nullopt);
+        EXPECT_EQ(received_[0].payload, "frame");
     }
 
-    TEST_F(PacketPathTest, countsAndDropsWhatItCantPlace)
+    TEST_F(PacketPathTest, UnroutablePacketsAreCountedAndDropped)
     {
         fabric_->send(path_->address(), std::vector<std::uint8_t> { 1, 2, 3 });
         fabric_->send(path_->address(), std::vector<std::uint8_t>(1400, 0xff));
         send({ { 0xcb007101, 50000 }, { 0xc0000209, 443 }, {} }, "lost");
         runUntil([&] { return path_->totals().received == 3; });
         send({ { 0xcb007101, 50000 }, tryonAddress, {} }, "frame");
-        awaitReceipts(1);
+        awaitPackets(1);
 
         const PacketTotals totals = path_->totals();
         EXPECT_EQ(totals.droppedFor(PacketDrop::Malformed), 2U);
@@ -157,23 +157,21 @@
         EXPECT_EQ(totals.toBackendServer, 1U);
     }
 
-    TEST_F(PacketPathTest, servesManyClientsThroughOneFabricAddress)
+    TEST_F(PacketPathTest, ManyClientsThroughOneFabricAddress)
     {
         constexpr std::uint32_t clients = 500;
-        // Few enough at once for the receive buffer of the server.
+        // Limited by the receive buffer of the server.
         constexpr std::uint32_t clientsAtOnce = 50;
         for (std::uint32_t i = 0; i < clients; ++i) {
             send({ { 0xcb007100 + i, static_cast<std::uint16_t>(40000 + i) }, tryonAddress, {} }, "frame");
             if ((i + 1) % clientsAtOnce == 0)
-                awaitReceipts(i + 1);
+                awaitPackets(i + 1);
         }
         EXPECT_EQ(path_->totals().toBackendServer, clients);
     }
 
-    // Symptom: about half of the packets of a balancer vanish.
-    // Sequence: a second balancer is started by mistake with the same flow address, and the kernel shares the port.
-    // Cause: the threads of one process share the address by an option that any process of the same user may set.
-    TEST_F(PacketPathTest, refusesAnAddressThatAnotherBalancerHas)
+    // Guards against two balancers that share one flow address, so that each receives only part of the packets.
+    TEST_F(PacketPathTest, AddressOfAnotherBalancerIsRejected)
     {
         const auto second = PacketPath::start(path_->address(), 2, engine_, self);
         ASSERT_FALSE(second);
--- a/Tests/Balancer/RequestFrontTest.cpp
+++ b/Tests/Balancer/RequestFrontendTest.cpp
@@ -1,4 +1,4 @@
-#include "Balancer/RequestFront.h"
+#include "Balancer/RequestFrontend.h"
 
 #include "Balancer/LoopbackTest.h"
 
@@ -12,8 +12,8 @@
 
     using namespace std::chrono_literals;
 
-    // A caller, the front and one backend server, over real connections.
-    class RequestFrontTest : public LoopbackTest {
+    // A frontend with a caller and one backend server, over real connections.
+    class RequestFrontendTest : public LoopbackTest {
     protected:
         void SetUp() override
         {
@@ -23,17 +23,17 @@
             ASSERT_TRUE(server);
             server_ = std::move(server.value());
 
-            const auto ownPages = [](const std::shared_ptr<Http2Exchange>& exchange) {
+            const auto builtInPages = [](const std::shared_ptr<Http2Exchange>& exchange) {
                 if (exchange->request().path != "/status")
                     return false;
                 exchange->respond({ .status = 200, .headers = {}, .body = "own page" });
                 return true;
             };
-            auto front = RequestFront::listen(context_, anyLoopbackPort, {}, decisions_, ownPages);
-            ASSERT_TRUE(front);
-            front_ = std::move(front.value());
+            auto frontend = RequestFrontend::listen(context_, anyLoopbackPort, {}, selector_, builtInPages);
+            ASSERT_TRUE(frontend);
+            frontend_ = std::move(frontend.value());
             apply(server_->address());
-            caller_ = std::make_unique<Http2Client>(context_, front_->address());
+            caller_ = std::make_unique<Http2Client>(context_, frontend_->address());
         }
 
         void apply(Endpoint server)
@@ -47,7 +47,7 @@
             backendServer.requestAddress = server;
             backendServer.slots = 1;
             configuration.backendServers = { backendServer };
-            front_->applyConfiguration(std::make_shared<const Configuration>(configuration));
+            frontend_->applyConfiguration(std::make_shared<const Configuration>(configuration));
         }
 
         Http2Client::RequestId call(HttpRequest request)
@@ -86,17 +86,20 @@
             return answer_->value();
         }
 
-        std::uint64_t countOf(RequestEnding ending) const { return front_->counts()[static_cast<std::size_t>(ending)]; }
+        std::uint64_t countOf(RequestOutcomeKind outcome) const
+        {
+            return frontend_->counts()[static_cast<std::size_t>(outcome)];
+        }
 
-        RequestDecisions decisions_ { {}, 3 };
+        BackendServerSelector selector_ { {}, 3 };
         std::vector<std::shared_ptr<Http2Exchange>> exchanges_;
         std::unique_ptr<Http2Server> server_;
-        std::unique_ptr<RequestFront> front_;
+        std::unique_ptr<RequestFrontend> frontend_;
         std::unique_ptr<Http2Client> caller_;
         std::optional<HttpOutcome> answer_;
     };
 
-    TEST_F(RequestFrontTest, passesARequestAndItsAnswerWhole)
+    TEST_F(RequestFrontendTest, PassesRequestAndResponseUnchanged)
     {
         call(confirmation());
         awaitExchange();
@@ -118,11 +121,11 @@
             EXPECT_EQ(answer.status, 201);
             EXPECT_EQ(answer.header("location"), "/confirmations/9");
             EXPECT_EQ(answer.body, std::string(200'000, 'a'));
-            EXPECT_EQ(countOf(RequestEnding::Answered), 1U);
+            EXPECT_EQ(countOf(RequestOutcomeKind::Answered), 1U);
         }
     }
 
-    TEST_F(RequestFrontTest, servesItsOwnPagesUnlessTheRequestNamesAService)
+    TEST_F(RequestFrontendTest, ServesBuiltInPagesUnlessRequestNamesService)
     {
         call(statusRequestTo("b1"));
         EXPECT_EQ(awaitAnswer().body, "own page");
@@ -133,7 +136,7 @@
         EXPECT_EQ(awaitAnswer().body, "the service's page");
     }
 
-    TEST_F(RequestFrontTest, refusesAtOnceWhenEverySlotIsTaken)
+    TEST_F(RequestFrontendTest, RefusesImmediatelyWithoutFreeSlot)
     {
         call(confirmation());
         awaitExchange();
@@ -144,10 +147,8 @@
         EXPECT_EQ(exchanges_.size(), 1U);
     }
 
-    // Symptom: the backend server's two slots stay busy with work that nobody waits for.
-    // Sequence: a caller gives up while the server still works.
-    // Cause: the cancellation ended at the balancer.
-    TEST_F(RequestFrontTest, passesACancellationOn)
+    // Guards against server slots that stay busy with work whose caller has cancelled it.
+    TEST_F(RequestFrontendTest, PassesCancellationToServer)
     {
         const auto id = call(confirmation());
         awaitExchange();
@@ -157,13 +158,13 @@
         runUntil([&] { return cancelled; });
 
         SCOPED_TRACE("the slot is free again");
-        runUntil([&] { return countOf(RequestEnding::Cancelled) == 1; });
+        runUntil([&] { return countOf(RequestOutcomeKind::Cancelled) == 1; });
         exchanges_.clear();
         call(confirmation());
         awaitExchange();
     }
 
-    TEST_F(RequestFrontTest, reportsAServerThatCantBeReachedAsNotExecuted)
+    TEST_F(RequestFrontendTest, UnreachableServerIsReportedAsNotExecuted)
     {
         auto unused = Http2Server::listen(context_, anyLoopbackPort, [](const auto&) {});
         ASSERT_TRUE(unused);
@@ -175,7 +176,7 @@
         EXPECT_NE(answer_->value().body.find(R"("executed":"no")"), std::string::npos);
     }
 
-    TEST_F(RequestFrontTest, reportsADeadlineAfterSendingAsUnknown)
+    TEST_F(RequestFrontendTest, DeadlineAfterSendingIsReportedAsUnknown)
     {
         HttpRequest request = confirmation();
         request.headers.push_back({ "x-deadline-milliseconds", "300" });
@@ -185,7 +186,7 @@
         EXPECT_NE(answer_->value().body.find(R"("executed":"unknown")"), std::string::npos);
     }
 
-    TEST_F(RequestFrontTest, reportsAResetAfterSendingAsUnknown)
+    TEST_F(RequestFrontendTest, ResetAfterSendingIsReportedAsUnknown)
     {
         call(confirmation());
         awaitExchange();
@@ -194,10 +195,10 @@
         EXPECT_NE(answer_->value().body.find(R"("executed":"unknown")"), std::string::npos);
     }
 
-    // The baseline of experiments: without it they could not show that they see double runs.
-    TEST_F(RequestFrontTest, runsWorkAgainWhenToldToRetryBlindly)
+    // Guards against a baseline that hides double runs from experiments.
+    TEST_F(RequestFrontendTest, BlindRetrySendsWorkAgain)
     {
-        front_->retryBlindly();
+        frontend_->retryBlindly();
         call(confirmation());
         awaitExchange();
         exchanges_.front().reset();
@@ -206,12 +207,12 @@
         EXPECT_EQ(awaitAnswer().body, "ran twice");
     }
 
-    TEST_F(RequestFrontTest, drainsOnlyAfterTheLastAnswer)
+    TEST_F(RequestFrontendTest, DrainEndsAfterLastResponse)
     {
         call(confirmation());
         awaitExchange();
         bool drained = false;
-        front_->drain([&] { drained = true; });
+        frontend_->drain([&] { drained = true; });
         context_.restart();
         context_.poll();
         EXPECT_FALSE(drained);
--- a/Tests/Balancer/RequestMessageCodecTest.cpp
+++ b/Tests/Balancer/RequestMessageCodecTest.cpp
@@ -10,8 +10,8 @@
 
     using namespace std::chrono_literals;
 
-    const Holder first { BalancerId { 7 }, 1'700'000'000'001 };
-    const Holder second { BalancerId { 4'000'000'000 }, 2 };
+    const BalancerInstance first { BalancerId { 7 }, 1'700'000'000'001 };
+    const BalancerInstance second { BalancerId { 4'000'000'000 }, 2 };
 
     ClaimTerm exampleTerm() { return { "walu", 9, { first, second }, { { 8, { second } }, { 7, {} } }, false }; }
 
@@ -25,12 +25,12 @@
         record.answer = std::make_shared<const HttpResponse>(
             HttpResponse { .status = 201, .headers = { { "location", "/9" } }, .body = std::string("\0b", 2) });
         snapshot.contents.claims = { { { 1, 2 }, record, -3s } };
-        snapshot.contents.forgottenEpoch = 4;
+        snapshot.contents.expiredEpoch = 4;
         snapshot.contents.lost = LostClaims { 6, { { 5, first, second }, { 4, second, std::nullopt } }, true, 70s };
         return snapshot;
     }
 
-    TEST(RequestMessageCodecTest, readsWhatItWrote)
+    TEST(RequestMessageCodecTest, DecodesWhatItEncoded)
     {
         {
             SCOPED_TRACE("a snapshot with all its parts");
@@ -48,18 +48,18 @@
             EXPECT_EQ(copy.record.answer->body, std::string("\0b", 2));
         }
         {
-            SCOPED_TRACE("a record, also as the platform holds it");
+            SCOPED_TRACE("an ownership record, also in the platform's JSON format");
             const auto read
-                = decodeRequestMessage(encodeRequestMessage({ 5, RequestMessage(TermNews { exampleTerm() }) }));
-            EXPECT_EQ(std::get<TermNews>(std::get<RequestMessage>(read.value().message)).term, exampleTerm());
+                = decodeRequestMessage(encodeRequestMessage({ 5, RequestMessage(TermUpdate { exampleTerm() }) }));
+            EXPECT_EQ(std::get<TermUpdate>(std::get<RequestMessage>(read.value().message)).term, exampleTerm());
             EXPECT_EQ(readClaimTerm(writeClaimTerm(exampleTerm())).value(), exampleTerm());
             EXPECT_FALSE(readClaimTerm(R"({"epoch":1})"));
         }
         {
-            SCOPED_TRACE("the shell's own");
-            const TryReceived received { { first, 3 } };
+            SCOPED_TRACE("an acknowledgement and a digest");
+            const AttemptReceived received { { first, 3 } };
             EXPECT_EQ(
-                std::get<TryReceived>(decodeRequestMessage(encodeRequestMessage({ 5, received })).value().message),
+                std::get<AttemptReceived>(decodeRequestMessage(encodeRequestMessage({ 5, received })).value().message),
                 received);
             const TermDigest digest { { { "walu", 9 }, { "nabua", 2 } } };
             EXPECT_EQ(std::get<TermDigest>(decodeRequestMessage(encodeRequestMessage({ 5, digest })).value().message),
@@ -67,10 +67,8 @@
         }
     }
 
-    // Symptom: a balancer runs out of memory or takes claims for held that are not.
-    // Sequence: a message arrives cut, lengthened or with a count of four billion.
-    // Cause: the reader believed what the bytes say of themselves.
-    TEST(RequestMessageCodecTest, refusesEverythingThatIsNotOneWholeMessage)
+    // Guards against truncated or extended messages, and against counts that exhaust memory.
+    TEST(RequestMessageCodecTest, RejectsAnythingButOneCompleteMessage)
     {
         std::vector<std::uint8_t> bytes = encodeRequestMessage({ 5, RequestMessage(exampleSnapshot()) });
         for (std::size_t size = 0; size < bytes.size(); ++size)
@@ -78,7 +76,7 @@
         for (std::size_t i = 0; i < bytes.size(); ++i) {
             std::vector<std::uint8_t> spoiled = bytes;
             spoiled[i] = 0xff;
-            // It may still be a message, but reading it must end.
+            // The bytes may still be a message, but decoding them must end.
             (void)decodeRequestMessage(spoiled);
         }
         bytes.push_back(0);
--- a/Tests/Flow/BaselineTest.cpp
+++ b/Tests/Flow/BaselinePolicyTest.cpp
@@ -1,4 +1,4 @@
-#include "Support/FlowFleet.h"
+#include "Support/FlowFleetSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -7,14 +7,15 @@
 
     using namespace std::chrono_literals;
 
-    // A schedule that breaks nobody proves nothing: the baselines must break flows where the default does not.
-    TEST(BaselineTest, breaksFlowsWhereTheDefaultDoesNot)
+    // Guards against a simulation in which a drain breaks no flows under any policy, so that tests of the default
+    // policy would pass without protection.
+    TEST(BaselinePolicyTest, BaselinePoliciesBreakFlowsOnDrain)
     {
         for (const FlowPolicy policy : { FlowPolicy::Modulo, FlowPolicy::ConsistentHash, FlowPolicy::BoundedLoads }) {
             SCOPED_TRACE(nameOf(policy));
-            FlowFleet::Options options;
+            FlowFleetSimulation::Options options;
             options.settings.policy = policy;
-            FlowFleet fleet(options);
+            FlowFleetSimulation fleet(options);
             Configuration configuration = makeConfiguration({ { "tryon", 15 }, { "scanintake", 4 } });
             fleet.apply(configuration);
             fleet.run(4s, 200);
--- a/Tests/FlowStory/FlowStoryTest.cpp
+++ b/Tests/FlowStory/FlowStoryTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    // Two balancers' lines, each in its own order, behind the prefixes of a collector.
+    // Lines of two balancers, each with the prefix of a log collector, and not sorted across balancers.
     constexpr const char* text = R"(
 vm-2 | {"steady_ms":1.0,"time_of_day_s":100.300000,"level":"info","part":"flow","event":"opened_elsewhere","vm":"vm-2","flow":"10.0.0.1:5>198.18.0.1:443","server":"i-2"}
 vm-2 | {"steady_ms":2.0,"time_of_day_s":100.400000,"level":"info","part":"flow","event":"request","vm":"vm-2","flow":"10.0.0.1:5>198.18.0.1:443","request":"abc","server":"i-2"}
@@ -30,16 +30,16 @@
     std::vector<std::string> eventsOf(const FlowStoryQuery& query)
     {
         std::size_t unreadable = 0;
-        const auto story = storyOf(linesOf(unreadable), query);
+        const auto selected = selectFlowLines(linesOf(unreadable), query);
         std::vector<std::string> events;
-        for (const LogLine& line : story ? story.value() : std::vector<LogLine>())
+        for (const LogLine& line : selected ? selected.value() : std::vector<LogLine>())
             events.push_back(line.text("vm") + " " + line.text("event"));
         return events;
     }
 
     using Events = std::vector<std::string>;
 
-    TEST(FlowStoryTest, aRequestLeadsToItsFlowAtAllBalancersInTheOrderOfTime)
+    TEST(FlowStoryTest, RequestSelectsItsFlowAtAllBalancersInTimeOrder)
     {
         const Events expected { "vm-1 opened", "vm-2 opened_elsewhere", "vm-2 request", "vm-1 gone" };
         EXPECT_EQ(eventsOf({ .request = "abc" }), expected);
@@ -47,24 +47,24 @@
         EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5" }), expected);
     }
 
-    TEST(FlowStoryTest, circumstancesAreThoseOfTheFlowsServersAndNear)
+    TEST(FlowStoryTest, ContextIsLimitedToTheServersOfTheFlowAndTheContextTime)
     {
-        EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .around = std::chrono::milliseconds(0) }).size(), 3U);
-        EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .around = std::chrono::seconds(100) }).back(), "vm-1 ready");
+        EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .contextTime = std::chrono::milliseconds(0) }).size(), 3U);
+        EXPECT_EQ(eventsOf({ .flow = "10.0.0.1:5", .contextTime = std::chrono::seconds(100) }).back(), "vm-1 ready");
         EXPECT_EQ(eventsOf({ .server = "i-3" }), Events { "vm-1 opened" });
     }
 
-    TEST(FlowStoryTest, whatIsNoLineIsCountedAndWhatFitsNothingIsSaid)
+    TEST(FlowStoryTest, CountsMalformedLinesAndReportsQueriesWithoutAMatch)
     {
         std::size_t unreadable = 0;
         const std::vector<LogLine> lines = linesOf(unreadable);
         EXPECT_EQ(lines.size(), 7U);
         EXPECT_EQ(unreadable, 1U);
-        EXPECT_EQ(storyOf(lines, {}).error().code, ErrorCode::InvalidArgument);
-        EXPECT_EQ(storyOf(lines, { .request = "unknown" }).error().code, ErrorCode::NotFound);
+        EXPECT_EQ(selectFlowLines(lines, {}).error().code, ErrorCode::InvalidArgument);
+        EXPECT_EQ(selectFlowLines(lines, { .request = "unknown" }).error().code, ErrorCode::NotFound);
     }
 
-    TEST(FlowStoryTest, aLineIsDescribedShortly)
+    TEST(FlowStoryTest, DescriptionOfALine)
     {
         std::size_t unreadable = 0;
         EXPECT_EQ(describe(linesOf(unreadable).front(), 100.0),
--- a/Tests/Forwarder/ForwarderSettingsTest.cpp
+++ b/Tests/Forwarder/ForwarderSettingsTest.cpp
@@ -1,5 +1,5 @@
 #include "Forwarder/ForwarderSettings.h"
-#include "Forwarder/SettingsWatch.h"
+#include "Forwarder/SettingsFileWatcher.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-    constexpr const char* wholeText = R"([forwarder]
+    constexpr const char* completeText = R"([forwarder]
 vm = edge-walu-1
 availability_zone = walu
 
@@ -38,9 +38,9 @@
 lines_per_second_and_kind = 50
 )";
 
-    TEST(ForwarderSettingsTest, aWholeFileIsRead)
+    TEST(ForwarderSettingsTest, CompleteFile)
     {
-        const auto settings = ForwarderSettings::parse("file", wholeText);
+        const auto settings = ForwarderSettings::parse("file", completeText);
         ASSERT_TRUE(settings) << settings.error().detail;
         EXPECT_EQ(settings.value().vm, "edge-walu-1");
         EXPECT_EQ(settings.value().store, Endpoint::parse("10.200.1.7:8169").value());
@@ -53,9 +53,9 @@
         EXPECT_EQ(settings.value().logLevel, LogLevel::Warning);
     }
 
-    TEST(ForwarderSettingsTest, allProblemsAreToldAtOnceWithTheirPlaces)
+    TEST(ForwarderSettingsTest, AllProblemsAreReportedTogetherWithTheirLines)
     {
-        std::string text = wholeText;
+        std::string text = completeText;
         text.replace(text.find("10.1.0.10:8172"), 14, "nowhere");
         text.replace(text.find("[store]"), 7, "[stroe]");
         text.replace(text.find("level = warning"), 15, "level = loud");
@@ -66,9 +66,9 @@
             EXPECT_NE(settings.error().detail.find(part), std::string::npos) << part << "\n" << settings.error().detail;
     }
 
-    TEST(ForwarderSettingsTest, whatNeedsARestartIsNamed)
+    TEST(ForwarderSettingsTest, DifferencesThatNeedARestart)
     {
-        const ForwarderSettings before = ForwarderSettings::parse("file", wholeText).value();
+        const ForwarderSettings before = ForwarderSettings::parse("file", completeText).value();
         ForwarderSettings after = before;
         EXPECT_TRUE(before.differencesThatNeedRestart(after).empty());
         after.seeds.clear();
@@ -80,18 +80,18 @@
             before.differencesThatNeedRestart(after), (std::vector<std::string> { "forwarder.vm", "store.address" }));
     }
 
-    TEST(ForwarderSettingsTest, aChangeOfTheFileIsNoticedOnce)
+    TEST(ForwarderSettingsTest, EachChangeOfTheFileIsDetectedOnce)
     {
         const std::filesystem::path path
             = std::filesystem::temp_directory_path() / ("settings-" + std::to_string(::getpid()));
-        std::ofstream(path) << wholeText;
-        SettingsWatch watch(path.string());
-        EXPECT_FALSE(watch.hasChanged());
-        std::ofstream(path) << wholeText << "\n; changed\n";
-        EXPECT_TRUE(watch.hasChanged());
-        EXPECT_FALSE(watch.hasChanged());
+        std::ofstream(path) << completeText;
+        SettingsFileWatcher watcher(path.string());
+        EXPECT_FALSE(watcher.hasChanged());
+        std::ofstream(path) << completeText << "\n; changed\n";
+        EXPECT_TRUE(watcher.hasChanged());
+        EXPECT_FALSE(watcher.hasChanged());
         std::filesystem::remove(path);
-        EXPECT_FALSE(watch.hasChanged());
+        EXPECT_FALSE(watcher.hasChanged());
     }
 
 }
--- a/Tests/Fuzz/FuzzTargets.cpp
+++ b/Tests/Fuzz/FuzzTargets.cpp
@@ -2,12 +2,12 @@
 
 #include "Forwarder/ForwarderSettings.h"
 #include "Membership/MembersPages.h"
-#include "News/NewsBook.h"
-#include "News/PackedValue.h"
+#include "StoreSync/CompressedValue.h"
+#include "StoreSync/StoreReplica.h"
 #include "Wire/PeerMessageCodec.h"
 #include "platform/ConfigurationText.h"
 #include "platform/PacketLayout.h"
-#include "platform/StoreDialect.h"
+#include "platform/StoreCodec.h"
 #include "platform/StoredValues.h"
 
 #include <array>
@@ -20,9 +20,9 @@
 
     std::string textOf(std::span<const std::uint8_t> input) { return std::string(input.begin(), input.end()); }
 
-    void require(bool isTrue)
+    void require(bool condition)
     {
-        if (!isTrue)
+        if (!condition)
             std::abort();
     }
 
@@ -31,7 +31,7 @@
         const auto packet = platform::decodePacket(input);
         if (!packet)
             return;
-        require(packet->payloadBytes + platform::packetHeadBytes == input.size());
+        require(packet->payloadBytes + platform::packetHeaderBytes == input.size());
         std::vector<std::uint8_t> copy(input.begin(), input.end());
         platform::writeToken(copy, 7);
         require(platform::decodePacket(copy)->token == 7);
@@ -61,20 +61,20 @@
         HttpResponse response;
         response.status = 200;
         response.body = textOf(input);
-        (void)platform::StoreDialect::decode(ListCall {}, response);
-        (void)platform::StoreDialect::decode(ChangesCall {}, response);
+        (void)platform::StoreCodec::decode(ListCall {}, response);
+        (void)platform::StoreCodec::decode(ChangesCall {}, response);
     }
 
-    void runPeerNews(std::span<const std::uint8_t> input)
+    void runStoreDelta(std::span<const std::uint8_t> input)
     {
-        const auto delta = decodeMessage<NewsDelta>(input, largestNews);
+        const auto delta = decodeMessage<StoreDelta>(input, maxDeltaBytes);
         if (!delta)
             return;
-        NewsBook book;
+        StoreReplica replica;
         const TimePoint now = TimePoint(std::chrono::hours(1));
-        for (const NewsItem& item : book.merge(delta.value(), now))
-            (void)valueOf(item);
-        require(book.merge(delta.value(), now).empty());
+        for (const StoreUpdate& update : replica.merge(delta.value(), now))
+            (void)plainValue(update);
+        require(replica.merge(delta.value(), now).empty());
     }
 
     void runMembersPage(std::span<const std::uint8_t> input)
@@ -82,9 +82,9 @@
         const auto page = decodeMessage<MembersPageMessage>(input);
         if (page)
             (void)rowsOf(page.value());
-        MembersPageMessage packed;
-        packed.packedRows = textOf(input);
-        (void)rowsOf(packed);
+        MembersPageMessage compressed;
+        compressed.compressedRows = textOf(input);
+        (void)rowsOf(compressed);
     }
 
     void runSettings(std::span<const std::uint8_t> input) { (void)ForwarderSettings::parse("fuzz.ini", textOf(input)); }
@@ -94,7 +94,7 @@
         FuzzTarget { "server_entry", runServerEntry },
         FuzzTarget { "configuration", runConfiguration },
         FuzzTarget { "store_answer", runStoreAnswer },
-        FuzzTarget { "peer_news", runPeerNews },
+        FuzzTarget { "peer_news", runStoreDelta },
         FuzzTarget { "members_page", runMembersPage },
         FuzzTarget { "settings", runSettings },
     };
--- a/Tests/KeyValue/FakePlatformTest.cpp
+++ b/Tests/KeyValue/FakePlatformTest.cpp
@@ -20,7 +20,7 @@
         std::vector<Result<std::uint64_t>> writes_;
     };
 
-    TEST_F(FakePlatformTest, answersInsideTheCallAndWakesWatches)
+    TEST_F(FakePlatformTest, SynchronousAnswersAndWatches)
     {
         std::optional<std::string> seen;
         platform_.watch(
@@ -31,40 +31,40 @@
         EXPECT_EQ(seen, "one");
     }
 
-    TEST_F(FakePlatformTest, playsOutageSlownessAndLostAnswers)
+    TEST_F(FakePlatformTest, OutageDelayAndLostAnswers)
     {
         {
-            SCOPED_TRACE("down: nothing is done, and waiting watches end");
+            SCOPED_TRACE("down: calls have no effect, and open watches end");
             std::optional<ErrorCode> watchEnd;
             platform_.watch("key", 0, clock_.now() + 1s,
                 [&](const Result<PlatformEntry>& entry) { watchEnd = entry.error().code; });
-            platform_.setDown(true);
+            platform_.setOutage(true);
             EXPECT_EQ(watchEnd, ErrorCode::Unavailable);
             write(0, "down");
             EXPECT_EQ(writes_.at(0).error().code, ErrorCode::Unavailable);
             EXPECT_EQ(platform_.store().revision(), 0U);
-            platform_.setDown(false);
+            platform_.setOutage(false);
         }
         {
-            SCOPED_TRACE("lost: it took effect");
+            SCOPED_TRACE("lost answer: the write takes effect");
             platform_.loseAnswers(1);
             write(0, "lost");
             EXPECT_EQ(writes_.at(1).error().code, ErrorCode::Unknown);
             EXPECT_EQ(platform_.store().revision(), 1U);
         }
         {
-            SCOPED_TRACE("slow: it acts at once and answers when released, or never in time");
-            platform_.setSlow(true);
+            SCOPED_TRACE("slow: writes take effect at once, answers come at release() or too late");
+            platform_.setHoldsAnswers(true);
             write(1, "slow");
             EXPECT_EQ(platform_.store().revision(), 2U);
             ASSERT_EQ(writes_.size(), 2U);
-            platform_.release();
+            platform_.releaseAnswers();
             EXPECT_EQ(writes_.at(2).value(), 2U);
             write(2, "overdue");
             clock_.advance(1s);
             platform_.tick();
             EXPECT_EQ(writes_.at(3).error().code, ErrorCode::Unknown);
-            EXPECT_EQ(platform_.waitingAnswers(), 0U);
+            EXPECT_EQ(platform_.heldAnswers(), 0U);
         }
     }
 
--- a/Tests/Membership/MembersPagesTest.cpp
+++ b/Tests/Membership/MembersPagesTest.cpp
@@ -31,15 +31,15 @@
                 MemberState::Serving, 0 };
         }
 
-        // Reads all pages as a newcomer does.
-        std::set<std::uint32_t> readAll(bool takesPacked, std::size_t& pages)
+        // Reads all pages as a joining balancer does.
+        std::set<std::uint32_t> readAll(bool acceptsCompressed, std::size_t& pages)
         {
             std::set<std::uint32_t> ids;
             std::uint32_t after = 0;
             for (pages = 1;; ++pages) {
-                const MembersPageMessage page = pageFor({ after, {}, takesPacked }, table_);
-                EXPECT_LE(encodeMessage(page).size(), largestPeerPayload);
-                EXPECT_EQ(page.packedRows.empty(), !takesPacked);
+                const MembersPageMessage page = pageFor({ after, {}, acceptsCompressed }, table_);
+                EXPECT_LE(encodeMessage(page).size(), maxPeerPayloadBytes);
+                EXPECT_EQ(page.compressedRows.empty(), !acceptsCompressed);
                 const auto rows = rowsOf(page);
                 if (!rows || rows.value().empty())
                     return ids;
@@ -55,30 +55,30 @@
         MemberTable table_ { settings_, memberNamed("self"), TimePoint() };
     };
 
-    TEST_F(MembersPagesTest, packedPagesHoldEverybodyInFewDatagrams)
+    TEST_F(MembersPagesTest, CompressedPagesNeedFewerDatagrams)
     {
         fill(300, 8);
         std::size_t plain = 0;
-        std::size_t packed = 0;
+        std::size_t compressed = 0;
         EXPECT_EQ(readAll(false, plain).size(), 300U);
-        EXPECT_EQ(readAll(true, packed).size(), 300U);
-        EXPECT_LE(packed * 3, plain);
+        EXPECT_EQ(readAll(true, compressed).size(), 300U);
+        EXPECT_LE(compressed * 3, plain);
     }
 
-    TEST_F(MembersPagesTest, longNamesTakeMorePagesAndNoLargerOnes)
+    TEST_F(MembersPagesTest, LongNamesDoNotExceedTheDatagramSize)
     {
         fill(100, 60);
         std::size_t pages = 0;
         EXPECT_EQ(readAll(true, pages).size(), 100U);
     }
 
-    TEST_F(MembersPagesTest, rowsThatCannotBeReadAreRefused)
+    TEST_F(MembersPagesTest, UnreadableRowsAreRefused)
     {
         fill(100, 8);
         MembersPageMessage page = pageFor({ 0, {}, true }, table_);
-        page.packedRows.resize(page.packedRows.size() / 2);
+        page.compressedRows.resize(page.compressedRows.size() / 2);
         EXPECT_FALSE(rowsOf(page));
-        page.packedRows = "no rows";
+        page.compressedRows = "no rows";
         EXPECT_FALSE(rowsOf(page));
     }
 
--- a/Tests/Membership/MembershipTest.cpp
+++ b/Tests/Membership/MembershipTest.cpp
@@ -17,13 +17,14 @@
                 network_.add(zone);
         }
 
-        // True when all running balancers but who itself hold it in that state; nullopt stands for not in the view.
-        bool allSee(std::size_t who, std::optional<MemberState> state)
+        // True if all running balancers except `subject` see it in this state; nullopt means that it is not in the
+        // view.
+        bool allSee(std::size_t subject, std::optional<MemberState> state)
         {
-            for (std::size_t by = 0; by < network_.nodes().size(); ++by) {
-                if (by == who || !network_.isRunning(by))
+            for (std::size_t observer = 0; observer < network_.nodes().size(); ++observer) {
+                if (observer == subject || !network_.isRunning(observer))
                     continue;
-                const Member* const member = network_.seen(by, who);
+                const Member* const member = network_.viewedMember(observer, subject);
                 if ((member ? std::optional(member->state) : std::nullopt) != state)
                     return false;
             }
@@ -32,8 +33,8 @@
 
         bool allAgree()
         {
-            for (std::size_t who = 0; who < network_.nodes().size(); ++who) {
-                if (!allSee(who, MemberState::Serving) || network_.view(who).isolated)
+            for (std::size_t subject = 0; subject < network_.nodes().size(); ++subject) {
+                if (!allSee(subject, MemberState::Serving) || network_.view(subject).isolated)
                     return false;
             }
             return true;
@@ -42,9 +43,9 @@
         MembershipNetwork network_ { 1 };
     };
 
-    TEST_F(MembershipTest, sevenJoinAndHearOfEachOthersConfiguration)
+    TEST_F(MembershipTest, FleetJoinsAndSharesConfigurationVersions)
     {
-        EXPECT_TRUE(network_.view(0).isolated) << "nobody has answered yet";
+        EXPECT_TRUE(network_.view(0).isolated) << "no balancer has answered yet";
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         const auto allCaughtUp = [&] {
             const auto& nodes = network_.nodes();
@@ -53,25 +54,25 @@
         };
         EXPECT_TRUE(network_.runUntil(allCaughtUp, 3s));
 
-        SCOPED_TRACE("a new version shows everywhere");
+        SCOPED_TRACE("all balancers see a new configuration version");
         network_.perform(3, network_.nodes()[3].membership->setConfigurationVersion(12, network_.now));
         const auto allKnowVersion = [&] {
-            for (std::size_t by = 0; by < 7; ++by) {
-                if (network_.seen(by, 3)->configurationVersion != 12)
+            for (std::size_t observer = 0; observer < 7; ++observer) {
+                if (network_.viewedMember(observer, 3)->configurationVersion != 12)
                     return false;
             }
             return true;
         };
         EXPECT_TRUE(network_.runUntil(allKnowVersion, 2s));
 
-        SCOPED_TRACE("loss and quiet change nothing");
+        SCOPED_TRACE("packet loss does not change the view");
         const std::uint64_t revision = network_.view(0).revision;
         network_.run(120s);
         EXPECT_TRUE(allAgree());
         EXPECT_EQ(network_.view(0).revision, revision);
     }
 
-    TEST_F(MembershipTest, balancerThatIsAloneServesAfterItHasLookedAround)
+    TEST_F(MembershipTest, LoneBalancerServesAfterStartupTimeout)
     {
         MembershipNetwork alone(2);
         alone.add("walu");
@@ -81,41 +82,41 @@
         EXPECT_FALSE(alone.view(0).isolated);
     }
 
-    TEST_F(MembershipTest, plannedStopIsLeavingUntilSilentAndThenGone)
+    TEST_F(MembershipTest, StoppedBalancerIsLeavingAndThenRemoved)
     {
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         network_.perform(2, network_.nodes()[2].membership->leave(network_.now));
         EXPECT_TRUE(network_.runUntil([&] { return allSee(2, MemberState::Leaving); }, 1s));
         network_.run(20s);
-        EXPECT_TRUE(allSee(2, MemberState::Leaving)) << "while it still finishes its work";
+        EXPECT_TRUE(allSee(2, MemberState::Leaving)) << "while it still runs";
         network_.kill(2);
         EXPECT_TRUE(network_.runUntil([&] { return allSee(2, std::nullopt); }, 5s));
     }
 
-    TEST_F(MembershipTest, restartUnderTheSameNameReplacesTheOldRowAtOnce)
+    TEST_F(MembershipTest, RestartReplacesTheOldIncarnation)
     {
         ASSERT_TRUE(network_.runUntil([&] { return allAgree(); }, 3s));
         const std::uint64_t first = network_.nodes()[4].self.incarnation;
         const auto allSeeIncarnationAbove = [&](std::uint64_t old) {
-            for (std::size_t by = 0; by < 7; ++by) {
-                if (network_.seen(by, 4)->incarnation <= old || network_.seen(by, 4)->state != MemberState::Serving)
+            for (std::size_t observer = 0; observer < 7; ++observer) {
+                if (network_.viewedMember(observer, 4)->incarnation <= old
+                    || network_.viewedMember(observer, 4)->state != MemberState::Serving)
                     return false;
             }
             return true;
         };
-        SCOPED_TRACE("clock ahead");
+        SCOPED_TRACE("wall clock ahead");
         network_.restart(4, first + 5000);
         EXPECT_TRUE(network_.runUntil([&] { return allSeeIncarnationAbove(first); }, 1500ms));
 
-        // Symptom: a balancer comes back and nobody takes its messages. Sequence: its VM's wall clock is set back
-        // before it restarts. Cause: its incarnation is lower than that of its last start.
-        SCOPED_TRACE("clock set back");
+        // Guards against a restarted balancer whose messages are dropped because its clock was set back.
+        SCOPED_TRACE("wall clock set back");
         network_.restart(4, first - 5000);
         EXPECT_TRUE(network_.runUntil([&] { return allSeeIncarnationAbove(first + 5000); }, 3s));
         EXPECT_GT(network_.nodes()[4].membership->selfIncarnation(), first + 5000);
     }
 
-    TEST_F(MembershipTest, sameSeedAndEventsGiveTheSameActions)
+    TEST_F(MembershipTest, SameSeedGivesTheSameTraffic)
     {
         std::vector<std::uint64_t> totals;
         for (int i = 0; i < 2; ++i) {
--- a/Tests/Net/Http2ServerFailureTest.cpp
+++ b/Tests/Net/Http2ServerFailureTest.cpp
@@ -6,75 +6,73 @@
 
     class Http2ServerFailureTest : public Http2Fixture {
     protected:
-        // Connects a peer that greets as a client should.
-        void greet(RawPeer& peer)
+        // Connects a peer and sends the client preface and SETTINGS.
+        void connectPeer(RawPeer& peer)
         {
             peer.connect(server_->address());
             peer.write(std::string(raw::preface) + raw::frame(raw::Settings, 0, 0, ""));
         }
 
-        // One kind of misuse: the server counts it once, answers it as expected and goes on serving.
-        void expectCounted(const std::string& bytes, bool endsConnection)
+        // Sends a malformed frame or message and checks that the server counts one protocol error, closes the
+        // connection or resets the stream, and continues to serve other clients.
+        void expectProtocolError(const std::string& bytes, bool endsConnection)
         {
             const std::uint64_t before = server_->protocolErrors();
             RawPeer peer(context_);
-            greet(peer);
+            connectPeer(peer);
             peer.write(bytes);
             runUntil([&] { return endsConnection ? peer.isEnded() : peer.hasFrame(raw::Reset); });
             EXPECT_EQ(server_->protocolErrors(), before + 1);
             peer.close();
-            expectService();
+            expectServerResponds();
         }
     };
 
-    // Symptom: errors after a deployment. Sequence: drain with an open stream, new work, the answer, the end.
-    // Cause: a server that closes at once would cut the open stream and whatever is on its way.
-    TEST_F(Http2ServerFailureTest, drainsWithoutCuttingOpenStreams)
+    // Guards against a drain that loses open streams or requests in flight.
+    TEST_F(Http2ServerFailureTest, DrainCompletesOpenStreams)
     {
         listen();
-        const auto open = send(post("/open", "work"));
+        const auto open = send(makePost("/open", "work"));
         runUntilExchanges(1);
-        const auto onItsWay = send(post("/on-its-way", "work"));
+        const auto inFlight = send(makePost("/on-its-way", "work"));
         bool isDrained = false;
         server_->drain([&] { isDrained = true; });
         runUntilExchanges(2);
         EXPECT_FALSE(isDrained);
         {
-            SCOPED_TRACE("a new connection finds nobody");
+            SCOPED_TRACE("a new connection is refused");
             Http2Client other(context_, server_->address());
-            const auto refused = sendBy(other, post("/", "work"));
+            const auto refused = sendWith(other, makePost("/", "work"));
             runUntilEnded({ refused });
             EXPECT_EQ(refused->failure(), HttpFailureKind::NotSent);
         }
-        exchanges_[0]->respond(answer(std::string(std::size_t(1024) * 1024, 'x')));
-        exchanges_[1]->respond(answer("x"));
-        runUntilEnded({ open, onItsWay });
-        EXPECT_TRUE(open->hasAnswer() && onItsWay->hasAnswer());
+        exchanges_[0]->respond(makeResponse(std::string(std::size_t(1024) * 1024, 'x')));
+        exchanges_[1]->respond(makeResponse("x"));
+        runUntilEnded({ open, inFlight });
+        EXPECT_TRUE(open->hasResponse() && inFlight->hasResponse());
         runUntil([&] { return isDrained; });
     }
 
-    // Symptom: requests lost at every deployment. Sequence: a client connects and sends; the server drains before it
-    // has accepted. Cause: closing the listener resets what the kernel has set up for it.
-    TEST_F(Http2ServerFailureTest, servesConnectionsThatWaitToBeAccepted)
+    // Guards against a drain that resets the connections in the accept queue of the kernel.
+    TEST_F(Http2ServerFailureTest, DrainServesQueuedConnections)
     {
         listen();
-        RawPeer early(context_);
-        greet(early);
-        early.write(raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::postFields()));
+        RawPeer queued(context_);
+        connectPeer(queued);
+        queued.write(raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::requestFields()));
         bool isDrained = false;
         server_->drain([&] { isDrained = true; });
         runUntilExchanges(1);
-        exchanges_[0]->respond(answer("x"));
-        runUntil([&] { return early.hasFrame(raw::Data) && isDrained; });
+        exchanges_[0]->respond(makeResponse("x"));
+        runUntil([&] { return queued.hasFrame(raw::Data) && isDrained; });
     }
 
-    // Symptom: a drain that never ends. Sequence: GOAWAY and ping meet a client that does not answer.
-    // Cause: a hung client; after a while the final GOAWAY goes out all the same.
-    TEST_F(Http2ServerFailureTest, drainsAroundASilentClient)
+    // Guards against a drain that never completes because a client does not acknowledge the ping.
+    TEST_F(Http2ServerFailureTest, DrainsDespiteSilentClient)
     {
         listen();
         RawPeer silent(context_);
-        greet(silent);
+        connectPeer(silent);
         runUntil([&] { return silent.hasFrame(raw::Settings); });
         bool isDrained = false;
         server_->drain([&] { isDrained = true; });
@@ -82,9 +80,8 @@
         EXPECT_TRUE(silent.hasFrame(raw::GoAway));
     }
 
-    // Symptom: a probe or a wrong client on the port. Sequence: bytes that are no HTTP/2. Cause: the preface is
-    // missing.
-    TEST_F(Http2ServerFailureTest, countsGarbageAndGoesOn)
+    // Guards against a server that fails on bytes without the HTTP/2 preface.
+    TEST_F(Http2ServerFailureTest, CountsNonHttp2ConnectionsAndKeepsServing)
     {
         listen();
         std::uint64_t count = 0;
@@ -96,12 +93,11 @@
             runUntil([&] { return peer.isEnded(); });
             EXPECT_EQ(server_->protocolErrors(), ++count);
         }
-        expectService();
+        expectServerResponds();
     }
 
-    // Symptom: requests that a backend server would read otherwise than we do. Sequence: one malformed frame or
-    // message. Cause: a faulty or hostile client.
-    TEST_F(Http2ServerFailureTest, countsMalformedFramesAndGoesOn)
+    // Guards against malformed requests that reach the handler, since a backend server might parse them differently.
+    TEST_F(Http2ServerFailureTest, CountsMalformedFramesAndKeepsServing)
     {
         listen();
         const auto headers = [](const std::string& fields, std::uint8_t flags = 0) {
@@ -109,36 +105,36 @@
         };
         {
             SCOPED_TRACE("frame over 16 KB");
-            expectCounted(raw::frame(raw::Data, 0, 1, std::string(16385, 'x')), true);
+            expectProtocolError(raw::frame(raw::Data, 0, 1, std::string(16385, 'x')), true);
         }
         {
             SCOPED_TRACE("data on a stream that was never opened");
-            expectCounted(raw::frame(raw::Data, 0, 1, "x"), true);
+            expectProtocolError(raw::frame(raw::Data, 0, 1, "x"), true);
         }
         {
-            SCOPED_TRACE("headers that don't decompress");
-            expectCounted(headers("\xFF\xFF\xFF\xFF\xFF\xFF\xFF\xFF"), true);
+            SCOPED_TRACE("headers that can't be decompressed");
+            expectProtocolError(headers("\xFF\xFF\xFF\xFF\xFF\xFF\xFF\xFF"), true);
         }
         {
             SCOPED_TRACE("upper-case header name");
-            expectCounted(headers(raw::postFields() + raw::field("Bad-Name", "1"), raw::endStream), false);
+            expectProtocolError(headers(raw::requestFields() + raw::field("Bad-Name", "1"), raw::endStream), false);
         }
         {
             SCOPED_TRACE("body shorter than its content-length");
-            expectCounted(headers(raw::postFields() + raw::field("content-length", "9"))
+            expectProtocolError(headers(raw::requestFields() + raw::field("content-length", "9"))
                     + raw::frame(raw::Data, raw::endStream, 1, "short"),
                 false);
         }
         {
             SCOPED_TRACE("no method");
-            expectCounted(headers(raw::field("x", "1"), raw::endStream), false);
+            expectProtocolError(headers(raw::field("x", "1"), raw::endStream), false);
         }
         for (const Exchange& exchange : exchanges_)
-            EXPECT_EQ(exchange->request().path, "/still-there") << "no malformed request reached the handler";
+            EXPECT_EQ(exchange->request().path, "/still-there") << "a malformed request reached the handler";
     }
 
-    // Symptom: the server's memory grows. Sequence: a request over a limit. Cause: a faulty or hostile client.
-    TEST_F(Http2ServerFailureTest, answersWhatIsOverALimitByItself)
+    // Guards against unbounded memory use by the request of a faulty or hostile client.
+    TEST_F(Http2ServerFailureTest, RejectsRequestsOverLimit)
     {
         Http2Limits limits;
         limits.bodyBytes = 100'000;
@@ -148,49 +144,48 @@
             const std::uint64_t before = server_->protocolErrors();
             const auto call = send(std::move(request));
             runUntilEnded({ call });
-            ASSERT_TRUE(call->hasAnswer()) << call->outcome->error().detail;
-            EXPECT_EQ(call->answer().status, status);
+            ASSERT_TRUE(call->hasResponse()) << call->outcome->error().detail;
+            EXPECT_EQ(call->response().status, status);
             EXPECT_EQ(server_->protocolErrors(), before + 1);
         };
-        expectStatus(post("/", std::string(std::size_t(8) * 1024 * 1024, 'x')), 413);
-        HttpRequest announced = post("/", std::string(100'001, 'x'));
+        expectStatus(makePost("/", std::string(std::size_t(8) * 1024 * 1024, 'x')), 413);
+        HttpRequest announced = makePost("/", std::string(100'001, 'x'));
         announced.headers = { { "content-length", "100001" } };
         expectStatus(announced, 413);
-        HttpRequest longHeader = post("/", "x");
+        HttpRequest longHeader = makePost("/", "x");
         longHeader.headers = { { "x-long", std::string(30'000, 'x') } };
         expectStatus(longHeader, 431);
         EXPECT_TRUE(exchanges_.empty());
-        expectService();
+        expectServerResponds();
     }
 
-    // Symptom: the server's memory grows. Sequence: malformed requests whose resets are never read; the client's window
-    // is full. Cause: a hostile client.
-    TEST_F(Http2ServerFailureTest, endsAConnectionThatNeverReads)
+    // Guards against unbounded memory use by stream resets that a hostile client never reads.
+    TEST_F(Http2ServerFailureTest, ClosesConnectionThatNeverReads)
     {
         listen();
-        RawPeer deaf(context_);
-        deaf.connect(server_->address(), RawPeer::Reading::Never);
-        deaf.write(std::string(raw::preface) + raw::frame(raw::Settings, 0, 0, ""));
+        RawPeer unreadPeer(context_);
+        unreadPeer.connect(server_->address(), RawPeer::Reading::Never);
+        unreadPeer.write(std::string(raw::preface) + raw::frame(raw::Settings, 0, 0, ""));
         std::uint32_t stream = 1;
         runUntil([&] {
             std::string burst;
             for (const std::uint32_t end = stream + 400; stream < end; stream += 2)
                 burst += raw::frame(raw::Headers, raw::endHeaders | raw::endStream, stream, raw::field("x", "1"));
-            return !deaf.write(burst);
+            return !unreadPeer.write(burst);
         });
-        EXPECT_LT(stream / 2, 1'000'000U) << "requests until the server gave up";
+        EXPECT_LT(stream / 2, 1'000'000U) << "requests sent before the server closed the connection";
         EXPECT_TRUE(exchanges_.empty());
-        expectService();
+        expectServerResponds();
     }
 
-    // Symptom: no descriptors left. Sequence: more connections than the limit. Cause: a client that leaks them.
-    TEST_F(Http2ServerFailureTest, closesConnectionsOverTheLimit)
+    // Guards against a client that uses up the file descriptors of the server.
+    TEST_F(Http2ServerFailureTest, ClosesConnectionsOverLimit)
     {
         Http2Limits limits;
         limits.connections = 1;
         listen(limits);
         RawPeer first(context_);
-        greet(first);
+        connectPeer(first);
         runUntil([&] { return first.hasFrame(raw::Settings); });
         RawPeer second(context_);
         second.connect(server_->address());
@@ -199,24 +194,24 @@
         first.close();
     }
 
-    // Symptom: work goes on for a caller that is gone. Sequence: the connection breaks before the answer.
-    // Cause: the handler was not told.
-    TEST_F(Http2ServerFailureTest, tellsTheHandlerThatTheConnectionBroke)
+    // Guards against a handler that continues to work for a client whose connection has closed.
+    TEST_F(Http2ServerFailureTest, CancelsExchangeOnConnectionLoss)
     {
         listen();
         RawPeer peer(context_);
-        greet(peer);
-        peer.write(raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::postFields()));
+        connectPeer(peer);
+        peer.write(raw::frame(raw::Headers, raw::endHeaders | raw::endStream, 1, raw::requestFields()));
         runUntilExchanges(1);
         bool isCancelled = false;
         exchanges_[0]->onCancelled([&] { isCancelled = true; });
         peer.close();
         runUntil([&] { return isCancelled; });
-        exchanges_[0]->respond(answer("too late"));
-        expectService();
+        exchanges_[0]->respond(makeResponse("too late"));
+        expectServerResponds();
     }
 
-    TEST_F(Http2ServerFailureTest, saysWhyItCantListen)
+    // Guards against an error without the address that can't be bound.
+    TEST_F(Http2ServerFailureTest, ReportsAddressInUse)
     {
         listen();
         const auto second = Http2Server::listen(context_, server_->address(), [](auto&&) {});
--- a/Tests/Peers/ConfigurationWatchersTest.cpp
+++ b/Tests/Peers/ConfigurationWatchersTest.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-    // What the forwarders use: one in each zone, three in all, and up to three that are replaced.
-    constexpr WatcherNumbers few { 1, 3, 3 };
+    // The counts that the forwarder uses.
+    constexpr WatcherCounts forwarderCounts { 1, 3, 3 };
 
     MembersView viewOf(std::size_t perZone, MemberState state = MemberState::Serving,
         const std::vector<std::string>& zones = { "walu", "laucala" })
@@ -34,20 +34,20 @@
         return view;
     }
 
-    std::vector<BalancerId> watchersOf(MembersView view, std::string_view zone, const WatcherNumbers& numbers)
+    std::vector<BalancerId> watchersOf(MembersView view, std::string_view zone, const WatcherCounts& counts)
     {
         std::vector<BalancerId> watchers;
         for (const Member& member : view.members) {
             view.self = member.id;
-            if (member.availabilityZone == zone && shallWatchConfiguration(view, numbers))
+            if (member.availabilityZone == zone && isConfigurationWatcher(view, counts))
                 watchers.push_back(member.id);
         }
         return watchers;
     }
 
-    std::size_t countWatchers(const MembersView& view, std::string_view zone, const WatcherNumbers& numbers = {})
+    std::size_t countWatchers(const MembersView& view, std::string_view zone, const WatcherCounts& counts = {})
     {
-        return watchersOf(view, zone, numbers).size();
+        return watchersOf(view, zone, counts).size();
     }
 
     void detach(MembersView& view, BalancerId id)
@@ -55,36 +55,33 @@
         std::ranges::find(view.members, id, &Member::id)->state = MemberState::Detached;
     }
 
-    // Symptom: the readiness checks of three balancers failed for seconds at a change of the configuration, and the
-    // last of each zone had it 5 s late. Sequence: the zone's watcher reads the store's answer, and its zone the news,
-    // over a link of 10 Mbit/s, while two balancers with 200 Mbit/s stand beside. Cause: the choice did not look at the
-    // links.
-    TEST(ConfigurationWatchersTest, wideLinksWatchFirst)
+    // Guards against a watcher with a slow link, which delays each change and fails its readiness checks meanwhile.
+    TEST(ConfigurationWatchersTest, FastLinksWatchFirst)
     {
         MembersView view = viewOf(20);
         for (Member& member : view.members)
             member.linkMegabits = member.name == "walu-7" || member.name == "walu-12" ? 200 : 10;
-        const auto watchers = watchersOf(view, "walu", few);
+        const auto watchers = watchersOf(view, "walu", forwarderCounts);
         ASSERT_EQ(watchers.size(), 2U);
         for (const BalancerId id : watchers)
             EXPECT_EQ(view.find(id)->linkMegabits, 200U);
         {
-            SCOPED_TRACE("a thin one steps in for a wide one that the store does not answer");
+            SCOPED_TRACE("a member with a slow link replaces a detached watcher with a fast one");
             detach(view, watchers.front());
-            EXPECT_EQ(watchersOf(view, "walu", few).size(), 3U);
+            EXPECT_EQ(watchersOf(view, "walu", forwarderCounts).size(), 3U);
         }
         {
-            SCOPED_TRACE("links that differ little are alike, so that the choice stays where it was");
+            SCOPED_TRACE("links of one bandwidth class do not change the choice");
             for (Member& member : view.members)
                 member.linkMegabits = member.name == "walu-7" ? 600 : 1000;
             MembersView alike = view;
             for (Member& member : alike.members)
                 member.linkMegabits = 0;
-            EXPECT_EQ(watchersOf(view, "walu", few), watchersOf(alike, "walu", few));
+            EXPECT_EQ(watchersOf(view, "walu", forwarderCounts), watchersOf(alike, "walu", forwarderCounts));
         }
     }
 
-    TEST(ConfigurationWatchersTest, twoOfEachZoneWatchHoweverLargeItIs)
+    TEST(ConfigurationWatchersTest, TwoWatchersPerZoneOfAnySize)
     {
         for (const std::size_t perZone : { 2U, 3U, 40U }) {
             SCOPED_TRACE(perZone);
@@ -93,19 +90,19 @@
         }
     }
 
-    TEST(ConfigurationWatchersTest, everyBalancerOfASmallFleetWatches)
+    TEST(ConfigurationWatchersTest, AllBalancersOfASmallFleetWatch)
     {
-        EXPECT_TRUE(shallWatchConfiguration(MembersView {}));
+        EXPECT_TRUE(isConfigurationWatcher(MembersView {}));
         EXPECT_EQ(countWatchers(viewOf(1), "walu"), 1U);
         EXPECT_EQ(countWatchers(viewOf(1, MemberState::Joining), "walu"), 1U);
     }
 
-    TEST(ConfigurationWatchersTest, anotherTakesOverWhenAWatcherDies)
+    TEST(ConfigurationWatchersTest, ADeadWatcherIsReplaced)
     {
         MembersView view = viewOf(5);
         for (Member& member : view.members) {
             view.self = member.id;
-            if (member.availabilityZone != "walu" || !shallWatchConfiguration(view))
+            if (member.availabilityZone != "walu" || !isConfigurationWatcher(view))
                 continue;
             member.state = MemberState::Dead;
             break;
@@ -114,32 +111,32 @@
         EXPECT_EQ(countWatchers(view, "walu"), 2U);
     }
 
-    TEST(ConfigurationWatchersTest, oneOfEachZoneIsEnoughWhereThereAreThree)
+    TEST(ConfigurationWatchersTest, MinimumTotalRaisesWatchersPerZone)
     {
-        EXPECT_EQ(countWatchers(viewOf(5, MemberState::Serving, { "walu", "laucala", "nabua" }), "walu", few), 1U);
-        EXPECT_EQ(countWatchers(viewOf(5), "walu", few), 2U);
-        EXPECT_EQ(countWatchers(viewOf(5, MemberState::Serving, { "walu" }), "walu", few), 3U);
+        EXPECT_EQ(
+            countWatchers(viewOf(5, MemberState::Serving, { "walu", "laucala", "nabua" }), "walu", forwarderCounts),
+            1U);
+        EXPECT_EQ(countWatchers(viewOf(5), "walu", forwarderCounts), 2U);
+        EXPECT_EQ(countWatchers(viewOf(5, MemberState::Serving, { "walu" }), "walu", forwarderCounts), 3U);
     }
 
-    // Symptom: a zone would have no news of its own for as long as the store turns its only watcher away.
-    // Sequence: the store refuses the calls of some balancers, those that watch among them.
-    // Cause: a watcher that the store does not answer lives and serves, so it was never replaced.
-    TEST(ConfigurationWatchersTest, aWatcherThatTheStoreDoesNotAnswerIsReplacedAndGoesOnTrying)
+    // Guards against a zone without changes of its own while the store rejects the calls of its only watcher.
+    TEST(ConfigurationWatchersTest, ADetachedWatcherIsReplacedAndKeepsTrying)
     {
         MembersView view = viewOf(5, MemberState::Serving, { "walu", "laucala", "nabua" });
-        const std::vector<BalancerId> first = watchersOf(view, "walu", few);
+        const std::vector<BalancerId> first = watchersOf(view, "walu", forwarderCounts);
         ASSERT_EQ(first.size(), 1U);
         detach(view, first[0]);
-        const std::vector<BalancerId> second = watchersOf(view, "walu", few);
+        const std::vector<BalancerId> second = watchersOf(view, "walu", forwarderCounts);
         EXPECT_EQ(second.size(), 2U);
         EXPECT_EQ(std::ranges::count(second, first[0]), 1);
         {
-            SCOPED_TRACE("the store answers nobody: no more than three of a zone go on calling it");
+            SCOPED_TRACE("the store answers nobody: at most three members of a zone keep calling it");
             for (std::size_t i = 0; i < 5; ++i) {
-                for (const BalancerId id : watchersOf(view, "walu", few))
+                for (const BalancerId id : watchersOf(view, "walu", forwarderCounts))
                     detach(view, id);
             }
-            EXPECT_EQ(countWatchers(view, "walu", few), 3U);
+            EXPECT_EQ(countWatchers(view, "walu", forwarderCounts), 3U);
         }
     }
 
--- a/Tests/Request/AdmissionTest.cpp
+++ b/Tests/Request/AdmissionTest.cpp
@@ -59,35 +59,35 @@
                 admission.configure(configuration, view, clock.now());
         }
 
-        // Carries messages about loans between the two.
+        // Delivers messages between the two balancers.
         void deliver()
         {
             for (bool isQuiet = false; !isQuiet;) {
                 isQuiet = true;
                 for (std::size_t from = 0; from < admissions.size(); ++from) {
-                    for (const OutgoingMessage& letter : admissions[from].takeMessages()) {
+                    for (const OutgoingMessage& envelope : admissions[from].takeMessages()) {
                         isQuiet = false;
-                        Admission& to = admissions[letter.to == holders[0] ? 0 : 1];
+                        Admission& to = admissions[envelope.to == holders[0] ? 0 : 1];
                         std::visit(
                             [&](const auto& message) {
                                 if constexpr (requires { to.handle(holders[from], message, clock.now()); })
                                     to.handle(holders[from], message, clock.now());
                             },
-                            letter.message);
+                            envelope.message);
                     }
                 }
             }
         }
 
-        std::size_t ask(std::size_t at, int count, Duration patience = seconds(10))
+        std::size_t requestSlots(std::size_t at, int count, Duration timeout = seconds(10))
         {
             for (int i = 0; i < count; ++i)
-                admissions[at].request(++lastWork, service, clock.now() + patience, clock.now());
+                admissions[at].request(++lastWork, service, clock.now() + timeout, clock.now());
             return admissions[at].takeGrants().size();
         }
 
         MembersView view = makeView(2);
-        std::vector<Holder> holders;
+        std::vector<BalancerInstance> holders;
         std::vector<Admission> admissions;
         ManualClock clock;
         WorkId lastWork = 0;
@@ -95,7 +95,7 @@
 
 }
 
-TEST(SlotShares, DealEachSlotOnceWithinTheServersZone)
+TEST(SlotShares, AssignEachSlotOnceWithinTheServersZone)
 {
     const MembersView view = makeView(7);
     for (const std::uint32_t slots : { 1u, 2u, 3u, 9u }) {
@@ -111,25 +111,25 @@
     }
 }
 
-TEST_F(AdmissionTest, BorrowsAFreeSlotAndGivesItBack)
+TEST_F(AdmissionTest, BorrowsAndReturnsAFreeSlot)
 {
     configure(makeConfiguration(2, 1, "walu"));
     ASSERT_EQ(admissions[0].shareOf({ 1 }), 1u);
-    ASSERT_EQ(ask(1, 1), 0u);
+    ASSERT_EQ(requestSlots(1, 1), 0u);
     deliver();
     const auto grants = admissions[1].takeGrants();
     ASSERT_EQ(grants.size(), 1u);
-    EXPECT_EQ(ask(0, 2), 1u);
+    EXPECT_EQ(requestSlots(0, 2), 1u);
     admissions[1].release(grants[0].work, true, clock.now());
     deliver();
     EXPECT_EQ(admissions[0].takeGrants().size(), 1u);
 }
 
-// Symptom: slots vanish one by one. Sequence: a balancer borrows a slot and dies. Cause: waiting for it for ever.
-TEST_F(AdmissionTest, LoanOfAVanishedBorrowerRunsOut)
+// Guards against slots that stay reserved after their borrower failed.
+TEST_F(AdmissionTest, LoanOfAFailedBorrowerExpires)
 {
     configure(makeConfiguration(1, 1, "walu"));
-    ask(1, 1);
+    requestSlots(1, 1);
     deliver();
     ASSERT_EQ(admissions[0].slotsInUse({ 1 }), 1u);
     clock.advance(seconds(66));
@@ -137,61 +137,60 @@
     EXPECT_EQ(admissions[0].slotsInUse({ 1 }), 0u);
 }
 
-TEST_F(AdmissionTest, RefusesAtOnceWhatCannotBeDoneInTime)
+TEST_F(AdmissionTest, RefusesWorkThatCannotMeetItsDeadline)
 {
     configure(makeConfiguration(1, 2, "walu"));
-    ask(0, 2);
+    requestSlots(0, 2);
     for (WorkId work = 1; work <= 2; ++work) {
         clock.advance(milliseconds(100));
         admissions[0].release(work, true, clock.now());
     }
-    ASSERT_EQ(ask(0, 2), 2u);
-    EXPECT_EQ(ask(0, 100, milliseconds(1000)), 0u);
+    ASSERT_EQ(requestSlots(0, 2), 2u);
+    EXPECT_EQ(requestSlots(0, 100, milliseconds(1000)), 0u);
     const std::size_t queued = admissions[0].queued(service);
     EXPECT_GT(queued, 5u);
     EXPECT_LT(queued, 50u);
     EXPECT_EQ(admissions[0].takeRefusals().size(), 100 - queued);
 
-    SCOPED_TRACE("what waited too long goes when it becomes hopeless, not at its deadline");
+    SCOPED_TRACE("queued work is refused as soon as its deadline is infeasible");
     clock.advance(milliseconds(990));
     admissions[0].tick(clock.now());
     EXPECT_EQ(admissions[0].queued(service), 0u);
     EXPECT_EQ(admissions[0].takeRefusals().size(), queued);
 }
 
-TEST_F(AdmissionTest, LeavesDrainingSheddingAndColdServersAlone)
+TEST_F(AdmissionTest, LimitsDrainingSheddingAndColdServers)
 {
     Configuration configuration = makeConfiguration(1, 4, "walu");
     configure(configuration);
     {
-        SCOPED_TRACE("a server that sheds gets nothing for a while");
-        admissions[0].shed({ 1 }, milliseconds(200), clock.now());
-        EXPECT_EQ(ask(0, 1), 0u);
+        SCOPED_TRACE("a shedding server gets no work for a while");
+        admissions[0].pauseServer({ 1 }, milliseconds(200), clock.now());
+        EXPECT_EQ(requestSlots(0, 1), 0u);
         clock.advance(milliseconds(400));
         admissions[0].tick(clock.now());
         EXPECT_EQ(admissions[0].takeGrants().size(), 1u);
     }
     {
-        SCOPED_TRACE("a server that is new starts with one slot");
+        SCOPED_TRACE("a new server starts with one slot, a draining one gets no work");
         BackendServer cold = configuration.backendServers[0];
         cold.id = { 2 };
         cold.slowStartSeconds = 100;
         configuration.backendServers = { cold };
         configure(configuration);
-        EXPECT_EQ(ask(0, 4, seconds(10)), 1u);
+        EXPECT_EQ(requestSlots(0, 4, seconds(10)), 1u);
         clock.advance(seconds(1));
         configuration.backendServers[0].state = BackendServerState::Draining;
         configure(configuration);
         admissions[0].release(lastWork - 3, true, clock.now());
         EXPECT_TRUE(admissions[0].takeGrants().empty());
     }
-    EXPECT_EQ(ask(0, 1), 0u);
+    EXPECT_EQ(requestSlots(0, 1), 0u);
     EXPECT_EQ(admissions[0].takeRefusals().back().reason, RefusalReason::NoServer);
 }
 
-// Symptom: a failing service is hit with three times its load. Sequence: every attempt fails; each is repeated.
-// Cause: counting retries per request instead of against all requests.
-TEST(RetryPolicy, KeepsRetriesToARatioAndNeverRepeatsWhatMayHaveRun)
+// Guards against retry amplification when every attempt fails.
+TEST(RetryPolicy, LimitsRetriesAndNeverResendsWorkThatMayHaveRun)
 {
     RetryPolicy policy({});
     for (const auto kind : { HttpFailureKind::Lost, HttpFailureKind::DeadlineExceeded, HttpFailureKind::Incomplete }) {
