--- a/Tests/Request/FakeBalancer.h
+++ b/Tests/Request/FakeBalancer.h
@@ -1,13 +1,13 @@
 #pragma once
 
+#include "EventSimulator.h"
 #include "FakeBackends.h"
 #include "FakePlatform.h"
-#include "FakeWorld.h"
 
-#include "Request/AnswerBook.h"
+#include "Request/PendingForwardTable.h"
 #include "Request/RequestRouter.h"
 #include "Request/RequestRunner.h"
-#include "Request/TermKeeper.h"
+#include "Request/TermReconciler.h"
 
 #include <functional>
 #include <map>
@@ -18,11 +18,11 @@
 
 namespace wisteriadock::testing {
 
-// What callers get.
+// The reply to a caller.
 struct FakeReply {
-    WholeAnswer answer; // Null for a refusal.
+    SharedResponse answer; // Null for a refusal.
     Refusal refusal;
-    // When the refusal was decided; what ran later doesn't make it false.
+    // When the refusal was decided; later runs don't make it false.
     TimePoint decidedAt;
 };
 using FakeReplyTo = std::function<void(const FakeReply&)>;
@@ -35,101 +35,101 @@
 
 class FakeBalancer;
 
-// What tests share: the network, and all balancers by id.
+// The simulated deployment: network, platform, backend servers and all balancers by id.
 struct FakeCluster {
     explicit FakeCluster(std::uint64_t seed, std::uint32_t balancersPerZone = 2, std::uint32_t serversPerZone = 3);
     ~FakeCluster();
 
-    FakeWorld world;
-    FakeCuts cuts;
+    EventSimulator simulator;
+    FakePartitions partitions;
     std::vector<std::string> zones { "walu", "laucala", "nabua" };
     FakeBackends backends;
     FakePlatform platform;
     RetryRule retryRule = RetryRule::Safe;
-    double lostMessages = 0;
-    double newsShare = 1;
+    double messageLossProbability = 0;
+    double termGossipProbability = 1;
     std::vector<std::unique_ptr<FakeBalancer>> balancers;
     std::map<BalancerId, FakeBalancer*> byId;
 
-    // Heartbeats and views every 100 ms, ticks every 20 ms.
+    // Starts the balancers, with heartbeats and views every 100 ms and ticks every 20 ms.
     void start();
-    void run(Duration time) { world.runUntil(world.now() + time); }
-    // Carries a closure to a balancer's present life, if the network lets it.
-    void carry(
-        const FakeBalancer& from, const Holder& to, const std::function<void(FakeBalancer&)>&, bool isReliable = false);
+    void run(Duration time) { simulator.runUntil(simulator.now() + time); }
+    // Runs the event at the addressed instance, if the network delivers it.
+    void transmit(const FakeBalancer& from, const BalancerInstance& to, const std::function<void(FakeBalancer&)>&,
+        bool isReliable = false);
     FakeBalancer& balancer(std::size_t index) { return *balancers[index]; }
-    // The balancer that owns the key by the newest record known to anybody; null when there is none.
+    // The owner of the key by the newest record that any running balancer knows; null when there is none.
     FakeBalancer* ownerOf(const RequestKey&);
 
 private:
-    void beat();
+    void sendHeartbeats();
     void tick();
 };
 
-// The shell that a daemon is, in miniature.
+// A simulated balancer daemon around a RequestRunner.
 class FakeBalancer {
 public:
     FakeBalancer(FakeCluster&, std::string name, std::string zone);
 
-    // Faults. A killed balancer comes back as a new incarnation with empty memory.
+    // Faults. A killed balancer returns as a new incarnation with empty memory.
     void kill(Duration downTime);
     void pause(Duration time);
     void leave();
 
     bool isUp() const { return isUp_; }
-    // Takes callers: one that has just started knows nobody yet and listens later.
-    bool isListening() const { return isUp_ && !life_->view.members.empty(); }
-    bool isPaused() const { return cluster_.world.now() < pausedUntil_; }
+    // Accepts callers; a balancer that has just started does so after its first view.
+    bool isListening() const { return isUp_ && !state_->view.members.empty(); }
+    bool isPaused() const { return cluster_.simulator.now() < pausedUntil_; }
     bool isLeaving() const { return isLeaving_; }
 
-    // A caller's request; the reply is not called when this balancer dies first.
+    // Takes a caller's request; the reply is not called when this balancer fails first.
     void request(const FakeRequest&, const FakeReplyTo&);
 
-    // Runs an event in this life, once it is not paused.
+    // Runs an event in the current incarnation, after any pause.
     void perform(const std::function<void()>&);
-    void receive(const Holder& from, const RequestMessage&);
-    void hear(const FakeBalancer& other);
+    void receive(const BalancerInstance& from, const RequestMessage&);
+    void receiveHeartbeat(const FakeBalancer& other);
     void publishView();
     void tick();
 
-    Holder holder() const { return { id_, incarnation_ }; }
+    BalancerInstance holder() const { return { id_, incarnation_ }; }
     const std::string& zone() const { return zone_; }
     BalancerId id() const { return id_; }
-    RequestRunner& runner() { return *life_->runner; }
-    const ClaimTerm* termOf(const std::string& zone) const { return life_->router->termOf(zone); }
+    RequestRunner& runner() { return *state_->runner; }
+    const ClaimTerm* termOf(const std::string& zone) const { return state_->router->termOf(zone); }
 
 private:
-    struct Local {
+    struct OpenAttempt {
         FakeRequest request;
-        FakeReplyTo reply; // Of a caller here.
-        Holder entry; // Of another balancer, when token.number is set.
+        FakeReplyTo reply; // Set for a caller of this balancer.
+        BalancerInstance entry; // The forwarding balancer when token.number is set.
         ForwardToken token;
         int hops = 0;
     };
-    // What a crash forgets.
-    struct Life {
+    // State that a crash loses.
+    struct ProcessState {
         std::unique_ptr<RequestRunner> runner;
         std::unique_ptr<RequestRouter> router;
-        std::unique_ptr<AnswerBook> book;
-        std::unique_ptr<TermKeeper> terms;
-        std::map<TryId, Local> tries;
+        std::unique_ptr<PendingForwardTable> forwards;
+        std::unique_ptr<TermReconciler> terms;
+        std::map<AttemptId, OpenAttempt> attempts;
         MembersView view;
-        std::map<BalancerId, std::pair<Member, TimePoint>> heard;
-        TimePoint lastBeat;
-        TryId lastTry = 0;
+        std::map<BalancerId, std::pair<Member, TimePoint>> heartbeats;
+        TimePoint lastHeartbeat;
+        AttemptId lastAttempt = 0;
     };
 
     void start();
-    void route(TryId);
-    void routeLater(TryId);
-    void arriveForwarded(const Holder& entry, const ForwardToken&, const FakeRequest&);
-    void finish(TryId, const FakeReply&);
-    void settle(const Holder& from, const ForwardToken&, const KeyDigest&, const FakeReply&);
-    void settleRedirect(const Holder& from, const ForwardToken&);
-    void refuseUnknown(TryId, RefusalReason);
-    void act();
-    void act(const RequestAction&);
-    void act(const TermAction&);
+    void route(AttemptId);
+    void routeLater(AttemptId);
+    void arriveForwarded(const BalancerInstance& entry, const ForwardToken&, const FakeRequest&);
+    void finish(AttemptId, const FakeReply&);
+    void settle(const BalancerInstance& from, const ForwardToken&, const KeyDigest&, const FakeReply&);
+    void settleRedirect(const BalancerInstance& from, const ForwardToken&);
+    void refuseUnknown(AttemptId, RefusalReason);
+    void executeActions();
+    void execute(const RequestAction&);
+    void execute(const TermAction&);
     void startWork(const StartWork&);
 
     FakeCluster& cluster_;
@@ -140,7 +140,7 @@
     bool isUp_ = false;
     bool isLeaving_ = false;
     TimePoint pausedUntil_;
-    std::unique_ptr<Life> life_;
+    std::unique_ptr<ProcessState> state_;
 };
 
 }
--- a/Tests/Request/TermKeeperTest.cpp
+++ b/Tests/Request/TermReconcilerTest.cpp
@@ -1,4 +1,4 @@
-#include "Request/TermKeeper.h"
+#include "Request/TermReconciler.h"
 #include "Request/BucketRecovery.h"
 #include "Request/ClaimTable.h"
 
@@ -28,12 +28,12 @@
         return view;
     }
 
-    class TermKeeperTest : public ::testing::Test {
+    class TermReconcilerTest : public ::testing::Test {
     public:
         template <typename Action> std::vector<Action> take()
         {
             std::vector<Action> taken;
-            for (const TermAction& action : keeper.takeActions()) {
+            for (const TermAction& action : reconciler.takeActions()) {
                 if (const auto* wanted = std::get_if<Action>(&action))
                     taken.push_back(*wanted);
             }
@@ -43,10 +43,10 @@
         void advance(Duration time)
         {
             clock.advance(time);
-            keeper.tick(clock.now());
+            reconciler.tick(clock.now());
         }
 
-        TermKeeper keeper { "walu", balancerIdOf("a"), {} };
+        TermReconciler reconciler { "walu", balancerIdOf("a"), {} };
         ManualClock clock;
     };
 
@@ -54,35 +54,35 @@
 
 }
 
-TEST_F(TermKeeperTest, WritesTheFirstRecordAndRepeatsNoWriteWhoseAnswerIsLost)
+TEST_F(TermReconcilerTest, ReadsTheRecordAfterAWriteWithoutReply)
 {
-    keeper.learnMembers(viewOf({ serving("a"), serving("b") }), clock.now());
+    reconciler.learnMembers(viewOf({ serving("a"), serving("b") }), clock.now());
     advance(seconds(1));
     ASSERT_EQ(take<ReadTerm>().size(), 1u);
-    keeper.learnAbsent(clock.now());
+    reconciler.learnAbsent(clock.now());
     advance(seconds(1));
     const auto first = take<WriteTerm>();
     ASSERT_EQ(first.size(), 1u);
     EXPECT_EQ(first[0].baseRevision, 0u);
     EXPECT_EQ(first[0].term.epoch, 1u);
 
-    SCOPED_TRACE("the answer is lost: the record is read, and turns out to be ours");
-    keeper.writeEnded(TermWrite::Unknown, 0, clock.now());
+    SCOPED_TRACE("after a lost reply the record is read and adopted");
+    reconciler.writeEnded(TermWrite::Unknown, 0, clock.now());
     ASSERT_EQ(take<ReadTerm>().size(), 1u);
-    keeper.learnRecord(first[0].term, 1, clock.now());
+    reconciler.learnRecord(first[0].term, 1, clock.now());
     EXPECT_EQ(take<AdoptTerm>().size(), 1u);
     advance(seconds(10));
     EXPECT_TRUE(take<WriteTerm>().empty());
 }
 
-// Symptom: an epoch is used twice. Sequence: the platform comes back from an older copy. Cause: believing its record.
-TEST_F(TermKeeperTest, NeverGoesBackToAnEarlierEpoch)
+// Guards against reusing an epoch after the platform was restored from a backup.
+TEST_F(TermReconcilerTest, NeverReturnsToAnEarlierEpoch)
 {
-    const std::vector<Holder> holders { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } };
-    keeper.learnRecord({ "walu", 7, holders, {}, true }, 30, clock.now());
-    keeper.learnRecord({ "walu", 4, holders, {}, true }, 12, clock.now());
-    EXPECT_EQ(keeper.term()->epoch, 7u);
-    keeper.learnMembers(viewOf({ serving("a"), serving("b", 2) }), clock.now());
+    const std::vector<BalancerInstance> holders { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } };
+    reconciler.learnRecord({ "walu", 7, holders, {}, true }, 30, clock.now());
+    reconciler.learnRecord({ "walu", 4, holders, {}, true }, 12, clock.now());
+    EXPECT_EQ(reconciler.term()->epoch, 7u);
+    reconciler.learnMembers(viewOf({ serving("a"), serving("b", 2) }), clock.now());
     advance(seconds(1));
     const auto write = take<WriteTerm>();
     ASSERT_EQ(write.size(), 1u);
@@ -90,55 +90,55 @@
     EXPECT_EQ(write[0].baseRevision, 12u);
 }
 
-TEST_F(TermKeeperTest, DoesNotActOnFlickerOrWhenIsolated)
+TEST_F(TermReconcilerTest, IgnoresShortOutagesAndIsolation)
 {
-    keeper.learnRecord({ "walu", 1, { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } }, {}, true }, 1, clock.now());
+    reconciler.learnRecord(
+        { "walu", 1, { { balancerIdOf("a"), 1 }, { balancerIdOf("b"), 1 } }, {}, true }, 1, clock.now());
     const MembersView both = viewOf({ serving("a"), serving("b") });
     MembersView alone = viewOf({ serving("a") });
-    keeper.learnMembers(alone, clock.now());
+    reconciler.learnMembers(alone, clock.now());
     advance(milliseconds(200));
-    keeper.learnMembers(both, clock.now());
+    reconciler.learnMembers(both, clock.now());
     advance(seconds(5));
     EXPECT_TRUE(take<WriteTerm>().empty());
     alone.isolated = true;
-    keeper.learnMembers(alone, clock.now());
+    reconciler.learnMembers(alone, clock.now());
     advance(seconds(5));
     EXPECT_TRUE(take<WriteTerm>().empty());
 }
 
-// Symptom: work runs twice. Sequence: an epoch was active under two holders that are now silent; an older copy is
-// found. Cause: taking the older copy for whole.
-TEST(BucketRecovery, TakesNoOlderCopyForWholeWhileANewerOneMayExist)
+// Guards against a double run: an older copy is taken as complete while the holders of the newest epoch don't answer.
+TEST(BucketRecovery, OlderCopyIsIncompleteWhileANewerOneMayExist)
 {
-    const Holder a { { 1 }, 1 };
-    const Holder b { { 2 }, 1 };
-    const Holder c { { 3 }, 1 };
-    const Holder d { { 4 }, 1 };
+    const BalancerInstance a { { 1 }, 1 };
+    const BalancerInstance b { { 2 }, 1 };
+    const BalancerInstance c { { 3 }, 1 };
+    const BalancerInstance d { { 4 }, 1 };
     const std::vector<ClaimPair> pairs { { 8, a, b }, { 7, c, d } };
     const TimePoint start(seconds(100));
-    GoneHolders gone;
-    const auto decide = [&](BucketRecovery& recovery) { return recovery.decide(gone, start + seconds(2)); };
+    TerminatedInstances terminated;
+    const auto decide = [&](BucketRecovery& recovery) { return recovery.decide(terminated, start + seconds(2)); };
     {
-        SCOPED_TRACE("nobody of the newest pair answers");
+        SCOPED_TRACE("no holder of the newest pair answers");
         BucketRecovery recovery(pairs, true, 9, start);
         recovery.add(c, copyAt(7));
-        EXPECT_EQ(recovery.decide(gone, start), RecoveryState::Waiting);
+        EXPECT_EQ(recovery.decide(terminated, start), RecoveryState::Waiting);
         EXPECT_EQ(decide(recovery), RecoveryState::Lost);
         EXPECT_FALSE(recovery.allStopped());
         ASSERT_TRUE(recovery.source());
-        gone.learnGone(b);
+        terminated.learnTerminated(b);
         EXPECT_EQ(decide(recovery), RecoveryState::Lost);
         EXPECT_TRUE(recovery.allStopped());
     }
     {
-        SCOPED_TRACE("one of it says that the epoch never became active");
+        SCOPED_TRACE("one holder reports that the epoch never became active");
         BucketRecovery recovery(pairs, true, 9, start);
         recovery.add(c, copyAt(7));
         recovery.add(b, copyAt(5));
-        EXPECT_EQ(decide(recovery), RecoveryState::Whole);
+        EXPECT_EQ(decide(recovery), RecoveryState::Complete);
     }
     {
-        SCOPED_TRACE("a copy that descends from the loss itself proves nothing");
+        SCOPED_TRACE("a copy installed after the loss is ignored");
         BucketRecovery recovery(pairs, true, 9, start);
         recovery.add(a, copyAt(9));
         recovery.add(c, copyAt(7));
@@ -146,7 +146,7 @@
     }
 }
 
-TEST(ClaimTable, IsBoundedAndSaysWhatItMayHaveForgotten)
+TEST(ClaimTable, IsBoundedAndReportsRemovedClaims)
 {
     ClaimTable table({ 3, 100, 50, seconds(3600) });
     const TimePoint start(seconds(100));
@@ -166,11 +166,11 @@
     EXPECT_EQ(table.answerBytes(), 41u);
 
     for (std::uint32_t i = 0; i < claimBucketCount; ++i)
-        table.forget(5, start + seconds(3600));
+        table.expire(5, start + seconds(3600));
     EXPECT_EQ(table.size(), 1u);
-    EXPECT_TRUE(table.mayHaveForgotten(0, key(1, 4)));
-    EXPECT_FALSE(table.mayHaveForgotten(0, key(9, 5)));
-    EXPECT_FALSE(table.mayHaveForgotten(0, key(2, 0)));
+    EXPECT_TRUE(table.mayHaveExpired(0, key(1, 4)));
+    EXPECT_FALSE(table.mayHaveExpired(0, key(9, 5)));
+    EXPECT_FALSE(table.mayHaveExpired(0, key(2, 0)));
     EXPECT_EQ(table.answerBytes(), 1u);
 }
 
--- a/Tests/StandIns/CallerFlowsTest.cpp
+++ b/Tests/StandIns/CallerFlowsTest.cpp
@@ -14,7 +14,7 @@
 
     class CallerFlowsTest : public testing::Test {
     protected:
-        // Answers a packet, or not.
+        // Returns the reply to a packet, or none.
         using Responder = std::function<std::optional<FlowPayload>(const FlowPayload&)>;
 
         static CallerFlowOptions options()
@@ -27,7 +27,7 @@
             return options;
         }
 
-        static std::optional<FlowPayload> good(const FlowPayload& packet)
+        static std::optional<FlowPayload> okReply(const FlowPayload& packet)
         {
             FlowPayload reply = packet;
             reply.kind = FlowPayloadKind::Reply;
@@ -35,17 +35,17 @@
             return reply;
         }
 
-        static Responder goodUntil(std::uint32_t sequence, const std::function<void(FlowPayload&)>& spoil)
+        static Responder alteredFrom(std::uint32_t sequence, const std::function<void(FlowPayload&)>& alter)
         {
             return [=](const FlowPayload& packet) {
-                auto reply = good(packet);
+                auto reply = okReply(packet);
                 if (packet.sequence >= sequence)
-                    spoil(*reply);
+                    alter(*reply);
                 return reply;
             };
         }
 
-        // Runs the time given, answering every packet one millisecond after it was sent.
+        // Runs the flows for the given time. Replies arrive one millisecond after their packets.
         void run(CallerFlows& flows, Duration time, const Responder& respond)
         {
             const TimePoint end = clock_.now() + time;
@@ -61,12 +61,12 @@
             }
         }
 
-        // One flow that lasts, so that each test tells the story of one customer.
-        CallerFlowOptions oneLastingFlow() const
+        // A single flow that lasts for the whole run.
+        CallerFlowOptions oneLongLivedFlow() const
         {
             CallerFlowOptions one = options();
             one.flowsPerSecond = 0.000'001;
-            one.lastingShare = 1;
+            one.longLivedShare = 1;
             one.idleShare = 0;
             return one;
         }
@@ -82,10 +82,10 @@
         std::vector<CallerPacket> sent_;
     };
 
-    TEST_F(CallerFlowsTest, aRunWithoutFaultsBreaksNothing)
+    TEST_F(CallerFlowsTest, NoFlowBreaksWithoutFaults)
     {
         CallerFlows flows(options(), clock_.now());
-        run(flows, seconds(10), good);
+        run(flows, seconds(10), okReply);
         EXPECT_GT(flows.counts().flowsEstablished, 400U);
         EXPECT_EQ(flows.counts().flowsEstablished, flows.counts().flowsOpened);
         EXPECT_GT(flows.counts().flowsEnded, 100U);
@@ -95,7 +95,7 @@
         EXPECT_EQ(flows.counts().packetsSent, sent_.size());
         EXPECT_EQ(flows.counts().replies, sent_.size());
 
-        SCOPED_TRACE("every flow has its own client, which uses one service");
+        SCOPED_TRACE("each flow has its own client endpoint");
         std::set<std::pair<std::uint64_t, Endpoint>> clients;
         std::set<Endpoint> endpoints;
         for (const CallerPacket& packet : sent_) {
@@ -107,60 +107,60 @@
         EXPECT_EQ(endpoints.size(), flows.counts().flowsOpened);
     }
 
-    TEST_F(CallerFlowsTest, theSameSeedGivesTheSamePackets)
+    TEST_F(CallerFlowsTest, TheSameSeedGivesTheSamePackets)
     {
         const TimePoint start = clock_.now();
         CallerFlows first(options(), start);
-        run(first, seconds(3), good);
+        run(first, seconds(3), okReply);
         const auto packets = std::exchange(sent_, {});
         clock_ = ManualClock();
         ASSERT_EQ(clock_.now(), start);
         CallerFlows second(options(), start);
-        run(second, seconds(3), good);
+        run(second, seconds(3), okReply);
         ASSERT_EQ(packets.size(), sent_.size());
         for (std::size_t i = 0; i < packets.size(); ++i)
             EXPECT_EQ(packets[i].payload, sent_[i].payload);
     }
 
-    TEST_F(CallerFlowsTest, marksTheStartsThatItIsToldTo)
+    TEST_F(CallerFlowsTest, StartMarksOnFirstPackets)
     {
         CallerFlowOptions marked = options();
-        marked.startMarks = 1;
+        marked.startMarkShare = 1;
         CallerFlows flows(marked, clock_.now());
-        run(flows, seconds(2), good);
+        run(flows, seconds(2), okReply);
         for (const CallerPacket& packet : sent_)
             EXPECT_EQ(packet.payload.startMark, packet.payload.sequence == 0);
     }
 
-    TEST_F(CallerFlowsTest, aResetBreaksAnEstablishedFlowOnce)
+    TEST_F(CallerFlowsTest, AnUnknownFlowReplyBreaksAnEstablishedFlowOnce)
     {
-        CallerFlows flows(oneLastingFlow(), clock_.now());
-        run(flows, seconds(3), goodUntil(3, [](FlowPayload& reply) {
+        CallerFlows flows(oneLongLivedFlow(), clock_.now());
+        run(flows, seconds(3), alteredFrom(3, [](FlowPayload& reply) {
             reply.status = FlowStatus::UnknownFlow;
             reply.backendServer = { 2 };
         }));
         const FlowBreak broken = onlyBreak(flows);
         EXPECT_EQ(broken.kind, FlowBreakKind::UnknownFlow);
         EXPECT_EQ(broken.sequence, 3U);
-        EXPECT_EQ(broken.holder.value, 1U);
-        EXPECT_EQ(broken.answerer.value, 2U);
+        EXPECT_EQ(broken.expectedServer.value, 1U);
+        EXPECT_EQ(broken.answeringServer.value, 2U);
         EXPECT_EQ(flows.openFlows(), 0U);
     }
 
-    TEST_F(CallerFlowsTest, anotherServerBreaksAnEstablishedFlow)
+    TEST_F(CallerFlowsTest, AReplyFromAnotherServerBreaksAnEstablishedFlow)
     {
-        CallerFlows flows(oneLastingFlow(), clock_.now());
-        run(flows, seconds(3), goodUntil(2, [](FlowPayload& reply) { reply.backendServer = { 2 }; }));
+        CallerFlows flows(oneLongLivedFlow(), clock_.now());
+        run(flows, seconds(3), alteredFrom(2, [](FlowPayload& reply) { reply.backendServer = { 2 }; }));
         EXPECT_EQ(onlyBreak(flows).kind, FlowBreakKind::ChangedServer);
     }
 
-    TEST_F(CallerFlowsTest, aServerOfAnotherServiceIsCountedHoweverItAnswers)
+    TEST_F(CallerFlowsTest, RepliesFromAnotherServiceAreCountedWithAnyStatus)
     {
-        for (const bool admits : { false, true }) {
-            SCOPED_TRACE(admits ? "it says so" : "it takes the packet for its own");
-            CallerFlows flows(oneLastingFlow(), clock_.now());
-            run(flows, seconds(3), goodUntil(2, [&](FlowPayload& reply) {
-                reply.status = admits ? FlowStatus::WrongService : FlowStatus::Ok;
+        for (const bool reportsWrongService : { false, true }) {
+            SCOPED_TRACE(reportsWrongService ? "status WrongService" : "status Ok");
+            CallerFlows flows(oneLongLivedFlow(), clock_.now());
+            run(flows, seconds(3), alteredFrom(2, [&](FlowPayload& reply) {
+                reply.status = reportsWrongService ? FlowStatus::WrongService : FlowStatus::Ok;
                 reply.service = { 99 };
             }));
             EXPECT_EQ(flows.counts().wrongServicePackets, 1U);
@@ -168,35 +168,32 @@
         }
     }
 
-    TEST_F(CallerFlowsTest, lostPacketsAreNoBreakUntilManyInARowAreLost)
+    TEST_F(CallerFlowsTest, ConsecutiveLostPacketsStallAFlow)
     {
         const auto answeringEvery = [](std::uint32_t n) {
             return [n](const FlowPayload& packet) {
-                return packet.sequence == 0 || packet.sequence % n == 0 ? good(packet) : std::nullopt;
+                return packet.sequence == 0 || packet.sequence % n == 0 ? okReply(packet) : std::nullopt;
             };
         };
         {
-            SCOPED_TRACE("seven of eight are lost");
-            CallerFlows flows(oneLastingFlow(), clock_.now());
+            SCOPED_TRACE("seven packets in a row are lost");
+            CallerFlows flows(oneLongLivedFlow(), clock_.now());
             run(flows, seconds(9), answeringEvery(8));
             EXPECT_EQ(flows.counts().flowsBroken, 0U);
         }
         {
-            SCOPED_TRACE("eight in a row are lost");
-            CallerFlows flows(oneLastingFlow(), clock_.now());
+            SCOPED_TRACE("eight packets in a row are lost");
+            CallerFlows flows(oneLongLivedFlow(), clock_.now());
             run(flows, seconds(9), answeringEvery(9));
             EXPECT_EQ(onlyBreak(flows).kind, FlowBreakKind::Stalled);
             EXPECT_EQ(flows.counts().flowsStalled, 1U);
         }
     }
 
-    // Symptom: a flow counts as broken although its server never changed.
-    // Sequence: the reply to the opening packet is lost; the caller repeats the packet, which reaches a second server;
-    // both answer, and only the first one's answer establishes the flow.
-    // Cause: the second answer was taken for a packet of the established flow.
-    TEST_F(CallerFlowsTest, aRepeatedOpeningAtASecondServerIsNoBreak)
+    // Guards against counting a flow as broken because a second server answers its repeated opening packet.
+    TEST_F(CallerFlowsTest, ARepeatedOpeningAtASecondServerBreaksNoFlow)
     {
-        CallerFlows flows(oneLastingFlow(), clock_.now());
+        CallerFlows flows(oneLongLivedFlow(), clock_.now());
         FlowPayload opening;
         run(flows, milliseconds(500), [&](const FlowPayload& packet) {
             opening = packet;
@@ -206,32 +203,32 @@
         EXPECT_GT(sent_.size(), 1U) << "the opening is repeated";
         EXPECT_EQ(opening.sequence, 0U);
 
-        FlowPayload reply = *good(opening);
+        FlowPayload reply = *okReply(opening);
         flows.handle(reply, clock_.now());
         reply.backendServer = { 2 };
         flows.handle(reply, clock_.now());
-        run(flows, seconds(3), good);
+        run(flows, seconds(3), okReply);
         EXPECT_EQ(flows.counts().flowsEstablished, 1U);
         EXPECT_EQ(flows.counts().flowsBroken, 0U);
-        EXPECT_EQ(flows.counts().openingsElsewhere, 1U);
+        EXPECT_EQ(flows.counts().openingsAtOtherServers, 1U);
     }
 
-    TEST_F(CallerFlowsTest, aFlowThatNobodyAnswersIsNeverEstablished)
+    TEST_F(CallerFlowsTest, AnUnansweredFlowIsNotEstablished)
     {
-        CallerFlows flows(oneLastingFlow(), clock_.now());
+        CallerFlows flows(oneLongLivedFlow(), clock_.now());
         run(flows, seconds(12), [](const FlowPayload&) { return std::nullopt; });
         EXPECT_EQ(flows.counts().flowsNotEstablished, 1U);
         EXPECT_EQ(flows.counts().flowsBroken, 0U);
         EXPECT_EQ(flows.openFlows(), 0U);
     }
 
-    TEST_F(CallerFlowsTest, staysWithinItsLimits)
+    TEST_F(CallerFlowsTest, LimitsOnOpenFlowsAndRecordedBreaks)
     {
         CallerFlowOptions limited = options();
-        limited.openFlowLimit = 10;
-        limited.breakLimit = 5;
+        limited.maxOpenFlows = 10;
+        limited.maxBreaks = 5;
         CallerFlows flows(limited, clock_.now());
-        run(flows, seconds(5), goodUntil(2, [](FlowPayload& reply) { reply.status = FlowStatus::UnknownFlow; }));
+        run(flows, seconds(5), alteredFrom(2, [](FlowPayload& reply) { reply.status = FlowStatus::UnknownFlow; }));
         EXPECT_LE(flows.openFlows(), 10U);
         EXPECT_GT(flows.counts().flowsSkipped, 0U);
         EXPECT_GT(flows.counts().flowsBroken, 5U);
--- a/Tests/News/RandomDecisionsTest.cpp
+++ b/Tests/StoreSync/RandomFaultsTest.cpp
@@ -1,4 +1,4 @@
-#include "News/DecisionFleet.h"
+#include "StoreSync/FleetSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -12,11 +12,11 @@
 
     using namespace std::chrono_literals;
 
-    // A server of the test: where it stands in its life, beside what the store holds of it.
+    // A server with its actual state, which the store may not know.
     struct TestServer {
         RegisteredServer entry;
         bool isAlive = true;
-        TimePoint leavesSince = TimePoint::max();
+        TimePoint drainingSince = TimePoint::max();
     };
 
     struct TestFlow {
@@ -25,30 +25,30 @@
         std::size_t server = 0;
     };
 
-    // Drives a fleet by a seeded schedule and checks what callers and servers would see.
-    class RandomDecisions {
+    // Runs a simulation with a seeded schedule of faults and checks the routing decisions.
+    class RandomFaultRun {
     public:
-        explicit RandomDecisions(std::uint32_t seed)
+        explicit RandomFaultRun(std::uint32_t seed)
             : fleet_(seed)
         {
             for (std::size_t i = 0; i < 8; ++i)
                 addServer(i % 2 == 0 ? "tryon" : "scanintake", i % 4 < 2 ? "walu" : "nabua", 0);
             fleet_.writeConfiguration(version_ = 2, services_);
-            noteConfiguration();
+            recordConfiguration();
             fleet_.advance(3s);
         }
 
         void run()
         {
             for (int step = 0; step < 60; ++step) {
-                disturb();
+                injectFault();
                 for (int i = 0; i < 5; ++i) {
-                    open();
-                    use();
+                    openFlow();
+                    useFlow();
                     fleet_.advance(50ms);
                 }
             }
-            calmDown();
+            recover();
         }
 
     private:
@@ -62,13 +62,13 @@
             fleet_.writeServer(servers_.back().entry);
         }
 
-        void noteConfiguration()
+        void recordConfiguration()
         {
             for (std::size_t i = 0; i < services_.size(); ++i)
-                everAllowed_.insert({ DecisionFleet::routeOf(i), services_[i] });
+                allowedServices_.insert({ FleetSimulation::routeOf(i), services_[i] });
         }
 
-        void disturb()
+        void injectFault()
         {
             auto& balancer = fleet_.balancers()[draw(6)];
             const std::size_t index = static_cast<std::size_t>(&balancer - fleet_.balancers().data());
@@ -81,33 +81,33 @@
                 balancer.isFrozen = !balancer.isFrozen;
                 return;
             case 2:
-                balancer.isTurnedAway = !balancer.isTurnedAway;
+                balancer.isRejectedByStore = !balancer.isRejectedByStore;
                 return;
             case 3:
                 fleet_.isStoreDown = !fleet_.isStoreDown;
                 return;
             case 4:
-                return fleet_.forgetHistory();
+                return fleet_.compactHistory();
             case 5:
-                fleet_.loss = draw(2) * 0.3;
+                fleet_.lossRate = draw(2) * 0.3;
                 return;
             case 6:
             case 7:
                 services_[draw(4)] = std::array<const char*, 3> { "tryon", "scanintake", "" }[draw(3)];
                 fleet_.writeConfiguration(version_ += 1 + draw(5), services_);
-                return noteConfiguration();
+                return recordConfiguration();
             case 8:
             case 9: {
                 if (!server.isAlive || server.entry.readiness == ServerReadiness::Draining)
                     return;
                 server.entry.readiness = ServerReadiness::Draining;
-                server.leavesSince = fleet_.now();
+                server.drainingSince = fleet_.now();
                 fleet_.writeServer(server.entry);
                 const RegisteredServer entry = server.entry;
                 return addServer(entry.service, entry.availabilityZone, 0);
             }
             case 10: {
-                // It dies, and its address goes to the other service while its entry is still there.
+                // The server dies, and a server of the other service gets its address while its entry still exists.
                 if (!server.isAlive)
                     return;
                 server.isAlive = false;
@@ -118,7 +118,7 @@
                 return addServer(entry.service, entry.availabilityZone, 0);
             }
             case 11:
-                // Its entry lapses although it lives, and is back later.
+                // The entry of a live server lapses; it registers again later.
                 fleet_.removeServer(server.entry);
                 return;
             case 12:
@@ -130,18 +130,18 @@
             }
         }
 
-        void open()
+        void openFlow()
         {
             auto& balancer = fleet_.balancers()[draw(6)];
             if (balancer.isFrozen)
                 return;
             const std::size_t route = draw(4);
-            TokenPacket packet = ForwardFixture::opening(++nextCaller_, draw(3), DecisionFleet::routeOf(route));
+            TokenPacket packet = ForwardFixture::opening(++nextCaller_, draw(3), FleetSimulation::routeOf(route));
             const PacketDecision decision = balancer.router->route(packet, fleet_.now());
             if (decision.verdict != PacketVerdict::Forward)
                 return;
             const RegisteredServer& chosen = decision.server->entry;
-            EXPECT_TRUE(everAllowed_.contains({ packet.ends.route, chosen.service }))
+            EXPECT_TRUE(allowedServices_.contains({ packet.ends.route, chosen.service }))
                 << chosen.service << " never had " << packet.ends.route.toString();
             for (std::size_t i = 0; i < servers_.size(); ++i) {
                 if (servers_[i].entry.id == chosen.id && servers_[i].isAlive)
@@ -149,9 +149,9 @@
             }
         }
 
-        // A packet of an open flow arrives at any balancer: it goes to its server, or nowhere, and is never reset while
-        // that server lives.
-        void use()
+        // Sends a packet of an open flow to any balancer. It may be forwarded only to its server, and must not be reset
+        // while that server lives.
+        void useFlow()
         {
             if (flows_.empty())
                 return;
@@ -174,18 +174,18 @@
             }
         }
 
-        // Everything undisturbed: within seconds all know all, also those that just started, and new flows go to
-        // living servers of the newest configuration.
-        void calmDown()
+        // Ends all faults and restarts all balancers. Checks that each of them soon has the newest state and sends new
+        // flows to live servers of the newest configuration.
+        void recover()
         {
             fleet_.isStoreDown = false;
-            fleet_.loss = 0;
+            fleet_.lossRate = 0;
             for (auto& balancer : fleet_.balancers()) {
-                balancer.isTurnedAway = false;
+                balancer.isRejectedByStore = false;
                 balancer.isFrozen = false;
             }
             for (std::size_t i = 0; i < fleet_.balancers().size(); ++i) {
-                // A frozen balancer's pending calls are lost; the daemon's own time limits would end them.
+                // The pending calls of a frozen balancer are lost; in the daemon they would time out.
                 fleet_.start(i);
             }
             for (const TestServer& server : servers_) {
@@ -194,18 +194,19 @@
             }
             fleet_.advance(3s);
             for (auto& balancer : fleet_.balancers()) {
-                EXPECT_EQ(balancer.exchange->book().completeTo(), fleet_.revision()) << balancer.name;
+                EXPECT_EQ(balancer.sync->replica().completeTo(), fleet_.revision()) << balancer.name;
                 EXPECT_EQ(balancer.router->configurationVersion(), version_) << balancer.name;
-                expectGoodChoices(*balancer.router);
+                expectValidChoices(*balancer.router);
             }
             EXPECT_EQ(fleet_.regressions(), 0U);
         }
 
-        void expectGoodChoices(TokenRouter& router)
+        void expectValidChoices(TokenRouter& router)
         {
             for (std::size_t route = 0; route < services_.size(); ++route) {
                 for (int i = 0; i < 10; ++i) {
-                    const TokenPacket packet = ForwardFixture::opening(++nextCaller_, 0, DecisionFleet::routeOf(route));
+                    const TokenPacket packet
+                        = ForwardFixture::opening(++nextCaller_, 0, FleetSimulation::routeOf(route));
                     const PacketDecision decision = router.route(packet, fleet_.now());
                     if (decision.verdict != PacketVerdict::Forward) {
                         EXPECT_TRUE(services_[route].empty() || decision.reason == PacketReason::NoServer);
@@ -220,34 +221,33 @@
             }
         }
 
-        DecisionFleet fleet_;
+        FleetSimulation fleet_;
         std::vector<TestServer> servers_;
         std::vector<TestFlow> flows_;
         std::vector<std::string> services_ { "tryon", "scanintake", "tryon", "" };
-        std::set<std::pair<Endpoint, std::string>> everAllowed_;
+        std::set<std::pair<Endpoint, std::string>> allowedServices_;
         std::uint64_t version_ = 0;
         std::uint64_t nextNumber_ = 0;
         std::uint32_t nextCaller_ = 0;
     };
 
-    TEST(RandomDecisionsTest, flowsAndConfigurationsSurviveSeededFaults)
+    TEST(RandomFaultsTest, FlowsAndConfigurationsSurviveSeededFaults)
     {
         for (std::uint32_t seed = 1; seed <= 300; ++seed) {
             SCOPED_TRACE(seed);
-            RandomDecisions(seed).run();
+            RandomFaultRun(seed).run();
             if (HasFailure())
                 break;
         }
     }
 
-    // Symptom: new flows found no server although all were well.
-    // Sequence: all entries lapse in an outage of the store, it says so when it is back, and is lost again before the
-    // servers have registered anew. Cause: see ServerDirectoryTest.
-    TEST(RandomDecisionsTest, serversThatLapsedStayWhileTheStoreCannotSayThatTheyAreBack)
+    // Guards against new flows without a server when all entries lapse in an outage, and the store is lost again before
+    // the servers have registered again.
+    TEST(RandomFaultsTest, LapsedServersStayInUseWhileTheStoreIsUnreachable)
     {
         for (std::uint32_t seed = 1; seed <= 20; ++seed) {
             SCOPED_TRACE(seed);
-            DecisionFleet fleet(seed);
+            FleetSimulation fleet(seed);
             fleet.writeConfiguration(2, { "tryon" });
             for (std::uint64_t number = 1; number <= 4; ++number)
                 fleet.writeServer(ForwardFixture::server(number));
@@ -258,7 +258,7 @@
             fleet.isStoreDown = true;
             fleet.advance(5s);
             for (auto& balancer : fleet.balancers()) {
-                const TokenPacket packet = ForwardFixture::opening(1, 0, DecisionFleet::routeOf(0));
+                const TokenPacket packet = ForwardFixture::opening(1, 0, FleetSimulation::routeOf(0));
                 const PacketDecision decision = balancer.router->route(packet, fleet.now());
                 EXPECT_EQ(decision.verdict, PacketVerdict::Forward) << balancer.name;
             }
@@ -269,19 +269,16 @@
         }
     }
 
-    // Symptom: a zone stayed behind although others had the news.
-    // Sequence: the store turns away all balancers of a zone for longer than any bound, while the configuration
-    // changes. Cause: see NewsExchangeTest; here the bound itself is checked, 3 s of which the gossip takes half a
-    // second.
-    TEST(RandomDecisionsTest, aZoneThatTheStoreTurnsAwayHasANewConfigurationWithinTwoSeconds)
+    // Guards against a zone that stays at an old configuration while the store rejects all of its balancers.
+    TEST(RandomFaultsTest, ZoneRejectedByTheStoreHasANewConfigurationWithinTwoSeconds)
     {
         for (std::uint32_t seed = 1; seed <= 50; ++seed) {
             SCOPED_TRACE(seed);
-            DecisionFleet fleet(seed);
+            FleetSimulation fleet(seed);
             fleet.writeConfiguration(2, { "tryon" });
             fleet.advance(2s);
             for (auto& balancer : fleet.balancers())
-                balancer.isTurnedAway = balancer.availabilityZone == "nabua";
+                balancer.isRejectedByStore = balancer.availabilityZone == "nabua";
             fleet.advance(1s);
             fleet.writeConfiguration(7, { "scanintake" });
             fleet.advance(2s);
--- a/Tests/Support/MembershipNetwork.h
+++ b/Tests/Support/MembershipNetwork.h
@@ -16,21 +16,22 @@
 
 namespace wisteriadock {
 
-// Carries datagrams between instances of Membership in virtual time, with seeded loss, delay and cuts.
+// Simulated network between Membership instances in virtual time, with seeded random loss and delay and with blocked
+// links.
 class MembershipNetwork {
 public:
     struct Node {
         Member self;
         std::unique_ptr<Membership> membership;
         bool isPaused = false;
-        std::vector<PeerMessageReceived> inbox; // Waits while the node is paused.
+        std::vector<PeerMessageReceived> inbox; // Datagrams that arrived while the node was paused.
         std::uint64_t bytesSent = 0;
         std::uint64_t datagramsSent = 0;
-        std::uint64_t mostBytesInSecond = 0;
-        std::uint64_t bytesAtSecond = 0;
+        std::uint64_t peakBytesPerSecond = 0;
+        std::uint64_t bytesAtSecondStart = 0;
     };
 
-    // Adds the IPv4 and UDP headers to each datagram's size.
+    // Size of the IPv4 and UDP headers, added to the size of each datagram.
     static constexpr std::size_t headerBytes = 28;
     static constexpr std::chrono::milliseconds tickPeriod { 100 };
 
@@ -39,18 +40,18 @@
     {
     }
 
-    // Starts a new balancer that reads a VM list of all balancers so far.
+    // Starts a new balancer whose VM list names all balancers so far.
     std::size_t add(const std::string& availabilityZone)
     {
-        const std::size_t index = place(availabilityZone);
+        const std::size_t index = addNode(availabilityZone);
         start(index);
         return index;
     }
 
-    // Starts a new balancer whose list names the first balancers only, also those that have not started yet.
+    // Starts a new balancer whose VM list names only the first `seeds` balancers, including those not yet started.
     std::size_t addWithSeeds(const std::string& availabilityZone, std::size_t seeds)
     {
-        const std::size_t index = place(availabilityZone);
+        const std::size_t index = addNode(availabilityZone);
         nodes_[index].membership = std::make_unique<Membership>(settings, nodes_[index].self, random_(), now);
         VmListReceived list;
         for (std::size_t seed = 0; seed < seeds; ++seed) {
@@ -80,13 +81,13 @@
         VmListReceived list;
         for (const Node& node : nodes_)
             list.vms.push_back({ node.self.peerAddress, false });
-        std::erase_if(list.vms, [&](const VmAdvice& vm) { return vm.peerAddress == nodes_[index].self.peerAddress; });
+        std::erase_if(list.vms, [&](const ListedVm& vm) { return vm.peerAddress == nodes_[index].self.peerAddress; });
         perform(index, nodes_[index].membership->handle(list, now));
     }
 
     void kill(std::size_t index) { nodes_[index].membership.reset(); }
     void pause(std::size_t index) { nodes_[index].isPaused = true; }
-    // The datagrams that waited are handled before the first tick, as a socket would give them.
+    // Handles the queued datagrams before the next tick, as a socket would deliver them.
     void resume(std::size_t index)
     {
         nodes_[index].isPaused = false;
@@ -108,7 +109,7 @@
             if (to >= nodes_.size() || isLost || (isCut && isCut(index, to)))
                 continue;
             const auto delay = std::chrono::microseconds(500 + random_() % 1500);
-            flying_.push({ now + delay, ++sent_, index, to, std::move(datagram) });
+            inFlight_.push({ now + delay, ++sent_, index, to, std::move(datagram) });
         }
     }
 
@@ -117,7 +118,7 @@
         runUntil([] { return false; }, span);
     }
 
-    // Runs until the condition holds, looking at every tick; false when it never did.
+    // Runs until the condition holds, checked once per tick; returns false if the limit passed first.
     bool runUntil(const std::function<bool()>& condition, Duration limit)
     {
         const TimePoint end = now + limit;
@@ -131,7 +132,7 @@
                     perform(i, nodes_[i].membership->tick(now));
             }
             if (++ticks_ % 10 == 0)
-                closeSecond();
+                recordSecond();
         }
         return true;
     }
@@ -140,23 +141,31 @@
     const std::vector<Node>& nodes() const { return nodes_; }
     bool isRunning(std::size_t index) const { return nodes_[index].membership && !nodes_[index].isPaused; }
     const MembersView& view(std::size_t index) const { return *nodes_[index].membership->view(); }
-    const Member* seen(std::size_t by, std::size_t who) const { return view(by).find(nodes_[who].self.id); }
+    const Member* viewedMember(std::size_t observer, std::size_t subject) const
+    {
+        return view(observer).find(nodes_[subject].self.id);
+    }
 
     MembershipSettings settings;
+    // Probability that a datagram is lost, 0 to 1.
     double loss = 0;
-    // Of the balancers that are added from now on.
+    // Link bandwidth of balancers that are added later, in Mbit/s.
     std::uint32_t linkMegabits = 0;
+    // Whether datagrams on a link are dropped.
     std::function<bool(std::size_t from, std::size_t to)> isCut;
     TimePoint now = ManualClock().now();
 
 private:
-    struct Flying {
+    struct InFlightDatagram {
         TimePoint at;
         std::uint64_t order = 0;
         std::size_t from = 0;
         std::size_t to = 0;
         std::vector<std::uint8_t> bytes;
-        bool operator<(const Flying& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
+        bool operator<(const InFlightDatagram& other) const
+        {
+            return std::tie(at, order) > std::tie(other.at, other.order);
+        }
     };
 
     static constexpr std::uint64_t firstIncarnation = 1'790'000'000'000;
@@ -164,8 +173,8 @@
     static std::uint32_t hostOf(std::size_t index) { return static_cast<std::uint32_t>(0x0A000001 + index); }
     static Endpoint peerAddressOf(std::size_t index) { return { hostOf(index), 7000 }; }
 
-    // Makes room for a balancer, which has not started.
-    std::size_t place(const std::string& availabilityZone)
+    // Adds a node without starting its balancer.
+    std::size_t addNode(const std::string& availabilityZone)
     {
         const std::size_t index = nodes_.size();
         const std::string name = fmt::format("{}-{}", availabilityZone, index);
@@ -178,8 +187,8 @@
 
     void deliverUntil(TimePoint end)
     {
-        for (; !flying_.empty() && flying_.top().at <= end; flying_.pop()) {
-            const Flying& datagram = flying_.top();
+        for (; !inFlight_.empty() && inFlight_.top().at <= end; inFlight_.pop()) {
+            const InFlightDatagram& datagram = inFlight_.top();
             Node& node = nodes_[datagram.to];
             if (!node.membership)
                 continue;
@@ -194,17 +203,17 @@
         now = end - tickPeriod;
     }
 
-    void closeSecond()
+    void recordSecond()
     {
         for (Node& node : nodes_) {
-            node.mostBytesInSecond = std::max(node.mostBytesInSecond, node.bytesSent - node.bytesAtSecond);
-            node.bytesAtSecond = node.bytesSent;
+            node.peakBytesPerSecond = std::max(node.peakBytesPerSecond, node.bytesSent - node.bytesAtSecondStart);
+            node.bytesAtSecondStart = node.bytesSent;
         }
     }
 
     std::mt19937_64 random_;
     std::vector<Node> nodes_;
-    std::priority_queue<Flying> flying_;
+    std::priority_queue<InFlightDatagram> inFlight_;
     std::uint64_t sent_ = 0;
     std::uint64_t ticks_ = 0;
 };
